--- a/crates/nickelgw-drill/src/node.rs
+++ b/crates/nickelgw-drill/src/node.rs
@@ -12,14 +12,14 @@
     routes: Vec<String>,
     tenants: Vec<String>,
     zones: Vec<String>,
-    kinds: Vec<(String, Role, f64)>,
-    by_request: HashMap<u64, Inf>,
+    kinds: Vec<(String, EngineRole, f64)>,
+    by_request: HashMap<u64, RequestHandle>,
     /// By handle: the request it stands for, and how many sends it has had.
     taken: Vec<(u64, u64)>,
     wake_at: f64,
 }
 
-fn load(event: &Value) -> Result<Option<Load>, Bad> {
+fn load(event: &Value) -> Result<Option<EngineLoad>, Bad> {
     let Some(report) = event.get("telemetry") else { return Ok(None) };
     if !report.is_object() {
         return Err(Bad::field(event, "telemetry", "an object"));
@@ -31,14 +31,14 @@
 fn outcome(event: &Value) -> Result<Outcome, Bad> {
     Ok(match text(event, "how")? {
         "served" => Outcome::Completed,
-        "prefilled" => Outcome::Read,
+        "prefilled" => Outcome::Prefilled,
         "server_error" => Outcome::EngineError,
-        "turned_away" => Outcome::TurnedAway,
-        "no_answer" => Outcome::NoAnswer,
-        "no_connection" => Outcome::NoConnection,
+        "turned_away" => Outcome::Rejected,
+        "no_answer" => Outcome::TimedOut,
+        "no_connection" => Outcome::ConnectFailed,
         "connection_lost" => Outcome::ConnectionLost,
         "called_off" => Outcome::Cancelled,
-        "not_sent" => Outcome::NotSent,
+        "not_sent" => Outcome::NotDelivered,
         _ => return Err(Bad::field(event, "how", "a known outcome")),
     })
 }
@@ -70,28 +70,28 @@
             let kind = self.kinds.iter().find(|k| k.0 == kind);
             let kind = kind.ok_or_else(|| Bad::field(entry, "family_type", "a kind from the settings"))?;
             let started = num_or(entry, "up_since_s", 0.0)?;
-            lines.push(EngineLine {
+            lines.push(EngineEntry {
                 id: text(entry, "engine")?.to_string(),
                 zone: position(&self.zones, entry, "campus")? as u32,
                 cell: num_or(entry, "unit_group", 0.0)? as u32,
                 role: kind.1,
                 memory_tokens: kind.2,
-                standing: match text(entry, "state")? {
-                    "IN" => Standing::In,
-                    "LAME" => Standing::Draining,
-                    "OUT" => Standing::Gone,
+                lifecycle: match text(entry, "state")? {
+                    "IN" => Lifecycle::Active,
+                    "LAME" => Lifecycle::Draining,
+                    "OUT" => Lifecycle::Removed,
                     _ => return Err(Bad::field(entry, "state", "IN, LAME or OUT")),
                 },
                 started_at: (started > 0.0).then_some(started),
             });
         }
-        self.router.list(now, &lines, full);
+        self.router.update_endpoints(now, &lines, full);
         Ok(())
     }
 
     pub fn event(&mut self, now: f64, kind: &str, event: &Value) -> Result<(), Bad> {
         match kind {
-            "MEMBERSHIP" => self.router.list_failed(now),
+            "MEMBERSHIP" => self.router.endpoint_poll_failed(now),
             "REQUEST" => {
                 let org = event.get("org").filter(|v| v.is_string());
                 let tenant = match org {
@@ -99,18 +99,18 @@
                     _ => None,
                 };
                 let prefix = event.get("prefix").map(|_| text(event, "prefix")).transpose()?;
-                let arrival = Arrival {
+                let arrival = IncomingRequest {
                     route: position(&self.routes, event, "cls")?,
                     tenant,
-                    due_at: num(event, "due_s")?,
+                    deadline: num(event, "due_s")?,
                     prompt_tokens: num_or(event, "prompt_len", 0.0)?,
                     prefix_tokens: num_or(event, "n_prefix", 0.0)?,
                     session: event.get("session").map_or(Ok(""), |_| text(event, "session"))?.to_string(),
                     prefix: prefix.map(str::to_string),
-                    spare: false,
+                    is_background: false,
                 };
                 let request = index(event, "req")?;
-                let inf = self.router.take(now, &arrival);
+                let inf = self.router.admit_request(now, &arrival);
                 let k = inf.0 as usize;
                 self.taken.resize(self.taken.len().max(k + 1), (0, 0));
                 self.taken[k] = (request, 0);
@@ -118,15 +118,15 @@
             }
             "SETTLED" => {
                 let outcome = outcome(event)?;
-                let ending = Ending {
+                let ending = AttemptEnd {
                     outcome,
-                    after_s: num_or(event, "delay_seen_s", 0.0)?,
-                    over: flag(event, "over")?,
+                    elapsed_s: num_or(event, "delay_seen_s", 0.0)?,
+                    request_finished: flag(event, "over")?,
                     note: num_or(event, "remark", 0.0)?,
                 };
                 let load = load(event)?;
                 if let Some((inf, send)) = self.send_of(event)? {
-                    self.router.settled(now, inf, send, ending, load);
+                    self.router.attempt_finished(now, inf, send, ending, load);
                 }
             }
             "HEAD_RECEIVED" => {
@@ -136,11 +136,11 @@
             }
             "HANGUP" => {
                 if let Some(&inf) = self.by_request.get(&index(event, "req")?) {
-                    self.router.left(inf);
+                    self.router.client_disconnected(inf);
                 }
             }
             "PROBED" => {
-                self.router.probed(now, text(event, "engine")?, outcome(event)?, load(event)?);
+                self.router.probe_finished(now, text(event, "engine")?, outcome(event)?, load(event)?);
             }
             "REMINDER" => self.wake_at = f64::INFINITY,
             _ => {}
@@ -149,7 +149,7 @@
     }
 
     /// The handle and send that an event speaks of; none where the inference is long over.
-    fn send_of(&self, event: &Value) -> Result<Option<(Inf, u32)>, Bad> {
+    fn send_of(&self, event: &Value) -> Result<Option<(RequestHandle, u32)>, Bad> {
         let (request, n) = (index(event, "req")?, index(event, "n")?);
         let Some(&inf) = self.by_request.get(&request) else { return Ok(None) };
         if n >= self.taken[inf.0 as usize].1 {
@@ -165,20 +165,20 @@
             reply.push_str(&action.to_string());
             reply.push('\n');
         };
-        d.sends.iter().for_each(|s| self.taken[s.inf.0 as usize].1 += 1);
-        let req = |inf: Inf| self.taken[inf.0 as usize].0;
+        d.dispatches.iter().for_each(|s| self.taken[s.request.0 as usize].1 += 1);
+        let req = |inf: RequestHandle| self.taken[inf.0 as usize].0;
         for &(inf, n) in &d.cancelled {
             say(json!({"kind": "RECALL", "i": i, "req": req(inf), "n": n}));
         }
-        for s in &d.sends {
-            let engine = self.router.engine_id(s.eng);
-            let (req, patience) = (req(s.inf), s.patience_s);
+        for s in &d.dispatches {
+            let engine = self.router.engine_id(s.engine);
+            let (req, patience) = (req(s.request), s.timeout_s);
             say(json!({"kind": "ATTEMPT", "i": i, "req": req, "engine": engine, "patience_s": patience}));
         }
-        for &(inf, back) in &d.shed {
+        for &(inf, back) in &d.rejected {
             say(json!({"kind": "DENY", "i": i, "req": req(inf), "not_before_for_s": back}));
         }
-        for &inf in &d.errored {
+        for &inf in &d.failed {
             say(json!({"kind": "ERROR", "i": i, "req": req(inf)}));
         }
         for &inf in &d.released {
@@ -187,7 +187,7 @@
         for &eng in &d.probes {
             say(json!({"kind": "PROBE", "i": i, "engine": self.router.engine_id(eng)}));
         }
-        if d.subscribe {
+        if d.poll_endpoints {
             say(json!({"kind": "TAIL", "i": i, "enable": true}));
         }
         if let Some(at) = d.wake_at.filter(|&at| at < self.wake_at) {
--- a/crates/nickelgw-node/examples/fleet.rs
+++ b/crates/nickelgw-node/examples/fleet.rs
@@ -24,7 +24,7 @@
 
 enum Event {
     Arrive(usize),
-    Settle { node: usize, inf: Inf, send: u32, outcome: Outcome, after_s: f64 },
+    Settle { node: usize, inf: RequestHandle, send: u32, outcome: Outcome, after_s: f64 },
     Probed { node: usize, id: String, outcome: Outcome },
     Decide(usize),
     Round(usize),
@@ -92,18 +92,18 @@
             let e = Event::Settle { node: n, inf, send, outcome: Outcome::Cancelled, after_s: 0.0 };
             self.at(now, e);
         }
-        for s in d.sends {
-            let id = self.nodes[n].router.engine_id(s.eng).to_string();
-            let sends = self.nodes[n].sends.entry(s.inf.0).or_default();
+        for s in d.dispatches {
+            let id = self.nodes[n].router.engine_id(s.engine).to_string();
+            let sends = self.nodes[n].sends.entry(s.request.0).or_default();
             let send = sends.len() as u32;
             sends.push(true);
             let read = id.contains('r');
             let (outcome, after_s) = match self.silent(n, &id, now) {
-                true => (Outcome::NoConnection, 0.25),
-                false if read => (Outcome::Read, 0.05),
+                true => (Outcome::ConnectFailed, 0.25),
+                false if read => (Outcome::Prefilled, 0.05),
                 false => (Outcome::Completed, 0.5),
             };
-            if zone_of(&id) == 1 && (LOST_AT..BACK_AT).contains(&now) && outcome == Outcome::NoConnection {
+            if zone_of(&id) == 1 && (LOST_AT..BACK_AT).contains(&now) && outcome == Outcome::ConnectFailed {
                 self.thrown += 1;
             }
             if zone_of(&id) == 1 && now >= BACK_AT {
@@ -111,13 +111,13 @@
                 self.returned.resize(self.returned.len().max(k + 1), 0);
                 self.returned[k] += 1;
             }
-            self.at(now + after_s, Event::Settle { node: n, inf: s.inf, send, outcome, after_s });
+            self.at(now + after_s, Event::Settle { node: n, inf: s.request, send, outcome, after_s });
         }
-        self.shed += d.shed.len();
+        self.shed += d.rejected.len();
         for eng in d.probes {
             let id = self.nodes[n].router.engine_id(eng).to_string();
             let (outcome, after) = match self.silent(n, &id, now) {
-                true => (Outcome::NoAnswer, 0.25),
+                true => (Outcome::TimedOut, 0.25),
                 false => (Outcome::Completed, 0.003),
             };
             self.at(now + after, Event::Probed { node: n, id, outcome });
@@ -162,17 +162,17 @@
             Event::Arrive(n) => {
                 self.arrived += 1;
                 let session = self.dice().to_string();
-                let a = Arrival {
+                let a = IncomingRequest {
                     route: 0,
                     tenant: None,
-                    due_at: now + 6.0,
+                    deadline: now + 6.0,
                     prompt_tokens: 1000.0,
                     prefix_tokens: 0.0,
                     session,
                     prefix: None,
-                    spare: false,
+                    is_background: false,
                 };
-                self.nodes[n].router.take(now, &a);
+                self.nodes[n].router.admit_request(now, &a);
                 self.decide(n, now);
                 let gap = -(1.0 - self.dice()).ln() * self.nodes.len() as f64 / RATE;
                 self.at(now + gap, Event::Arrive(n));
@@ -186,14 +186,19 @@
                 if outcome == Outcome::Completed {
                     self.nodes[node].router.first_token(now, inf, send);
                 }
-                let end = Ending { outcome, after_s, over: outcome == Outcome::Completed, note: 0.0 };
-                self.nodes[node].router.settled(now, inf, send, end, None);
+                let end = AttemptEnd {
+                    outcome,
+                    elapsed_s: after_s,
+                    request_finished: outcome == Outcome::Completed,
+                    note: 0.0,
+                };
+                self.nodes[node].router.attempt_finished(now, inf, send, end, None);
                 self.decide(node, now);
             }
             Event::Probed { node, id, outcome } => {
-                let load = Load { memory_share: Some(0.3), ..Load::default() };
+                let load = EngineLoad { memory_share: Some(0.3), ..EngineLoad::default() };
                 let load = Some(load).filter(|_| outcome == Outcome::Completed);
-                self.nodes[node].router.probed(now, &id, outcome, load);
+                self.nodes[node].router.probe_finished(now, &id, outcome, load);
                 self.decide(node, now);
             }
             Event::Decide(n) if now < self.nodes[n].wakes_at => {}
@@ -220,16 +225,16 @@
     let mut lines = Vec::new();
     for (z, zone) in ZONES.iter().enumerate() {
         for n in 0..ENGINES {
-            for (role, letter) in [(Role::Read, 'r'), (Role::Write, 'w')] {
+            for (role, letter) in [(EngineRole::Prefill, 'r'), (EngineRole::Decode, 'w')] {
                 let id = format!("{zone}{letter}{n}");
-                let (zone, memory_tokens, standing) = (z as u32, 1e6, Standing::In);
-                lines.push(EngineLine {
+                let (zone, memory_tokens, standing) = (z as u32, 1e6, Lifecycle::Active);
+                lines.push(EngineEntry {
                     id,
                     zone,
                     cell: z as u32,
                     role,
                     memory_tokens,
-                    standing,
+                    lifecycle: standing,
                     started_at: None,
                 });
             }
@@ -239,34 +244,34 @@
     for n in 0..count {
         let d = Deployment {
             node: n as u32,
-            nodes: count as u32,
+            node_count: count as u32,
             seed: n as u64,
             zone: (n % 3) as u32,
             tick_s: 0.005,
             routes: vec![ModelRoute {
-                first_token_target_s: 1.2,
-                target_per_token_s: 0.0,
-                pace_s: 0.06,
-                repeat: Repeat::Retriable,
+                ttft_objective_s: 1.2,
+                ttft_objective_per_token_s: 0.0,
+                tpot_objective_s: 0.06,
+                idempotency: Idempotency::Idempotent,
             }],
             tenant_quotas: vec![],
-            most_sends: 6,
-            writers_read: false,
-            hold_limit_s: 0.5,
-            connect_s: 0.0,
-            move_price: 0.04,
-            zone_price: 0.01,
-            cancel: true,
-            probes: true,
-            must_ask: false,
-            longest_come_back_s: None,
-            cold_share: 0.3,
-            warm_within_s: 10.0,
-            tip_multiple: 3.0,
-            tip_window_s: 2.0,
+            max_attempts: 6,
+            decode_engines_prefill: false,
+            reservation_limit_s: 0.5,
+            connect_timeout_s: 0.0,
+            cross_cell_price: 0.04,
+            cross_zone_price: 0.01,
+            can_cancel: true,
+            can_probe: true,
+            must_poll_endpoints: false,
+            max_retry_after_s: None,
+            slow_start_initial_share: 0.3,
+            warmup_s: 10.0,
+            overload_multiple: 3.0,
+            overload_window_s: 2.0,
         };
         let mut router = Router::new(d);
-        router.list(0.0, &lines, true);
+        router.update_endpoints(0.0, &lines, true);
         let name = format!("n{n}");
         let zones: Vec<String> = ZONES.iter().map(|z| z.to_string()).collect();
         let own = Record {
--- a/crates/nickelgw-node/src/core/act.rs
+++ b/crates/nickelgw-node/src/core/act.rs
@@ -19,8 +19,8 @@
                 todo.push(Do::CallOff { ticket, send });
             }
         }
-        for s in &d.sends {
-            match self.order(now, s.inf, s.eng, s.patience_s) {
+        for s in &d.dispatches {
+            match self.order(now, s.request, s.engine, s.timeout_s) {
                 Some(Ok(order)) => todo.push(Do::Send(order)),
                 Some(Err((t, send))) => {
                     self.ended(now, t, send, End { cause: Cause::NotSent, ..End::default() })
@@ -29,16 +29,16 @@
             }
         }
         let named = d.reasons.iter().filter_map(|&(inf, reason)| Some((self.ticket(inf)?, reason)));
-        let reasons: Vec<(Ticket, Reason)> = named.collect();
+        let reasons: Vec<(Ticket, RejectionReason)> = named.collect();
         for &(t, reason) in &reasons {
             self.note(now, t, Step::GivenUp(reason));
         }
-        for &(inf, come_back_s) in &d.shed {
+        for &(inf, come_back_s) in &d.rejected {
             if let Some(t) = self.ticket(inf) {
                 self.answer(now, t, Answer::Shed { come_back_s });
             }
         }
-        for &inf in &d.errored {
+        for &inf in &d.failed {
             if let Some(t) = self.ticket(inf) {
                 let due = self.get(t).map_or(f64::INFINITY, |x| x.due_at);
                 let why = if now + 2.0 * self.tick >= due { Why::TimeUp } else { Why::SendsFailed };
@@ -58,11 +58,11 @@
                 // The list took it out in this very batch.
                 None => {
                     let id = id.to_string();
-                    self.router.probed(now, &id, Outcome::NoConnection, None);
+                    self.router.probe_finished(now, &id, Outcome::ConnectFailed, None);
                 }
             }
         }
-        if d.subscribe {
+        if d.poll_endpoints {
             todo.push(Do::AskList);
         }
         for &inf in &d.closed {
@@ -82,7 +82,7 @@
         let (calls, let_go_at) = self.ledger.due(now);
         for owner in self.ledger.take_expired() {
             if let Some(t) = self.ticket_of(owner) {
-                self.router.reservation_expired(now, Inf(t.inf));
+                self.router.reservation_expired(now, RequestHandle(t.inf));
                 self.update_release_pending(t);
             }
         }
@@ -103,8 +103,8 @@
 
     /// Engines that the module names for a call which any of them takes; the one meant at least.
     fn takers(&self, meant: &Rc<Place>) -> Vec<Rc<Place>> {
-        let named = self.router.heard_last(&meant.id, TRIED);
-        let place = |e: &Eng| self.places.get(self.router.engine_id(*e)).map(|p| p.0.clone());
+        let named = self.router.engines_by_last_response(&meant.id, TRIED);
+        let place = |e: &EngineHandle| self.places.get(self.router.engine_id(*e)).map(|p| p.0.clone());
         let places: Vec<_> = named.iter().filter_map(place).collect();
         if places.is_empty() {
             vec![meant.clone()]
@@ -118,8 +118,8 @@
     fn order(
         &mut self,
         now: f64,
-        inf: Inf,
-        eng: Eng,
+        inf: RequestHandle,
+        eng: EngineHandle,
         patience_s: f64,
     ) -> Option<Result<Order, (Ticket, u32)>> {
         let ticket = self.ticket(inf)?;
@@ -127,9 +127,9 @@
         let idle_s = self.figures.stream_idle_s;
         let (eng, role) = match self.places.get(&id) {
             Some((place, role)) => (place.clone(), *role),
-            None => (Rc::new(Place { id, address: String::new(), tls_name: None }), Role::Read),
+            None => (Rc::new(Place { id, address: String::new(), tls_name: None }), EngineRole::Prefill),
         };
-        let read = role == Role::Read;
+        let read = role == EngineRole::Prefill;
         let attempt = self.attempt(now, ticket, &eng.id, read)?;
         let permitted = self.guard.permits(&attempt, ticket.serial);
         let taken = self.get(ticket)?;
@@ -142,7 +142,7 @@
         let shared = taken.name.is_some();
         let name = taken.name.clone();
         let name = name.unwrap_or_else(|| format!("{}-{}-{send}", self.figures.boot, ticket.serial));
-        let grounds = self.router.grounds(inf, send);
+        let grounds = self.router.dispatch_rationale(inf, send);
         let what = if read {
             let state = Reservation { name: name.clone(), reader: eng.clone(), shared };
             self.ledger.prefill_begins(now, ReservationId { owner: ticket.serial, prefill: send }, state);
@@ -168,7 +168,7 @@
             left_s: taken.due_at - now,
             another_out: taken.sends.iter().any(|s| s.live),
             may_have_run_s: ran.map(|s| now - s.at),
-            repeat: self.repeats.get(taken.route).copied().unwrap_or(Repeat::NonRetriable),
+            repeat: self.repeats.get(taken.route).copied().unwrap_or(Idempotency::NonIdempotent),
             listed: self.places.contains_key(engine) && !self.draining.contains(engine),
             releasing: self.ledger.is_releasing(ticket.serial),
         })
--- a/crates/nickelgw-node/src/core/cause.rs
+++ b/crates/nickelgw-node/src/core/cause.rs
@@ -43,14 +43,14 @@
     pub fn outcome(self) -> Outcome {
         match self {
             Cause::Completed => Outcome::Completed,
-            Cause::Read => Outcome::Read,
+            Cause::Read => Outcome::Prefilled,
             Cause::Failed(_) | Cause::Garbled => Outcome::EngineError,
-            Cause::TurnedAway | Cause::NoState => Outcome::TurnedAway,
-            Cause::NoAnswer => Outcome::NoAnswer,
-            Cause::NoConnection => Outcome::NoConnection,
+            Cause::TurnedAway | Cause::NoState => Outcome::Rejected,
+            Cause::NoAnswer => Outcome::TimedOut,
+            Cause::NoConnection => Outcome::ConnectFailed,
             Cause::Lost => Outcome::ConnectionLost,
             Cause::CalledOff => Outcome::Cancelled,
-            Cause::NotSent => Outcome::NotSent,
+            Cause::NotSent => Outcome::NotDelivered,
         }
     }
 
--- a/crates/nickelgw-node/src/core/guard.rs
+++ b/crates/nickelgw-node/src/core/guard.rs
@@ -3,7 +3,7 @@
 //! The decisions are the Router's and the ledger's. The guard knows the rules alone: it refuses an attempt that would break one, and counts
 //! what it refuses or finds broken. A count above zero is a bug of the node.
 
-use nickelgw::interface::Repeat;
+use nickelgw::interface::Idempotency;
 use std::collections::BTreeMap;
 
 /// A rule that was about to be broken, or was.
@@ -61,7 +61,7 @@
     pub another_out: bool,
     /// How long ago the first decode attempt that may have run was made.
     pub may_have_run_s: Option<f64>,
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// The list has the engine, and it takes new work.
     pub listed: bool,
     /// A release of an earlier reservation of the request is not confirmed.
@@ -85,9 +85,9 @@
 
     fn repeats_effect(&self) -> bool {
         match (self.may_have_run_s, self.repeat) {
-            (None, _) | (_, Repeat::Retriable) => false,
-            (_, Repeat::NonRetriable) => true,
-            (Some(ago_s), Repeat::Deduped { memory_s, .. }) => ago_s >= memory_s,
+            (None, _) | (_, Idempotency::Idempotent) => false,
+            (_, Idempotency::NonIdempotent) => true,
+            (Some(ago_s), Idempotency::Keyed { window_s: memory_s, .. }) => ago_s >= memory_s,
         }
     }
 }
--- a/crates/nickelgw-node/src/core/guard_tests.rs
+++ b/crates/nickelgw-node/src/core/guard_tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use nickelgw::interface::Group;
+use nickelgw::interface::IdempotencyScope;
 use test_case::test_case;
 
-const DEDUPED: Repeat = Repeat::Deduped { group: Group::All, memory_s: 3.0 };
+const DEDUPED: Idempotency = Idempotency::Keyed { scope: IdempotencyScope::All, window_s: 3.0 };
 
 fn sound() -> Attempt {
     Attempt {
@@ -11,7 +11,7 @@
         left_s: 1.0,
         another_out: false,
         may_have_run_s: None,
-        repeat: Repeat::NonRetriable,
+        repeat: Idempotency::NonIdempotent,
         listed: true,
         releasing: false,
     }
--- a/crates/nickelgw-node/src/core/kept.rs
+++ b/crates/nickelgw-node/src/core/kept.rs
@@ -1,6 +1,6 @@
 //! What the module has learnt, as it is kept for the node's next process: times as Unix times.
 
-use nickelgw::interface::{Learnt, LearntEngine};
+use nickelgw::interface::{LearnedEngine, LearnedState};
 use serde::{Deserialize, Serialize};
 
 #[derive(Serialize, Deserialize)]
@@ -20,26 +20,29 @@
 /// Engines kept at most; those with faults come first.
 const MOST: usize = 1024;
 
-pub fn write(l: &Learnt, epoch_unix_s: f64) -> Vec<u8> {
-    let engine = |e: &LearntEngine| KeptEngine {
+pub fn write(l: &LearnedState, epoch_unix_s: f64) -> Vec<u8> {
+    let engine = |e: &LearnedEngine| KeptEngine {
         id: e.id.clone(),
-        started: e.started.map(|s| s + epoch_unix_s),
-        faults: e.faults,
-        fault_at: e.fault_at + epoch_unix_s,
+        started: e.started_at.map(|s| s + epoch_unix_s),
+        faults: e.recent_failures,
+        fault_at: e.last_failure_at + epoch_unix_s,
     };
     let kept =
-        Kept { figures: l.figures.clone(), engines: l.engines.iter().take(MOST).map(engine).collect() };
+        Kept { figures: l.averages.clone(), engines: l.engines.iter().take(MOST).map(engine).collect() };
     serde_json::to_vec(&kept).unwrap_or_default()
 }
 
 /// None: not what such a record looks like.
-pub fn read(bytes: &[u8], epoch_unix_s: f64) -> Option<Learnt> {
+pub fn read(bytes: &[u8], epoch_unix_s: f64) -> Option<LearnedState> {
     let k: Kept = serde_json::from_slice(bytes).ok()?;
-    let engine = |e: KeptEngine| LearntEngine {
+    let engine = |e: KeptEngine| LearnedEngine {
         id: e.id,
-        started: e.started.map(|s| s - epoch_unix_s),
-        faults: e.faults,
-        fault_at: e.fault_at - epoch_unix_s,
+        started_at: e.started.map(|s| s - epoch_unix_s),
+        recent_failures: e.faults,
+        last_failure_at: e.fault_at - epoch_unix_s,
     };
-    Some(Learnt { figures: k.figures, engines: k.engines.into_iter().take(MOST).map(engine).collect() })
+    Some(LearnedState {
+        averages: k.figures,
+        engines: k.engines.into_iter().take(MOST).map(engine).collect(),
+    })
 }
--- a/crates/nickelgw-node/src/core/membership.rs
+++ b/crates/nickelgw-node/src/core/membership.rs
@@ -5,17 +5,17 @@
 impl Core {
     /// Under these ids other processes live than before: what was known of the old ones is void with the next list.
     pub fn renewed(&mut self, now: f64, ids: &[String]) {
-        let gone = |id: &String| EngineLine {
+        let gone = |id: &String| EngineEntry {
             id: id.clone(),
             zone: 0,
             cell: 0,
-            role: Role::Read,
+            role: EngineRole::Prefill,
             memory_tokens: 1.0,
-            standing: Standing::Gone,
+            lifecycle: Lifecycle::Removed,
             started_at: None,
         };
-        let lines: Vec<EngineLine> = ids.iter().map(gone).collect();
-        self.router.list(now, &lines, false);
+        let lines: Vec<EngineEntry> = ids.iter().map(gone).collect();
+        self.router.update_endpoints(now, &lines, false);
     }
 
     /// A list from the same source never goes back: an older one is an answer that was overtaken.
@@ -31,14 +31,14 @@
             // A zone not in the settings cannot be weighed; the engine is left out, as if gone.
             let Some(zone) = self.figures.zones.iter().position(|z| *z == l.zone) else { continue };
             let role = match l.role {
-                list::Role::Read => Role::Read,
-                list::Role::Write => Role::Write,
-                list::Role::Both => Role::Both,
+                list::Role::Read => EngineRole::Prefill,
+                list::Role::Write => EngineRole::Decode,
+                list::Role::Both => EngineRole::Unified,
             };
             let standing = match l.state {
-                list::State::In => Standing::In,
-                list::State::Draining => Standing::Draining,
-                list::State::Gone => Standing::Gone,
+                list::State::In => Lifecycle::Active,
+                list::State::Draining => Lifecycle::Draining,
+                list::State::Gone => Lifecycle::Removed,
             };
             let known =
                 self.places.get(&l.id).filter(|(p, _)| p.address == l.address && p.tls_name == l.tls_name);
@@ -53,13 +53,13 @@
                 |(p, _)| p.clone(),
             );
             self.places.insert(l.id.clone(), (place, role));
-            lines.push(EngineLine {
+            lines.push(EngineEntry {
                 id: l.id.clone(),
                 zone: zone as u32,
                 cell: l.cell,
                 role,
                 memory_tokens: l.memory_tokens,
-                standing,
+                lifecycle: standing,
                 started_at: l.started_at.map(|at| at - self.figures.epoch_unix_s),
             });
         }
@@ -70,17 +70,17 @@
         let ended =
             |s: &Reservation| places.get(&s.reader.id).is_none_or(|p| p.0.address != s.reader.address);
         self.ledger.engines_gone(now, ended);
-        let readers = places.values().filter(|p| p.1 != Role::Write).map(|p| p.0.clone());
+        let readers = places.values().filter(|p| p.1 != EngineRole::Decode).map(|p| p.0.clone());
         self.sweep.listed(now, readers);
-        self.router.list(now, &lines, true);
+        self.router.update_endpoints(now, &lines, true);
         if let Some((learnt, trust)) = self.recall.take_if(|_| !lines.is_empty()) {
-            self.router.recall(now, &learnt, trust);
+            self.router.restore_learned_state(now, &learnt, trust);
         }
     }
 
     /// What part of the whole is this node's has changed.
     pub fn place(&mut self, now: f64, place: Option<(u32, u32)>) {
-        self.router.place(now, place.map(|(_, of)| of));
+        self.router.set_fleet_size(now, place.map(|(_, of)| of));
     }
 
     /// From now on it is one of a fleet, under this name.
@@ -101,7 +101,7 @@
 
     /// What is to be kept for the next one.
     pub fn learnt(&self, now: f64) -> Vec<u8> {
-        kept::write(&self.router.learnt(now), self.figures.epoch_unix_s)
+        kept::write(&self.router.learned_state(now), self.figures.epoch_unix_s)
     }
 
     pub fn swept(&mut self, now: f64, address: &str, done: bool) {
@@ -115,6 +115,6 @@
     }
 
     pub fn list_failed(&mut self, now: f64) {
-        self.router.list_failed(now);
+        self.router.endpoint_poll_failed(now);
     }
 }
--- a/crates/nickelgw-node/src/core/mod.rs
+++ b/crates/nickelgw-node/src/core/mod.rs
@@ -20,7 +20,8 @@
 use ledger::{Ledger, ReservationId};
 use nickelgw::decide::Router;
 use nickelgw::interface::{
-    Arrival, Deployment, Ending, Eng, EngineLine, Inf, Learnt, Load, Outcome, Reason, Repeat, Role, Standing,
+    AttemptEnd, Deployment, EngineEntry, EngineHandle, EngineLoad, EngineRole, Idempotency, IncomingRequest,
+    LearnedState, Lifecycle, Outcome, RejectionReason, RequestHandle,
 };
 use nickelgw_accord::core::Known;
 use nickelgw_chat::core::grant::{grant, Granted};
@@ -84,7 +85,7 @@
     once: Vec<bool>,
     /// First-token target of each route: a constant part, and one for each prompt token.
     targets: Vec<(f64, f64)>,
-    places: HashMap<String, (Rc<Place>, Role)>,
+    places: HashMap<String, (Rc<Place>, EngineRole)>,
     /// By the Router's handle.
     taken: Vec<Option<Taken>>,
     open: usize,
@@ -98,13 +99,13 @@
     /// Engines of the list that take no new work.
     draining: BTreeSet<String>,
     /// How each route may be repeated.
-    repeats: Vec<Repeat>,
+    repeats: Vec<Idempotency>,
     sweep: Sweep,
     /// The node as one of a fleet, where nodes tell each other what they see.
     pub together: Option<Together>,
     pub ring: Ring,
     /// What an earlier process had learnt, and how far it is believed; used with the first list.
-    recall: Option<(Learnt, f64)>,
+    recall: Option<(LearnedState, f64)>,
     revision: Option<u64>,
     ready: Vec<Do>,
     /// Nothing more is taken.
@@ -114,29 +115,29 @@
     pub tally: Tally,
 }
 
-fn load(report: &LoadReport) -> Load {
-    Load {
+fn load(report: &LoadReport) -> EngineLoad {
+    EngineLoad {
         memory_share: report.mem_utilization,
         slot_share: report.application_utilization,
-        queue: report.named(load::WAITING),
+        queue_len: report.named(load::WAITING),
         inflight: report.named(load::PRESENT),
-        unread_tokens: report.named(load::UNREAD),
+        pending_prompt_tokens: report.named(load::UNREAD),
     }
 }
 
 impl Core {
     pub fn new(deployment: Deployment, figures: Figures) -> Core {
-        let repeats = deployment.routes.iter().map(|r| r.repeat).collect();
-        let ledger = Ledger::new(deployment.hold_limit_s, figures.let_go_within_s);
+        let repeats = deployment.routes.iter().map(|r| r.idempotency).collect();
+        let ledger = Ledger::new(deployment.reservation_limit_s, figures.let_go_within_s);
         Core {
             tick: deployment.tick_s,
-            longest_come_back_s: deployment.longest_come_back_s,
-            cancel: deployment.cancel,
-            once: deployment.routes.iter().map(|r| r.repeat == Repeat::NonRetriable).collect(),
+            longest_come_back_s: deployment.max_retry_after_s,
+            cancel: deployment.can_cancel,
+            once: deployment.routes.iter().map(|r| r.idempotency == Idempotency::NonIdempotent).collect(),
             targets: deployment
                 .routes
                 .iter()
-                .map(|r| (r.first_token_target_s, r.target_per_token_s))
+                .map(|r| (r.ttft_objective_s, r.ttft_objective_per_token_s))
                 .collect(),
             router: Router::new(deployment),
             places: HashMap::new(),
@@ -198,17 +199,17 @@
         if let Some((t, w)) = self.weight(ask.tenant) {
             self.fair.opened(t, w);
         }
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             route: ask.route,
             tenant: ask.tenant,
-            due_at: now + ask.timeout_s,
+            deadline: now + ask.timeout_s,
             prompt_tokens: ask.prompt_tokens,
             prefix_tokens: ask.prefix_tokens,
             session: ask.session.clone(),
             prefix: ask.prefix.clone(),
-            spare: ask.spare,
+            is_background: ask.spare,
         };
-        let inf = self.router.take(now, &arrival).0;
+        let inf = self.router.admit_request(now, &arrival).0;
         self.serial += 1;
         self.open += 1;
         if let Some(n) = ask.tenant.and_then(|t| self.open_by_tenant.get_mut(t)) {
@@ -229,7 +230,7 @@
             tenant: ask.tenant,
             good_until,
             stage: Stage::Waiting,
-            due_at: arrival.due_at,
+            due_at: arrival.deadline,
             whole_at,
             sends: Vec::new(),
         });
@@ -270,7 +271,7 @@
         self.taken.get_mut(t.inf as usize)?.as_mut().filter(|x| x.serial == t.serial)
     }
 
-    fn ticket(&self, inf: Inf) -> Option<Ticket> {
+    fn ticket(&self, inf: RequestHandle) -> Option<Ticket> {
         let serial = self.taken.get(inf.0 as usize)?.as_ref()?.serial;
         Some(Ticket { inf: inf.0, serial })
     }
@@ -312,7 +313,7 @@
         }
         self.note(now, t, Step::Began { send });
         self.ledger.claim_served(now, t.serial, send);
-        self.router.first_token(now, Inf(t.inf), send);
+        self.router.first_token(now, RequestHandle(t.inf), send);
         self.ledger.release_all(now, t.serial);
         true
     }
@@ -355,9 +356,9 @@
         }
         let note = if cause == Cause::NoState { 1.0 } else { end.kept };
         // Time since the send: the Router learns from it how long reads and streams last.
-        let after_s = now - self.router.sent_at(Inf(t.inf), send);
-        let ending = Ending { outcome, after_s, over, note };
-        self.router.settled(now, Inf(t.inf), send, ending, end.load.as_ref().map(load));
+        let after_s = now - self.router.dispatched_at(RequestHandle(t.inf), send);
+        let ending = AttemptEnd { outcome, elapsed_s: after_s, request_finished: over, note };
+        self.router.attempt_finished(now, RequestHandle(t.inf), send, ending, end.load.as_ref().map(load));
         self.update_release_pending(t);
     }
 
@@ -380,7 +381,7 @@
         self.leaving = true;
         let cancel = self.cancel;
         for inf in 0..self.taken.len() as u32 {
-            let Some(t) = self.ticket(Inf(inf)) else { continue };
+            let Some(t) = self.ticket(RequestHandle(inf)) else { continue };
             let Some(taken) = self.get(t).filter(|x| x.stage != Stage::Over) else { continue };
             let begun = taken.stage != Stage::Waiting;
             if begun && !streams {
@@ -393,7 +394,7 @@
             let come_back_s = self.longest_come_back_s.map(|s| s.min(self.figures.come_back_s));
             let answer = if harmless { Answer::Shed { come_back_s } } else { Answer::Errored(Why::Stopping) };
             self.answer(now, t, answer);
-            self.router.left(Inf(inf));
+            self.router.client_disconnected(RequestHandle(inf));
             self.ledger.release_all(now, t.serial);
         }
     }
@@ -402,7 +403,7 @@
     pub fn left(&mut self, now: f64, t: Ticket) {
         if self.leave(now, t) {
             self.call_off(t);
-            self.router.left(Inf(t.inf));
+            self.router.client_disconnected(RequestHandle(t.inf));
             self.ledger.release_all(now, t.serial);
         }
     }
@@ -445,7 +446,7 @@
     }
 
     pub fn probed(&mut self, now: f64, id: &str, cause: Cause, report: Option<LoadReport>) {
-        self.router.probed(now, id, cause.outcome(), report.as_ref().map(load));
+        self.router.probe_finished(now, id, cause.outcome(), report.as_ref().map(load));
     }
 
     /// A call that lets go of a state was answered, or was not.
@@ -466,7 +467,7 @@
     /// No further prefill goes out for the request while a release of an earlier one's reservation is not confirmed.
     fn update_release_pending(&mut self, t: Ticket) {
         let releasing = self.ledger.is_releasing(t.serial);
-        self.router.set_release_pending(Inf(t.inf), releasing);
+        self.router.set_release_pending(RequestHandle(t.inf), releasing);
     }
 
     fn answer(&mut self, now: f64, t: Ticket, answer: Answer) {
--- a/crates/nickelgw-node/src/core/tests.rs
+++ b/crates/nickelgw-node/src/core/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use nickelgw::interface::{Group, ModelRoute};
+use nickelgw::interface::{IdempotencyScope, ModelRoute};
 use nickelgw_chat::core::grant::GrantKey;
 use nickelgw_protocol::list::{Line, State};
 use proptest::prelude::*;
@@ -11,34 +11,41 @@
 
 const HOLD_S: f64 = 0.5;
 const MEMORY_S: f64 = 3.0;
-const REPEATS: [Repeat; 3] =
-    [Repeat::Retriable, Repeat::Deduped { group: Group::Zone, memory_s: MEMORY_S }, Repeat::NonRetriable];
+const REPEATS: [Idempotency; 3] = [
+    Idempotency::Idempotent,
+    Idempotency::Keyed { scope: IdempotencyScope::Zone, window_s: MEMORY_S },
+    Idempotency::NonIdempotent,
+];
 
 fn deployment() -> Deployment {
-    let route =
-        |repeat| ModelRoute { first_token_target_s: 0.5, target_per_token_s: 0.0, pace_s: 0.05, repeat };
+    let route = |repeat| ModelRoute {
+        ttft_objective_s: 0.5,
+        ttft_objective_per_token_s: 0.0,
+        tpot_objective_s: 0.05,
+        idempotency: repeat,
+    };
     Deployment {
         node: 0,
-        nodes: 1,
+        node_count: 1,
         seed: 7,
         zone: 0,
         tick_s: 0.004,
         routes: REPEATS.map(route).to_vec(),
         tenant_quotas: vec![1000.0; 2],
-        most_sends: 6,
-        writers_read: true,
-        hold_limit_s: HOLD_S,
-        connect_s: 0.0,
-        move_price: 0.0,
-        zone_price: 0.0,
-        cancel: true,
-        probes: true,
-        must_ask: false,
-        longest_come_back_s: Some(2.0),
-        cold_share: 0.3,
-        warm_within_s: 5.0,
-        tip_multiple: 3.0,
-        tip_window_s: 2.0,
+        max_attempts: 6,
+        decode_engines_prefill: true,
+        reservation_limit_s: HOLD_S,
+        connect_timeout_s: 0.0,
+        cross_cell_price: 0.0,
+        cross_zone_price: 0.0,
+        can_cancel: true,
+        can_probe: true,
+        must_poll_endpoints: false,
+        max_retry_after_s: Some(2.0),
+        slow_start_initial_share: 0.3,
+        warmup_s: 5.0,
+        overload_multiple: 3.0,
+        overload_window_s: 2.0,
     }
 }
 
@@ -135,7 +142,7 @@
 impl World {
     fn new(cancel: bool) -> Self {
         World {
-            core: core_of(64, Deployment { cancel, ..deployment() }),
+            core: core_of(64, Deployment { can_cancel: cancel, ..deployment() }),
             cancel,
             now: 0.0,
             seen: BTreeMap::new(),
@@ -168,7 +175,7 @@
                     let shed = matches!(answer, Answer::Shed { .. });
                     // A read counts until it has ended.
                     let over = s.ran.is_empty() && s.live.is_empty() && !s.goes_on;
-                    let harmless = over || REPEATS[s.route] == Repeat::Retriable;
+                    let harmless = over || REPEATS[s.route] == Idempotency::Idempotent;
                     assert!(!shed || harmless, "shed though it may have run");
                     s.answers.push((self.now, answer));
                 }
@@ -192,8 +199,8 @@
         assert!(s.live.is_empty(), "sent beside one that is out");
         if let Work::Write { state, .. } = &o.what {
             match (REPEATS[s.route], s.ran.first().copied()) {
-                (Repeat::NonRetriable, Some(_)) => panic!("a non-retriable inference is sent again"),
-                (Repeat::Deduped { .. }, Some((_, at, zone))) => {
+                (Idempotency::NonIdempotent, Some(_)) => panic!("a non-retriable inference is sent again"),
+                (Idempotency::Keyed { .. }, Some((_, at, zone))) => {
                     assert!(zone == zone_of(&o.eng) && self.now < at + MEMORY_S, "outside group or span");
                 }
                 _ => {}
@@ -212,7 +219,7 @@
         let s = self.seen.get_mut(&o.ticket).unwrap();
         s.live.remove(&o.send);
         let proven =
-            matches!(cause.outcome(), Outcome::TurnedAway | Outcome::NoConnection | Outcome::NotSent);
+            matches!(cause.outcome(), Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotDelivered);
         if proven {
             s.ran.retain(|r| r.0 != o.send);
         }
--- a/crates/nickelgw-node/src/core/tests/between.rs
+++ b/crates/nickelgw-node/src/core/tests/between.rs
@@ -35,7 +35,8 @@
     }
     let kept = old.learnt(now);
     let learnt = kept::read(&kept, 0.0).unwrap();
-    let bad = |l: &Learnt| l.engines.iter().any(|e| Some(&e.id) == bad.as_ref() && e.faults > 0.2);
+    let bad =
+        |l: &LearnedState| l.engines.iter().any(|e| Some(&e.id) == bad.as_ref() && e.recent_failures > 0.2);
     assert!(bad(&learnt), "{learnt:?}");
     // The next process began at another time of its own.
     let fresh = |trust: f64| {
@@ -46,8 +47,8 @@
         kept::read(&c.learnt(0.2), now).unwrap()
     };
     let (whole, half, none) = (fresh(1.0), fresh(0.5), fresh(0.0));
-    assert_eq!(whole.figures, learnt.figures);
-    let prompt = |l: &Learnt| l.figures[1];
+    assert_eq!(whole.averages, learnt.averages);
+    let prompt = |l: &LearnedState| l.averages[1];
     assert!(prompt(&none) == 0.0 && prompt(&half) == prompt(&whole) / 2.0);
     assert!(bad(&whole) && none.engines.is_empty());
     let mut c = core(4);
--- a/crates/nickelgw-node/src/core/together.rs
+++ b/crates/nickelgw-node/src/core/together.rs
@@ -3,7 +3,7 @@
 
 use nanorand::{Rng, WyRand};
 use nickelgw::decide::Router;
-use nickelgw::interface::Role;
+use nickelgw::interface::EngineRole;
 use nickelgw_accord::core::record::{self, short, MOST_SILENT};
 use nickelgw_accord::core::Known;
 use nickelgw_zones::core::{Figures, Seen, State, There, Turn, Ways};
@@ -89,16 +89,16 @@
         let mut there = vec![There::default(); n];
         let own = |zone| Seen { node: self.name, zone, heard: None, silent: Vec::new(), part: 1.0 };
         let mut seen: Vec<Seen> = (0..n).map(own).collect();
-        for e in router.seen() {
+        for e in router.engine_observations() {
             let Some(zone) = seen.get_mut(e.zone as usize) else { continue };
             let there = &mut there[e.zone as usize];
-            there.readers += usize::from(e.role != Role::Write);
-            there.writers += usize::from(e.role != Role::Read);
-            if e.heard > zone.heard.unwrap_or(0.0) {
-                zone.heard = Some(e.heard);
+            there.readers += usize::from(e.role != EngineRole::Decode);
+            there.writers += usize::from(e.role != EngineRole::Prefill);
+            if e.last_response_at > zone.heard.unwrap_or(0.0) {
+                zone.heard = Some(e.last_response_at);
             }
-            if e.mute > e.heard && e.mute > now - self.figures.window_s {
-                zone.silent.push((engine(e.id), e.mute));
+            if e.unreachable_at > e.last_response_at && e.unreachable_at > now - self.figures.window_s {
+                zone.silent.push((engine(e.id), e.unreachable_at));
             }
         }
         for s in &mut seen {
@@ -109,7 +109,7 @@
         let turns = self.ways.look(now, &seen, &there);
         let nodes = (others.len() + 1) as f64;
         for zone in 0..n {
-            router.give_part(zone as u32, self.ways.part(zone));
+            router.set_zone_weight(zone as u32, self.ways.part(zone));
         }
         // News is looked at more often than by the round: what is asked goes by time.
         let rounds = ((now - self.knocked_at) / self.round_s).min(1.0);
@@ -122,7 +122,7 @@
             };
             // The fleet's sum stays the same however many nodes there are.
             let own = (rounds * all / nodes + self.dice()) as usize;
-            (0..own).for_each(|_| router.knock(now, zone as u32));
+            (0..own).for_each(|_| router.probe_zone(now, zone as u32));
         }
         for s in seen.iter().filter(|s| s.node != self.name) {
             let last = s.silent.iter().map(|x| x.1).fold(f64::NEG_INFINITY, f64::max);
--- a/crates/nickelgw-node/src/core/trace.rs
+++ b/crates/nickelgw-node/src/core/trace.rs
@@ -2,7 +2,7 @@
 //! down; of those that are over, failures and slow ones are kept, and of the rest a sample. Bounded.
 
 use super::{Answer, Cause, Place};
-use nickelgw::interface::{Grounds, Reason};
+use nickelgw::interface::{DispatchRationale, RejectionReason};
 use std::collections::VecDeque;
 use std::fmt::Write;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
         send: u32,
         eng: Rc<Place>,
         read: bool,
-        grounds: Grounds,
+        grounds: DispatchRationale,
         /// It fetches a held state.
         from_state: bool,
     },
@@ -31,7 +31,7 @@
     Began {
         send: u32,
     },
-    GivenUp(Reason),
+    GivenUp(RejectionReason),
     Answered(Answer),
     Left,
 }
@@ -99,7 +99,7 @@
                     format!(
                         "{what} {} (send {send}; {:.1} there before it, {:.0} ms expected)",
                         eng.id,
-                        grounds.there,
+                        grounds.requests_ahead,
                         1e3 * grounds.expected_s
                     )
                 }
@@ -148,18 +148,18 @@
     }
 }
 
-fn said(reason: Reason) -> String {
+fn said(reason: RejectionReason) -> String {
     let ms = |s: f64| format!("{:.0} ms", 1e3 * s);
     match reason {
-        Reason::TimeUp => "its time was up".into(),
-        Reason::NoSend => "no further send is allowed, or could be made".into(),
-        Reason::Held => "its state found no writer in time".into(),
-        Reason::Late { open, readers, reader_s, writer_s } => format!(
+        RejectionReason::DeadlineExceeded => "its time was up".into(),
+        RejectionReason::NoAttemptLeft => "no further send is allowed, or could be made".into(),
+        RejectionReason::ReservationExpired => "its state found no writer in time".into(),
+        RejectionReason::TooLate { admitting: open, prefill_engines: readers, prefill_wait_s: reader_s, decode_wait_s: writer_s } => format!(
             "too late to start ({open} of {readers} readers open to it, ready in {}, a writer in {})",
             ms(reader_s),
             ms(writer_s)
         ),
-        Reason::Unlikely { open, readers, reader_s, read_s, writer_s } => format!(
+        RejectionReason::ObjectiveUnlikely { open, readers, reader_s, prefill_s: read_s, writer_s } => format!(
             "a first token in time was unlikely ({open} of {readers} readers open to it, ready in {}, reading for {}, a writer in {})",
             ms(reader_s),
             ms(read_s),
@@ -217,7 +217,12 @@
                 send: 0,
                 eng: eng("r0"),
                 read: true,
-                grounds: Grounds { there: 2.0, expected_s: 0.1, age_s: f64::INFINITY, silent_s: -1.0 },
+                grounds: DispatchRationale {
+                    requests_ahead: 2.0,
+                    expected_s: 0.1,
+                    engine_age_s: f64::INFINITY,
+                    unreachable_s: -1.0,
+                },
                 from_state: false,
             },
         );
@@ -228,7 +233,12 @@
                 send: 1,
                 eng: eng("w0"),
                 read: false,
-                grounds: Grounds { there: 0.0, expected_s: 0.05, age_s: f64::INFINITY, silent_s: -1.0 },
+                grounds: DispatchRationale {
+                    requests_ahead: 0.0,
+                    expected_s: 0.05,
+                    engine_age_s: f64::INFINITY,
+                    unreachable_s: -1.0,
+                },
                 from_state: true,
             },
         );
--- a/crates/nickelgw-node/src/core/words.rs
+++ b/crates/nickelgw-node/src/core/words.rs
@@ -3,7 +3,7 @@
 use super::cause::Cause;
 use super::guard::Violation;
 use super::ledger::{ReservationId, Transition};
-use nickelgw::interface::{Grounds, Reason};
+use nickelgw::interface::{DispatchRationale, RejectionReason};
 use nickelgw_chat::core::grant::GrantKey;
 use nickelgw_protocol::load::LoadReport;
 use nickelgw_tenants::core::fair;
@@ -47,7 +47,7 @@
     pub once: bool,
     pub what: Work,
     /// Why there, for who asks.
-    pub grounds: Grounds,
+    pub grounds: DispatchRationale,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -112,7 +112,7 @@
 pub struct Actions {
     pub todo: Vec<Do>,
     /// Why those that were given up were.
-    pub reasons: Vec<(Ticket, Reason)>,
+    pub reasons: Vec<(Ticket, RejectionReason)>,
     /// What has become of KV reservations, for the log.
     pub transitions: Vec<Transition>,
     /// Rules that were about to be broken, or were, with their requests' serial numbers.
--- a/crates/nickelgw-node/src/parked.rs
+++ b/crates/nickelgw-node/src/parked.rs
@@ -7,7 +7,7 @@
 use crate::{seconds, unix_now, within};
 use async_channel::{bounded, Receiver, Sender};
 use bytes::Bytes;
-use nickelgw::interface::{self as route, Group, ModelRoute};
+use nickelgw::interface::{self as route, IdempotencyScope, ModelRoute};
 use nickelgw_accord::core::record::short;
 use nickelgw_accord::core::Accord;
 use nickelgw_parked::core::record::{Answer as Kept, Record, State};
@@ -67,9 +67,11 @@
 
 /// Whether a parked one may run again, by its model route.
 pub fn repeat(r: &ModelRoute) -> Repeat {
-    match r.repeat {
-        route::Repeat::Retriable => Repeat::Retriable,
-        route::Repeat::Deduped { group: Group::All, memory_s } => Repeat::Deduped(memory_s),
+    match r.idempotency {
+        route::Idempotency::Idempotent => Repeat::Retriable,
+        route::Idempotency::Keyed { scope: IdempotencyScope::All, window_s: memory_s } => {
+            Repeat::Deduped(memory_s)
+        }
         // Which engines heard of it is not known to a later process.
         _ => Repeat::Never,
     }
--- a/crates/nickelgw-node/tests/common/mod.rs
+++ b/crates/nickelgw-node/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Nodes and stand-ins on threads of this process, for tests on sockets.
 #![allow(dead_code)]
 
-use nickelgw::interface::{Deployment, Group, ModelRoute, Repeat};
+use nickelgw::interface::{Deployment, Idempotency, IdempotencyScope, ModelRoute};
 use nickelgw_audit::{judge, Line, Verdict};
 use nickelgw_node::core::door::{Model, Tenant};
 use nickelgw_node::core::{Door, Figures};
@@ -67,36 +67,40 @@
 }
 
 pub fn start(list: &str) -> Start {
-    let route =
-        |repeat| ModelRoute { first_token_target_s: 1.0, target_per_token_s: 0.0, pace_s: 0.05, repeat };
-    let group = Group::Zone;
+    let route = |repeat| ModelRoute {
+        ttft_objective_s: 1.0,
+        ttft_objective_per_token_s: 0.0,
+        tpot_objective_s: 0.05,
+        idempotency: repeat,
+    };
+    let group = IdempotencyScope::Zone;
     let deployment = Deployment {
         node: 0,
-        nodes: 1,
+        node_count: 1,
         seed: 3,
         zone: 0,
         tick_s: 0.005,
         routes: vec![
-            route(Repeat::Retriable),
-            route(Repeat::Deduped { group, memory_s: MEMORY_S }),
-            route(Repeat::NonRetriable),
-            route(Repeat::Deduped { group: Group::All, memory_s: MEMORY_S }),
+            route(Idempotency::Idempotent),
+            route(Idempotency::Keyed { scope: group, window_s: MEMORY_S }),
+            route(Idempotency::NonIdempotent),
+            route(Idempotency::Keyed { scope: IdempotencyScope::All, window_s: MEMORY_S }),
         ],
         tenant_quotas: vec![1000.0],
-        most_sends: 6,
-        writers_read: false,
-        hold_limit_s: 0.5,
-        connect_s: 0.0,
-        move_price: 0.0,
-        zone_price: 0.0,
-        cancel: true,
-        probes: true,
-        must_ask: false,
-        longest_come_back_s: Some(2.0),
-        cold_share: 0.3,
-        warm_within_s: 5.0,
-        tip_multiple: 3.0,
-        tip_window_s: 2.0,
+        max_attempts: 6,
+        decode_engines_prefill: false,
+        reservation_limit_s: 0.5,
+        connect_timeout_s: 0.0,
+        cross_cell_price: 0.0,
+        cross_zone_price: 0.0,
+        can_cancel: true,
+        can_probe: true,
+        must_poll_endpoints: false,
+        max_retry_after_s: Some(2.0),
+        slow_start_initial_share: 0.3,
+        warmup_s: 5.0,
+        overload_multiple: 3.0,
+        overload_window_s: 2.0,
     };
     let model = |name: &str| Model {
         name: name.into(),
--- a/crates/nickelgw-node/tests/path.rs
+++ b/crates/nickelgw-node/tests/path.rs
@@ -251,7 +251,7 @@
     let mut second = start(&w.list);
     second.name = "node1".into();
     second.figures.boot = "node1".into();
-    (second.deployment.node, second.deployment.nodes) = (1, 2);
+    (second.deployment.node, second.deployment.node_count) = (1, 2);
     let other = common::serve(second);
     w.wait("the other hears the list", |l| l.iter().any(|l| l["ev"] == "told" && l["node"] == "node1"));
     let body = r#"{"model":"chat","max_tokens":3,"messages":[{"role":"user","content":"hi"}]}"#;
--- a/crates/nickelgw-node/tests/stalled.rs
+++ b/crates/nickelgw-node/tests/stalled.rs
@@ -44,7 +44,7 @@
     let w = World::with(vec![wide("r0a"), wide("r1a"), wide("w0a"), wide("w1a")], |s| {
         (s.limits.most_connections, s.figures.most_open, s.limits.client_stall_s) = (3000, 3000, 4.0);
         s.limits.most_waiting = 1024;
-        s.deployment.routes[0].first_token_target_s = 8.0;
+        s.deployment.routes[0].ttft_objective_s = 8.0;
         s.door.models[0].timeout_s = 20.0;
     });
     // A stream is longer than what the machine keeps of it for a client that takes nothing.
--- a/crates/nickelgw-options/src/lib.rs
+++ b/crates/nickelgw-options/src/lib.rs
@@ -3,7 +3,7 @@
 pub mod fields;
 
 use fields::{flag, index, list, names, num, num_or, text, Bad};
-use nickelgw::interface::{Deployment, Group, Load, ModelRoute, Repeat, Role};
+use nickelgw::interface::{Deployment, EngineLoad, EngineRole, Idempotency, IdempotencyScope, ModelRoute};
 use serde_json::{json, Value};
 
 /// What the options tell, names beside indices.
@@ -13,7 +13,7 @@
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
     /// Machine kinds, with their role and memory in tokens.
-    pub kinds: Vec<(String, Role, f64)>,
+    pub kinds: Vec<(String, EngineRole, f64)>,
 }
 
 pub fn position(names: &[String], line: &Value, field: &str) -> Result<usize, Bad> {
@@ -26,34 +26,34 @@
 }
 
 /// A report's values by the names that the options give them, or by the platform's own.
-pub fn load<E>(value: impl Fn(&str) -> Result<Option<f64>, E>) -> Result<Load, E> {
-    Ok(Load {
+pub fn load<E>(value: impl Fn(&str) -> Result<Option<f64>, E>) -> Result<EngineLoad, E> {
+    Ok(EngineLoad {
         memory_share: value("x0")?,
         slot_share: value("load_share")?.or(value("util")?),
-        queue: value("depth")?.or(value("queue")?),
+        queue_len: value("depth")?.or(value("queue")?),
         inflight: value("concurrent")?.or(value("inflight")?),
-        unread_tokens: value("x1")?.map(|k| 1000.0 * k),
+        pending_prompt_tokens: value("x1")?.map(|k| 1000.0 * k),
     })
 }
 
 fn route(class: &Value, pace_s: f64, per_1000_us: f64) -> Result<ModelRoute, Bad> {
     let group = match class.get("group").and_then(Value::as_str) {
-        None | Some("all") => Group::All,
-        Some("zone") => Group::Zone,
-        Some("cell") => Group::Cell,
+        None | Some("all") => IdempotencyScope::All,
+        Some("zone") => IdempotencyScope::Zone,
+        Some("cell") => IdempotencyScope::Cell,
         Some(_) => return Err(Bad::field(class, "group", "all, zone or cell")),
     };
     let repeat = match text(class, "idempotency")? {
-        "pure" => Repeat::Retriable,
-        "token" => Repeat::Deduped { group, memory_s: num(class, "memory_span_s")? },
-        "side_effect" => Repeat::NonRetriable,
+        "pure" => Idempotency::Idempotent,
+        "token" => Idempotency::Keyed { scope: group, window_s: num(class, "memory_span_s")? },
+        "side_effect" => Idempotency::NonIdempotent,
         _ => return Err(Bad::field(class, "idempotency", "pure, token or side_effect")),
     };
     Ok(ModelRoute {
-        first_token_target_s: num(class, "slo_s")?,
-        target_per_token_s: per_1000_us / 1e9,
-        pace_s,
-        repeat,
+        ttft_objective_s: num(class, "slo_s")?,
+        ttft_objective_per_token_s: per_1000_us / 1e9,
+        tpot_objective_s: pace_s,
+        idempotency: repeat,
     })
 }
 
@@ -83,9 +83,9 @@
         let roles = names(info, "role_by_kind")?;
         for (k, name) in names(o, "kinds")?.into_iter().enumerate() {
             let role = match roles.get(k).map(String::as_str) {
-                Some("read") => Role::Read,
-                Some("write") => Role::Write,
-                Some("both") => Role::Both,
+                Some("read") => EngineRole::Prefill,
+                Some("write") => EngineRole::Decode,
+                Some("both") => EngineRole::Unified,
                 _ => return Err(Bad::field(info, "role_by_kind", "read, write or both for each kind")),
             };
             kinds.push((name, role, at("kind_memory_tokens", k, 1.0)?));
@@ -94,26 +94,26 @@
         let told = flag(limits, "retry_after")?;
         let deployment = Deployment {
             node: index(o, "my_number")? as u32,
-            nodes: index(o, "balancers")? as u32,
+            node_count: index(o, "balancers")? as u32,
             seed,
             zone: position(&zones, o, "az")? as u32,
             tick_s: num(o, "tick_s")?,
             routes,
             tenant_quotas,
-            most_sends: num(limits, "most_tries")? as u32,
-            writers_read: flag(info, "local_read")?,
-            hold_limit_s: num(info, "release_s")?,
-            connect_s: 0.0,
-            move_price: num_or(info, "transfer_price", 0.0)?,
-            zone_price: num_or(charges, "cross_zone", 0.0)?,
-            cancel: flag(limits, "cancel")?,
-            probes: flag(limits, "probes")?,
-            must_ask: o.get("registry_mode").and_then(Value::as_str) == Some("subscribe"),
-            longest_come_back_s: if told { Some(num(limits, "max_retry_after_s")?) } else { None },
-            cold_share: num(rules, "cold_from")?,
-            warm_within_s: num(rules, "warm_within_s")?,
-            tip_multiple: num(rules, "tip_multiple")?,
-            tip_window_s: num(rules, "fall_s")?,
+            max_attempts: num(limits, "most_tries")? as u32,
+            decode_engines_prefill: flag(info, "local_read")?,
+            reservation_limit_s: num(info, "release_s")?,
+            connect_timeout_s: 0.0,
+            cross_cell_price: num_or(info, "transfer_price", 0.0)?,
+            cross_zone_price: num_or(charges, "cross_zone", 0.0)?,
+            can_cancel: flag(limits, "cancel")?,
+            can_probe: flag(limits, "probes")?,
+            must_poll_endpoints: o.get("registry_mode").and_then(Value::as_str) == Some("subscribe"),
+            max_retry_after_s: if told { Some(num(limits, "max_retry_after_s")?) } else { None },
+            slow_start_initial_share: num(rules, "cold_from")?,
+            warmup_s: num(rules, "warm_within_s")?,
+            overload_multiple: num(rules, "tip_multiple")?,
+            overload_window_s: num(rules, "fall_s")?,
         };
         Ok(Told { deployment, routes: route_names, tenants, zones, kinds })
     }
--- a/crates/nickelgw-options/tests/settings.rs
+++ b/crates/nickelgw-options/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of other deployments: what they lack, and figures at the edge.
 
 use nickelgw::decide::Router;
-use nickelgw::interface::{Arrival, Group, Repeat, Role};
+use nickelgw::interface::{EngineRole, Idempotency, IdempotencyScope, IncomingRequest};
 use nickelgw_options::{load, Told};
 use serde_json::{json, Value};
 use test_case::test_case;
@@ -24,11 +24,14 @@
     let told = read(&least()).unwrap();
     let d = told.deployment;
     assert_eq!((told.tenants, d.tenant_quotas), (vec![], vec![]));
-    assert_eq!((d.move_price, d.zone_price, d.longest_come_back_s), (0.0, 0.0, None));
-    assert_eq!((d.must_ask, d.cancel, d.probes, d.writers_read), (false, false, false, false));
-    assert_eq!(d.routes[0].repeat, Repeat::Retriable);
+    assert_eq!((d.cross_cell_price, d.cross_zone_price, d.max_retry_after_s), (0.0, 0.0, None));
+    assert_eq!(
+        (d.must_poll_endpoints, d.can_cancel, d.can_probe, d.decode_engines_prefill),
+        (false, false, false, false)
+    );
+    assert_eq!(d.routes[0].idempotency, Idempotency::Idempotent);
     let kinds: Vec<_> = told.kinds.iter().map(|k| (&*k.0, k.1)).collect();
-    assert_eq!(kinds, [("k1", Role::Read), ("k2", Role::Write)]);
+    assert_eq!(kinds, [("k1", EngineRole::Prefill), ("k2", EngineRole::Decode)]);
 }
 
 #[test_case(false, None; "not allowed")]
@@ -37,17 +40,20 @@
     let mut v = least();
     v["limits"]["retry_after"] = allowed.into();
     v["limits"]["max_retry_after_s"] = 0.5.into();
-    assert_eq!(read(&v).unwrap().deployment.longest_come_back_s, longest);
+    assert_eq!(read(&v).unwrap().deployment.max_retry_after_s, longest);
 }
 
-#[test_case("zone", Group::Zone)]
-#[test_case("cell", Group::Cell)]
-#[test_case("all", Group::All)]
-fn a_deduped_class_has_its_group_and_span(name: &str, group: Group) {
+#[test_case("zone", IdempotencyScope::Zone)]
+#[test_case("cell", IdempotencyScope::Cell)]
+#[test_case("all", IdempotencyScope::All)]
+fn a_deduped_class_has_its_group_and_span(name: &str, group: IdempotencyScope) {
     let mut v = least();
     v["classes"][0] =
         json!({"name": "d", "slo_s": 1.0, "idempotency": "token", "group": name, "memory_span_s": 0.7});
-    assert_eq!(read(&v).unwrap().deployment.routes[0].repeat, Repeat::Deduped { group, memory_s: 0.7 });
+    assert_eq!(
+        read(&v).unwrap().deployment.routes[0].idempotency,
+        Idempotency::Keyed { scope: group, window_s: 0.7 }
+    );
 }
 
 #[test_case("/classes/0/idempotency", json!("perhaps"), "pure, token or side_effect"; "an unknown effect")]
@@ -71,31 +77,31 @@
 fn a_quota_of_zero_fails_nothing() {
     let mut v = least();
     v["accounts"] = json!([{"name": "none", "quota_per_s": 0.0}, {"name": "some", "quota_per_s": 5.0}]);
-    let line = |id: &str, role| nickelgw::interface::EngineLine {
+    let line = |id: &str, role| nickelgw::interface::EngineEntry {
         id: id.into(),
         zone: 0,
         cell: 0,
         role,
         memory_tokens: 1e5,
-        standing: nickelgw::interface::Standing::In,
+        lifecycle: nickelgw::interface::Lifecycle::Active,
         started_at: None,
     };
     for tenant in [0, 1] {
         let mut r = Router::new(read(&v).unwrap().deployment);
-        r.list(0.0, &[line("r", Role::Read), line("w", Role::Write)], true);
-        let a = Arrival {
+        r.update_endpoints(0.0, &[line("r", EngineRole::Prefill), line("w", EngineRole::Decode)], true);
+        let a = IncomingRequest {
             route: 0,
             tenant: Some(tenant),
-            due_at: 6.0,
+            deadline: 6.0,
             prompt_tokens: 500.0,
             prefix_tokens: 0.0,
             session: "s".into(),
             prefix: None,
-            spare: false,
+            is_background: false,
         };
-        let inf = r.take(1.0, &a);
+        let inf = r.admit_request(1.0, &a);
         let todo = r.decide(1.0);
-        assert!(todo.sends.iter().any(|s| s.inf == inf), "tenant {tenant}: {todo:?}");
+        assert!(todo.dispatches.iter().any(|s| s.request == inf), "tenant {tenant}: {todo:?}");
     }
 }
 
@@ -107,7 +113,7 @@
         load(get).unwrap()
     };
     let l = of(&[("x0", 0.4), ("x1", 2.0), ("load_share", 0.5), ("depth", 3.0), ("concurrent", 4.0)]);
-    assert_eq!((l.memory_share, l.unread_tokens, l.slot_share), (Some(0.4), Some(2000.0), Some(0.5)));
-    assert_eq!((l.queue, l.inflight), (Some(3.0), Some(4.0)));
-    assert_eq!(of(&[("mean_ms", 9.0), ("x7", 1.0)]), nickelgw::interface::Load::default());
+    assert_eq!((l.memory_share, l.pending_prompt_tokens, l.slot_share), (Some(0.4), Some(2000.0), Some(0.5)));
+    assert_eq!((l.queue_len, l.inflight), (Some(3.0), Some(4.0)));
+    assert_eq!(of(&[("mean_ms", 9.0), ("x7", 1.0)]), nickelgw::interface::EngineLoad::default());
 }
--- a/crates/nickelgw-platform/src/core/engine.rs
+++ b/crates/nickelgw-platform/src/core/engine.rs
@@ -86,7 +86,7 @@
         values.insert(name.trim(), value);
     }
     let Ok(l) = load(|name: &str| Ok::<_, Infallible>(values.get(name).copied()));
-    let named = [(PRESENT, l.inflight), (WAITING, l.queue), (UNREAD, l.unread_tokens)];
+    let named = [(PRESENT, l.inflight), (WAITING, l.queue_len), (UNREAD, l.pending_prompt_tokens)];
     let named = named.into_iter().filter_map(|(name, v)| Some((name.to_string(), v?)));
     Some(LoadReport {
         mem_utilization: l.memory_share,
--- a/crates/nickelgw-platform/src/core/list.rs
+++ b/crates/nickelgw-platform/src/core/list.rs
@@ -1,6 +1,6 @@
 //! The list of engines as discovery tells it: whole, or what has changed of it.
 
-use nickelgw::interface::Role;
+use nickelgw::interface::EngineRole;
 use nickelgw_protocol::list::{self, Line, List, State, MOST_LINES};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -50,13 +50,13 @@
 
 /// The engines as last told.
 pub struct Roll {
-    kinds: Vec<(String, Role, f64)>,
+    kinds: Vec<(String, EngineRole, f64)>,
     by_id: BTreeMap<String, Line>,
     told: u64,
 }
 
 impl Roll {
-    pub fn new(kinds: Vec<(String, Role, f64)>) -> Roll {
+    pub fn new(kinds: Vec<(String, EngineRole, f64)>) -> Roll {
         Roll { kinds, by_id: BTreeMap::new(), told: 0 }
     }
 
@@ -65,9 +65,9 @@
         let (_, role, memory_tokens) = self.kinds.iter().find(|k| k.0 == i.machine_type)?;
         Some(Line {
             role: match role {
-                Role::Read => list::Role::Read,
-                Role::Write => list::Role::Write,
-                Role::Both => list::Role::Both,
+                EngineRole::Prefill => list::Role::Read,
+                EngineRole::Decode => list::Role::Write,
+                EngineRole::Unified => list::Role::Both,
             },
             memory_tokens: memory_tokens.max(1.0),
             state: if i.lifecycle == "up" { State::In } else { State::Draining },
--- a/crates/nickelgw-platform/src/core/tests.rs
+++ b/crates/nickelgw-platform/src/core/tests.rs
@@ -5,7 +5,7 @@
 use super::request::{head, Names};
 use super::*;
 use bytes::{Bytes, BytesMut};
-use nickelgw::interface::Role;
+use nickelgw::interface::EngineRole;
 use nickelgw_node::core::Cause;
 use nickelgw_protocol::load::UNREAD;
 use proptest::prelude::*;
@@ -217,7 +217,8 @@
 
 #[test]
 fn the_list_is_told_whole_or_by_its_changes() {
-    let kinds = vec![("m1".to_string(), Role::Read, 9.0), ("m2".to_string(), Role::Write, 9.0)];
+    let kinds =
+        vec![("m1".to_string(), EngineRole::Prefill, 9.0), ("m2".to_string(), EngineRole::Decode, 9.0)];
     let mut roll = Roll::new(kinds);
     let entry = |id: &str, state: &str| {
         format!(
--- a/crates/nickelgw-platform/src/node.rs
+++ b/crates/nickelgw-platform/src/node.rs
@@ -262,7 +262,7 @@
         };
         let read = matches!(order.what, Work::Read);
         let g = &order.grounds;
-        tracing::debug!(at = now, request = %passed.id, send, engine = %order.eng.id, read, there = g.there, expected_s = g.expected_s, age_s = g.age_s, silent_s = g.silent_s, "sent");
+        tracing::debug!(at = now, request = %passed.id, send, engine = %order.eng.id, read, there = g.requests_ahead, expected_s = g.expected_s, age_s = g.engine_age_s, silent_s = g.unreachable_s, "sent");
         let progress = Rc::new(Progress::default());
         let (node, made) = (self.clone(), progress.clone());
         let task = self.ex.spawn(async move {
--- a/crates/nickelgw-platform/src/start.rs
+++ b/crates/nickelgw-platform/src/start.rs
@@ -76,8 +76,8 @@
         let longest_s = deadlines.into_iter().reduce(f64::max).unwrap_or(LONGEST_DEADLINE_S);
         let longest_s = longest_s.clamp(0.0, LONGEST_DEADLINE_S);
         let mut told = Told::read(settings, seed)?;
-        told.deployment.hold_limit_s += HELD_MORE_S;
-        told.deployment.connect_s = connect_s;
+        told.deployment.reservation_limit_s += HELD_MORE_S;
+        told.deployment.connect_timeout_s = connect_s;
         Ok(Start {
             listen: text(v, "listen")?.to_string(),
             discovery: text(v, "discovery")?.to_string(),
--- a/crates/nickelgw-settings/src/check.rs
+++ b/crates/nickelgw-settings/src/check.rs
@@ -509,44 +509,44 @@
 pub fn deployment(n: &Node) -> m::Deployment {
     let r = n.rules.unwrap_or_default();
     let route = |x: &ModelRoute| m::ModelRoute {
-        first_token_target_s: x.first_token_target_ms / 1e3,
-        target_per_token_s: x.target_per_1000_tokens_ms() / 1e6,
-        pace_s: x.pace_ms() / 1e3,
-        repeat: match x.repeat() {
-            Repeat::Retriable => m::Repeat::Retriable,
-            Repeat::NonRetriable => m::Repeat::NonRetriable,
-            Repeat::Deduped => m::Repeat::Deduped {
-                group: match x.dedupe_group() {
-                    Group::All => m::Group::All,
-                    Group::Zone => m::Group::Zone,
-                    Group::Cell => m::Group::Cell,
+        ttft_objective_s: x.first_token_target_ms / 1e3,
+        ttft_objective_per_token_s: x.target_per_1000_tokens_ms() / 1e6,
+        tpot_objective_s: x.pace_ms() / 1e3,
+        idempotency: match x.repeat() {
+            Repeat::Retriable => m::Idempotency::Idempotent,
+            Repeat::NonRetriable => m::Idempotency::NonIdempotent,
+            Repeat::Deduped => m::Idempotency::Keyed {
+                scope: match x.dedupe_group() {
+                    Group::All => m::IdempotencyScope::All,
+                    Group::Zone => m::IdempotencyScope::Zone,
+                    Group::Cell => m::IdempotencyScope::Cell,
                 },
-                memory_s: x.dedupe_memory_ms() / 1e3,
+                window_s: x.dedupe_memory_ms() / 1e3,
             },
         },
     };
     m::Deployment {
         node: n.number(),
-        nodes: n.nodes(),
+        node_count: n.nodes(),
         seed: n.seed(),
         zone: n.zones.iter().position(|z| *z == n.zone).unwrap_or(0) as u32,
         tick_s: TICK_S,
         routes: n.model_route.iter().map(route).collect(),
         tenant_quotas: n.tenant.iter().map(|t| t.quota_per_s).collect(),
-        most_sends: r.most_sends(),
-        writers_read: r.writers_read(),
-        hold_limit_s: r.hold_limit_ms() / 1e3,
-        connect_s: 0.0,
-        move_price: r.cell_price(),
-        zone_price: r.zone_price(),
-        cancel: true,
-        probes: r.probes(),
-        must_ask: false,
-        longest_come_back_s: Some(r.longest_come_back_ms() / 1e3).filter(|&s| s > 0.0),
-        cold_share: r.cold_share(),
-        warm_within_s: r.warm_within_ms() / 1e3,
-        tip_multiple: r.tip_multiple(),
-        tip_window_s: r.tip_window_ms() / 1e3,
+        max_attempts: r.most_sends(),
+        decode_engines_prefill: r.writers_read(),
+        reservation_limit_s: r.hold_limit_ms() / 1e3,
+        connect_timeout_s: 0.0,
+        cross_cell_price: r.cell_price(),
+        cross_zone_price: r.zone_price(),
+        can_cancel: true,
+        can_probe: r.probes(),
+        must_poll_endpoints: false,
+        max_retry_after_s: Some(r.longest_come_back_ms() / 1e3).filter(|&s| s > 0.0),
+        slow_start_initial_share: r.cold_share(),
+        warmup_s: r.warm_within_ms() / 1e3,
+        overload_multiple: r.tip_multiple(),
+        overload_window_s: r.tip_window_ms() / 1e3,
     }
 }
 
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -38,38 +38,38 @@
 impl Router {
     pub fn new(d: Deployment) -> Self {
         let least = |f: fn(&ModelRoute) -> f64| d.routes.iter().map(f).fold(f64::INFINITY, f64::min);
-        let (target, pace) = (least(|r| r.first_token_target_s), least(|r| r.pace_s));
+        let (target, pace) = (least(|r| r.ttft_objective_s), least(|r| r.tpot_objective_s));
         let (target, pace) = (target.clamp(0.01, 60.0), pace.clamp(0.001, 1.0));
         // Before the first sample: a read costs half a pace, and what the target grants a prompt token.
-        let per_k = least(|r| r.target_per_token_s).clamp(1e-5, 1e-3) * 1000.0;
+        let per_k = least(|r| r.ttft_objective_per_token_s).clamp(1e-5, 1e-3) * 1000.0;
         let bucket = |rate: f64| Bucket { left: 2.0 + 2.0 * rate, at: 0.0, rate };
-        let share = |q: &f64| Share { bucket: bucket(q / d.nodes.max(1) as f64), quota: *q };
+        let share = |q: &f64| Share { bucket: bucket(q / d.node_count.max(1) as f64), quota: *q };
         Router {
-            nodes: d.nodes.max(1) as f64,
+            nodes: d.node_count.max(1) as f64,
             tick: d.tick_s,
             shares: d.tenant_quotas.iter().map(share).collect(),
-            most_sends: d.most_sends as usize,
-            hold: d.hold_limit_s,
-            connect: d.connect_s,
-            writers_read: d.writers_read,
-            cancel: d.cancel,
-            probes: d.probes,
-            come_back: d.longest_come_back_s,
-            cell_worth: d.move_price * target,
+            most_sends: d.max_attempts as usize,
+            hold: d.reservation_limit_s,
+            connect: d.connect_timeout_s,
+            writers_read: d.decode_engines_prefill,
+            cancel: d.can_cancel,
+            probes: d.can_probe,
+            come_back: d.max_retry_after_s,
+            cell_worth: d.cross_cell_price * target,
             zone: d.zone,
-            cross: d.zone_price * target,
-            cold_share: d.cold_share,
-            warm_within: d.warm_within_s.max(1e-3),
-            tip_window: d.tip_window_s,
-            cold_multiple: d.tip_multiple * COLD_CAUTION,
+            cross: d.cross_zone_price * target,
+            cold_share: d.slow_start_initial_share,
+            warm_within: d.warmup_s.max(1e-3),
+            tip_window: d.overload_window_s,
+            cold_multiple: d.overload_multiple * COLD_CAUTION,
             target,
             pace,
             life: FIRST_LIFE * pace,
-            start_gap: d.warm_within_s,
+            start_gap: d.warmup_s,
             draws: Bucket { left: 1.0, at: 0.0, rate: 0.0 },
             each: pace / 2.0 + per_k,
             read_cost: ReadCost::new(pace / 2.0, per_k),
-            must_ask: d.must_ask,
+            must_ask: d.must_poll_endpoints,
             chance: WyRand::new_seed(d.seed),
             routes: d.routes,
             ..Router::default()
@@ -77,35 +77,35 @@
     }
 
     /// News of the engines; a full list leaves out those that are gone. Only those that are in are sent to.
-    pub fn list(&mut self, now: f64, lines: &[EngineLine], full: bool) {
+    pub fn update_endpoints(&mut self, now: f64, lines: &[EngineEntry], full: bool) {
         let listed: HashSet<&str> = lines.iter().map(|l| &*l.id).collect();
         for e in self.engines.iter_mut().filter(|e| full && !listed.contains(&*e.id)) {
-            e.standing = Standing::Gone;
+            e.standing = Lifecycle::Removed;
         }
         for l in lines {
             let started = l.started_at.unwrap_or(f64::NEG_INFINITY);
             let i = self.record(&l.id, ENGINES_KNOWN);
             let e = &mut self.engines[i];
-            if started > e.started || e.standing == Standing::Gone {
+            if started > e.started || e.standing == Lifecycle::Removed {
                 // A new process under an old id: what was known of the old one is void.
-                (e.strikes, e.faults, e.load, e.matures) = (0.0, 0.0, Load::default(), now);
+                (e.strikes, e.faults, e.load, e.matures) = (0.0, 0.0, EngineLoad::default(), now);
                 e.load_at = f64::NEG_INFINITY;
                 // One that has just started keeps no text yet, whatever its hash says.
                 e.keeps = if l.started_at.is_none() { 1.0 } else { 0.0 };
             }
             (e.zone, e.cell, e.role, e.memory) = (l.zone, l.cell, l.role, l.memory_tokens.max(1.0));
-            (e.standing, e.started) = (l.standing, started);
+            (e.standing, e.started) = (l.lifecycle, started);
         }
     }
 
     /// Asking for the list failed: it is asked for again after a while that differs from node to node.
-    pub fn list_failed(&mut self, now: f64) {
+    pub fn endpoint_poll_failed(&mut self, now: f64) {
         self.must_ask = true;
         self.ask_at = now + self.target * (0.5 + self.dice());
     }
 
     /// How many nodes count has changed; none: it may use nothing of what all share for now.
-    pub fn place(&mut self, now: f64, nodes: Option<u32>) {
+    pub fn set_fleet_size(&mut self, now: f64, nodes: Option<u32>) {
         self.unplaced = nodes.is_none();
         self.nodes = nodes.map_or(self.nodes, |n| n.max(1) as f64);
         let of = if self.unplaced { f64::INFINITY } else { self.nodes };
@@ -116,13 +116,13 @@
         }
     }
 
-    pub fn take(&mut self, now: f64, a: &Arrival) -> Inf {
+    pub fn admit_request(&mut self, now: f64, a: &IncomingRequest) -> RequestHandle {
         let few = if self.prompt == 0.0 { 1.0 } else { 0.02 };
         self.prompt += few * (a.prompt_tokens - self.prompt);
         let r = &self.routes[a.route];
-        let target = now + r.first_token_target_s + r.target_per_token_s * a.prompt_tokens;
+        let target = now + r.ttft_objective_s + r.ttft_objective_per_token_s * a.prompt_tokens;
         // What takes spare room alone waits behind the rest, as a tenant's surplus, and counts in no share.
-        let over_share = a.spare
+        let over_share = a.is_background
             || a.tenant.is_some_and(|t| {
                 let b = &mut self.shares[t].bucket;
                 b.fill(now, 2.0 + 2.0 * b.rate);
@@ -133,7 +133,7 @@
             route: a.route,
             arrived: now,
             target,
-            due: a.due_at,
+            due: a.deadline,
             prompt: a.prompt_tokens,
             prefix_tokens: a.prefix_tokens,
             session: hash(&a.session, 1),
@@ -149,13 +149,13 @@
         self.keep(inf)
     }
 
-    pub fn left(&mut self, inf: Inf) {
+    pub fn client_disconnected(&mut self, inf: RequestHandle) {
         if self.infs[inf.0 as usize].stage != Stage::Closed {
             self.close(inf.0 as usize);
         }
     }
 
-    pub fn first_token(&mut self, now: f64, inf: Inf, send: u32) {
+    pub fn first_token(&mut self, now: f64, inf: RequestHandle, send: u32) {
         let i = inf.0 as usize;
         let s = self.infs[i].sends[send as usize];
         if matches!(self.infs[i].stage, Stage::Ended | Stage::Closed) {
@@ -169,8 +169,14 @@
         self.engines[s.eng].faults /= 2.0;
     }
 
-    pub fn settled(&mut self, now: f64, inf: Inf, send: u32, end: Ending, load: Option<Load>) {
-        use Outcome::*;
+    pub fn attempt_finished(
+        &mut self,
+        now: f64,
+        inf: RequestHandle,
+        send: u32,
+        end: AttemptEnd,
+        load: Option<EngineLoad>,
+    ) {
         let i = inf.0 as usize;
         let s = self.infs[i].sends[send as usize];
         self.infs[i].sends[send as usize].live = false;
@@ -181,42 +187,49 @@
         load.into_iter().for_each(|l| self.note_load(now, s.eng, l));
         // What never came up is no send: a held state's time runs on. It speaks against the way to that zone.
         let e = &self.engines[s.eng];
-        let silent = matches!(end.outcome, NoAnswer | Cancelled) && e.mute > s.at.max(e.heard);
-        let missed = matches!(end.outcome, NoConnection | NotSent) || silent;
+        let silent =
+            matches!(end.outcome, Outcome::TimedOut | Outcome::Cancelled) && e.mute > s.at.max(e.heard);
+        let missed = matches!(end.outcome, Outcome::ConnectFailed | Outcome::NotDelivered) || silent;
         self.infs[i].sends[send as usize].missed = missed;
         // Only an answer proves that a send had arrived; without one it may never have been out.
-        let answered = matches!(end.outcome, Completed | Read | EngineError | TurnedAway);
+        let answered = matches!(
+            end.outcome,
+            Outcome::Completed | Outcome::Prefilled | Outcome::EngineError | Outcome::Rejected
+        );
         if answered || self.connect == 0.0 {
             self.infs[i].held_since = now;
         }
-        if !matches!(end.outcome, NoAnswer | NoConnection | Cancelled | NotSent) {
+        if !matches!(
+            end.outcome,
+            Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Cancelled | Outcome::NotDelivered
+        ) {
             self.hear(now, s.eng);
         }
         let stage = self.infs[i].stage;
         match end.outcome {
-            Completed => {
-                self.life += 0.02 * (end.after_s - self.life);
+            Outcome::Completed => {
+                self.life += 0.02 * (end.elapsed_s - self.life);
                 self.engines[s.eng].faults /= 2.0;
             }
-            Read => {
+            Outcome::Prefilled => {
                 self.infs[i].state = Some(s.eng);
                 self.learn_read(i, s, end);
             }
             // The writer found no state; it may still wait at a reader that is cut off: let go of it.
-            TurnedAway if s.write && end.note == 1.0 => {
+            Outcome::Rejected if s.write && end.note == 1.0 => {
                 self.infs[i].state = None;
                 self.todo.released.push(inf);
             }
             // No room: the engine matures later, by what one place takes to come free.
-            TurnedAway => {
+            Outcome::Rejected => {
                 let wait = if s.write { self.life / 8.0 } else { self.read_cost.of(self.infs[i].prompt) };
                 let e = &mut self.engines[s.eng];
                 e.matures = e.matures.max(now + wait);
             }
-            Cancelled | NotSent => {}
-            NoConnection => self.unreached(now, s.eng),
+            Outcome::Cancelled | Outcome::NotDelivered => {}
+            Outcome::ConnectFailed => self.unreached(now, s.eng),
             // A time-out while others were answered is a queue, not a fault.
-            NoAnswer if self.engines[s.eng].heard > s.at => {}
+            Outcome::TimedOut if self.engines[s.eng].heard > s.at => {}
             _ => self.strike(now, s.eng),
         }
         // What a send that came to nothing has left of a state's time is not enough for another one.
@@ -225,27 +238,30 @@
             self.infs[i].state = None;
             self.todo.released.push(inf);
         }
-        let proven = matches!(end.outcome, TurnedAway | NoConnection | NotSent | Read);
+        let proven = matches!(
+            end.outcome,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotDelivered | Outcome::Prefilled
+        );
         if s.write && !proven && self.infs[i].ran.is_none() {
             self.infs[i].ran = Some((s.eng, s.at));
         }
-        if end.over || matches!(stage, Stage::Streaming | Stage::Ended) {
+        if end.request_finished || matches!(stage, Stage::Streaming | Stage::Ended) {
             self.close(i);
         } else if !self.infs[i].sends.iter().any(|s| s.live) {
             // Sending again: from the state if it still waits, else from the prompt.
             self.infs[i].stage = if self.infs[i].state.is_some() { Stage::Held } else { Stage::Queued };
-            if end.outcome == NotSent || !self.again(now, i, None) {
-                self.give_up(i, Reason::NoSend);
+            if end.outcome == Outcome::NotDelivered || !self.again(now, i, None) {
+                self.give_up(i, RejectionReason::NoAttemptLeft);
             }
         }
     }
 
     /// When a send of an inference that is not closed was made.
-    pub fn sent_at(&self, inf: Inf, send: u32) -> f64 {
+    pub fn dispatched_at(&self, inf: RequestHandle, send: u32) -> f64 {
         self.infs[inf.0 as usize].sends[send as usize].at
     }
 
-    pub fn engine_id(&self, eng: Eng) -> &str {
+    pub fn engine_id(&self, eng: EngineHandle) -> &str {
         &self.engines[eng.0 as usize].id
     }
 
@@ -267,14 +283,14 @@
             match self.writer(now, i) {
                 Some(w) if !late => self.write(now, i, w, 0.0),
                 None if !spent => {}
-                _ => self.give_up(i, Reason::Held),
+                _ => self.give_up(i, RejectionReason::ReservationExpired),
             }
         }
         // The queue: by pace aim, then arrival; what a tenant sends beyond its share comes last.
         let mut queue: Vec<usize> =
             open.iter().copied().filter(|&i| self.infs[i].stage == Stage::Queued).collect();
         queue.sort_by(|&x, &y| {
-            let pace = |i: usize| self.routes[self.infs[i].route].pace_s;
+            let pace = |i: usize| self.routes[self.infs[i].route].tpot_objective_s;
             let key = |i: usize| (self.infs[i].over_share, pace(i), self.infs[i].arrived);
             key(x).partial_cmp(&key(y)).unwrap().then(x.cmp(&y))
         });
@@ -302,7 +318,12 @@
             if now + least > deadline || !self.again(now, i, None) {
                 self.give_up(
                     i,
-                    Reason::Late { open: n, readers: of, reader_s: reader_wait, writer_s: writer_wait },
+                    RejectionReason::TooLate {
+                        admitting: n,
+                        prefill_engines: of,
+                        prefill_wait_s: reader_wait,
+                        decode_wait_s: writer_wait,
+                    },
                 );
                 continue;
             }
@@ -336,7 +357,16 @@
             } else if self.infs[i].over_share || pressed {
                 // Beyond its tenant's share none waits for room that others need, nor, pressed, any at all.
                 let (reader_s, read_s, writer_s) = (ahead, cost, writer_wait);
-                self.give_up(i, Reason::Unlikely { open: n, readers: of, reader_s, read_s, writer_s });
+                self.give_up(
+                    i,
+                    RejectionReason::ObjectiveUnlikely {
+                        open: n,
+                        readers: of,
+                        reader_s,
+                        prefill_s: read_s,
+                        writer_s,
+                    },
+                );
             }
         }
         // A matured reader that admitted nothing takes the oldest held, even below θ; not so when all
@@ -358,8 +388,8 @@
             e.matures = if e.batch_s > 0.0 { e.matures.max(now) + e.batch_s } else { e.matures };
             (e.batch_s, e.batch_tokens) = (0.0, 0.0);
         }
-        self.todo.subscribe = self.must_ask && now >= self.ask_at;
-        self.must_ask &= !self.todo.subscribe;
+        self.todo.poll_endpoints = self.must_ask && now >= self.ask_at;
+        self.must_ask &= !self.todo.poll_endpoints;
         if !self.open.is_empty() {
             // Rule 1: no later than a tick before the first client's time is up.
             let due = self.open.iter().map(|&i| self.infs[i].due - self.tick);
@@ -377,7 +407,9 @@
 
     fn able(&self, e: usize, reads: bool) -> bool {
         let eng = &self.engines[e];
-        eng.standing == Standing::In && (eng.role == Role::Read) == reads && self.part(eng.zone) > 0.0
+        eng.standing == Lifecycle::Active
+            && (eng.role == EngineRole::Prefill) == reads
+            && self.part(eng.zone) > 0.0
     }
 
     fn read(&mut self, now: f64, i: usize, r: usize) {
@@ -398,7 +430,7 @@
 
     fn send(&mut self, now: f64, i: usize, eng: usize, expected: f64) {
         let (inf, e) = (&mut self.infs[i], &mut self.engines[eng]);
-        let write = e.role != Role::Read;
+        let write = e.role != EngineRole::Prefill;
         inf.stage = if write { Stage::Writing } else { Stage::Reading };
         if inf.sends.is_empty() {
             // Starts, not arrivals: in a rush of retries these run ahead of what engines are sent.
@@ -415,7 +447,11 @@
         let patience_s = patience.min(inf.due - now).max(self.tick);
         e.out += 1;
         e.tokens += if write { inf.prompt } else { 0.0 };
-        self.todo.sends.push(SendOrder { inf: Inf(i as u32), eng: Eng(eng as u32), patience_s });
+        self.todo.dispatches.push(Dispatch {
+            request: RequestHandle(i as u32),
+            engine: EngineHandle(eng as u32),
+            timeout_s: patience_s,
+        });
     }
 }
 
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -45,7 +45,7 @@
         for i in self.open.clone() {
             // Rule 1: the answer goes out a tick before the client's time is up.
             if now + self.tick >= self.infs[i].due {
-                self.give_up(i, Reason::TimeUp);
+                self.give_up(i, RejectionReason::DeadlineExceeded);
                 continue;
             }
             for n in 0..self.infs[i].sends.len() {
@@ -57,7 +57,7 @@
                 // Unreachable since the send and not heard again, or its zone left: it goes elsewhere.
                 let shut = e.mute > s.at.max(e.heard) || self.part(e.zone) == 0.0;
                 if s.live && self.cancel && shut && quiet > self.target / 4.0 {
-                    self.todo.cancelled.push((Inf(i as u32), n as u32));
+                    self.todo.cancelled.push((RequestHandle(i as u32), n as u32));
                 }
                 if overdue && !s.late {
                     // What is slow fails late: a worse choice at once, and asked; a fresh one rarely.
@@ -72,8 +72,8 @@
 
     /// Engines at which a call that any of them takes is tried, in this order: the one meant, unless it was
     /// silent since it was heard, then those heard last.
-    pub fn heard_last(&self, meant: &str, most: usize) -> Vec<Eng> {
-        let able = |&e: &usize| self.engines[e].standing == Standing::In || self.engines[e].id == meant;
+    pub fn engines_by_last_response(&self, meant: &str, most: usize) -> Vec<EngineHandle> {
+        let able = |&e: &usize| self.engines[e].standing == Lifecycle::Active || self.engines[e].id == meant;
         let mut all: Vec<usize> = (0..self.engines.len()).filter(able).collect();
         all.sort_by(|&x, &y| {
             let key = |e: &Engine| (e.mute > e.heard, e.id != meant, -e.heard);
@@ -83,6 +83,6 @@
         let mut zones = HashSet::new();
         let (first, others): (Vec<usize>, Vec<usize>) =
             all.into_iter().partition(|&e| zones.insert(self.engines[e].zone));
-        first.into_iter().chain(others).take(most).map(|e| Eng(e as u32)).collect()
+        first.into_iter().chain(others).take(most).map(|e| EngineHandle(e as u32)).collect()
     }
 }
--- a/src/decide/load.rs
+++ b/src/decide/load.rs
@@ -30,14 +30,14 @@
 
     /// What an engine is like with no news of it: as the others; a fresh one is kept free by its ration.
     pub(super) fn likely(&self, e: usize) -> f64 {
-        let usual = self.usual[(self.engines[e].role != Role::Read) as usize];
+        let usual = self.usual[(self.engines[e].role != EngineRole::Prefill) as usize];
         usual * (self.grown(self.now, e) >= 1.0) as u32 as f64
     }
 
     /// How far the last report still tells of the engine: it ages as fast as the work there ends.
     pub(super) fn trust(&self, e: usize) -> f64 {
         let e = &self.engines[e];
-        (-(self.now - e.load_at) / if e.role == Role::Read { self.target } else { self.life }).exp()
+        (-(self.now - e.load_at) / if e.role == EngineRole::Prefill { self.target } else { self.life }).exp()
     }
 
     /// At arrival, where news is old, one reader and some writers by chance, those beside the hashed reader
@@ -80,17 +80,17 @@
         let may = silent || self.grown(now, e) >= 1.0;
         let eng = &mut self.engines[e];
         let old = may && now - eng.news_at() >= stale;
-        if self.probes && old && !eng.probing && eng.standing == Standing::In {
+        if self.probes && old && !eng.probing && eng.standing == Lifecycle::Active {
             (eng.probing, eng.asked) = (true, now);
-            self.todo.probes.push(Eng(e as u32));
+            self.todo.probes.push(EngineHandle(e as u32));
         }
     }
 
-    pub fn probed(&mut self, now: f64, id: &str, outcome: Outcome, load: Option<Load>) {
+    pub fn probe_finished(&mut self, now: f64, id: &str, outcome: Outcome, load: Option<EngineLoad>) {
         let Some(&e) = self.by_id.get(id) else { return };
         self.engines[e].probing = false;
         // Turned away it is full, and gets room by a share of the target.
-        let full = outcome == Outcome::TurnedAway;
+        let full = outcome == Outcome::Rejected;
         let waited = if full { self.target / 2.0 } else { now - self.engines[e].asked };
         if outcome == Outcome::Completed {
             self.hear(now, e);
@@ -105,10 +105,10 @@
         load.into_iter().for_each(|l| self.note_load(now, e, l));
     }
 
-    pub(super) fn note_load(&mut self, now: f64, e: usize, load: Load) {
+    pub(super) fn note_load(&mut self, now: f64, e: usize, load: EngineLoad) {
         let e = &mut self.engines[e];
         (e.load, e.load_at, e.tokens_at_report) = (load, now, e.tokens);
-        if e.role == Role::Read {
+        if e.role == EngineRole::Prefill {
             // What all nodes have waiting there is read first; with nothing own there, the report is all.
             e.told_wait = e.there(self.prompt) * self.each;
             let at = now + e.told_wait;
@@ -124,8 +124,8 @@
             (Some(m), Some(s)) => m.max(s),
             (m, s) => m.or(s)?,
         };
-        let queued = e.load.queue.map(|q| q * self.prompt / e.memory);
-        let unread = e.load.unread_tokens.map(|t| t / e.memory);
+        let queued = e.load.queue_len.map(|q| q * self.prompt / e.memory);
+        let unread = e.load.pending_prompt_tokens.map(|t| t / e.memory);
         let there = e.load.inflight.map(|n| n * self.prompt / e.memory - reported);
         Some(reported + queued.or(unread).or(there).unwrap_or(0.0).max(0.0))
     }
--- a/src/decide/ration.rs
+++ b/src/decide/ration.rs
@@ -25,7 +25,8 @@
             return true;
         }
         let home = self.infs[i].homes.first() == Some(&e);
-        let part = if home { self.homely } else { 0.5 / self.peers[(eng.role != Role::Read) as usize] };
+        let part =
+            if home { self.homely } else { 0.5 / self.peers[(eng.role != EngineRole::Prefill) as usize] };
         !self.unplaced && drawn(&eng.id, 0, self.cold_multiple * grown * part)
     }
 
@@ -48,7 +49,7 @@
 
     /// The part of the traffic that may go to a zone from now on: 0, it is left; 1, it is as any other. Who
     /// tells it keeps one zone at least.
-    pub fn give_part(&mut self, zone: u32, part: f64) {
+    pub fn set_zone_weight(&mut self, zone: u32, part: f64) {
         self.parts.resize(self.parts.len().max(zone as usize + 1), 1.0);
         self.parts[zone as usize] = part;
     }
@@ -58,8 +59,9 @@
     }
 
     /// Asks that engine of a zone of which there was no news for longest, left or not.
-    pub fn knock(&mut self, now: f64, zone: u32) {
-        let there = |&e: &usize| self.engines[e].zone == zone && self.engines[e].standing == Standing::In;
+    pub fn probe_zone(&mut self, now: f64, zone: u32) {
+        let there =
+            |&e: &usize| self.engines[e].zone == zone && self.engines[e].standing == Lifecycle::Active;
         let news = |e: &usize| self.engines[*e].news_at();
         let oldest = (0..self.engines.len()).filter(there).min_by(|x, y| news(x).total_cmp(&news(y)));
         oldest.into_iter().for_each(|e| self.ask(now, e, self.tick, true));
--- a/src/decide/readers.rs
+++ b/src/decide/readers.rs
@@ -110,12 +110,12 @@
         }
     }
 
-    pub(super) fn learn_read(&mut self, i: usize, s: Sent, end: Ending) {
-        self.each += 0.05 * (end.after_s / (s.there + 1.0) - self.each);
+    pub(super) fn learn_read(&mut self, i: usize, s: Sent, end: AttemptEnd) {
+        self.each += 0.05 * (end.elapsed_s / (s.there + 1.0) - self.each);
         // Only a read that met an idle reader tells what reading costs; queues fitted as cost would hold
         // readers back, whose queues then look longer still.
         if s.there < 1.0 {
-            self.read_cost.add((self.infs[i].prompt - end.note).max(1.0), end.after_s);
+            self.read_cost.add((self.infs[i].prompt - end.note).max(1.0), end.elapsed_s);
         }
         // A fresh reader drew all texts of its hash and queued them; one long there is believed.
         let named = self.named(s.eng, i);
--- a/src/decide/tests.rs
+++ b/src/decide/tests.rs
@@ -1,59 +1,63 @@
 use super::*;
 use test_case::test_case;
-use Outcome::*;
 
 const NOW: f64 = 100.0;
 
-fn deployment(repeat: Repeat) -> Deployment {
-    let route = |pace_s| ModelRoute { first_token_target_s: 1.0, target_per_token_s: 1e-5, pace_s, repeat };
+fn deployment(repeat: Idempotency) -> Deployment {
+    let route = |pace_s| ModelRoute {
+        ttft_objective_s: 1.0,
+        ttft_objective_per_token_s: 1e-5,
+        tpot_objective_s: pace_s,
+        idempotency: repeat,
+    };
     Deployment {
         node: 0,
-        nodes: 2,
+        node_count: 2,
         seed: 7,
         zone: 0,
         tick_s: 0.004,
         routes: vec![route(0.08), route(0.05)],
         tenant_quotas: vec![1.0],
-        most_sends: 6,
-        writers_read: false,
-        hold_limit_s: 0.5,
-        connect_s: 0.0,
-        move_price: 0.04,
-        zone_price: 0.01,
-        cancel: true,
-        probes: true,
-        must_ask: false,
-        longest_come_back_s: Some(2.0),
-        cold_share: 0.3,
-        warm_within_s: 10.0,
-        tip_multiple: 3.0,
-        tip_window_s: 2.0,
+        max_attempts: 6,
+        decode_engines_prefill: false,
+        reservation_limit_s: 0.5,
+        connect_timeout_s: 0.0,
+        cross_cell_price: 0.04,
+        cross_zone_price: 0.01,
+        can_cancel: true,
+        can_probe: true,
+        must_poll_endpoints: false,
+        max_retry_after_s: Some(2.0),
+        slow_start_initial_share: 0.3,
+        warmup_s: 10.0,
+        overload_multiple: 3.0,
+        overload_window_s: 2.0,
     }
 }
 
-fn line(id: &str, role: Role, zone: u32, cell: u32) -> EngineLine {
-    EngineLine {
+fn line(id: &str, role: EngineRole, zone: u32, cell: u32) -> EngineEntry {
+    EngineEntry {
         id: id.into(),
         zone,
         cell,
         role,
         memory_tokens: 100_000.0,
-        standing: Standing::In,
+        lifecycle: Lifecycle::Active,
         started_at: None,
     }
 }
 
 /// Two readers (0 and 1) and three writers: 2 beside reader 0, 3 in its zone, 4 in another.
-fn router(repeat: Repeat) -> Router {
+fn router(repeat: Idempotency) -> Router {
     let mut r = Router::new(deployment(repeat));
     let lines = [
-        line("r0", Role::Read, 0, 0),
-        line("r1", Role::Read, 0, 1),
-        line("w2", Role::Write, 0, 0),
-        line("w3", Role::Write, 0, 1),
-        line("w4", Role::Write, 1, 2),
+        line("r0", EngineRole::Prefill, 0, 0),
+        line("r1", EngineRole::Prefill, 0, 1),
+        line("w2", EngineRole::Decode, 0, 0),
+        line("w3", EngineRole::Decode, 0, 1),
+        line("w4", EngineRole::Decode, 1, 2),
     ];
-    r.list(NOW, &lines, true);
+    r.update_endpoints(NOW, &lines, true);
     // All have just reported that they are idle.
     r.engines.iter_mut().for_each(|e| e.load_at = NOW);
     r
@@ -71,16 +75,16 @@
     }
 }
 
-fn arrival() -> Arrival {
-    Arrival {
+fn arrival() -> IncomingRequest {
+    IncomingRequest {
         route: 0,
         tenant: None,
-        due_at: NOW + 5.0,
+        deadline: NOW + 5.0,
         prompt_tokens: 2000.0,
         prefix_tokens: 0.0,
         session: "s".into(),
         prefix: None,
-        spare: false,
+        is_background: false,
     }
 }
 
@@ -95,68 +99,68 @@
     Sent { eng, at: NOW, there: 0.0, expected: 0.1, write, live: true, late: false, missed: false }
 }
 
-fn ending(outcome: Outcome) -> Ending {
-    Ending { outcome, after_s: 0.1, over: false, note: 0.0 }
+fn ending(outcome: Outcome) -> AttemptEnd {
+    AttemptEnd { outcome, elapsed_s: 0.1, request_finished: false, note: 0.0 }
 }
 
 fn engines_of(todo: &Decisions) -> Vec<u32> {
-    todo.sends.iter().map(|s| s.eng.0).collect()
+    todo.dispatches.iter().map(|s| s.engine.0).collect()
 }
 
 #[test]
 fn an_arrival_goes_to_a_matured_reader_at_once() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     hold(&mut r, inference(Stage::Queued));
     assert!(engines_of(&r.decide(NOW)).iter().all(|&e| e < 2));
 }
 
 #[test]
 fn the_queue_goes_by_pace_then_arrival() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     hold(&mut r, inference(Stage::Queued));
     hold(&mut r, Inference { arrived: NOW - 0.1, ..inference(Stage::Queued) });
     hold(&mut r, Inference { route: 1, ..inference(Stage::Queued) });
-    let order: Vec<u32> = r.decide(NOW).sends.iter().map(|s| s.inf.0).collect();
+    let order: Vec<u32> = r.decide(NOW).dispatches.iter().map(|s| s.request.0).collect();
     assert_eq!(order, [2, 1, 0]);
 }
 
 #[test]
 fn nothing_is_sent_while_no_reader_has_matured() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     hold(&mut r, inference(Stage::Queued));
     r.engines.iter_mut().for_each(|e| e.matures = NOW + 0.3);
-    assert!(r.decide(NOW).sends.is_empty());
+    assert!(r.decide(NOW).dispatches.is_empty());
 }
 
 #[test]
 fn a_matured_reader_takes_the_oldest_below_theta() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     hold(&mut r, Inference { target: NOW - 1.0, ..inference(Stage::Queued) });
-    assert_eq!(r.decide(NOW).sends.len(), 1);
+    assert_eq!(r.decide(NOW).dispatches.len(), 1);
 }
 
 #[test_case(0.0, 1; "free memory takes it")]
 #[test_case(0.999, 0; "no free tokens hold it")]
 fn the_budget_is_capped_by_free_tokens(held: f64, sends: usize) {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     hold(&mut r, Inference { over_share: true, ..inference(Stage::Queued) });
     for e in &mut r.engines[..2] {
         e.load.memory_share = Some(held);
     }
-    assert_eq!(r.decide(NOW).sends.len(), sends);
+    assert_eq!(r.decide(NOW).dispatches.len(), sends);
 }
 
 #[test]
 fn an_oversized_prompt_goes_alone_to_an_idle_reader() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     let huge = Inference { prompt: 90_000.0, target: NOW + 9.0, due: NOW + 20.0, ..inference(Stage::Queued) };
     hold(&mut r, huge);
-    assert_eq!(r.decide(NOW).sends.len(), 1);
+    assert_eq!(r.decide(NOW).dispatches.len(), 1);
 }
 
 #[test]
 fn kept_text_outweighs_a_short_wait() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     let i = hold(&mut r, inference(Stage::Queued));
     r.read_cost = ReadCost::new(0.001, 0.1);
     let home = r.infs[i].homes[0];
@@ -166,7 +170,7 @@
 
 #[test]
 fn all_nodes_agree_on_the_hashed_reader() {
-    let (a, mut b) = (router(Repeat::Retriable), router(Repeat::Retriable));
+    let (a, mut b) = (router(Idempotency::Idempotent), router(Idempotency::Idempotent));
     b.chance = WyRand::new_seed(99);
     let inf = inference(Stage::Queued);
     assert_eq!(a.homes(&inf), b.homes(&inf));
@@ -178,9 +182,9 @@
 #[test_case(6, 0.07, 2; "by its part of the arrivals")]
 #[test_case(6, 0.0, 2; "a rare one at two")]
 fn a_prefix_is_at_as_many_readers_as_its_part_needs(readers: usize, part: f64, named: usize) {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     for k in 2..readers {
-        r.list(NOW, &[line(&format!("more{k}"), Role::Read, 0, 0)], false);
+        r.update_endpoints(NOW, &[line(&format!("more{k}"), EngineRole::Prefill, 0, 0)], false);
     }
     r.prompt = 2000.0;
     r.recent.extend((0..RECENT).map(|k| if (k as f64) < part * RECENT as f64 { 9 } else { 100 + k as u64 }));
@@ -197,8 +201,10 @@
 #[test_case(3, 2; "few texts have two")]
 #[test_case(60, 2; "as do many")]
 fn a_text_has_two_readers(texts: u64, named: usize) {
-    let mut r = router(Repeat::Retriable);
-    (2..6).for_each(|k| r.list(NOW, &[line(&format!("more{k}"), Role::Read, 0, 0)], false));
+    let mut r = router(Idempotency::Idempotent);
+    (2..6).for_each(|k| {
+        r.update_endpoints(NOW, &[line(&format!("more{k}"), EngineRole::Prefill, 0, 0)], false)
+    });
     r.prompt = 2000.0;
     r.recent.extend((0..RECENT as u64).map(|k| 100 + k % texts));
     let first = |session| r.homes(&Inference { session, prefix: 9, ..inference(Stage::Queued) })[0];
@@ -210,12 +216,15 @@
 
 #[test]
 fn what_is_too_late_to_start_is_shed_unread() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     hold(&mut r, Inference { due: NOW + 0.02, ..inference(Stage::Queued) });
     let todo = r.decide(NOW);
-    assert_eq!((todo.shed.len(), todo.sends.len()), (1, 0));
+    assert_eq!((todo.rejected.len(), todo.dispatches.len()), (1, 0));
     assert!(
-        matches!(todo.reasons[..], [(Inf(0), Reason::Late { open: 2, readers: 2, .. })]),
+        matches!(
+            todo.reasons[..],
+            [(RequestHandle(0), RejectionReason::TooLate { admitting: 2, prefill_engines: 2, .. })]
+        ),
         "{:?}",
         todo.reasons
     );
@@ -225,19 +234,19 @@
 #[test_case(0.5, 0; "room")]
 #[test_case(1.0, 1; "full")]
 fn with_full_writers_a_missed_target_is_shed(load: f64, shed: usize) {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     hold(&mut r, Inference { target: NOW - 0.1, ..inference(Stage::Queued) });
     for e in &mut r.engines[2..] {
         e.load.memory_share = Some(load);
     }
-    assert_eq!(r.decide(NOW).shed.len(), shed);
+    assert_eq!(r.decide(NOW).rejected.len(), shed);
 }
 
 #[test_case(&[], 2; "the reader's cell")]
 #[test_case(&[2], 3; "then its zone")]
 #[test_case(&[2, 3], 4; "then elsewhere")]
 fn the_migrator_sends_at_once_to_the_nearest_free_writer(full: &[usize], eng: u32) {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     hold(&mut r, Inference { state: Some(0), ..inference(Stage::Held) });
     full.iter().for_each(|&e| r.engines[e].load.memory_share = Some(1.0));
     assert_eq!(engines_of(&r.decide(NOW)), [eng]);
@@ -246,50 +255,55 @@
 /// A day with a cut zone left states pinned at readers that a writer could not reach.
 #[test]
 fn a_state_not_found_is_let_go() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     let s = sent(&mut r, 2, true);
     hold(&mut r, Inference { state: Some(0), sends: vec![s], ..inference(Stage::Writing) });
-    r.settled(NOW, Inf(0), 0, Ending { note: 1.0, ..ending(Outcome::TurnedAway) }, None);
+    r.attempt_finished(NOW, RequestHandle(0), 0, AttemptEnd { note: 1.0, ..ending(Outcome::Rejected) }, None);
     assert_eq!((r.todo.released.len(), r.infs[0].stage), (1, Stage::Queued));
 }
 
 /// A state given up while a send was out stayed pinned when that send ended.
 #[test]
 fn letting_go_is_said_again_when_the_last_send_ends() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     let s = sent(&mut r, 2, true);
     hold(&mut r, Inference { state: Some(0), sends: vec![s], ..inference(Stage::Ended) });
-    r.settled(NOW, Inf(0), 0, ending(Outcome::Cancelled), None);
+    r.attempt_finished(NOW, RequestHandle(0), 0, ending(Outcome::Cancelled), None);
     assert_eq!((r.todo.released.len(), r.todo.closed.len()), (1, 1));
 }
 
 #[test]
 fn a_state_with_no_writer_is_not_kept() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     let read = Sent { live: false, ..sent(&mut r, 0, false) };
     let held =
         Inference { state: Some(0), held_since: NOW - 0.3, sends: vec![read], ..inference(Stage::Held) };
     hold(&mut r, held);
-    r.engines[2..].iter_mut().for_each(|e| e.standing = Standing::Draining);
+    r.engines[2..].iter_mut().for_each(|e| e.standing = Lifecycle::Draining);
     let todo = r.decide(NOW);
-    assert_eq!((todo.shed.len(), todo.released.len()), (1, 1));
+    assert_eq!((todo.rejected.len(), todo.released.len()), (1, 1));
 }
 
 fn missed(r: &mut Router, eng: usize, outcome: Outcome) -> usize {
     let s = Sent { at: NOW - 0.25, ..sent(r, eng, true) };
     let held = Inference { state: Some(0), held_since: NOW - 0.25, ..inference(Stage::Writing) };
     let i = hold(r, Inference { sends: vec![s], ..held });
-    r.settled(NOW, Inf(i as u32), 0, ending(outcome), None);
+    r.attempt_finished(NOW, RequestHandle(i as u32), 0, ending(outcome), None);
     i
 }
 
 /// Fleet days with a zone lost: the state's time began anew with each connection that did not come up.
-#[test_case(NoConnection, 0.25, 0.25; "never up, where the time runs on")]
-#[test_case(NoConnection, 0.0, 0.0; "where a send counts from its order")]
-#[test_case(TurnedAway, 0.25, 0.0; "it was there")]
+#[test_case(Outcome::ConnectFailed, 0.25, 0.25; "never up, where the time runs on")]
+#[test_case(Outcome::ConnectFailed, 0.0, 0.0; "where a send counts from its order")]
+#[test_case(Outcome::Rejected, 0.25, 0.0; "it was there")]
 fn what_never_came_up_is_no_send_for_a_held_state(outcome: Outcome, connect_s: f64, runs_s: f64) {
-    let mut r = Router::new(Deployment { connect_s, ..deployment(Repeat::Retriable) });
-    r.list(NOW, &[line("r0", Role::Read, 0, 0), line("w1", Role::Write, 0, 0)], true);
+    let mut r =
+        Router::new(Deployment { connect_timeout_s: connect_s, ..deployment(Idempotency::Idempotent) });
+    r.update_endpoints(
+        NOW,
+        &[line("r0", EngineRole::Prefill, 0, 0), line("w1", EngineRole::Decode, 0, 0)],
+        true,
+    );
     let i = missed(&mut r, 1, outcome);
     assert_eq!(r.infs[i].held_since, NOW - runs_s);
 }
@@ -298,10 +312,18 @@
 #[test_case(0.8, 4; "another zone while there is time for it to fail")]
 #[test_case(0.6, 9; "else it is let go of at once")]
 fn after_a_send_that_never_came_up(hold_limit_s: f64, to: u32) {
-    let d = Deployment { connect_s: 0.25, hold_limit_s, ..deployment(Repeat::Retriable) };
-    let mut r = Router { hold: d.hold_limit_s, connect: d.connect_s, ..router(Repeat::Retriable) };
+    let d = Deployment {
+        connect_timeout_s: 0.25,
+        reservation_limit_s: hold_limit_s,
+        ..deployment(Idempotency::Idempotent)
+    };
+    let mut r = Router {
+        hold: d.reservation_limit_s,
+        connect: d.connect_timeout_s,
+        ..router(Idempotency::Idempotent)
+    };
     r.engines[2].zone = 0;
-    missed(&mut r, 2, NoConnection);
+    missed(&mut r, 2, Outcome::ConnectFailed);
     let todo = r.decide(NOW);
     assert_eq!(engines_of(&todo), if to == 9 { vec![] } else { vec![to] });
     assert_eq!(todo.released.len(), (to == 9) as usize);
@@ -310,10 +332,10 @@
 /// Calls that let go were tried at the first engines listed, all in the zone that was cut off.
 #[test]
 fn a_call_that_any_engine_takes_goes_to_one_heard_lately() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     (r.engines[0].mute, r.engines[3].mute) = (NOW, NOW);
     (r.engines[1].heard, r.engines[4].heard) = (NOW - 2.0, NOW - 1.0);
-    let at = |r: &Router| r.heard_last("r0", 3).iter().map(|e| e.0).collect::<Vec<_>>();
+    let at = |r: &Router| r.engines_by_last_response("r0", 3).iter().map(|e| e.0).collect::<Vec<_>>();
     assert_eq!(at(&r), [4, 1, 2]);
     r.engines[0].heard = NOW + 1.0;
     assert_eq!(at(&r), [0, 4, 1], "the reader meant, while it is heard");
@@ -323,7 +345,7 @@
 /// was taken to keep, until no send was left.
 #[test]
 fn a_reader_that_failed_it_is_not_tried_again_before_others() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     let mut inf = Inference { prompt: 9000.0, prefix_tokens: 6000.0, prefix: 3, ..inference(Stage::Queued) };
     inf.homes = vec![0, 1];
     let home = hold(&mut r, inf);
@@ -331,7 +353,7 @@
     assert_eq!(r.reader(NOW, home, &[0, 1]), Some(0), "its text is kept there");
     let s = sent(&mut r, 0, false);
     r.infs[home].sends.push(s);
-    r.settled(NOW, Inf(0), 0, ending(Outcome::EngineError), None);
+    r.attempt_finished(NOW, RequestHandle(0), 0, ending(Outcome::EngineError), None);
     assert_eq!(r.reader(NOW, home, &[0, 1]), Some(1));
 }
 
@@ -340,33 +362,39 @@
 #[test_case(Some(NOW - 5.0), 0.0, 2000.0; "fresh: nothing")]
 #[test_case(Some(NOW - 5.0), 800.0, 1968.0; "fresh, and found to keep it once")]
 fn a_reader_is_taken_to_keep_what_it_was_found_to(started_at: Option<f64>, found: f64, unkept: f64) {
-    let mut r = router(Repeat::Retriable);
-    r.list(NOW, &[EngineLine { started_at, ..line("fresh", Role::Read, 0, 0) }], false);
+    let mut r = router(Idempotency::Idempotent);
+    r.update_endpoints(NOW, &[EngineEntry { started_at, ..line("fresh", EngineRole::Prefill, 0, 0) }], false);
     let e = r.by_id["fresh"];
     let s = sent(&mut r, e, false);
     let i = hold(&mut r, Inference { sends: vec![s], ..inference(Stage::Reading) });
     r.infs[i].homes = vec![e, 0];
     if found > 0.0 {
-        r.settled(NOW, Inf(i as u32), 0, Ending { note: found, ..ending(Outcome::Read) }, None);
+        r.attempt_finished(
+            NOW,
+            RequestHandle(i as u32),
+            0,
+            AttemptEnd { note: found, ..ending(Outcome::Prefilled) },
+            None,
+        );
     }
     assert!((r.unkept(e, i) - unkept).abs() < 1.0, "{}", r.unkept(e, i));
 }
 
-const ZONE: Repeat = Repeat::Deduped { group: Group::Zone, memory_s: 5.0 };
-const ALL: Repeat = Repeat::Deduped { group: Group::All, memory_s: 5.0 };
+const ZONE: Idempotency = Idempotency::Keyed { scope: IdempotencyScope::Zone, window_s: 5.0 };
+const ALL: Idempotency = Idempotency::Keyed { scope: IdempotencyScope::All, window_s: 5.0 };
 
-#[test_case(Repeat::Retriable, Outcome::ConnectionLost, true; "retriable may always")]
-#[test_case(Repeat::NonRetriable, Outcome::ConnectionLost, false; "non retriable that may have run")]
-#[test_case(Repeat::NonRetriable, Outcome::NoConnection, true; "non retriable that never ran")]
-#[test_case(Repeat::NonRetriable, Outcome::TurnedAway, true; "non retriable turned away")]
+#[test_case(Idempotency::Idempotent, Outcome::ConnectionLost, true; "retriable may always")]
+#[test_case(Idempotency::NonIdempotent, Outcome::ConnectionLost, false; "non retriable that may have run")]
+#[test_case(Idempotency::NonIdempotent, Outcome::ConnectFailed, true; "non retriable that never ran")]
+#[test_case(Idempotency::NonIdempotent, Outcome::Rejected, true; "non retriable turned away")]
 #[test_case(ZONE, Outcome::EngineError, true; "deduped within its span")]
-fn sending_again_keeps_to_the_kind(repeat: Repeat, outcome: Outcome, again: bool) {
+fn sending_again_keeps_to_the_kind(repeat: Idempotency, outcome: Outcome, again: bool) {
     let mut r = router(repeat);
     let s = sent(&mut r, 2, true);
     hold(&mut r, Inference { state: Some(0), sends: vec![s], ..inference(Stage::Writing) });
-    r.settled(NOW, Inf(0), 0, ending(outcome), None);
+    r.attempt_finished(NOW, RequestHandle(0), 0, ending(outcome), None);
     assert_eq!(r.infs[0].stage == Stage::Held, again);
-    assert_eq!(r.todo.errored.len(), usize::from(!again));
+    assert_eq!(r.todo.failed.len(), usize::from(!again));
 }
 
 #[test_case(NOW, 3, 0.0, true; "inside the group")]
@@ -384,92 +412,102 @@
 /// A hunt found a deduped inference read again in another cell after its state was lost.
 #[test_case(ZONE, false; "readers may lie outside the group")]
 #[test_case(ALL, true; "every engine is in the group")]
-fn a_deduped_prompt_is_read_again_only_inside_its_group(repeat: Repeat, allowed: bool) {
+fn a_deduped_prompt_is_read_again_only_inside_its_group(repeat: Idempotency, allowed: bool) {
     let mut r = router(repeat);
     hold(&mut r, Inference { ran: Some((2, NOW)), ..inference(Stage::Queued) });
-    assert_eq!(r.decide(NOW).sends.len() == 1, allowed);
+    assert_eq!(r.decide(NOW).dispatches.len() == 1, allowed);
 }
 
-#[test_case(Repeat::Retriable, true)]
+#[test_case(Idempotency::Idempotent, true)]
 #[test_case(ALL, true)]
 #[test_case(ZONE, false)]
-#[test_case(Repeat::NonRetriable, false)]
-fn giving_up_sheds_only_what_may_be_repeated(repeat: Repeat, shed: bool) {
+#[test_case(Idempotency::NonIdempotent, false)]
+fn giving_up_sheds_only_what_may_be_repeated(repeat: Idempotency, shed: bool) {
     let mut r = router(repeat);
     let s = sent(&mut r, 2, true);
     hold(&mut r, Inference { sends: vec![s], ..inference(Stage::Writing) });
-    r.give_up(0, Reason::NoSend);
-    assert_eq!((r.todo.shed.len() == 1, r.todo.errored.len() == 1), (shed, !shed));
-    assert_eq!(r.todo.cancelled, [(Inf(0), 0)]);
+    r.give_up(0, RejectionReason::NoAttemptLeft);
+    assert_eq!((r.todo.rejected.len() == 1, r.todo.failed.len() == 1), (shed, !shed));
+    assert_eq!(r.todo.cancelled, [(RequestHandle(0), 0)]);
 }
 
 #[test]
 fn the_last_answer_comes_before_the_time_is_up() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     let s = sent(&mut r, 0, false);
     hold(&mut r, Inference { sends: vec![s], due: NOW + 0.003, ..inference(Stage::Reading) });
-    assert_eq!(r.decide(NOW).shed.len(), 1);
+    assert_eq!(r.decide(NOW).rejected.len(), 1);
 }
 
 #[test]
 fn a_client_that_left_is_owed_nothing() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     hold(&mut r, inference(Stage::Queued));
-    r.left(Inf(0));
-    assert!(r.decide(NOW).sends.is_empty());
+    r.client_disconnected(RequestHandle(0));
+    assert!(r.decide(NOW).dispatches.is_empty());
 }
 
 #[test]
 fn a_broken_stream_is_over() {
-    let mut r = router(Repeat::NonRetriable);
+    let mut r = router(Idempotency::NonIdempotent);
     let s = sent(&mut r, 2, true);
     hold(&mut r, Inference { sends: vec![s], ..inference(Stage::Streaming) });
-    r.settled(NOW, Inf(0), 0, Ending { over: true, ..ending(Outcome::ConnectionLost) }, None);
-    assert_eq!((r.todo.closed.len(), r.todo.errored.len()), (1, 0));
+    r.attempt_finished(
+        NOW,
+        RequestHandle(0),
+        0,
+        AttemptEnd { request_finished: true, ..ending(Outcome::ConnectionLost) },
+        None,
+    );
+    assert_eq!((r.todo.closed.len(), r.todo.failed.len()), (1, 0));
 }
 
-#[test_case(Standing::Draining)]
-#[test_case(Standing::Gone)]
-fn nothing_new_goes_to_an_engine_that_leaves(standing: Standing) {
-    let mut r = router(Repeat::Retriable);
+#[test_case(Lifecycle::Draining)]
+#[test_case(Lifecycle::Removed)]
+fn nothing_new_goes_to_an_engine_that_leaves(standing: Lifecycle) {
+    let mut r = router(Idempotency::Idempotent);
     hold(&mut r, inference(Stage::Queued));
     r.engines[..2].iter_mut().for_each(|e| e.standing = standing);
-    assert!(r.decide(NOW).sends.is_empty());
+    assert!(r.decide(NOW).dispatches.is_empty());
 }
 
 #[test]
 fn a_full_list_drops_what_it_leaves_out() {
-    let mut r = router(Repeat::Retriable);
-    r.list(NOW, &[line("r1", Role::Read, 0, 1)], true);
-    assert_eq!(r.engines.iter().filter(|e| e.standing == Standing::In).count(), 1);
+    let mut r = router(Idempotency::Idempotent);
+    r.update_endpoints(NOW, &[line("r1", EngineRole::Prefill, 0, 1)], true);
+    assert_eq!(r.engines.iter().filter(|e| e.standing == Lifecycle::Active).count(), 1);
 }
 
 #[test]
 fn a_restart_voids_what_was_known() {
-    let mut r = router(Repeat::Retriable);
-    r.note_load(NOW - 2.0, 0, Load { queue: Some(9.0), ..Load::default() });
-    r.list(NOW, &[EngineLine { started_at: Some(NOW - 1.0), ..line("r0", Role::Read, 0, 0) }], false);
-    assert_eq!((r.engines[0].load, r.engines[0].load_at), (Load::default(), f64::NEG_INFINITY));
+    let mut r = router(Idempotency::Idempotent);
+    r.note_load(NOW - 2.0, 0, EngineLoad { queue_len: Some(9.0), ..EngineLoad::default() });
+    r.update_endpoints(
+        NOW,
+        &[EngineEntry { started_at: Some(NOW - 1.0), ..line("r0", EngineRole::Prefill, 0, 0) }],
+        false,
+    );
+    assert_eq!((r.engines[0].load, r.engines[0].load_at), (EngineLoad::default(), f64::NEG_INFINITY));
 }
 
 /// A fleet of nodes with 40 readers, of which 24 have just started, all with quick news of each other.
 fn fleet(nodes: u32) -> Vec<Router> {
-    let readers = (0..40).map(|k| EngineLine {
+    let readers = (0..40).map(|k| EngineEntry {
         started_at: (k >= 16).then_some(NOW - 0.1),
-        ..line(&format!("r{k}"), Role::Read, 0, 0)
+        ..line(&format!("r{k}"), EngineRole::Prefill, 0, 0)
     });
-    let lines: Vec<EngineLine> = readers.chain([line("w", Role::Write, 0, 0)]).collect();
+    let lines: Vec<EngineEntry> = readers.chain([line("w", EngineRole::Decode, 0, 0)]).collect();
     let node = |n: u32| {
         let quotas = vec![400.0];
         let d = Deployment {
             node: n,
-            nodes,
+            node_count: nodes,
             seed: n as u64,
             tenant_quotas: quotas,
-            ..deployment(Repeat::Retriable)
+            ..deployment(Idempotency::Idempotent)
         };
         let mut r = Router::new(d);
-        r.list(NOW, &lines, true);
+        r.update_endpoints(NOW, &lines, true);
         r.engines.iter_mut().for_each(|e| e.load_at = NOW);
         r
     };
@@ -501,9 +539,9 @@
                 (eng.matures, eng.load_at) = (if e < 16 { now + waits } else { now }, now);
                 eng.told_wait = eng.matures - now;
             }
-            r.take(now, &Arrival { session, due_at: now + 5.0, ..arrival() });
-            for s in r.decide(now).sends {
-                sends[s.eng.0 as usize] += 1;
+            r.admit_request(now, &IncomingRequest { session, deadline: now + 5.0, ..arrival() });
+            for s in r.decide(now).dispatches {
+                sends[s.engine.0 as usize] += 1;
             }
         }
     }
@@ -517,10 +555,11 @@
 /// The first reader of a zone to come back drew all that its zone's texts named.
 #[test]
 fn the_only_reader_of_a_zone_takes_an_even_part() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     r.engines[1].zone = 1;
-    let lines: Vec<EngineLine> = (0..30).map(|k| line(&format!("m{k}"), Role::Read, 1, 0)).collect();
-    r.list(NOW, &lines, false);
+    let lines: Vec<EngineEntry> =
+        (0..30).map(|k| line(&format!("m{k}"), EngineRole::Prefill, 1, 0)).collect();
+    r.update_endpoints(NOW, &lines, false);
     r.engines[0].started = NOW - 0.1;
     r.survey(NOW);
     let drawn = |draw| Inference { draw: Some(draw), ..inference(Stage::Queued) };
@@ -531,7 +570,7 @@
 
 #[test]
 fn silence_moves_maturity_further_each_time() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     r.unreached(NOW, 0);
     let first = r.engines[0].matures;
     r.unreached(NOW, 0);
@@ -542,20 +581,20 @@
 #[test_case(&[2], 3; "a failing writer is passed over")]
 #[test_case(&[2, 3, 4], 2; "all failing alike are used as before")]
 fn failures_make_a_worse_choice_but_bar_none(failing: &[usize], eng: u32) {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     hold(&mut r, Inference { state: Some(0), ..inference(Stage::Held) });
     failing.iter().for_each(|&e| r.strike(NOW, e));
     assert_eq!(engines_of(&r.decide(NOW)), [eng]);
 }
 
 /// Where probes queue like work, busy readers passed for dead, and what they held was called off.
-#[test_case(1.0, Outcome::NoAnswer, false; "a queue explains it")]
-#[test_case(0.0, Outcome::NoAnswer, true; "nothing explains it")]
-#[test_case(0.0, Outcome::TurnedAway, false; "full is not silent")]
+#[test_case(1.0, Outcome::TimedOut, false; "a queue explains it")]
+#[test_case(0.0, Outcome::TimedOut, true; "nothing explains it")]
+#[test_case(0.0, Outcome::Rejected, false; "full is not silent")]
 fn an_unanswered_probe_is_silence_only_without_a_queue(wait: f64, outcome: Outcome, mute: bool) {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     (r.engines[0].told_wait, r.engines[0].asked) = (wait, NOW - 0.25);
-    r.probed(NOW, "r0", outcome, None);
+    r.probe_finished(NOW, "r0", outcome, None);
     assert_eq!(r.engines[0].mute == NOW, mute);
 }
 
@@ -565,16 +604,16 @@
     let mut r = loose_target_in_a_rush();
     r.engines.iter_mut().for_each(|e| (e.load_at, e.asked) = (NOW - 60.0, NOW - 60.0));
     let todo = r.decide(NOW);
-    assert!(todo.shed.is_empty() && todo.probes.iter().any(|e| e.0 < 2));
+    assert!(todo.rejected.is_empty() && todo.probes.iter().any(|e| e.0 < 2));
 }
 
 /// On sockets a round of decisions comes moments after the arrival: no writer was ever asked, and an idle
 /// node of 300 took its own stream for a full fleet and held what came next for seconds.
 #[test]
 fn an_arrival_asks_writers_however_late_the_round() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     r.engines.iter_mut().for_each(|e| (e.load_at, e.asked) = (NOW - 60.0, NOW - 60.0));
-    r.take(NOW, &arrival());
+    r.admit_request(NOW, &arrival());
     let todo = r.decide(NOW + 0.001);
     assert!(todo.probes.iter().any(|e| e.0 >= 2));
 }
@@ -583,7 +622,7 @@
 #[test_case(NOW + 0.5, 0; "heard since")]
 #[test_case(0.0, 1; "unreachable and silent")]
 fn only_silence_calls_a_send_off(heard: f64, cancelled: usize) {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     let s = sent(&mut r, 0, false);
     hold(&mut r, Inference { sends: vec![s], ..inference(Stage::Reading) });
     (r.engines[0].heard, r.engines[0].mute) = (heard, NOW + 0.4);
@@ -594,7 +633,7 @@
 /// An ageing engine kept its early maturity until it crashed: its sends only came late.
 #[test]
 fn an_overdue_send_counts_as_one_failure() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     let s = sent(&mut r, 0, false);
     hold(&mut r, Inference { sends: vec![s], ..inference(Stage::Reading) });
     r.watch(NOW + 0.5);
@@ -606,30 +645,30 @@
 #[test_case(NOW + 1.0, 0.0; "busy")]
 #[test_case(NOW - 1.0, 1.0; "silent")]
 fn a_timeout_counts_only_in_silence(heard: f64, faults: f64) {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     let s = sent(&mut r, 0, false);
     hold(&mut r, Inference { sends: vec![s], ..inference(Stage::Reading) });
     r.engines[0].heard = heard;
-    r.settled(NOW + 2.0, Inf(0), 0, ending(Outcome::NoAnswer), None);
+    r.attempt_finished(NOW + 2.0, RequestHandle(0), 0, ending(Outcome::TimedOut), None);
     assert_eq!(r.engines[0].faults, faults);
 }
 
 /// Readers with long queues of other nodes' reads looked matured.
 #[test]
 fn reported_backlog_moves_a_readers_maturity() {
-    let mut r = router(Repeat::Retriable);
-    r.note_load(NOW, 0, Load { unread_tokens: Some(50_000.0), ..Load::default() });
+    let mut r = router(Idempotency::Idempotent);
+    r.note_load(NOW, 0, EngineLoad { pending_prompt_tokens: Some(50_000.0), ..EngineLoad::default() });
     assert!(r.engines[0].matures > NOW + 0.1);
 }
 
 /// Queued inferences at a writer were not counted: it looked free.
-#[test_case(Load { memory_share: Some(0.5), ..Load::default() }, 0.5)]
-#[test_case(Load { memory_share: Some(0.5), queue: Some(25.0), ..Load::default() }, 1.0)]
-#[test_case(Load { memory_share: Some(0.5), unread_tokens: Some(20_000.0), ..Load::default() }, 0.7)]
-#[test_case(Load { memory_share: Some(0.5), inflight: Some(40.0), ..Load::default() }, 0.8)]
-#[test_case(Load { slot_share: Some(0.6), ..Load::default() }, 0.6)]
-fn a_writers_load_counts_what_waits(load: Load, share: f64) {
-    let mut r = router(Repeat::Retriable);
+#[test_case(EngineLoad { memory_share: Some(0.5), ..EngineLoad::default() }, 0.5)]
+#[test_case(EngineLoad { memory_share: Some(0.5), queue_len: Some(25.0), ..EngineLoad::default() }, 1.0)]
+#[test_case(EngineLoad { memory_share: Some(0.5), pending_prompt_tokens: Some(20_000.0), ..EngineLoad::default() }, 0.7)]
+#[test_case(EngineLoad { memory_share: Some(0.5), inflight: Some(40.0), ..EngineLoad::default() }, 0.8)]
+#[test_case(EngineLoad { slot_share: Some(0.6), ..EngineLoad::default() }, 0.6)]
+fn a_writers_load_counts_what_waits(load: EngineLoad, share: f64) {
+    let mut r = router(Idempotency::Idempotent);
     r.prompt = 2000.0;
     (r.engines[2].load, r.engines[2].load_at) = (load, r.now);
     assert!((r.load(2) - share).abs() < 1e-9);
@@ -639,7 +678,7 @@
 #[test_case(0.0, 1.3; "fresh")]
 #[test_case(60.0, 0.5; "old")]
 fn an_old_report_fades_to_the_usual(age: f64, share: f64) {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     (r.now, r.life, r.usual[1]) = (NOW + age, 5.0, 0.5);
     (r.engines[2].load.memory_share, r.engines[2].load_at) = (Some(1.3), NOW);
     assert!((r.load(2) - share).abs() < 1e-4);
@@ -649,8 +688,13 @@
 /// day, since its one stream times the nodes filled every writer.
 #[test]
 fn where_nothing_is_told_one_own_stream_fills_no_writer() {
-    let mut r = Router::new(Deployment { nodes: 300, probes: false, ..deployment(Repeat::Retriable) });
-    r.list(NOW, &[line("r0", Role::Read, 0, 0), line("w1", Role::Write, 0, 0)], true);
+    let mut r =
+        Router::new(Deployment { node_count: 300, can_probe: false, ..deployment(Idempotency::Idempotent) });
+    r.update_endpoints(
+        NOW,
+        &[line("r0", EngineRole::Prefill, 0, 0), line("w1", EngineRole::Decode, 0, 0)],
+        true,
+    );
     r.engines[1].tokens = 2000.0;
     r.engines[1].out = 1;
     hold(&mut r, inference(Stage::Queued));
@@ -671,10 +715,16 @@
 #[test_case(0.0; "idle reader")]
 #[test_case(5.0; "reader with a queue")]
 fn only_reads_that_met_an_idle_reader_are_fitted(there: f64) {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     let (was, s) = (r.read_cost.of(2000.0), Sent { there, ..sent(&mut r, 0, false) });
     hold(&mut r, Inference { sends: vec![s], ..inference(Stage::Reading) });
-    r.settled(NOW + 3.0, Inf(0), 0, Ending { after_s: 3.0, ..ending(Outcome::Read) }, None);
+    r.attempt_finished(
+        NOW + 3.0,
+        RequestHandle(0),
+        0,
+        AttemptEnd { elapsed_s: 3.0, ..ending(Outcome::Prefilled) },
+        None,
+    );
     assert_eq!(r.read_cost.of(2000.0) > was, there == 0.0);
 }
 
@@ -682,7 +732,7 @@
 #[test_case(NOW - 1.0, NOW; "silence has ended")]
 #[test_case(NOW - 9.0, NOW + 5.0; "errors go on")]
 fn an_answer_ends_only_a_silent_hold_off(mute: f64, matures: f64) {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     (r.engines[0].mute, r.engines[0].heard, r.engines[0].matures) = (mute, NOW - 2.0, NOW + 5.0);
     r.hear(NOW, 0);
     assert_eq!(r.engines[0].matures, matures);
@@ -690,7 +740,7 @@
 
 /// A queued inference with a loose target, and writers that are over-full.
 fn loose_target_in_a_rush() -> Router {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     r.prompt = 2000.0;
     hold(&mut r, Inference { target: NOW + 4.0, ..inference(Stage::Queued) });
     r.engines[2..].iter_mut().for_each(|e| (e.load.memory_share, e.load_at) = (Some(1.2), NOW));
@@ -701,14 +751,14 @@
 #[test]
 fn pressed_what_is_not_admitted_is_shed_at_once() {
     let mut r = loose_target_in_a_rush();
-    assert_eq!(r.decide(NOW).shed.len(), 1);
+    assert_eq!(r.decide(NOW).rejected.len(), 1);
 }
 
 /// A route with a looser target filled the writers until a tighter one could not be met.
 #[test]
 fn a_loose_target_does_not_fill_the_writers() {
     let mut r = loose_target_in_a_rush();
-    assert!(r.decide(NOW).sends.is_empty());
+    assert!(r.decide(NOW).dispatches.is_empty());
 }
 
 #[test]
@@ -724,43 +774,43 @@
 /// Inferences beyond a share were held until their time was up while readers stood idle.
 #[test]
 fn beyond_its_share_is_admitted_when_there_is_room() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     hold(&mut r, Inference { over_share: true, ..inference(Stage::Queued) });
-    assert_eq!(r.decide(NOW).sends.len(), 1);
+    assert_eq!(r.decide(NOW).dispatches.len(), 1);
 }
 
 /// With a part under half an inference a second the bucket never held one: all of a small tenant was shed.
 #[test_case(1, false; "the first")]
 #[test_case(9, true; "the ninth at once")]
 fn a_small_part_of_a_quota_admits_what_chance_brings(arrivals: usize, over: bool) {
-    let mut r = Router::new(Deployment { nodes: 200, ..deployment(Repeat::Retriable) });
-    let arrival = Arrival { tenant: Some(0), prompt_tokens: 900.0, ..arrival() };
-    let last = (0..arrivals).map(|_| r.take(NOW, &arrival)).last().unwrap();
+    let mut r = Router::new(Deployment { node_count: 200, ..deployment(Idempotency::Idempotent) });
+    let arrival = IncomingRequest { tenant: Some(0), prompt_tokens: 900.0, ..arrival() };
+    let last = (0..arrivals).map(|_| r.admit_request(NOW, &arrival)).last().unwrap();
     assert_eq!(r.infs[last.0 as usize].over_share, over);
 }
 
 #[test]
 fn beyond_its_share_comes_last() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     hold(&mut r, Inference { over_share: true, arrived: NOW - 1.0, ..inference(Stage::Queued) });
     hold(&mut r, inference(Stage::Queued));
-    assert_eq!(r.decide(NOW).sends[0].inf, Inf(1));
+    assert_eq!(r.decide(NOW).dispatches[0].request, RequestHandle(1));
 }
 
 #[test_case(false, 0; "writers that cannot read")]
 #[test_case(true, 1; "writers that can")]
 fn with_no_reader_a_writer_reads_where_it_can(writers_read: bool, sends: usize) {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     r.writers_read = writers_read;
     hold(&mut r, inference(Stage::Queued));
-    r.engines[..2].iter_mut().for_each(|e| e.standing = Standing::Gone);
-    assert_eq!(r.decide(NOW).sends.len(), sends);
+    r.engines[..2].iter_mut().for_each(|e| e.standing = Lifecycle::Removed);
+    assert_eq!(r.decide(NOW).dispatches.len(), sends);
 }
 
 #[test]
 fn equal_state_gives_equal_decisions() {
     let run = || {
-        let mut r = router(Repeat::Retriable);
+        let mut r = router(Idempotency::Idempotent);
         (0..9).for_each(|_| _ = hold(&mut r, inference(Stage::Queued)));
         r.decide(NOW)
     };
@@ -770,11 +820,11 @@
 /// Each line of a list was compared with every engine known.
 #[test]
 fn a_large_fleet_leaves_nothing_out_as_engines_are_replaced() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     for round in 0..4 {
         let id = |k: usize| format!("{}-{}", k + 500 * round, "long".repeat(50));
-        let lines: Vec<_> = (0..2000).map(|k| line(&id(k), Role::Read, 0, 0)).collect();
-        r.list(NOW, &lines, true);
+        let lines: Vec<_> = (0..2000).map(|k| line(&id(k), EngineRole::Prefill, 0, 0)).collect();
+        r.update_endpoints(NOW, &lines, true);
         assert_eq!(r.stage(true).len(), 2000);
     }
     // Those that are gone make room for new ones.
@@ -783,11 +833,11 @@
 
 #[test]
 fn a_zone_left_gets_nothing_and_one_returned_to_its_part() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     r.engines[1].zone = 1;
-    r.give_part(1, 0.0);
+    r.set_zone_weight(1, 0.0);
     assert_eq!((r.stage(true), r.stage(false)), (vec![0], vec![2, 3]));
-    r.give_part(1, 0.25);
+    r.set_zone_weight(1, 0.25);
     let drawn = |d: u64| Inference { draw: Some(hash("", d)), ..inference(Stage::Queued) };
     let infs: Vec<usize> = (0..4000).map(|d| hold(&mut r, drawn(d))).collect();
     let part = |e: usize| infs.iter().filter(|&&i| r.ration(NOW, i, e)).count() as f64 / 4000.0;
@@ -799,31 +849,31 @@
 
 #[test]
 fn what_is_out_to_a_zone_that_is_left_goes_elsewhere() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     let s = Sent { at: NOW - 0.3, expected: 1.0, ..sent(&mut r, 4, true) };
     hold(&mut r, Inference { state: Some(0), sends: vec![s], ..inference(Stage::Writing) });
     assert!(r.decide(NOW).cancelled.is_empty());
-    r.give_part(1, 0.0);
-    assert_eq!(r.decide(NOW).cancelled, [(Inf(0), 0)]);
+    r.set_zone_weight(1, 0.0);
+    assert_eq!(r.decide(NOW).cancelled, [(RequestHandle(0), 0)]);
 }
 
 #[test]
 fn a_knock_asks_that_engine_of_the_zone_with_the_oldest_news() {
-    let mut r = router(Repeat::Retriable);
+    let mut r = router(Idempotency::Idempotent);
     r.engines[2].load_at = NOW - 5.0;
-    r.give_part(0, 0.0);
-    r.knock(NOW, 0);
-    assert_eq!(r.todo.probes, [Eng(2)]);
+    r.set_zone_weight(0, 0.0);
+    r.probe_zone(NOW, 0);
+    assert_eq!(r.todo.probes, [EngineHandle(2)]);
 }
 
 /// Offline work is run in room that live work leaves.
 #[test]
 fn what_takes_spare_room_alone_waits_behind_the_rest_and_counts_against_no_share() {
-    let mut r = router(Repeat::Retriable);
-    let spare = r.take(NOW, &Arrival { tenant: Some(0), spare: true, ..arrival() });
+    let mut r = router(Idempotency::Idempotent);
+    let spare = r.admit_request(NOW, &IncomingRequest { tenant: Some(0), is_background: true, ..arrival() });
     let left = r.shares[0].bucket.left;
     assert!(r.infs[spare.0 as usize].over_share && left >= 2.0, "{left}");
-    let live = r.take(NOW, &Arrival { tenant: Some(0), ..arrival() });
-    let order: Vec<u32> = r.decide(NOW).sends.iter().map(|s| s.inf.0).collect();
+    let live = r.admit_request(NOW, &IncomingRequest { tenant: Some(0), ..arrival() });
+    let order: Vec<u32> = r.decide(NOW).dispatches.iter().map(|s| s.request.0).collect();
     assert_eq!(order.first(), Some(&live.0));
 }
--- a/src/decide/writers.rs
+++ b/src/decide/writers.rs
@@ -43,7 +43,9 @@
     pub(super) fn writer(&mut self, now: f64, i: usize) -> Option<usize> {
         let mut best = (f64::INFINITY, None);
         for w in self.stage(false) {
-            let fit = self.infs[i].state.is_some() || self.writers_read || self.engines[w].role == Role::Both;
+            let fit = self.infs[i].state.is_some()
+                || self.writers_read
+                || self.engines[w].role == EngineRole::Unified;
             if !fit || !self.again(now, i, Some(w)) || !self.ration(now, i, w) {
                 continue;
             }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,6 @@
 //! The records that the decision module keeps: what they hold, not what is done with it.
 
-use crate::interface::{Decisions, Inf, Load, ModelRoute, Role, Standing};
+use crate::interface::{Decisions, EngineLoad, EngineRole, Lifecycle, ModelRoute, RequestHandle};
 use nanorand::WyRand;
 use std::collections::{HashMap, VecDeque};
 
@@ -83,9 +83,9 @@
     pub id: String,
     pub zone: u32,
     pub cell: u32,
-    pub role: Role,
+    pub role: EngineRole,
     pub memory: f64,
-    pub standing: Standing,
+    pub standing: Lifecycle,
     pub started: f64,
     /// When it can safely take more.
     pub matures: f64,
@@ -102,7 +102,7 @@
     pub out: u32,
     pub tokens: f64,
     pub tokens_at_report: f64,
-    pub load: Load,
+    pub load: EngineLoad,
     /// When it last reported, and the wait there by that.
     pub load_at: f64,
     pub told_wait: f64,
@@ -203,7 +203,7 @@
     pub fn unknown(id: &str) -> Self {
         Engine {
             id: id.to_string(),
-            standing: Standing::Gone,
+            standing: Lifecycle::Removed,
             started: f64::NEG_INFINITY,
             load_at: f64::NEG_INFINITY,
             asked: f64::NEG_INFINITY,
@@ -218,14 +218,14 @@
 
     /// Prompts that wait or are read here by the last report, of this mean length.
     pub fn there(&self, prompt: f64) -> f64 {
-        let by_tokens = self.load.unread_tokens.map(|t| t / prompt.max(1.0));
-        self.load.inflight.or(self.load.queue).or(by_tokens).unwrap_or(0.0)
+        let by_tokens = self.load.pending_prompt_tokens.map(|t| t / prompt.max(1.0));
+        self.load.inflight.or(self.load.queue_len).or(by_tokens).unwrap_or(0.0)
     }
 }
 
 impl Router {
     /// Puts an inference into the tables.
-    pub(crate) fn keep(&mut self, inf: Inference) -> Inf {
+    pub(crate) fn keep(&mut self, inf: Inference) -> RequestHandle {
         let i = self.free.pop().unwrap_or(self.infs.len());
         if i == self.infs.len() {
             self.infs.push(inf);
@@ -233,7 +233,7 @@
             self.infs[i] = inf;
         }
         self.open.push(i);
-        Inf(i as u32)
+        RequestHandle(i as u32)
     }
 
     /// The record of an engine, by its id; a gone engine's record with nothing out is used anew when full.
@@ -242,7 +242,7 @@
             return i;
         }
         let e = Engine::unknown(id);
-        let gone = |e: &Engine| e.standing == Standing::Gone && e.out == 0 && !e.probing;
+        let gone = |e: &Engine| e.standing == Lifecycle::Removed && e.out == 0 && !e.probing;
         let full = self.engines.len() >= most;
         let reused = if full { self.engines.iter().position(gone) } else { None };
         let i = reused.unwrap_or(self.engines.len());
--- a/tests/cold_ramp.rs
+++ b/tests/cold_ramp.rs
@@ -52,7 +52,7 @@
 
 #[derive(Clone, Copy)]
 struct Send {
-    inf: Inf,
+    inf: RequestHandle,
     send: u32,
     eng: usize,
     sent: f64,
@@ -113,11 +113,11 @@
     e % EACH < FRESH
 }
 
-fn role(e: usize) -> Role {
+fn role(e: usize) -> EngineRole {
     if e < EACH {
-        Role::Read
+        EngineRole::Prefill
     } else {
-        Role::Write
+        EngineRole::Decode
     }
 }
 
@@ -180,10 +180,10 @@
     /// A process of this node begins; it knows what has started so far.
     fn begin(&mut self, now: f64, n: usize) {
         let route = ModelRoute {
-            first_token_target_s: 1.0,
-            target_per_token_s: 1e-5,
-            pace_s: 0.06,
-            repeat: Repeat::Retriable,
+            ttft_objective_s: 1.0,
+            ttft_objective_per_token_s: 1e-5,
+            tpot_objective_s: 0.06,
+            idempotency: Idempotency::Idempotent,
         };
         let seed = self.chance.generate();
         let d = Deployment {
@@ -204,21 +204,21 @@
 
     fn list(&mut self, now: f64, n: usize) {
         let node = &mut self.nodes[n];
-        let line = |e: usize| EngineLine {
+        let line = |e: usize| EngineEntry {
             id: id(e, is_fresh(e) && node.heard[e]),
             zone: 0,
             cell: (e % 4) as u32,
             role: role(e),
             memory_tokens: 300_000.0,
-            standing: Standing::In,
+            lifecycle: Lifecycle::Active,
             started_at: Some(self.engines[e].started).filter(|s| s.is_finite() && node.heard[e]),
         };
-        let lines: Vec<EngineLine> = (0..2 * EACH).map(line).collect();
-        node.router.list(now, &lines, true);
+        let lines: Vec<EngineEntry> = (0..2 * EACH).map(line).collect();
+        node.router.update_endpoints(now, &lines, true);
     }
 
     /// A call reaches an engine. It counts where the node has heard of the start.
-    fn call(&mut self, now: f64, n: usize, eng: Eng) -> usize {
+    fn call(&mut self, now: f64, n: usize, eng: EngineHandle) -> usize {
         let name = self.nodes[n].router.engine_id(eng).to_string();
         let e: usize = name.trim_end_matches('+').parse().unwrap();
         if name.ends_with('+') {
@@ -227,10 +227,14 @@
         e
     }
 
-    fn load(&self, e: usize) -> Option<Load> {
+    fn load(&self, e: usize) -> Option<EngineLoad> {
         let out = f64::from(self.engines[e].out);
-        let places = if role(e) == Role::Read { 32.0 } else { SLOTS };
-        Some(Load { memory_share: Some((out / places).min(1.0)), inflight: Some(out), ..Load::default() })
+        let places = if role(e) == EngineRole::Prefill { 32.0 } else { SLOTS };
+        Some(EngineLoad {
+            memory_share: Some((out / places).min(1.0)),
+            inflight: Some(out),
+            ..EngineLoad::default()
+        })
     }
 
     fn act(&mut self, now: f64, n: usize) {
@@ -239,21 +243,21 @@
             let of = self.nodes[n].sends[&inf.0][send as usize];
             self.at(now, n, What::Cancelled(of));
         }
-        for s in &todo.sends {
-            let eng = self.call(now, n, s.eng);
+        for s in &todo.dispatches {
+            let eng = self.call(now, n, s.engine);
             self.sent += 1;
             let number = self.sent;
             self.live.insert(number);
-            let sends = self.nodes[n].sends.entry(s.inf.0).or_default();
-            let of = Send { inf: s.inf, send: sends.len() as u32, eng, sent: now, number };
+            let sends = self.nodes[n].sends.entry(s.request.0).or_default();
+            let of = Send { inf: s.request, send: sends.len() as u32, eng, sent: now, number };
             sends.push(of);
             let ahead = f64::from(self.engines[eng].out);
             self.engines[eng].out += 1;
             if self.course.errors && self.dice() < 0.2 {
                 self.at(now + 0.02, n, What::Failed(of));
-            } else if role(eng) == Role::Write && ahead >= SLOTS {
+            } else if role(eng) == EngineRole::Decode && ahead >= SLOTS {
                 self.at(now + 0.01, n, What::Full(of));
-            } else if role(eng) == Role::Read {
+            } else if role(eng) == EngineRole::Prefill {
                 self.at(now + (1.0 + ahead) / BEARS, n, What::Read(of));
             } else {
                 self.at(now + 0.05, n, What::Token(of));
@@ -263,7 +267,7 @@
             let eng = self.call(now, n, *e);
             self.at(now + 0.004, n, What::Probed(eng));
         }
-        for &(inf, _) in &todo.shed {
+        for &(inf, _) in &todo.rejected {
             let again = self.nodes[n].again.get(&inf.0).copied().unwrap_or(0);
             if self.course.rush && again < 3 {
                 self.at(now + 0.01, n, What::Arrive { again: again + 1 });
@@ -286,9 +290,9 @@
             return;
         }
         self.engines[s.eng].out -= 1;
-        let end = Ending { outcome, after_s: now - s.sent, over: false, note: 0.0 };
+        let end = AttemptEnd { outcome, elapsed_s: now - s.sent, request_finished: false, note: 0.0 };
         let load = self.load(s.eng);
-        self.nodes[n].router.settled(now, s.inf, s.send, end, load);
+        self.nodes[n].router.attempt_finished(now, s.inf, s.send, end, load);
     }
 
     fn arrive(&mut self, now: f64, n: usize, again: u32) {
@@ -297,17 +301,17 @@
             self.at(next, n, What::Arrive { again: 0 });
         }
         let (text, session) = (self.chance.generate_range(0..40u32), self.chance.generate::<u64>());
-        let a = Arrival {
+        let a = IncomingRequest {
             route: 0,
             tenant: self.course.quotas.then_some(0),
-            due_at: now + 4.0,
+            deadline: now + 4.0,
             prompt_tokens: 3000.0,
             prefix_tokens: 2000.0,
             session: session.to_string(),
             prefix: Some(format!("text {text}")),
-            spare: false,
+            is_background: false,
         };
-        let inf = self.nodes[n].router.take(now, &a);
+        let inf = self.nodes[n].router.admit_request(now, &a);
         self.nodes[n].again.insert(inf.0, again);
     }
 
@@ -342,9 +346,9 @@
                 What::Probed(e) => {
                     let name = id(e, is_fresh(e) && self.nodes[n].heard[e]);
                     let load = self.load(e);
-                    self.nodes[n].router.probed(now, &name, Outcome::Completed, load);
+                    self.nodes[n].router.probe_finished(now, &name, Outcome::Completed, load);
                 }
-                What::Read(s) => self.end(now, n, s, Outcome::Read),
+                What::Read(s) => self.end(now, n, s, Outcome::Prefilled),
                 What::Token(s) if self.live.contains(&s.number) => {
                     self.nodes[n].router.first_token(now, s.inf, s.send);
                     self.at(now + LASTS, n, What::Done(s));
@@ -354,7 +358,7 @@
                     self.end(now, n, s, Outcome::Completed);
                 }
                 What::Failed(s) => self.end(now, n, s, Outcome::EngineError),
-                What::Full(s) => self.end(now, n, s, Outcome::TurnedAway),
+                What::Full(s) => self.end(now, n, s, Outcome::Rejected),
                 What::Cancelled(s) => self.end(now, n, s, Outcome::Cancelled),
                 What::Token(_) => {}
             }
--- a/tests/shares.rs
+++ b/tests/shares.rs
@@ -27,7 +27,7 @@
 
 #[derive(Clone, Copy)]
 struct Send {
-    inf: Inf,
+    inf: RequestHandle,
     send: u32,
     eng: usize,
     sent: f64,
@@ -87,8 +87,13 @@
     probes: bool,
 }
 
-fn route(target: f64, repeat: Repeat) -> ModelRoute {
-    ModelRoute { first_token_target_s: target, target_per_token_s: 4e-5, pace_s: 0.06, repeat }
+fn route(target: f64, repeat: Idempotency) -> ModelRoute {
+    ModelRoute {
+        ttft_objective_s: target,
+        ttft_objective_per_token_s: 4e-5,
+        tpot_objective_s: 0.06,
+        idempotency: repeat,
+    }
 }
 
 const TARGETS: [f64; 2] = [1.2, 2.5];
@@ -97,21 +102,22 @@
 impl Fleet {
     fn new(load: f64, probes: bool, seed: u64) -> Fleet {
         let mut chance = WyRand::new_seed(seed);
-        let routes = [route(TARGETS[0], Repeat::Retriable), route(TARGETS[1], Repeat::NonRetriable)];
-        let lines: Vec<EngineLine> = (0..READERS + WRITERS)
-            .map(|e| EngineLine {
+        let routes =
+            [route(TARGETS[0], Idempotency::Idempotent), route(TARGETS[1], Idempotency::NonIdempotent)];
+        let lines: Vec<EngineEntry> = (0..READERS + WRITERS)
+            .map(|e| EngineEntry {
                 id: e.to_string(),
                 zone: 0,
                 cell: (e % 4) as u32,
-                role: if e < READERS { Role::Read } else { Role::Write },
+                role: if e < READERS { EngineRole::Prefill } else { EngineRole::Decode },
                 memory_tokens: MEMORY,
-                standing: Standing::In,
+                lifecycle: Lifecycle::Active,
                 started_at: None,
             })
             .collect();
         let nodes = (0..NODES).map(|n| {
             let mut r = Router::new(deployment(n, NODES, chance.generate(), routes.to_vec(), probes));
-            r.list(0.0, &lines, true);
+            r.update_endpoints(0.0, &lines, true);
             r
         });
         let nodes: Vec<Router> = nodes.collect();
@@ -153,20 +159,20 @@
         self.clock.at(at, (node, what));
     }
 
-    fn load(&self, e: usize) -> Load {
+    fn load(&self, e: usize) -> EngineLoad {
         match e.checked_sub(READERS) {
             None => {
                 let r = &self.readers[e];
-                Load {
+                EngineLoad {
                     memory_share: Some((r.tokens / MEMORY).min(1.0)),
-                    unread_tokens: Some(r.tokens),
-                    ..Load::default()
+                    pending_prompt_tokens: Some(r.tokens),
+                    ..EngineLoad::default()
                 }
             }
-            Some(w) => Load {
+            Some(w) => EngineLoad {
                 memory_share: Some(f64::from(self.writers[w]) / f64::from(SLOTS)),
-                unread_tokens: Some(0.0),
-                ..Load::default()
+                pending_prompt_tokens: Some(0.0),
+                ..EngineLoad::default()
             },
         }
     }
@@ -187,21 +193,21 @@
             (self.chance.generate(), route, text, if shared { 1500.0 } else { 0.0 })
         };
         let prompt = before + 600.0 * (0.9 * normal(self)).exp();
-        let a = Arrival {
+        let a = IncomingRequest {
             route,
             tenant: None,
-            due_at: now + LEFT[route],
+            deadline: now + LEFT[route],
             prompt_tokens: prompt,
             prefix_tokens: if text.is_some() { 1500.0 } else { 0.0 },
             session: session.to_string(),
             prefix: text.map(|t| format!("text {t}")),
-            spare: false,
+            is_background: false,
         };
-        let inf = self.nodes[n].take(now, &a);
+        let inf = self.nodes[n].admit_request(now, &a);
         self.open[n].insert(inf.0, Asked { route, session, text, prompt, sends: 0 });
     }
 
-    fn over(&mut self, n: usize, inf: Inf, answered: bool) {
+    fn over(&mut self, n: usize, inf: RequestHandle, answered: bool) {
         let Some(a) = self.open[n].get(&inf.0).cloned() else { return };
         self.over.push(Over { route: a.route, prompt: a.prompt, session: a.session, answered });
         // Refused or not, its session may go on.
@@ -213,10 +219,10 @@
     fn act(&mut self, now: f64, n: usize) {
         let todo = self.nodes[n].decide(now);
         assert!(todo.cancelled.is_empty() || self.probes, "nothing here is silent");
-        for s in &todo.sends {
-            let eng: usize = self.nodes[n].engine_id(s.eng).parse().unwrap();
-            let Some(a) = self.open[n].get_mut(&s.inf.0) else { continue };
-            let of = Send { inf: s.inf, send: a.sends, eng, sent: now, kept: 0.0 };
+        for s in &todo.dispatches {
+            let eng: usize = self.nodes[n].engine_id(s.engine).parse().unwrap();
+            let Some(a) = self.open[n].get_mut(&s.request.0) else { continue };
+            let of = Send { inf: s.request, send: a.sends, eng, sent: now, kept: 0.0 };
             a.sends += 1;
             let a = a.clone();
             if eng < READERS {
@@ -247,10 +253,10 @@
             let eng = self.nodes[n].engine_id(*e).parse().unwrap();
             self.at(now + 0.002, n, What::Probed(eng));
         }
-        for &(inf, _) in &todo.shed {
+        for &(inf, _) in &todo.rejected {
             self.over(n, inf, false);
         }
-        for &inf in &todo.errored {
+        for &inf in &todo.failed {
             self.over(n, inf, false);
         }
         for inf in &todo.closed {
@@ -269,9 +275,9 @@
         if !self.open[n].contains_key(&s.inf.0) {
             return;
         }
-        let end = Ending { outcome, after_s: now - s.sent, over: false, note: s.kept };
+        let end = AttemptEnd { outcome, elapsed_s: now - s.sent, request_finished: false, note: s.kept };
         let load = Some(self.load(s.eng));
-        self.nodes[n].settled(now, s.inf, s.send, end, load);
+        self.nodes[n].attempt_finished(now, s.inf, s.send, end, load);
     }
 
     fn play(mut self) -> Vec<Over> {
@@ -284,14 +290,14 @@
                 What::Wake => self.wakes[n] = f64::INFINITY,
                 What::Probed(e) => {
                     let load = self.load(e);
-                    self.nodes[n].probed(now, &e.to_string(), Outcome::Completed, Some(load));
+                    self.nodes[n].probe_finished(now, &e.to_string(), Outcome::Completed, Some(load));
                 }
                 What::Read(s) => {
                     let prompt = self.open[n].get(&s.inf.0).map_or(0.0, |a| a.prompt);
                     let r = &mut self.readers[s.eng];
                     r.queued -= 1;
                     r.tokens = (r.tokens - prompt).max(0.0);
-                    self.end(now, n, s, Outcome::Read);
+                    self.end(now, n, s, Outcome::Prefilled);
                 }
                 What::Token(s) => {
                     if self.open[n].contains_key(&s.inf.0) {
@@ -304,7 +310,7 @@
                     self.writers[s.eng - READERS] -= 1;
                     self.end(now, n, s, Outcome::Completed);
                 }
-                What::Full(s) => self.end(now, n, s, Outcome::TurnedAway),
+                What::Full(s) => self.end(now, n, s, Outcome::Rejected),
             }
             self.act(now, n);
         }
