--- a/crates/nickelgw-cli/src/bench_path.rs
+++ b/crates/nickelgw-cli/src/bench_path.rs
@@ -8,7 +8,7 @@
 use nickelgw_chat::core::grant::{grant, Checker, GrantKey, Granted};
 use nickelgw_chat::core::repeats::{self, Ended, Enter, Key, Repeats};
 use nickelgw_node::core::ledger::{Ledger, ReservationId};
-use nickelgw_node::core::{Place, Reservation};
+use nickelgw_node::core::{Endpoint, Reservation};
 use nickelgw_standin::client;
 use nickelgw_store::core::shelf::{Batch, Figures as ShelfFigures, Shelf, Waiter};
 use nickelgw_store::core::Kind;
@@ -69,13 +69,13 @@
         black_box(budget.judge(n as f64 * 1e-3, 0, 0, Some((n % 4) as u32), [0; 16]));
     });
     let mut ledger = Ledger::new(0.5, 5.0);
-    let reader = Rc::new(Place { id: "r".into(), address: "a".into(), tls_name: None });
+    let reader = Rc::new(Endpoint { id: "r".into(), address: "a".into(), tls_name: None });
     ns("a state's way through the ledger", |n| {
         let (now, h) = (n as f64 * 1e-3, ReservationId { owner: n, prefill: 0 });
         ledger.prefill_begins(
             now,
             h,
-            Reservation { name: String::new(), reader: reader.clone(), shared: false },
+            Reservation { name: String::new(), prefill_engine: reader.clone(), named_after_request: false },
         );
         ledger.prefill_done(now, h);
         black_box(ledger.claim(now, n, 1));
--- a/crates/nickelgw-cli/src/serve.rs
+++ b/crates/nickelgw-cli/src/serve.rs
@@ -46,7 +46,7 @@
             // The process before needs its states until it has gone.
             let l = start.life;
             let gone = l.notice_s + l.grace_s + l.end_s + 1.0;
-            start.figures.sweep_s = (gone, start.figures.sweep_s.1 + gone);
+            start.figures.orphan_cleanup_window_s = (gone, start.figures.orphan_cleanup_window_s.1 + gone);
         }
         let listener = match self.inherited {
             true => TcpListener::from(std::io::stdin().as_fd().try_clone_to_owned()?),
--- a/crates/nickelgw-cli/src/start.rs
+++ b/crates/nickelgw-cli/src/start.rs
@@ -6,8 +6,8 @@
 use nickelgw_chat::core::budget::Figures as RetryFigures;
 use nickelgw_chat::core::grant::GrantKey;
 use nickelgw_chat::core::repeats::Figures as RepeatFigures;
-use nickelgw_node::core::door::{Model, Tenant};
-use nickelgw_node::core::{Door, FairShares, Figures, Grants};
+use nickelgw_node::core::admission::{Model, Tenant};
+use nickelgw_node::core::{Admission, CoreConfig, FairShareConfig, GrantConfig};
 use nickelgw_node::fleet::Registry;
 use nickelgw_node::{Limits, Lot, Meter, Sockets, Source, Start, TlsStart, Together};
 use nickelgw_parked::core::Figures as ParkedFigures;
@@ -180,8 +180,8 @@
         name: r.model.clone(),
         timeout_s: r.route_timeout_ms / 1e3,
         timeout_per_token_s: 2.0 * r.target_per_1000_tokens_ms() / 1e6,
-        whole_timeout_s: r.whole_timeout_ms() / 1e3,
-        may_repeat: r.repeat() == nickelgw_settings::proto::Repeat::Retriable,
+        unary_timeout_s: r.whole_timeout_ms() / 1e3,
+        is_idempotent: r.repeat() == nickelgw_settings::proto::Repeat::Retriable,
     };
     let tenant = |t: &nickelgw_settings::proto::Tenant| Tenant { name: t.name.clone(), key: t.key.clone() };
     Ok(Start {
@@ -191,21 +191,21 @@
         name: n.name.clone(),
         zone: n.zone.clone(),
         deployment: check::deployment(n),
-        figures: Figures {
+        figures: CoreConfig {
             // A process's own: states named by an earlier one are not this one's.
-            boot: format!("{}-{:x}-{:x}", n.name, std::process::id(), (epoch * 1e6) as u64),
-            epoch_unix_s: epoch,
+            incarnation: format!("{}-{:x}-{:x}", n.name, std::process::id(), (epoch * 1e6) as u64),
+            started_at_unix_s: epoch,
             zones: n.zones.clone(),
-            most_open: l.most_open() as usize,
-            stream_idle_s: l.stream_idle_ms() / 1e3,
-            let_go_within_s: LET_GO_WITHIN_S,
-            sweep_s: (0.0, SWEEP_S),
-            come_back_s: l.come_back_ms() / 1e3,
-            fair: n.fair_admission().then(|| FairShares {
-                figures: Default::default(),
+            max_open_requests: l.most_open() as usize,
+            stream_idle_timeout_s: l.stream_idle_ms() / 1e3,
+            release_timeout_s: LET_GO_WITHIN_S,
+            orphan_cleanup_window_s: (0.0, SWEEP_S),
+            retry_after_s: l.come_back_ms() / 1e3,
+            fair_share: n.fair_admission().then(|| FairShareConfig {
+                limits: Default::default(),
                 weights: n.tenant.iter().map(|t| t.weight()).collect(),
             }),
-            grants: n.state_grants.as_ref().map(|g| Grants {
+            grants: n.state_grants.as_ref().map(|g| GrantConfig {
                 keys: g
                     .key
                     .iter()
@@ -213,12 +213,12 @@
                     .collect(),
                 lifetime_s: g.lifetime_ms() / 1e3,
             }),
-            tenant_most_open: n.tenant.iter().map(|t| t.most_open.map(|m| m as usize)).collect(),
+            tenant_max_open: n.tenant.iter().map(|t| t.most_open.map(|m| m as usize)).collect(),
         },
-        door: Door {
+        door: Admission {
             models: n.model_route.iter().map(model).collect(),
             tenants: n.tenant.iter().map(tenant).collect(),
-            most_prompt_tokens: l.most_prompt_tokens(),
+            max_prompt_tokens: l.most_prompt_tokens(),
         },
         limits: Limits {
             most_connections: l.most_connections() as usize,
@@ -242,7 +242,7 @@
         store: n.store.as_ref().map(Into::into),
         admin: None,
         admin_later: None,
-        life: nickelgw_node::core::life::Figures {
+        life: nickelgw_node::core::shutdown::Figures {
             notice_s: leaving.notice_ms() / 1e3,
             grace_s: leaving.grace_ms() / 1e3,
             end_s: leaving.end_ms() / 1e3,
--- a/crates/nickelgw-node/examples/fleet.rs
+++ b/crates/nickelgw-node/examples/fleet.rs
@@ -8,7 +8,7 @@
 use nickelgw::interface::*;
 use nickelgw_accord::core::record::{Key, Record};
 use nickelgw_accord::core::{Accord, Figures as AccordFigures};
-use nickelgw_node::core::together::Together;
+use nickelgw_node::core::zone_failover::ZoneFailover;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
@@ -33,7 +33,7 @@
 
 struct Node {
     router: Router,
-    together: Together,
+    together: ZoneFailover,
     accord: Accord,
     /// Sends made for each handle, and whether each is out.
     sends: HashMap<u32, Vec<bool>>,
@@ -147,8 +147,8 @@
         let x = &mut self.nodes[n];
         x.looked_at = now;
         let others = x.accord.near(now);
-        let round = x.together.round(now, &mut x.router, &others);
-        x.accord.tell(now, round.tell, round.news);
+        let round = x.together.update(now, &mut x.router, &others);
+        x.accord.tell(now, round.reports, round.urgent);
         if now >= LOST_AT && x.left_at.is_none() && x.together.ways()[1].1 == 0.0 {
             x.left_at = Some(now);
         }
@@ -286,7 +286,7 @@
         let peers = if exchange { vec!["n0:1".into(), "n1:1".into(), "n2:1".into()] } else { vec![] };
         let key = Key::of("a key for the fleet in one process");
         let accord = Accord::new(AccordFigures::default(), key, own, peers, n as u64);
-        let together = Together::new(zones, &name, Default::default(), 0.1, n as u64);
+        let together = ZoneFailover::new(zones, &name, Default::default(), 0.1, n as u64);
         nodes.push(Node {
             router,
             together,
--- a/crates/nickelgw-node/src/admin.rs
+++ b/crates/nickelgw-node/src/admin.rs
@@ -26,8 +26,8 @@
 /// What the core has counted, at the moment of asking.
 #[derive(Clone, Debug, Default)]
 pub struct Counted {
-    pub tally: crate::core::Tally,
-    pub account: crate::core::ledger::Account,
+    pub tally: crate::core::RequestCounters,
+    pub account: crate::core::ledger::ReservationCounters,
     /// Broken rules, by name.
     pub violations: Vec<(&'static str, u64)>,
     pub open: usize,
@@ -89,18 +89,18 @@
         let t = c.tally;
         let all = [
             ("completed", t.completed),
-            ("shed", t.shed),
-            ("errored", t.errored),
-            ("left", t.left),
-            ("refused", t.refused),
+            ("shed", t.rejected),
+            ("errored", t.failed),
+            ("left", t.disconnected),
+            ("refused", t.denied),
         ];
         by_how(&mut r, "inferences", "Inferences by how they ended; refused ones were never taken", all);
         let a = c.account;
         let all = [
-            ("fetched", a.fetched),
-            ("let_go", a.let_go),
+            ("fetched", a.served),
+            ("let_go", a.released),
             ("lost", a.lost),
-            ("given_up", a.given_up),
+            ("given_up", a.abandoned),
             ("overdue", a.overdue),
         ];
         by_how(&mut r, "states", "Held states by what became of them", all);
--- a/crates/nickelgw-node/src/client.rs
+++ b/crates/nickelgw-node/src/client.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 towards engines and the list: connections as the pool's core grants them, in TLS where set, and what a
 //! failure proves.
 
-use crate::core::Cause;
+use crate::core::AttemptOutcome;
 use crate::{seconds, unix_now, within};
 use async_channel::{Receiver, Sender};
 use bytes::Bytes;
@@ -195,7 +195,7 @@
         self.settle();
     }
 
-    async fn connection(self: &Rc<Self>, peer: Peer<'_>) -> Result<Connection, Cause> {
+    async fn connection(self: &Rc<Self>, peer: Peer<'_>) -> Result<Connection, AttemptOutcome> {
         let lane = peer.lane();
         let asker = Asker(self.next.replace(self.next.get() + 1));
         let mut answer = self.core.borrow_mut().want(self.now(), &lane, asker);
@@ -206,7 +206,7 @@
             asking.told = Some(from.clone());
             // What is granted in the last moment goes to the next, by the guard.
             let Some(Ok(told)) = within(self.connect_s, from.recv()).await else {
-                return Err(Cause::NoConnection);
+                return Err(AttemptOutcome::ConnectFailed);
             };
             answer = told;
         }
@@ -236,7 +236,7 @@
                     Ok(inner) => {
                         let id = self.core.borrow_mut().opened(self.now(), asker, generation);
                         self.settle();
-                        let id = id.ok_or(Cause::NoConnection)?;
+                        let id = id.ok_or(AttemptOutcome::ConnectFailed)?;
                         drop(asking);
                         Ok(Connection { pool: self.clone(), lane, id, inner: Some(inner), fresh: true })
                     }
@@ -244,13 +244,13 @@
                         tracing::debug!(engine = lane, ?why, "no connection");
                         self.core.borrow_mut().failed(self.now(), asker, why.failure());
                         self.settle();
-                        Err(Cause::NoConnection)
+                        Err(AttemptOutcome::ConnectFailed)
                     }
                 }
             }
             Answer::Refused | Answer::Wait => {
                 asking.asker = None;
-                Err(Cause::NoConnection)
+                Err(AttemptOutcome::ConnectFailed)
             }
         }
     }
@@ -296,15 +296,15 @@
         self: &Rc<Self>,
         peer: Peer<'_>,
         request: &Request<Full<Bytes>>,
-    ) -> Result<(Response<Incoming>, Connection), Cause> {
+    ) -> Result<(Response<Incoming>, Connection), AttemptOutcome> {
         loop {
             let mut conn = self.connection(peer).await?;
-            let Some(inner) = &mut conn.inner else { return Err(Cause::NoConnection) };
+            let Some(inner) = &mut conn.inner else { return Err(AttemptOutcome::ConnectFailed) };
             if inner.sender.ready().await.is_err() {
                 if !conn.fresh {
                     continue;
                 }
-                return Err(Cause::NoConnection);
+                return Err(AttemptOutcome::ConnectFailed);
             }
             if let Some(out) = peer.out {
                 out.set(true);
@@ -318,14 +318,14 @@
             if conn.fresh && peer.name.is_some() && matches!(why(&e), Why::OursRefused(_)) {
                 self.core.borrow_mut().broke(self.now(), &conn.lane, Failure::Untrusted);
                 tracing::warn!(engine = conn.lane, "our certificate is not accepted, or missing");
-                return Err(Cause::NoConnection);
+                return Err(AttemptOutcome::ConnectFailed);
             }
             match e {
                 // Closed before a byte went out: proven not to have run, another connection may carry it.
                 e if e.is_canceled() && !conn.fresh => continue,
-                e if e.is_canceled() => return Err(Cause::NoConnection),
-                e if e.is_parse() => return Err(Cause::Garbled),
-                _ => return Err(Cause::Lost),
+                e if e.is_canceled() => return Err(AttemptOutcome::ConnectFailed),
+                e if e.is_parse() => return Err(AttemptOutcome::Malformed),
+                _ => return Err(AttemptOutcome::ConnectionLost),
             }
         }
     }
@@ -335,7 +335,7 @@
         self: &Rc<Self>,
         peer: Peer<'_>,
         request: &Request<Full<Bytes>>,
-    ) -> Result<(u16, hyper::HeaderMap, Bytes), Cause> {
+    ) -> Result<(u16, hyper::HeaderMap, Bytes), AttemptOutcome> {
         let (response, conn) = self.call(peer, request).await?;
         let (head, body) = response.into_parts();
         let body = whole(body).await?;
@@ -344,11 +344,11 @@
     }
 }
 
-pub async fn whole(body: Incoming) -> Result<Bytes, Cause> {
+pub async fn whole(body: Incoming) -> Result<Bytes, AttemptOutcome> {
     match Limited::new(body, LONGEST_BODY).collect().await {
         Ok(b) => Ok(b.to_bytes()),
-        Err(e) if e.is::<http_body_util::LengthLimitError>() => Err(Cause::Garbled),
-        Err(_) => Err(Cause::Lost),
+        Err(e) if e.is::<http_body_util::LengthLimitError>() => Err(AttemptOutcome::Malformed),
+        Err(_) => Err(AttemptOutcome::ConnectionLost),
     }
 }
 
--- a/crates/nickelgw-node/src/core/act.rs
+++ b/crates/nickelgw-node/src/core/apply_decisions.rs
@@ -5,44 +5,51 @@
 /// Engines that a call to let go is tried at before it is repeated.
 const TRIED: usize = 4;
 
-impl Core {
+impl NodeCore {
     /// What to do after a batch of calls.
-    pub fn act(&mut self, now: f64) -> Actions {
+    pub fn poll_commands(&mut self, now: f64) -> CommandBatch {
         while let Some(&(at, t)) = self.unseen.first().filter(|u| f64::from_bits(u.0) <= now) {
             self.unseen.remove(&(at, t));
-            self.answer(now, t, Answer::Errored(Why::TimeUp));
+            self.answer(now, t, FinalAnswer::Failed(FailureReason::DeadlineExceeded));
         }
         let d = self.router.decide(now);
         let mut todo = std::mem::take(&mut self.ready);
         for &(inf, send) in &d.cancelled {
             if let Some(ticket) = self.ticket(inf) {
-                todo.push(Do::CallOff { ticket, send });
+                todo.push(Command::CancelAttempt { request: ticket, attempt: send });
             }
         }
         for s in &d.dispatches {
             match self.order(now, s.request, s.engine, s.timeout_s) {
-                Some(Ok(order)) => todo.push(Do::Send(order)),
-                Some(Err((t, send))) => {
-                    self.ended(now, t, send, End { cause: Cause::NotSent, ..End::default() })
-                }
+                Some(Ok(order)) => todo.push(Command::StartAttempt(order)),
+                Some(Err((t, send))) => self.attempt_ended(
+                    now,
+                    t,
+                    send,
+                    AttemptResult { outcome: AttemptOutcome::NotDelivered, ..AttemptResult::default() },
+                ),
                 None => {}
             }
         }
         let named = d.reasons.iter().filter_map(|&(inf, reason)| Some((self.ticket(inf)?, reason)));
-        let reasons: Vec<(Ticket, RejectionReason)> = named.collect();
+        let reasons: Vec<(RequestId, RejectionReason)> = named.collect();
         for &(t, reason) in &reasons {
-            self.note(now, t, Step::GivenUp(reason));
+            self.note(now, t, TraceEvent::Rejected(reason));
         }
         for &(inf, come_back_s) in &d.rejected {
             if let Some(t) = self.ticket(inf) {
-                self.answer(now, t, Answer::Shed { come_back_s });
+                self.answer(now, t, FinalAnswer::Rejected { retry_after_s: come_back_s });
             }
         }
         for &inf in &d.failed {
             if let Some(t) = self.ticket(inf) {
                 let due = self.get(t).map_or(f64::INFINITY, |x| x.due_at);
-                let why = if now + 2.0 * self.tick >= due { Why::TimeUp } else { Why::SendsFailed };
-                self.answer(now, t, Answer::Errored(why));
+                let why = if now + 2.0 * self.tick >= due {
+                    FailureReason::DeadlineExceeded
+                } else {
+                    FailureReason::AttemptsFailed
+                };
+                self.answer(now, t, FinalAnswer::Failed(why));
             }
         }
         for &inf in &d.released {
@@ -54,7 +61,7 @@
         for &eng in &d.probes {
             let id = self.router.engine_id(eng);
             match self.places.get(id) {
-                Some((place, _)) => todo.push(Do::Probe(place.clone())),
+                Some((place, _)) => todo.push(Command::Probe(place.clone())),
                 // The list took it out in this very batch.
                 None => {
                     let id = id.to_string();
@@ -63,7 +70,7 @@
             }
         }
         if d.poll_endpoints {
-            todo.push(Do::AskList);
+            todo.push(Command::PollEndpoints);
         }
         for &inf in &d.closed {
             if let Some(t) = self.ticket(inf) {
@@ -72,7 +79,7 @@
                 if self.get(t).is_some_and(|x| x.stage != Stage::Over) {
                     self.guard.count(Violation::Unanswered, t.serial);
                 }
-                self.answer(now, t, Answer::Errored(Why::SendsFailed));
+                self.answer(now, t, FinalAnswer::Failed(FailureReason::AttemptsFailed));
             }
         }
         todo.append(&mut self.ready);
@@ -82,27 +89,27 @@
         let (calls, let_go_at) = self.ledger.due(now);
         for owner in self.ledger.take_expired() {
             if let Some(t) = self.ticket_of(owner) {
-                self.router.reservation_expired(now, RequestHandle(t.inf));
+                self.router.reservation_expired(now, RequestHandle(t.slot));
                 self.update_release_pending(t);
             }
         }
         for (call, state) in calls {
-            let at = if state.shared { self.takers(&state.reader) } else { Vec::new() };
-            todo.push(Do::Release { call, state, at });
+            let at = if state.named_after_request { self.takers(&state.prefill_engine) } else { Vec::new() };
+            todo.push(Command::Release { reservation_id: call, reservation: state, endpoints: at });
         }
-        let (readers, sweep_at) = self.sweep.due(now);
-        todo.extend(readers.into_iter().map(Do::Sweep));
+        let (readers, sweep_at) = self.sweep.poll_calls(now);
+        todo.extend(readers.into_iter().map(Command::ReleaseOrphans));
         let unseen = self.unseen.first().map(|u| f64::from_bits(u.0));
         let wake_at = [d.wake_at, let_go_at, sweep_at, unseen].into_iter().flatten().min_by(f64::total_cmp);
         for owner in self.ledger.take_overdue(now) {
             self.guard.count(Violation::ReservationOverdue, owner);
         }
         let (transitions, violations) = (self.ledger.take_transitions(), self.guard.take_news());
-        Actions { todo, reasons, transitions, violations, wake_at }
+        CommandBatch { commands: todo, reasons, transitions, violations, wake_at }
     }
 
     /// Engines that the module names for a call which any of them takes; the one meant at least.
-    fn takers(&self, meant: &Rc<Place>) -> Vec<Rc<Place>> {
+    fn takers(&self, meant: &Rc<Endpoint>) -> Vec<Rc<Endpoint>> {
         let named = self.router.engines_by_last_response(&meant.id, TRIED);
         let place = |e: &EngineHandle| self.places.get(self.router.engine_id(*e)).map(|p| p.0.clone());
         let places: Vec<_> = named.iter().filter_map(place).collect();
@@ -121,13 +128,13 @@
         inf: RequestHandle,
         eng: EngineHandle,
         patience_s: f64,
-    ) -> Option<Result<Order, (Ticket, u32)>> {
+    ) -> Option<Result<AttemptRequest, (RequestId, u32)>> {
         let ticket = self.ticket(inf)?;
         let id = self.router.engine_id(eng).to_string();
-        let idle_s = self.figures.stream_idle_s;
+        let idle_s = self.figures.stream_idle_timeout_s;
         let (eng, role) = match self.places.get(&id) {
             Some((place, role)) => (place.clone(), *role),
-            None => (Rc::new(Place { id, address: String::new(), tls_name: None }), EngineRole::Prefill),
+            None => (Rc::new(Endpoint { id, address: String::new(), tls_name: None }), EngineRole::Prefill),
         };
         let read = role == EngineRole::Prefill;
         let attempt = self.attempt(now, ticket, &eng.id, read)?;
@@ -141,26 +148,46 @@
         }
         let shared = taken.name.is_some();
         let name = taken.name.clone();
-        let name = name.unwrap_or_else(|| format!("{}-{}-{send}", self.figures.boot, ticket.serial));
+        let name = name.unwrap_or_else(|| format!("{}-{}-{send}", self.figures.incarnation, ticket.serial));
         let grounds = self.router.dispatch_rationale(inf, send);
         let what = if read {
-            let state = Reservation { name: name.clone(), reader: eng.clone(), shared };
+            let state =
+                Reservation { name: name.clone(), prefill_engine: eng.clone(), named_after_request: shared };
             self.ledger.prefill_begins(now, ReservationId { owner: ticket.serial, prefill: send }, state);
-            Work::Read
+            AttemptKind::Prefill
         } else {
             let state = self.ledger.claim(now, ticket.serial, send);
             let grant = state.as_ref().and_then(|s| self.grant(now, s, &eng));
-            Work::Write { state, grant, idle_s }
+            AttemptKind::Decode { reservation: state, grant, idle_timeout_s: idle_s }
         };
-        let from_state = matches!(what, Work::Write { state: Some(_), .. });
-        self.note(now, ticket, Step::Sent { send, eng: eng.clone(), read, grounds, from_state });
+        let from_state = matches!(what, AttemptKind::Decode { reservation: Some(_), .. });
+        self.note(
+            now,
+            ticket,
+            TraceEvent::AttemptStarted {
+                attempt: send,
+                engine: eng.clone(),
+                is_prefill: read,
+                rationale: grounds,
+                from_reservation: from_state,
+            },
+        );
         let once = !read && self.once.get(route).copied().unwrap_or(true);
-        Some(Ok(Order { ticket, send, name, eng, patience_s, once, what, grounds }))
+        Some(Ok(AttemptRequest {
+            request: ticket,
+            attempt: send,
+            name,
+            engine: eng,
+            timeout_s: patience_s,
+            runs_once: once,
+            kind: what,
+            rationale: grounds,
+        }))
     }
 
     /// What the guard is told of an attempt that is about to be made.
-    fn attempt(&self, now: f64, ticket: Ticket, engine: &str, prefill: bool) -> Option<Attempt> {
-        let taken = self.taken.get(ticket.inf as usize)?.as_ref()?;
+    fn attempt(&self, now: f64, ticket: RequestId, engine: &str, prefill: bool) -> Option<Attempt> {
+        let taken = self.taken.get(ticket.slot as usize)?.as_ref()?;
         let ran = taken.sends.iter().find(|s| !s.read && s.may_have_run);
         Some(Attempt {
             prefill,
@@ -175,11 +202,12 @@
     }
 
     /// What lets this writer fetch this state, once and for a time.
-    fn grant(&self, now: f64, state: &Reservation, writer: &Place) -> Option<String> {
-        let unix_now = self.figures.epoch_unix_s + now;
+    fn grant(&self, now: f64, state: &Reservation, writer: &Endpoint) -> Option<String> {
+        let unix_now = self.figures.started_at_unix_s + now;
         let g = self.figures.grants.as_ref()?;
         let until = unix_now + g.lifetime_s;
-        let granted = Granted { state: &state.name, reader: &state.reader.id, writer: &writer.id, until };
+        let granted =
+            Granted { state: &state.name, reader: &state.prefill_engine.id, writer: &writer.id, until };
         Some(grant(g.key(unix_now)?, &granted))
     }
 }
--- a/crates/nickelgw-node/src/core/ledger.rs
+++ b/crates/nickelgw-node/src/core/ledger.rs
@@ -122,14 +122,14 @@
 
 /// What became of the states that were read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Account {
-    pub read: u64,
-    pub fetched: u64,
-    pub let_go: u64,
+pub struct ReservationCounters {
+    pub prefilled: u64,
+    pub served: u64,
+    pub released: u64,
     /// Gone with their reader.
     pub lost: u64,
     /// Not confirmed in time: their readers' own limits free them.
-    pub given_up: u64,
+    pub abandoned: u64,
     /// Let go of by the ledger since nobody had said what was to become of them.
     pub overdue: u64,
 }
@@ -140,9 +140,9 @@
     within_s: f64,
     states: BTreeMap<ReservationId, Entry>,
     /// When each is to be looked at next.
-    due: BTreeSet<(u64, ReservationId)>,
+    poll_releases: BTreeSet<(u64, ReservationId)>,
     releasing: BTreeSet<(u64, ReservationId)>,
-    pub account: Account,
+    pub counters: ReservationCounters,
     /// Microseconds without a taker, each wait by itself.
     waits: Histogram<u64>,
     /// Transitions that no log has taken yet.
@@ -164,9 +164,9 @@
             hold_s,
             within_s,
             states: BTreeMap::new(),
-            due: BTreeSet::new(),
+            poll_releases: BTreeSet::new(),
             releasing: BTreeSet::new(),
-            account: Account::default(),
+            counters: ReservationCounters::default(),
             waits: Histogram::new_with_bounds(1, 3_600_000_000, 2).expect("a valid range"),
             transitions: Vec::new(),
             expired: Vec::new(),
@@ -183,13 +183,13 @@
     }
 
     /// Quantile of the waits without a taker, in seconds.
-    pub fn waited(&self, q: f64) -> f64 {
+    pub fn unclaimed_quantile_s(&self, q: f64) -> f64 {
         self.waits.value_at_quantile(q) as f64 / 1e6
     }
 
     fn when(e: &Entry, hold_s: f64) -> Option<f64> {
         match e.stage {
-            Stage::Unclaimed(_) | Stage::Claimed { .. } if e.state.shared => {
+            Stage::Unclaimed(_) | Stage::Claimed { .. } if e.state.named_after_request => {
                 Some(e.lease_from + LEASE_PART * hold_s)
             }
             Stage::Unclaimed(since) => Some(since + hold_s),
@@ -225,7 +225,7 @@
     fn index(&mut self, now: f64, h: ReservationId, stage: Stage) {
         let Some(e) = self.states.get_mut(&h) else { return };
         if let Some(at) = Self::when(e, self.hold_s) {
-            self.due.remove(&(bits(at), h));
+            self.poll_releases.remove(&(bits(at), h));
         }
         match e.stage {
             Stage::Unclaimed(since) => self.waits.saturating_record(((now - since).max(0.0) * 1e6) as u64),
@@ -234,7 +234,7 @@
         }
         e.stage = stage;
         if let Some(at) = Self::when(e, self.hold_s) {
-            self.due.insert((bits(at), h));
+            self.poll_releases.insert((bits(at), h));
         }
         if let Stage::Releasing { since, .. } = stage {
             self.releasing.insert((bits(since), h));
@@ -268,7 +268,7 @@
     /// The read is done, and the state waits.
     pub fn prefill_done(&mut self, now: f64, h: ReservationId) {
         if self.states.get(&h).is_some_and(|e| e.stage == Stage::Prefilling) {
-            self.account.read += 1;
+            self.counters.prefilled += 1;
             self.renew(now, h);
             self.set(now, h, Stage::Unclaimed(now));
         }
@@ -278,11 +278,11 @@
     fn renew(&mut self, now: f64, h: ReservationId) {
         let Some(e) = self.states.get_mut(&h) else { return };
         if let Some(at) = Self::when(e, self.hold_s) {
-            self.due.remove(&(bits(at), h));
+            self.poll_releases.remove(&(bits(at), h));
         }
         e.lease_from = now;
         if let Some(at) = Self::when(e, self.hold_s) {
-            self.due.insert((bits(at), h));
+            self.poll_releases.insert((bits(at), h));
         }
     }
 
@@ -294,7 +294,7 @@
         match never {
             true => self.remove(now, h),
             false => {
-                self.account.read += 1;
+                self.counters.prefilled += 1;
                 self.renew(now, h);
                 self.release(now, h);
                 self.expect_follow_up(h);
@@ -312,9 +312,9 @@
     /// The send that took it has begun to answer: its writer fetched it, and the reader let go by itself.
     pub fn claim_served(&mut self, now: f64, owner: u64, by: u32) {
         for h in self.of(owner, |s| s.claimed_by() == Some(by)) {
-            self.account.fetched += 1;
+            self.counters.served += 1;
             // With its first token engines let go by themselves of all else that bears the request's name.
-            let shared = self.states.get(&h).is_some_and(|e| e.state.shared);
+            let shared = self.states.get(&h).is_some_and(|e| e.state.named_after_request);
             self.remove(now, h);
             if shared {
                 self.of(owner, |s| matches!(s, Stage::Unclaimed(_)))
@@ -348,14 +348,14 @@
 
     fn expect_follow_up(&mut self, h: ReservationId) {
         if let Some(e) = self.states.get_mut(&h) {
-            e.follow_up = e.state.shared;
+            e.follow_up = e.state.named_after_request;
         }
     }
 
     /// Whether a release of anything of the request awaits its confirmation: the calls go by the request's name, and would take
     /// what a further prefill reserves.
     pub fn is_releasing(&self, owner: u64) -> bool {
-        let releases = |e: &Entry| e.state.shared && matches!(e.stage, Stage::Releasing { .. });
+        let releases = |e: &Entry| e.state.named_after_request && matches!(e.stage, Stage::Releasing { .. });
         let all = self
             .states
             .range(ReservationId { owner, prefill: 0 }..=ReservationId { owner, prefill: u32::MAX });
@@ -396,7 +396,7 @@
     /// Nothing will take what waits for the inference.
     pub fn release_all(&mut self, now: f64, owner: u64) {
         let mut all = self.of(owner, |s| matches!(s, Stage::Unclaimed(_)));
-        let last = all.last().and_then(|h| self.states.get(h)).filter(|e| e.state.shared);
+        let last = all.last().and_then(|h| self.states.get(h)).filter(|e| e.state.named_after_request);
         if last.is_some() {
             // One call is enough.
             all.drain(..all.len() - 1).for_each(|h| self.remove(now, h));
@@ -411,12 +411,12 @@
             _ => None,
         };
         if e.gone {
-            self.account.lost += 1;
+            self.counters.lost += 1;
             return self.remove(now, h);
         }
         while self.releasing.len() >= MOST_RELEASING {
             let Some(&(_, oldest)) = self.releasing.first() else { break };
-            self.account.given_up += 1;
+            self.counters.abandoned += 1;
             self.remove(now, oldest);
         }
         self.set(now, h, Stage::Releasing { since: now, tries: 0, at: Some(now), claimed_by });
@@ -443,9 +443,9 @@
             return self.set(now, h, Stage::Releasing { since: now, tries: 0, at, claimed_by });
         }
         match (done, gone) {
-            (true, _) => self.account.let_go += 1,
-            (false, true) => self.account.lost += 1,
-            (false, false) if late => self.account.given_up += 1,
+            (true, _) => self.counters.released += 1,
+            (false, true) => self.counters.lost += 1,
+            (false, false) if late => self.counters.abandoned += 1,
             (false, false) => {
                 let at = Some(now + gap);
                 return self.set(now, h, Stage::Releasing { since, tries, at, claimed_by });
@@ -460,14 +460,14 @@
         let there: Vec<ReservationId> = self
             .states
             .iter()
-            .filter(|(_, e)| !e.gone && !e.state.shared && gone(&e.state))
+            .filter(|(_, e)| !e.gone && !e.state.named_after_request && gone(&e.state))
             .map(|(h, _)| *h)
             .collect();
         for h in there {
             let Some(e) = self.states.get_mut(&h) else { continue };
             e.gone = true;
             if matches!(e.stage, Stage::Releasing { at: Some(_), .. }) {
-                self.account.lost += 1;
+                self.counters.lost += 1;
                 self.remove(now, h);
             }
         }
@@ -476,21 +476,21 @@
     /// Calls to make now, and when to look again.
     pub fn due(&mut self, now: f64) -> (Vec<(ReservationId, Reservation)>, Option<f64>) {
         let mut calls = Vec::new();
-        while let Some(&(at, h)) = self.due.first().filter(|d| f64::from_bits(d.0) <= now) {
+        while let Some(&(at, h)) = self.poll_releases.first().filter(|d| f64::from_bits(d.0) <= now) {
             match self.states.get(&h).map(|e| e.stage) {
                 Some(Stage::Releasing { since, tries, claimed_by, .. }) => {
                     self.set(now, h, Stage::Releasing { since, tries: tries + 1, at: None, claimed_by });
                     calls.extend(self.states.get(&h).map(|e| (h, e.state.clone())));
                 }
                 Some(Stage::Unclaimed(_) | Stage::Claimed { .. }) => {
-                    self.account.overdue += 1;
+                    self.counters.overdue += 1;
                     self.expired.push(h.owner);
                     self.release(now, h);
                 }
-                _ => drop(self.due.remove(&(at, h))),
+                _ => drop(self.poll_releases.remove(&(at, h))),
             }
         }
-        (calls, self.due.first().map(|d| f64::from_bits(d.0)))
+        (calls, self.poll_releases.first().map(|d| f64::from_bits(d.0)))
     }
 }
 
--- a/crates/nickelgw-node/src/core/ledger_tests.rs
+++ b/crates/nickelgw-node/src/core/ledger_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::core::Place;
+use crate::core::Endpoint;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::rc::Rc;
@@ -12,8 +12,8 @@
 }
 
 fn state(n: u64) -> Reservation {
-    let reader = Rc::new(Place { id: format!("r{}", n % 3), address: "a".into(), tls_name: None });
-    Reservation { name: format!("s{n}"), reader, shared: false }
+    let reader = Rc::new(Endpoint { id: format!("r{}", n % 3), address: "a".into(), tls_name: None });
+    Reservation { name: format!("s{n}"), prefill_engine: reader, named_after_request: false }
 }
 
 fn held(owner: u64) -> ReservationId {
@@ -39,13 +39,13 @@
         assert!(now < 4.0);
     }
     assert!((6..=10).contains(&calls), "{calls}");
-    assert_eq!((l.account.given_up, l.account.let_go), (1, 0));
+    assert_eq!((l.counters.abandoned, l.counters.released), (1, 0));
 }
 
 /// A prefill of a request whose reservation bears the request's name, at an engine.
 fn shared(l: &mut Ledger, now: f64, prefill: u32) -> ReservationId {
     let id = ReservationId { owner: 1, prefill };
-    l.prefill_begins(now, id, Reservation { shared: true, ..state(1) });
+    l.prefill_begins(now, id, Reservation { named_after_request: true, ..state(1) });
     id
 }
 
@@ -132,8 +132,8 @@
     let (calls, _) = l.due(1.5);
     assert_eq!(calls, vec![(held(1), state(1))]);
     l.release_answered(1.6, held(1), true, false);
-    assert_eq!((l.account.overdue, l.account.let_go, l.is_empty()), (1, 1, true));
-    assert!((l.waited(1.0) - 0.5).abs() < 0.01);
+    assert_eq!((l.counters.overdue, l.counters.released, l.is_empty()), (1, 1, true));
+    assert!((l.unclaimed_quantile_s(1.0) - 0.5).abs() < 0.01);
 }
 
 #[test]
@@ -146,10 +146,10 @@
     assert_eq!(calls.len(), 2);
     l.release_answered(1.05, held(3), false, false);
     // 0 awaits an answer, 3 its next try; both were at r0, as was 6.
-    l.engines_gone(1.06, |s| s.reader.id == "r0");
-    assert_eq!((l.account.lost, l.len()), (1, 5));
+    l.engines_gone(1.06, |s| s.prefill_engine.id == "r0");
+    assert_eq!((l.counters.lost, l.len()), (1, 5));
     l.release_answered(1.2, held(0), false, false);
-    assert_eq!(l.account.lost, 2);
+    assert_eq!(l.counters.lost, 2);
     // Others are let go of by calls, as ever.
     (0..6).for_each(|n| l.release_all(1.3, n));
     assert_eq!(l.due(1.3).0.len(), 4);
@@ -162,11 +162,11 @@
         waiting(&mut l, 0.0, n);
         l.release_all(0.0, n);
     }
-    assert_eq!((l.len(), l.account.given_up), (MOST_RELEASING, 3));
+    assert_eq!((l.len(), l.counters.abandoned), (MOST_RELEASING, 3));
     let (calls, wake) = l.due(0.0);
     assert_eq!((calls.len(), wake), (MOST_RELEASING, None));
     calls.iter().for_each(|(h, _)| l.release_answered(0.1, *h, true, false));
-    assert!(l.is_empty() && l.due.is_empty() && l.releasing.is_empty());
+    assert!(l.is_empty() && l.poll_releases.is_empty() && l.releasing.is_empty());
 }
 
 proptest! {
@@ -216,11 +216,11 @@
                 }
                 6 => l.release_all(now, n),
                 7 => std::mem::take(&mut calls).into_iter().for_each(|h| l.release_answered(now, h, n % 3 > 0, false)),
-                8 if n == 0 => l.engines_gone(now, |s| s.reader.id == "r1"),
+                8 if n == 0 => l.engines_gone(now, |s| s.prefill_engine.id == "r1"),
                 _ => {}
             }
             let by_time = l.states.values().filter(|e| Ledger::when(e, HOLD_S).is_some()).count();
-            prop_assert_eq!(l.due.len(), by_time);
+            prop_assert_eq!(l.poll_releases.len(), by_time);
         }
         taken.drain(..).for_each(|(owner, by, _)| l.claim_ended(now, owner, by, true));
         for _ in 0..400 {
@@ -228,9 +228,9 @@
             std::mem::take(&mut calls).into_iter().for_each(|h| l.release_answered(now, h, true, false));
             calls.extend(l.due(now).0.into_iter().map(|c| c.0));
         }
-        let a = l.account;
-        prop_assert_eq!(a.read, read);
-        prop_assert_eq!(a.read, a.fetched + a.let_go + a.lost + a.given_up, "{:?}", a);
+        let a = l.counters;
+        prop_assert_eq!(a.prefilled, read);
+        prop_assert_eq!(a.prefilled, a.served + a.released + a.lost + a.abandoned, "{:?}", a);
         prop_assert!(l.is_empty() && l.releasing.is_empty());
     }
 }
--- a/crates/nickelgw-node/src/core/membership.rs
+++ b/crates/nickelgw-node/src/core/membership.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-impl Core {
+impl NodeCore {
     /// Under these ids other processes live than before: what was known of the old ones is void with the next list.
-    pub fn renewed(&mut self, now: f64, ids: &[String]) {
+    pub fn engines_replaced(&mut self, now: f64, ids: &[String]) {
         let gone = |id: &String| EngineEntry {
             id: id.clone(),
             zone: 0,
@@ -19,7 +19,7 @@
     }
 
     /// A list from the same source never goes back: an older one is an answer that was overtaken.
-    pub fn list(&mut self, now: f64, list: &List) {
+    pub fn update_endpoints(&mut self, now: f64, list: &List) {
         if self.revision.is_some_and(|r| list.revision < r) {
             return;
         }
@@ -44,7 +44,7 @@
                 self.places.get(&l.id).filter(|(p, _)| p.address == l.address && p.tls_name == l.tls_name);
             let place = known.map_or_else(
                 || {
-                    Rc::new(Place {
+                    Rc::new(Endpoint {
                         id: l.id.clone(),
                         address: l.address.clone(),
                         tls_name: l.tls_name.clone(),
@@ -60,18 +60,19 @@
                 role,
                 memory_tokens: l.memory_tokens,
                 lifecycle: standing,
-                started_at: l.started_at.map(|at| at - self.figures.epoch_unix_s),
+                started_at: l.started_at.map(|at| at - self.figures.started_at_unix_s),
             });
         }
         let (places, listed): (_, BTreeSet<&str>) =
             (&mut self.places, lines.iter().map(|l| &*l.id).collect());
         places.retain(|id, _| listed.contains(id.as_str()));
         // Out of the list, or listed at another address: a process that has ended.
-        let ended =
-            |s: &Reservation| places.get(&s.reader.id).is_none_or(|p| p.0.address != s.reader.address);
+        let ended = |s: &Reservation| {
+            places.get(&s.prefill_engine.id).is_none_or(|p| p.0.address != s.prefill_engine.address)
+        };
         self.ledger.engines_gone(now, ended);
         let readers = places.values().filter(|p| p.1 != EngineRole::Decode).map(|p| p.0.clone());
-        self.sweep.listed(now, readers);
+        self.sweep.update_endpoints(now, readers);
         self.router.update_endpoints(now, &lines, true);
         if let Some((learnt, trust)) = self.recall.take_if(|_| !lines.is_empty()) {
             self.router.restore_learned_state(now, &learnt, trust);
@@ -79,42 +80,49 @@
     }
 
     /// What part of the whole is this node's has changed.
-    pub fn place(&mut self, now: f64, place: Option<(u32, u32)>) {
+    pub fn set_fleet_position(&mut self, now: f64, place: Option<(u32, u32)>) {
         self.router.set_fleet_size(now, place.map(|(_, of)| of));
     }
 
     /// From now on it is one of a fleet, under this name.
-    pub fn join(&mut self, name: &str, figures: nickelgw_zones::core::Figures, round_s: f64, seed: u64) {
-        self.together = Some(Together::new(self.figures.zones.clone(), name, figures, round_s, seed));
+    pub fn join_fleet(
+        &mut self,
+        name: &str,
+        figures: nickelgw_zones::core::Figures,
+        round_s: f64,
+        seed: u64,
+    ) {
+        self.zone_failover =
+            Some(ZoneFailover::new(self.figures.zones.clone(), name, figures, round_s, seed));
     }
 
     /// What other nodes of the fleet have told: turns the ways to zones. What is to be told to them comes back.
-    pub fn round(&mut self, now: f64, others: &[Known]) -> Option<Round> {
-        Some(self.together.as_mut()?.round(now, &mut self.router, others))
+    pub fn zone_round(&mut self, now: f64, others: &[Known]) -> Option<ZoneRound> {
+        Some(self.zone_failover.as_mut()?.update(now, &mut self.router, others))
     }
 
     /// What an earlier process of this node had learnt, as it was kept; false: it cannot be read.
-    pub fn recall(&mut self, kept: &[u8], trust: f64) -> bool {
-        self.recall = kept::read(kept, self.figures.epoch_unix_s).map(|l| (l, trust));
+    pub fn restore_state(&mut self, kept: &[u8], trust: f64) -> bool {
+        self.recall = warm_state::read(kept, self.figures.started_at_unix_s).map(|l| (l, trust));
         self.recall.is_some()
     }
 
     /// What is to be kept for the next one.
-    pub fn learnt(&self, now: f64) -> Vec<u8> {
-        kept::write(&self.router.learned_state(now), self.figures.epoch_unix_s)
+    pub fn learned_state(&self, now: f64) -> Vec<u8> {
+        warm_state::write(&self.router.learned_state(now), self.figures.started_at_unix_s)
     }
 
-    pub fn swept(&mut self, now: f64, address: &str, done: bool) {
-        self.sweep.told(now, address, done);
+    pub fn orphan_cleanup_finished(&mut self, now: f64, address: &str, done: bool) {
+        self.sweep.release_finished(now, address, done);
     }
 
     /// The last list of an earlier process: used until a source speaks, whose first word counts at any revision.
-    pub fn list_unproved(&mut self, now: f64, list: &List) {
-        self.list(now, list);
+    pub fn restore_endpoints(&mut self, now: f64, list: &List) {
+        self.update_endpoints(now, list);
         self.revision = None;
     }
 
-    pub fn list_failed(&mut self, now: f64) {
+    pub fn endpoint_poll_failed(&mut self, now: f64) {
         self.router.endpoint_poll_failed(now);
     }
 }
--- a/crates/nickelgw-node/src/core/mod.rs
+++ b/crates/nickelgw-node/src/core/mod.rs
@@ -1,21 +1,22 @@
 //! A request's life around the Router, without I/O: calls tell what happened and when, [`Core::act`] returns what
 //! to do. No clock, socket or task; equal calls give equal actions.
 
-mod act;
-pub mod cause;
-pub mod door;
+pub mod admission;
+mod apply_decisions;
+pub mod attempt_outcome;
+mod commands;
 pub mod guard;
-pub mod kept;
 pub mod ledger;
-pub mod life;
 mod membership;
-pub mod sweep;
-pub mod together;
+pub mod orphan_cleanup;
+pub mod shutdown;
 pub mod trace;
-mod words;
+pub mod warm_state;
+pub mod zone_failover;
 
-pub use cause::Cause;
-pub use door::{Ask, Door, Refusal};
+pub use admission::{Admission, AdmittedRequest, RejectReason};
+pub use attempt_outcome::AttemptOutcome;
+pub use commands::*;
 use guard::{Attempt, Guard, Violation};
 use ledger::{Ledger, ReservationId};
 use nickelgw::decide::Router;
@@ -28,12 +29,11 @@
 use nickelgw_protocol::list::{self, List};
 use nickelgw_protocol::load::{self, LoadReport};
 use nickelgw_tenants::core::fair;
+use orphan_cleanup::OrphanCleanup;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
-use sweep::Sweep;
-use together::{Round, Together};
-use trace::{Ring, Step, Story};
-pub use words::*;
+use trace::{RequestTrace, TraceBuffer, TraceEvent};
+use zone_failover::{ZoneFailover, ZoneRound};
 
 /// Gap before the next try of a call that has failed so often: doubled each time, up to the longest.
 fn doubling(first_s: f64, tries: u32, longest_s: f64) -> f64 {
@@ -63,7 +63,7 @@
     serial: u64,
     route: usize,
     name: Option<String>,
-    story: Option<Story>,
+    story: Option<RequestTrace>,
     tenant: Option<usize>,
     /// A first token later than this says that there is too much.
     good_until: f64,
@@ -73,9 +73,9 @@
     sends: Vec<Sent>,
 }
 
-pub struct Core {
+pub struct NodeCore {
     router: Router,
-    figures: Figures,
+    figures: CoreConfig,
     /// Whether sends may be called off.
     cancel: bool,
     /// Longest come-back time that clients are told; none: they are told none.
@@ -85,7 +85,7 @@
     once: Vec<bool>,
     /// First-token target of each route: a constant part, and one for each prompt token.
     targets: Vec<(f64, f64)>,
-    places: HashMap<String, (Rc<Place>, EngineRole)>,
+    places: HashMap<String, (Rc<Endpoint>, EngineRole)>,
     /// By the Router's handle.
     taken: Vec<Option<Taken>>,
     open: usize,
@@ -100,19 +100,19 @@
     draining: BTreeSet<String>,
     /// How each route may be repeated.
     repeats: Vec<Idempotency>,
-    sweep: Sweep,
+    sweep: OrphanCleanup,
     /// The node as one of a fleet, where nodes tell each other what they see.
-    pub together: Option<Together>,
-    pub ring: Ring,
+    pub zone_failover: Option<ZoneFailover>,
+    pub traces: TraceBuffer,
     /// What an earlier process had learnt, and how far it is believed; used with the first list.
     recall: Option<(LearnedState, f64)>,
     revision: Option<u64>,
-    ready: Vec<Do>,
+    ready: Vec<Command>,
     /// Nothing more is taken.
     leaving: bool,
     /// Begun answers that clients do not stream, by the time when they must be whole (as bits: none is negative).
-    unseen: BTreeSet<(u64, Ticket)>,
-    pub tally: Tally,
+    unseen: BTreeSet<(u64, RequestId)>,
+    pub counters: RequestCounters,
 }
 
 fn load(report: &LoadReport) -> EngineLoad {
@@ -125,11 +125,11 @@
     }
 }
 
-impl Core {
-    pub fn new(deployment: Deployment, figures: Figures) -> Core {
+impl NodeCore {
+    pub fn new(deployment: Deployment, figures: CoreConfig) -> NodeCore {
         let repeats = deployment.routes.iter().map(|r| r.idempotency).collect();
-        let ledger = Ledger::new(deployment.reservation_limit_s, figures.let_go_within_s);
-        Core {
+        let ledger = Ledger::new(deployment.reservation_limit_s, figures.release_timeout_s);
+        NodeCore {
             tick: deployment.tick_s,
             longest_come_back_s: deployment.max_retry_after_s,
             cancel: deployment.can_cancel,
@@ -148,21 +148,21 @@
             guard: Guard::default(),
             draining: BTreeSet::new(),
             repeats,
-            sweep: Sweep::new(figures.sweep_s.0, figures.sweep_s.1),
+            sweep: OrphanCleanup::new(figures.orphan_cleanup_window_s.0, figures.orphan_cleanup_window_s.1),
             recall: None,
-            together: None,
-            ring: Ring::default(),
-            open_by_tenant: vec![0; figures.tenant_most_open.len()],
+            zone_failover: None,
+            traces: TraceBuffer::default(),
+            open_by_tenant: vec![0; figures.tenant_max_open.len()],
             fair: fair::Fair::default(),
             limit: fair::Limit::new(
-                figures.fair.as_ref().map_or_else(Default::default, |f| f.figures),
-                figures.most_open as f64,
+                figures.fair_share.as_ref().map_or_else(Default::default, |f| f.limits),
+                figures.max_open_requests as f64,
             ),
             revision: None,
             ready: Vec::new(),
             leaving: false,
             unseen: BTreeSet::new(),
-            tally: Tally::default(),
+            counters: RequestCounters::default(),
             figures,
         }
     }
@@ -181,7 +181,7 @@
     }
 
     /// The process is about to end: what is still owed is counted.
-    pub fn exits(&mut self) {
+    pub fn process_exiting(&mut self) {
         if self.open > 0 {
             self.guard.count(Violation::ExitWithRequests, 0);
         }
@@ -191,9 +191,9 @@
     }
 
     /// Takes a request, or says why not.
-    pub fn take(&mut self, now: f64, ask: &Ask) -> Result<Ticket, Refusal> {
+    pub fn accept_request(&mut self, now: f64, ask: &AdmittedRequest) -> Result<RequestId, RejectReason> {
         if let Err(why) = self.may_enter(ask) {
-            self.tally.refused += 1;
+            self.counters.denied += 1;
             return Err(why);
         }
         if let Some((t, w)) = self.weight(ask.tenant) {
@@ -207,7 +207,7 @@
             prefix_tokens: ask.prefix_tokens,
             session: ask.session.clone(),
             prefix: ask.prefix.clone(),
-            is_background: ask.spare,
+            is_background: ask.is_background,
         };
         let inf = self.router.admit_request(now, &arrival).0;
         self.serial += 1;
@@ -215,13 +215,13 @@
         if let Some(n) = ask.tenant.and_then(|t| self.open_by_tenant.get_mut(t)) {
             *n += 1;
         }
-        self.tally.taken += 1;
+        self.counters.accepted += 1;
         let slot = inf as usize;
         if slot >= self.taken.len() {
             self.taken.resize_with(slot + 1, || None);
         }
-        let good_until = now + IN_GOOD_TIME * self.target_s(ask);
-        let whole_at = ask.whole_within_s.map_or(f64::INFINITY, |s| now + s);
+        let good_until = now + IN_GOOD_TIME * self.ttft_objective_s(ask);
+        let whole_at = ask.unary_timeout_s.map_or(f64::INFINITY, |s| now + s);
         self.taken[slot] = Some(Taken {
             serial: self.serial,
             route: ask.route,
@@ -234,69 +234,69 @@
             whole_at,
             sends: Vec::new(),
         });
-        Ok(Ticket { inf, serial: self.serial })
+        Ok(RequestId { slot: inf, serial: self.serial })
     }
 
     /// Whether one more is taken, before the module hears of it.
-    fn may_enter(&self, ask: &Ask) -> Result<(), Refusal> {
+    fn may_enter(&self, ask: &AdmittedRequest) -> Result<(), RejectReason> {
         if self.leaving {
-            return Err(Refusal::Leaving);
+            return Err(RejectReason::ShuttingDown);
         }
-        if self.open >= self.figures.most_open {
-            return Err(Refusal::Full);
+        if self.open >= self.figures.max_open_requests {
+            return Err(RejectReason::NodeFull);
         }
-        let limit = ask.tenant.and_then(|t| *self.figures.tenant_most_open.get(t)?);
+        let limit = ask.tenant.and_then(|t| *self.figures.tenant_max_open.get(t)?);
         if ask.tenant.zip(limit).is_some_and(|(t, most)| self.open_by_tenant[t] >= most) {
-            return Err(Refusal::TenantFull);
+            return Err(RejectReason::TenantFull);
         }
-        if let (Some(f), Some((t, w))) = (&self.figures.fair, self.weight(ask.tenant)) {
-            if !self.fair.admits(self.limit.get(), f.figures.reserve, t, w) {
-                return Err(Refusal::OverPart);
+        if let (Some(f), Some((t, w))) = (&self.figures.fair_share, self.weight(ask.tenant)) {
+            if !self.fair.admits(self.limit.get(), f.limits.reserve, t, w) {
+                return Err(RejectReason::OverFairShare);
             }
         }
         Ok(())
     }
 
     /// Seconds within which its first token is wanted.
-    pub fn target_s(&self, ask: &Ask) -> f64 {
+    pub fn ttft_objective_s(&self, ask: &AdmittedRequest) -> f64 {
         self.targets.get(ask.route).map_or(f64::INFINITY, |t| t.0 + t.1 * ask.prompt_tokens)
     }
 
     fn weight(&self, tenant: Option<usize>) -> Option<(usize, f64)> {
         let t = tenant?;
-        Some((t, *self.figures.fair.as_ref()?.weights.get(t)?))
+        Some((t, *self.figures.fair_share.as_ref()?.weights.get(t)?))
     }
 
-    fn get(&mut self, t: Ticket) -> Option<&mut Taken> {
-        self.taken.get_mut(t.inf as usize)?.as_mut().filter(|x| x.serial == t.serial)
+    fn get(&mut self, t: RequestId) -> Option<&mut Taken> {
+        self.taken.get_mut(t.slot as usize)?.as_mut().filter(|x| x.serial == t.serial)
     }
 
-    fn ticket(&self, inf: RequestHandle) -> Option<Ticket> {
+    fn ticket(&self, inf: RequestHandle) -> Option<RequestId> {
         let serial = self.taken.get(inf.0 as usize)?.as_ref()?.serial;
-        Some(Ticket { inf: inf.0, serial })
+        Some(RequestId { slot: inf.0, serial })
     }
 
     /// What happens to it is written down from now on.
-    pub fn trace(&mut self, t: Ticket, story: Story) {
+    pub fn start_trace(&mut self, t: RequestId, story: RequestTrace) {
         if let Some(taken) = self.get(t) {
             taken.story = Some(story);
         }
     }
 
     /// The story of a request, open or over.
-    pub fn story(&self, id: &str) -> Option<&Story> {
+    pub fn request_trace(&self, id: &str) -> Option<&RequestTrace> {
         let open = self.taken.iter().flatten().filter_map(|x| x.story.as_ref()).find(|s| *s.id == *id);
-        open.or_else(|| self.ring.find(id))
+        open.or_else(|| self.traces.find(id))
     }
 
-    fn note(&mut self, now: f64, t: Ticket, step: Step) {
+    fn note(&mut self, now: f64, t: RequestId, step: TraceEvent) {
         if let Some(story) = self.get(t).and_then(|x| x.story.as_mut()) {
             story.add(now, step);
         }
     }
 
     /// A write's first token is there. True: the stream is this send's from now on; false: it came too late.
-    pub fn began(&mut self, now: f64, t: Ticket, send: u32) -> bool {
+    pub fn response_started(&mut self, now: f64, t: RequestId, send: u32) -> bool {
         let Some(taken) = self.get(t) else { return false };
         let Some(s) = taken.sends.get(send as usize) else { return false };
         if !s.live || s.read || taken.stage != Stage::Waiting {
@@ -311,42 +311,47 @@
             let at = taken.whole_at - self.tick;
             self.unseen.insert((at.max(0.0).to_bits(), t));
         }
-        self.note(now, t, Step::Began { send });
+        self.note(now, t, TraceEvent::ResponseStarted { send });
         self.ledger.claim_served(now, t.serial, send);
-        self.router.first_token(now, RequestHandle(t.inf), send);
+        self.router.first_token(now, RequestHandle(t.slot), send);
         self.ledger.release_all(now, t.serial);
         true
     }
 
     /// A send has ended; each ends once, what comes later for it is passed over.
-    pub fn ended(&mut self, now: f64, t: Ticket, send: u32, end: End) {
+    pub fn attempt_ended(&mut self, now: f64, t: RequestId, send: u32, end: AttemptResult) {
         let Some(taken) = self.get(t) else { return };
         let Some(s) = taken.sends.get_mut(send as usize).filter(|s| s.live) else { return };
         let began = taken.stage == Stage::Streaming(send);
-        let mut cause = end.cause;
-        if (cause == Cause::Completed && !began) || (matches!(cause, Cause::Read) && !s.read) {
-            cause = Cause::Garbled;
+        let mut cause = end.outcome;
+        if (cause == AttemptOutcome::Completed && !began)
+            || (matches!(cause, AttemptOutcome::Prefilled) && !s.read)
+        {
+            cause = AttemptOutcome::Malformed;
         }
         s.live = false;
         let outcome = cause.outcome();
-        let never = matches!(cause, Cause::TurnedAway | Cause::NoConnection | Cause::NotSent);
-        s.may_have_run &= !never && cause != Cause::NoState;
+        let never = matches!(
+            cause,
+            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotDelivered
+        );
+        s.may_have_run &= !never && cause != AttemptOutcome::ReservationNotFound;
         let state = ReservationId { owner: t.serial, prefill: send };
         match (s.read, cause) {
-            (true, Cause::Read) => self.ledger.prefill_done(now, state),
+            (true, AttemptOutcome::Prefilled) => self.ledger.prefill_done(now, state),
             // What a failed read may have left is let go at once: nobody will ever ask for it.
             (true, _) => self.ledger.prefill_failed(now, state, never),
             (false, _) => self.ledger.claim_ended(now, t.serial, send, cause.is_answer()),
         }
-        self.note(now, t, Step::Ended { send, cause });
-        if began && cause == Cause::CalledOff {
+        self.note(now, t, TraceEvent::AttemptEnded { send, outcome: cause });
+        if began && cause == AttemptOutcome::Cancelled {
             // Nobody takes the stream any more: the client has gone, whichever socket told it first.
             self.leave(now, t);
         } else if began {
-            let answer = if cause == Cause::Completed {
-                Answer::Completed
+            let answer = if cause == AttemptOutcome::Completed {
+                FinalAnswer::Completed
             } else {
-                Answer::Errored(Why::StreamBroken)
+                FinalAnswer::Failed(FailureReason::StreamBroken)
             };
             self.answer(now, t, answer);
         }
@@ -354,26 +359,26 @@
         if over {
             self.ledger.release_all(now, t.serial);
         }
-        let note = if cause == Cause::NoState { 1.0 } else { end.kept };
+        let note = if cause == AttemptOutcome::ReservationNotFound { 1.0 } else { end.cached_tokens };
         // Time since the send: the Router learns from it how long reads and streams last.
-        let after_s = now - self.router.dispatched_at(RequestHandle(t.inf), send);
+        let after_s = now - self.router.dispatched_at(RequestHandle(t.slot), send);
         let ending = AttemptEnd { outcome, elapsed_s: after_s, request_finished: over, note };
-        self.router.attempt_finished(now, RequestHandle(t.inf), send, ending, end.load.as_ref().map(load));
+        self.router.attempt_finished(now, RequestHandle(t.slot), send, ending, end.load.as_ref().map(load));
         self.update_release_pending(t);
     }
 
     /// Nothing more is taken from now on.
-    pub fn refuse_work(&mut self) {
+    pub fn stop_accepting(&mut self) {
         self.leaving = true;
     }
 
     /// The grace is over: whatever is open gets its one answer now, and nothing more is sent for it.
-    pub fn end_all(&mut self, now: f64) {
+    pub fn fail_all_open(&mut self, now: f64) {
         self.end_open(now, true);
     }
 
     /// So does what has not begun; streams go on.
-    pub fn end_waiting(&mut self, now: f64) {
+    pub fn fail_unstarted(&mut self, now: f64) {
         self.end_open(now, false);
     }
 
@@ -391,8 +396,12 @@
             let over = |s: &Sent| !s.may_have_run && (cancel || !s.live);
             let harmless = !begun && taken.sends.iter().all(over);
             // Where clients are told none, a shutdown tells none either.
-            let come_back_s = self.longest_come_back_s.map(|s| s.min(self.figures.come_back_s));
-            let answer = if harmless { Answer::Shed { come_back_s } } else { Answer::Errored(Why::Stopping) };
+            let come_back_s = self.longest_come_back_s.map(|s| s.min(self.figures.retry_after_s));
+            let answer = if harmless {
+                FinalAnswer::Rejected { retry_after_s: come_back_s }
+            } else {
+                FinalAnswer::Failed(FailureReason::ShuttingDown)
+            };
             self.answer(now, t, answer);
             self.router.client_disconnected(RequestHandle(inf));
             self.ledger.release_all(now, t.serial);
@@ -400,16 +409,16 @@
     }
 
     /// The client has gone. What is out for it is called off; nothing more is owed.
-    pub fn left(&mut self, now: f64, t: Ticket) {
+    pub fn client_disconnected(&mut self, now: f64, t: RequestId) {
         if self.leave(now, t) {
             self.call_off(t);
-            self.router.client_disconnected(RequestHandle(t.inf));
+            self.router.client_disconnected(RequestHandle(t.slot));
             self.ledger.release_all(now, t.serial);
         }
     }
 
     /// The request is over, if it was not before.
-    fn close(&mut self, now: f64, t: Ticket, how: Step) -> bool {
+    fn close(&mut self, now: f64, t: RequestId, how: TraceEvent) -> bool {
         let tick = self.tick;
         let Some(taken) = self.get(t).filter(|x| x.stage != Stage::Over) else { return false };
         let before = taken.stage;
@@ -426,31 +435,31 @@
         if self.weight(tenant).is_some() {
             tenant.into_iter().for_each(|t| self.fair.closed(t));
             // Given up before it began: there was too much.
-            if !begun && matches!(how, Step::Answered(_)) {
+            if !begun && matches!(how, TraceEvent::Answered(_)) {
                 self.limit.answered(now, self.open, true);
             }
         }
         if let Some(mut story) = story {
             story.add(now, how);
-            self.ring.over(story);
+            self.traces.push(story);
         }
         true
     }
 
-    fn leave(&mut self, now: f64, t: Ticket) -> bool {
-        if !self.close(now, t, Step::Left) {
+    fn leave(&mut self, now: f64, t: RequestId) -> bool {
+        if !self.close(now, t, TraceEvent::ClientDisconnected) {
             return false;
         }
-        self.tally.left += 1;
+        self.counters.disconnected += 1;
         true
     }
 
-    pub fn probed(&mut self, now: f64, id: &str, cause: Cause, report: Option<LoadReport>) {
+    pub fn probe_finished(&mut self, now: f64, id: &str, cause: AttemptOutcome, report: Option<LoadReport>) {
         self.router.probe_finished(now, id, cause.outcome(), report.as_ref().map(load));
     }
 
     /// A call that lets go of a state was answered, or was not.
-    pub fn let_go(&mut self, now: f64, call: ReservationId, done: bool) {
+    pub fn release_finished(&mut self, now: f64, call: ReservationId, done: bool) {
         let ticket = self.ticket_of(call.owner);
         let over = ticket.and_then(|t| self.get(t)).is_none_or(|x| x.stage == Stage::Over);
         self.ledger.release_answered(now, call, done, over);
@@ -459,36 +468,37 @@
         }
     }
 
-    fn ticket_of(&self, serial: u64) -> Option<Ticket> {
+    fn ticket_of(&self, serial: u64) -> Option<RequestId> {
         let inf = self.taken.iter().position(|x| x.as_ref().is_some_and(|x| x.serial == serial))?;
-        Some(Ticket { inf: inf as u32, serial })
+        Some(RequestId { slot: inf as u32, serial })
     }
 
     /// No further prefill goes out for the request while a release of an earlier one's reservation is not confirmed.
-    fn update_release_pending(&mut self, t: Ticket) {
+    fn update_release_pending(&mut self, t: RequestId) {
         let releasing = self.ledger.is_releasing(t.serial);
-        self.router.set_release_pending(RequestHandle(t.inf), releasing);
+        self.router.set_release_pending(RequestHandle(t.slot), releasing);
     }
 
-    fn answer(&mut self, now: f64, t: Ticket, answer: Answer) {
-        if !self.close(now, t, Step::Answered(answer)) {
+    fn answer(&mut self, now: f64, t: RequestId, answer: FinalAnswer) {
+        if !self.close(now, t, TraceEvent::Answered(answer)) {
             return;
         }
         match answer {
-            Answer::Completed => self.tally.completed += 1,
-            Answer::Shed { .. } => self.tally.shed += 1,
-            Answer::Errored(_) => self.tally.errored += 1,
+            FinalAnswer::Completed => self.counters.completed += 1,
+            FinalAnswer::Rejected { .. } => self.counters.rejected += 1,
+            FinalAnswer::Failed(_) => self.counters.failed += 1,
         }
         // What is out ends before its client is told: refused over an attempt that is still out, it may yet run.
         self.call_off(t);
-        self.ready.push(Do::Answer { ticket: t, answer });
+        self.ready.push(Command::Answer { ticket: t, answer });
     }
 
     /// Whatever is still out for a request that is over is no longer waited for.
-    fn call_off(&mut self, t: Ticket) {
+    fn call_off(&mut self, t: RequestId) {
         let Some(taken) = self.get(t) else { return };
         let live = taken.sends.iter().enumerate().filter(|(_, s)| s.live);
-        let orders: Vec<Do> = live.map(|(n, _)| Do::CallOff { ticket: t, send: n as u32 }).collect();
+        let orders: Vec<Command> =
+            live.map(|(n, _)| Command::CancelAttempt { request: t, attempt: n as u32 }).collect();
         self.ready.extend(orders);
     }
 }
--- a/crates/nickelgw-node/src/core/life.rs
+++ b/crates/nickelgw-node/src/core/shutdown.rs
@@ -22,10 +22,10 @@
 pub enum Stage {
     Starting,
     Serving,
-    Leaving { until: f64 },
+    Announcing { until: f64 },
     Draining { until: f64 },
     Ending { until: f64 },
-    Ended(Exit),
+    Exited(Exit),
 }
 
 /// How it ended; the process's exit code says it.
@@ -34,26 +34,26 @@
     /// All that was open ended by itself.
     Clean,
     /// Some was ended by the grace's end.
-    Cut,
+    RequestsCut,
     /// Besides, states could not be let go of: their readers' own limits free them.
-    Held,
+    ReservationsLeft,
 }
 
 impl Exit {
     pub fn code(self) -> u8 {
         match self {
             Exit::Clean => 0,
-            Exit::Cut => 3,
-            Exit::Held => 4,
+            Exit::RequestsCut => 3,
+            Exit::ReservationsLeft => 4,
         }
     }
 }
 
 /// What is still there.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Left {
-    pub open: usize,
-    pub states: usize,
+pub struct Remaining {
+    pub open_requests: usize,
+    pub reservations: usize,
     pub connections: usize,
 }
 
@@ -70,7 +70,7 @@
 }
 
 #[derive(Debug)]
-pub struct Life {
+pub struct ProcessLifecycle {
     figures: Figures,
     stage: Stage,
     listening: bool,
@@ -83,9 +83,16 @@
 /// How often what is left is looked at, once it counts.
 const LOOK_S: f64 = 0.02;
 
-impl Life {
-    pub fn new(figures: Figures) -> Life {
-        Life { figures, stage: Stage::Starting, listening: true, cut: false, hastened: 0, ready: Vec::new() }
+impl ProcessLifecycle {
+    pub fn new(figures: Figures) -> ProcessLifecycle {
+        ProcessLifecycle {
+            figures,
+            stage: Stage::Starting,
+            listening: true,
+            cut: false,
+            hastened: 0,
+            ready: Vec::new(),
+        }
     }
 
     pub fn stage(&self) -> Stage {
@@ -93,30 +100,30 @@
     }
 
     /// A list of engines is known: it can serve.
-    pub fn heard(&mut self) {
+    pub fn endpoints_known(&mut self) {
         if self.stage == Stage::Starting {
             self.stage = Stage::Serving;
         }
     }
 
     /// To go. `handed_over`: another process has the listening socket already.
-    pub fn leave(&mut self, now: f64, handed_over: bool) {
+    pub fn begin_drain(&mut self, now: f64, handed_over: bool) {
         if !matches!(self.stage, Stage::Starting | Stage::Serving) {
             return;
         }
         self.ready.push(Do::SayLeaving);
-        self.stage = Stage::Leaving { until: now + self.figures.notice_s };
+        self.stage = Stage::Announcing { until: now + self.figures.notice_s };
         if handed_over {
             self.stop_listening();
         }
     }
 
     /// Told once more: the next stage comes at once.
-    pub fn hasten(&mut self, now: f64) {
+    pub fn skip_stage(&mut self, now: f64) {
         match self.stage {
-            Stage::Starting | Stage::Serving => self.leave(now, false),
-            Stage::Leaving { .. } | Stage::Draining { .. } | Stage::Ending { .. } => self.hastened += 1,
-            Stage::Ended(_) => {}
+            Stage::Starting | Stage::Serving => self.begin_drain(now, false),
+            Stage::Announcing { .. } | Stage::Draining { .. } | Stage::Ending { .. } => self.hastened += 1,
+            Stage::Exited(_) => {}
         }
     }
 
@@ -135,8 +142,8 @@
     }
 
     /// What to do, and when to look again.
-    pub fn act(&mut self, now: f64, left: Left) -> (Vec<Do>, Option<f64>) {
-        if let Stage::Leaving { until } = self.stage {
+    pub fn poll_commands(&mut self, now: f64, left: Remaining) -> (Vec<Do>, Option<f64>) {
+        if let Stage::Announcing { until } = self.stage {
             if self.over(now, until) {
                 self.stop_listening();
                 self.ready.push(Do::RefuseWork);
@@ -145,8 +152,8 @@
             }
         }
         if let Stage::Draining { until } = self.stage {
-            if left.open == 0 || self.over(now, until) {
-                self.cut = left.open > 0;
+            if left.open_requests == 0 || self.over(now, until) {
+                self.cut = left.open_requests > 0;
                 if self.cut {
                     self.ready.push(Do::EndAll);
                 }
@@ -156,19 +163,19 @@
             }
         }
         if let Stage::Ending { until } = self.stage {
-            let done = left.open == 0 && left.states == 0 && left.connections == 0;
+            let done = left.open_requests == 0 && left.reservations == 0 && left.connections == 0;
             if done || self.over(now, until) {
-                let exit = match (left.states > 0, self.cut) {
-                    (true, _) => Exit::Held,
-                    (false, true) => Exit::Cut,
+                let exit = match (left.reservations > 0, self.cut) {
+                    (true, _) => Exit::ReservationsLeft,
+                    (false, true) => Exit::RequestsCut,
                     (false, false) => Exit::Clean,
                 };
-                self.stage = Stage::Ended(exit);
+                self.stage = Stage::Exited(exit);
                 self.ready.push(Do::Exit(exit));
             }
         }
         let wake = match self.stage {
-            Stage::Leaving { until } => Some(until),
+            Stage::Announcing { until } => Some(until),
             Stage::Draining { until } | Stage::Ending { until } => Some(until.min(now + LOOK_S)),
             _ => None,
         };
@@ -184,45 +191,45 @@
 
     const F: Figures = Figures { notice_s: 1.0, grace_s: 5.0, end_s: 0.5 };
 
-    fn left(open: usize, states: usize, connections: usize) -> Left {
-        Left { open, states, connections }
+    fn left(open: usize, states: usize, connections: usize) -> Remaining {
+        Remaining { open_requests: open, reservations: states, connections }
     }
 
     #[test]
     fn the_ordinary_end() {
-        let mut l = Life::new(F);
-        l.heard();
-        l.leave(10.0, false);
-        assert_eq!(l.act(10.0, left(3, 1, 4)), (vec![Do::SayLeaving], Some(11.0)));
-        assert_eq!(l.act(11.0, left(2, 1, 4)).0, vec![Do::StopListening, Do::RefuseWork]);
-        assert_eq!(l.act(12.0, left(1, 0, 1)).0, vec![]);
+        let mut l = ProcessLifecycle::new(F);
+        l.endpoints_known();
+        l.begin_drain(10.0, false);
+        assert_eq!(l.poll_commands(10.0, left(3, 1, 4)), (vec![Do::SayLeaving], Some(11.0)));
+        assert_eq!(l.poll_commands(11.0, left(2, 1, 4)).0, vec![Do::StopListening, Do::RefuseWork]);
+        assert_eq!(l.poll_commands(12.0, left(1, 0, 1)).0, vec![]);
         // Its last stream has ended, and the connection's last bytes are on their way.
-        assert_eq!(l.act(12.5, left(0, 0, 1)).0, vec![]);
-        assert_eq!(l.act(12.6, left(0, 0, 0)).0, vec![Do::Exit(Exit::Clean)]);
+        assert_eq!(l.poll_commands(12.5, left(0, 0, 1)).0, vec![]);
+        assert_eq!(l.poll_commands(12.6, left(0, 0, 0)).0, vec![Do::Exit(Exit::Clean)]);
     }
 
     #[test]
     fn what_outlasts_the_grace_is_ended() {
-        let mut l = Life::new(F);
-        l.leave(0.0, true);
-        assert_eq!(l.act(0.0, left(1, 1, 1)).0, vec![Do::SayLeaving, Do::StopListening]);
-        assert_eq!(l.act(1.0, left(1, 1, 1)).0, vec![Do::RefuseWork]);
-        assert_eq!(l.act(6.0, left(1, 1, 1)).0, vec![Do::EndAll]);
-        assert_eq!(l.act(6.1, left(0, 1, 0)).0, vec![]);
-        assert_eq!(l.act(6.5, left(0, 1, 0)).0, vec![Do::Exit(Exit::Held)]);
+        let mut l = ProcessLifecycle::new(F);
+        l.begin_drain(0.0, true);
+        assert_eq!(l.poll_commands(0.0, left(1, 1, 1)).0, vec![Do::SayLeaving, Do::StopListening]);
+        assert_eq!(l.poll_commands(1.0, left(1, 1, 1)).0, vec![Do::RefuseWork]);
+        assert_eq!(l.poll_commands(6.0, left(1, 1, 1)).0, vec![Do::EndAll]);
+        assert_eq!(l.poll_commands(6.1, left(0, 1, 0)).0, vec![]);
+        assert_eq!(l.poll_commands(6.5, left(0, 1, 0)).0, vec![Do::Exit(Exit::ReservationsLeft)]);
     }
 
     #[test]
     fn each_further_signal_hastens() {
-        let mut l = Life::new(F);
-        l.leave(0.0, false);
-        l.act(0.0, left(1, 0, 1));
-        l.hasten(0.1);
-        assert!(l.act(0.1, left(1, 0, 1)).0.contains(&Do::RefuseWork));
-        l.hasten(0.2);
-        assert_eq!(l.act(0.2, left(1, 0, 1)).0, vec![Do::EndAll]);
-        l.hasten(0.25);
-        assert_eq!(l.act(0.25, left(0, 0, 1)).0, vec![Do::Exit(Exit::Cut)]);
+        let mut l = ProcessLifecycle::new(F);
+        l.begin_drain(0.0, false);
+        l.poll_commands(0.0, left(1, 0, 1));
+        l.skip_stage(0.1);
+        assert!(l.poll_commands(0.1, left(1, 0, 1)).0.contains(&Do::RefuseWork));
+        l.skip_stage(0.2);
+        assert_eq!(l.poll_commands(0.2, left(1, 0, 1)).0, vec![Do::EndAll]);
+        l.skip_stage(0.25);
+        assert_eq!(l.poll_commands(0.25, left(0, 0, 1)).0, vec![Do::Exit(Exit::RequestsCut)]);
     }
 
     proptest! {
@@ -231,30 +238,30 @@
         fn it_only_goes_on_says_each_thing_once_and_ends_in_time(
             steps in prop::collection::vec((0u8..6, 0usize..3, 0.0..0.6f64), 1..80),
         ) {
-            let (mut l, mut now, mut said, mut told) = (Life::new(F), 0.0, Vec::new(), None);
+            let (mut l, mut now, mut said, mut told) = (ProcessLifecycle::new(F), 0.0, Vec::new(), None);
             let mut ended = None;
             let rank = |s: Stage| match s {
-                Stage::Starting => 0, Stage::Serving => 1, Stage::Leaving { .. } => 2,
-                Stage::Draining { .. } => 3, Stage::Ending { .. } => 4, Stage::Ended(_) => 5,
+                Stage::Starting => 0, Stage::Serving => 1, Stage::Announcing { .. } => 2,
+                Stage::Draining { .. } => 3, Stage::Ending { .. } => 4, Stage::Exited(_) => 5,
             };
             for (what, n, dt) in steps {
                 now += dt;
                 let before = rank(l.stage());
                 match what {
-                    0 => l.heard(),
-                    1 => { l.leave(now, n == 1); told = told.or(Some(now)); }
-                    2 if told.is_some() => l.hasten(now),
+                    0 => l.endpoints_known(),
+                    1 => { l.begin_drain(now, n == 1); told = told.or(Some(now)); }
+                    2 if told.is_some() => l.skip_stage(now),
                     _ => {}
                 }
-                said.extend(l.act(now, left(n, n, n)).0);
-                ended = ended.or(matches!(l.stage(), Stage::Ended(_)).then_some(now));
+                said.extend(l.poll_commands(now, left(n, n, n)).0);
+                ended = ended.or(matches!(l.stage(), Stage::Exited(_)).then_some(now));
                 prop_assert!(rank(l.stage()) >= before);
             }
             if let Some(told) = told {
                 let mut wake = Some(now);
                 while let Some(at) = wake.filter(|_| rank(l.stage()) < 5) {
                     now = at.max(now + 1e-3);
-                    let (todo, next) = l.act(now, left(1, 1, 1));
+                    let (todo, next) = l.poll_commands(now, left(1, 1, 1));
                     said.extend(todo);
                     wake = next;
                 }
--- a/crates/nickelgw-node/src/core/tests.rs
+++ b/crates/nickelgw-node/src/core/tests.rs
@@ -64,53 +64,53 @@
     List { revision, engines: states.iter().enumerate().map(line).collect() }
 }
 
-fn core(most_open: usize) -> Core {
+fn core(most_open: usize) -> NodeCore {
     core_of(most_open, deployment())
 }
 
-fn core_of(most_open: usize, deployment: Deployment) -> Core {
-    let figures = Figures {
-        boot: "n0".into(),
-        epoch_unix_s: 0.0,
+fn core_of(most_open: usize, deployment: Deployment) -> NodeCore {
+    let figures = CoreConfig {
+        incarnation: "n0".into(),
+        started_at_unix_s: 0.0,
         zones: vec!["a".into(), "b".into()],
-        most_open,
-        stream_idle_s: 2.0,
-        let_go_within_s: HOLD_S / 2.0,
-        sweep_s: (0.0, -1.0),
-        come_back_s: 1.0,
+        max_open_requests: most_open,
+        stream_idle_timeout_s: 2.0,
+        release_timeout_s: HOLD_S / 2.0,
+        orphan_cleanup_window_s: (0.0, -1.0),
+        retry_after_s: 1.0,
         grants: None,
-        fair: None,
-        tenant_most_open: vec![None],
+        fair_share: None,
+        tenant_max_open: vec![None],
     };
-    let mut c = Core::new(deployment, figures);
-    c.list(0.0, &list(1, &[State::In; 8]));
+    let mut c = NodeCore::new(deployment, figures);
+    c.update_endpoints(0.0, &list(1, &[State::In; 8]));
     c
 }
 
-fn ask(route: usize) -> Ask {
-    Ask {
+fn ask(route: usize) -> AdmittedRequest {
+    AdmittedRequest {
         name: None,
         route,
         tenant: Some(0),
         timeout_s: 2.0,
-        whole_within_s: None,
+        unary_timeout_s: None,
         prompt_tokens: 200.0,
         prefix_tokens: 0.0,
         session: "s".into(),
         prefix: None,
-        spare: false,
+        is_background: false,
     }
 }
 
-fn end(cause: Cause) -> End {
-    End { cause, ..End::default() }
+fn end(cause: AttemptOutcome) -> AttemptResult {
+    AttemptResult { outcome: cause, ..AttemptResult::default() }
 }
 
 #[derive(Default)]
 struct Seen {
     route: usize,
     due: f64,
-    answers: Vec<(f64, Answer)>,
+    answers: Vec<(f64, FinalAnswer)>,
     left: bool,
     /// Writes that may have run: number, when sent, and the writer's zone.
     ran: Vec<(u32, f64, usize)>,
@@ -122,20 +122,20 @@
 
 /// Plays engines and clients, and checks each action against the rules as it comes.
 struct World {
-    core: Core,
+    core: NodeCore,
     /// Whether a send that is called off has ended.
     cancel: bool,
     now: f64,
-    seen: BTreeMap<Ticket, Seen>,
-    out: Vec<Order>,
+    seen: BTreeMap<RequestId, Seen>,
+    out: Vec<AttemptRequest>,
     /// States that wait, and since when no send was out for them.
-    states: BTreeMap<String, (Ticket, f64)>,
+    states: BTreeMap<String, (RequestId, f64)>,
     calls: Vec<ReservationId>,
     probes: Vec<String>,
     wake: Option<f64>,
 }
 
-fn zone_of(eng: &Place) -> usize {
+fn zone_of(eng: &Endpoint) -> usize {
     usize::from(eng.id[1..].parse::<usize>().unwrap() % 4 >= 2)
 }
 
@@ -155,36 +155,36 @@
     }
 
     fn act(&mut self) {
-        let actions = self.core.act(self.now);
+        let actions = self.core.poll_commands(self.now);
         self.wake = actions.wake_at;
-        for d in actions.todo {
+        for d in actions.commands {
             match d {
-                Do::Send(o) => self.sent(o),
-                Do::CallOff { ticket, send } => {
-                    let found = self.out.iter().position(|o| (o.ticket, o.send) == (ticket, send));
+                Command::StartAttempt(o) => self.sent(o),
+                Command::CancelAttempt { request: ticket, attempt: send } => {
+                    let found = self.out.iter().position(|o| (o.request, o.attempt) == (ticket, send));
                     if let Some(n) = found {
                         let o = self.out.swap_remove(n);
                         self.seen.get_mut(&ticket).unwrap().goes_on |= !self.cancel;
-                        self.end(o, Cause::CalledOff);
+                        self.end(o, AttemptOutcome::Cancelled);
                     }
                 }
-                Do::Answer { ticket, answer } => {
+                Command::Answer { ticket, answer } => {
                     let s = self.seen.get_mut(&ticket).unwrap();
                     assert!(s.answers.is_empty() && !s.left, "answered twice, or after the client left");
                     assert!(s.begun || self.now <= s.due + 1e-9, "answered after the client's time");
-                    let shed = matches!(answer, Answer::Shed { .. });
+                    let shed = matches!(answer, FinalAnswer::Rejected { .. });
                     // A read counts until it has ended.
                     let over = s.ran.is_empty() && s.live.is_empty() && !s.goes_on;
                     let harmless = over || REPEATS[s.route] == Idempotency::Idempotent;
                     assert!(!shed || harmless, "shed though it may have run");
                     s.answers.push((self.now, answer));
                 }
-                Do::Release { call, state, .. } => {
+                Command::Release { reservation_id: call, reservation: state, .. } => {
                     self.states.remove(&state.name);
                     self.calls.push(call);
                 }
-                Do::Probe(p) => self.probes.push(p.id.clone()),
-                Do::AskList | Do::Sweep(_) => {}
+                Command::Probe(p) => self.probes.push(p.id.clone()),
+                Command::PollEndpoints | Command::ReleaseOrphans(_) => {}
             }
         }
         for (name, (t, since)) in &self.states {
@@ -193,15 +193,15 @@
         }
     }
 
-    fn sent(&mut self, o: Order) {
-        let s = self.seen.get_mut(&o.ticket).unwrap();
+    fn sent(&mut self, o: AttemptRequest) {
+        let s = self.seen.get_mut(&o.request).unwrap();
         assert!(s.answers.is_empty() && !s.left, "sent after the final answer");
         assert!(s.live.is_empty(), "sent beside one that is out");
-        if let Work::Write { state, .. } = &o.what {
+        if let AttemptKind::Decode { reservation: state, .. } = &o.kind {
             match (REPEATS[s.route], s.ran.first().copied()) {
                 (Idempotency::NonIdempotent, Some(_)) => panic!("a non-retriable inference is sent again"),
                 (Idempotency::Keyed { .. }, Some((_, at, zone))) => {
-                    assert!(zone == zone_of(&o.eng) && self.now < at + MEMORY_S, "outside group or span");
+                    assert!(zone == zone_of(&o.engine) && self.now < at + MEMORY_S, "outside group or span");
                 }
                 _ => {}
             }
@@ -209,27 +209,27 @@
                 assert!(self.states.contains_key(&state.name), "a state let go is sent on");
             }
             // Until an outcome proves otherwise it may have run.
-            s.ran.push((o.send, self.now, zone_of(&o.eng)));
+            s.ran.push((o.attempt, self.now, zone_of(&o.engine)));
         }
-        s.live.insert(o.send);
+        s.live.insert(o.attempt);
         self.out.push(o);
     }
 
-    fn end(&mut self, o: Order, cause: Cause) {
-        let s = self.seen.get_mut(&o.ticket).unwrap();
-        s.live.remove(&o.send);
+    fn end(&mut self, o: AttemptRequest, cause: AttemptOutcome) {
+        let s = self.seen.get_mut(&o.request).unwrap();
+        s.live.remove(&o.attempt);
         let proven =
             matches!(cause.outcome(), Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotDelivered);
         if proven {
-            s.ran.retain(|r| r.0 != o.send);
+            s.ran.retain(|r| r.0 != o.attempt);
         }
-        if o.what == Work::Read && cause == Cause::Read {
-            self.states.insert(o.name.clone(), (o.ticket, self.now));
+        if o.kind == AttemptKind::Prefill && cause == AttemptOutcome::Prefilled {
+            self.states.insert(o.name.clone(), (o.request, self.now));
         }
-        for v in self.states.values_mut().filter(|v| v.0 == o.ticket) {
+        for v in self.states.values_mut().filter(|v| v.0 == o.request) {
             v.1 = self.now;
         }
-        self.core.ended(self.now, o.ticket, o.send, end(cause));
+        self.core.attempt_ended(self.now, o.request, o.attempt, end(cause));
     }
 
     /// Time passes by the core's own wake-ups, as a shell would have it.
@@ -248,7 +248,7 @@
         let n = pick % self.out.len().max(1);
         match what {
             0..=2 => {
-                if let Ok(t) = self.core.take(self.now, &ask(pick % 3)) {
+                if let Ok(t) = self.core.accept_request(self.now, &ask(pick % 3)) {
                     let due = self.now + 2.0;
                     self.seen.insert(t, Seen { route: pick % 3, due, ..Seen::default() });
                 }
@@ -257,30 +257,39 @@
                 let t = self.seen.keys().nth(pick % self.seen.len().max(1)).copied();
                 if let Some(t) = t.filter(|t| self.seen[t].answers.is_empty()) {
                     self.seen.get_mut(&t).unwrap().left = true;
-                    self.core.left(self.now, t);
+                    self.core.client_disconnected(self.now, t);
                 }
             }
             4..=9 if !self.out.is_empty() => {
                 let o = self.out.swap_remove(n);
-                let read = o.what == Work::Read;
+                let read = o.kind == AttemptKind::Prefill;
                 let cause = match (what, read) {
-                    (4..=6, true) => Cause::Read,
-                    (4..=6, false) => Cause::Completed,
-                    (7, _) => [Cause::TurnedAway, Cause::NoConnection, Cause::NoState][pick % 3],
-                    (8, _) => [Cause::Lost, Cause::NoAnswer, Cause::Garbled][pick % 3],
-                    _ => Cause::Failed(500),
+                    (4..=6, true) => AttemptOutcome::Prefilled,
+                    (4..=6, false) => AttemptOutcome::Completed,
+                    (7, _) => [
+                        AttemptOutcome::Rejected,
+                        AttemptOutcome::ConnectFailed,
+                        AttemptOutcome::ReservationNotFound,
+                    ][pick % 3],
+                    (8, _) => {
+                        [AttemptOutcome::ConnectionLost, AttemptOutcome::TimedOut, AttemptOutcome::Malformed]
+                            [pick % 3]
+                    }
+                    _ => AttemptOutcome::ErrorStatus(500),
                 };
-                if cause == Cause::Completed && self.core.began(self.now, o.ticket, o.send) {
+                if cause == AttemptOutcome::Completed
+                    && self.core.response_started(self.now, o.request, o.attempt)
+                {
                     self.begun(&o);
                 }
                 // Heard twice, it counts once.
-                let twice = (o.ticket, o.send);
+                let twice = (o.request, o.attempt);
                 self.end(o, cause);
-                self.core.ended(self.now, twice.0, twice.1, end(Cause::Lost));
+                self.core.attempt_ended(self.now, twice.0, twice.1, end(AttemptOutcome::ConnectionLost));
             }
             10 if !self.out.is_empty() => {
                 let o = self.out[n].clone();
-                if self.core.began(self.now, o.ticket, o.send) {
+                if self.core.response_started(self.now, o.request, o.attempt) {
                     self.begun(&o);
                 }
             }
@@ -288,18 +297,19 @@
                 let pool = [State::In, State::In, State::Draining, State::Gone];
                 let states: Vec<State> = (0..8).map(|k| pool[(pick >> (2 * k)) % 4]).collect();
                 let revision = self.core.revision().unwrap() + 1;
-                self.core.list(self.now, &list(revision, &states));
+                self.core.update_endpoints(self.now, &list(revision, &states));
             }
             12 => {
-                let cause = [Cause::Completed, Cause::NoAnswer, Cause::TurnedAway][pick % 3];
+                let cause =
+                    [AttemptOutcome::Completed, AttemptOutcome::TimedOut, AttemptOutcome::Rejected][pick % 3];
                 for id in std::mem::take(&mut self.probes) {
-                    self.core.probed(self.now, &id, cause, None);
+                    self.core.probe_finished(self.now, &id, cause, None);
                 }
             }
-            14 if pick % 40 == 0 => self.core.end_all(self.now),
+            14 if pick % 40 == 0 => self.core.fail_all_open(self.now),
             13 => {
                 for c in std::mem::take(&mut self.calls) {
-                    self.core.let_go(self.now, c, pick % 3 != 0);
+                    self.core.release_finished(self.now, c, pick % 3 != 0);
                 }
             }
             _ => {}
@@ -307,9 +317,9 @@
         self.act();
     }
 
-    fn begun(&mut self, o: &Order) {
-        self.seen.get_mut(&o.ticket).unwrap().begun = true;
-        if let Work::Write { state: Some(s), .. } = &o.what {
+    fn begun(&mut self, o: &AttemptRequest) {
+        self.seen.get_mut(&o.request).unwrap().begun = true;
+        if let AttemptKind::Decode { reservation: Some(s), .. } = &o.kind {
             self.states.remove(&s.name);
         }
     }
@@ -318,10 +328,10 @@
     fn finish(&mut self) {
         for k in 0..400 {
             while let Some(o) = self.out.pop() {
-                self.end(o, Cause::Lost);
+                self.end(o, AttemptOutcome::ConnectionLost);
             }
             for c in std::mem::take(&mut self.calls) {
-                self.core.let_go(self.now, c, true);
+                self.core.release_finished(self.now, c, true);
             }
             self.pass(0.01);
             if k > 250 && self.out.is_empty() && self.calls.is_empty() {
@@ -349,8 +359,8 @@
         prop_assert_eq!(broken, None);
         prop_assert_eq!(w.core.open(), 0);
         prop_assert!(w.states.is_empty());
-        let t = w.core.tally;
-        prop_assert_eq!(t.taken, t.completed + t.shed + t.errored + t.left);
+        let t = w.core.counters;
+        prop_assert_eq!(t.accepted, t.completed + t.rejected + t.failed + t.disconnected);
     }
 
     #[test]
@@ -360,140 +370,160 @@
         let run = || {
             let mut w = World::new(true);
             steps.iter().for_each(|s| w.step(*s));
-            let sends: Vec<String> = w.out.iter().map(|o| format!("{} {}", o.name, o.eng.id)).collect();
-            (sends, w.core.tally, w.wake.map(f64::to_bits))
+            let sends: Vec<String> = w.out.iter().map(|o| format!("{} {}", o.name, o.engine.id)).collect();
+            (sends, w.core.counters, w.wake.map(f64::to_bits))
         };
         prop_assert_eq!(run(), run());
     }
 }
 
-fn first_send(c: &mut Core, now: f64) -> Order {
-    let found = c.act(now).todo.into_iter().find_map(|d| if let Do::Send(o) = d { Some(o) } else { None });
+fn first_send(c: &mut NodeCore, now: f64) -> AttemptRequest {
+    let found = c.poll_commands(now).commands.into_iter().find_map(|d| {
+        if let Command::StartAttempt(o) = d {
+            Some(o)
+        } else {
+            None
+        }
+    });
     found.expect("a send")
 }
 
 #[test]
 fn the_ordinary_way_reads_moves_and_streams() {
     let mut c = core(4);
-    let t = c.take(1.0, &ask(0)).unwrap();
+    let t = c.accept_request(1.0, &ask(0)).unwrap();
     // The hashed reader is asked for its load first, and waited for no longer than a 32nd of the target.
-    c.act(1.0);
+    c.poll_commands(1.0);
     let read = first_send(&mut c, 1.02);
-    assert_eq!(read.what, Work::Read);
-    c.ended(1.1, t, read.send, end(Cause::Read));
+    assert_eq!(read.kind, AttemptKind::Prefill);
+    c.attempt_ended(1.1, t, read.attempt, end(AttemptOutcome::Prefilled));
     let write = first_send(&mut c, 1.1);
-    let Work::Write { state: Some(state), .. } = &write.what else { panic!("the state goes to a writer") };
-    assert_eq!((&state.name, &state.reader), (&read.name, &read.eng));
-    assert!(c.began(1.2, t, write.send));
-    c.ended(1.5, t, write.send, end(Cause::Completed));
-    let todo = c.act(1.5).todo;
-    assert_eq!(todo, vec![Do::Answer { ticket: t, answer: Answer::Completed }]);
+    let AttemptKind::Decode { reservation: Some(state), .. } = &write.kind else {
+        panic!("the state goes to a writer")
+    };
+    assert_eq!((&state.name, &state.prefill_engine), (&read.name, &read.engine));
+    assert!(c.response_started(1.2, t, write.attempt));
+    c.attempt_ended(1.5, t, write.attempt, end(AttemptOutcome::Completed));
+    let todo = c.poll_commands(1.5).commands;
+    assert_eq!(todo, vec![Command::Answer { ticket: t, answer: FinalAnswer::Completed }]);
     assert!(c.is_quiet());
 }
 
 #[test]
 fn a_stream_that_breaks_gets_one_error_and_nothing_more() {
     let mut c = core(4);
-    let t = c.take(1.0, &ask(0)).unwrap();
-    c.act(1.0);
+    let t = c.accept_request(1.0, &ask(0)).unwrap();
+    c.poll_commands(1.0);
     let read = first_send(&mut c, 1.02);
-    c.ended(1.1, t, read.send, end(Cause::Read));
+    c.attempt_ended(1.1, t, read.attempt, end(AttemptOutcome::Prefilled));
     let write = first_send(&mut c, 1.1);
-    assert!(c.began(1.2, t, write.send));
-    c.ended(1.3, t, write.send, end(Cause::Lost));
-    let broken = Answer::Errored(Why::StreamBroken);
-    assert_eq!(c.act(1.3).todo, vec![Do::Answer { ticket: t, answer: broken }]);
-    assert!(!c.began(1.4, t, write.send) && c.is_quiet());
+    assert!(c.response_started(1.2, t, write.attempt));
+    c.attempt_ended(1.3, t, write.attempt, end(AttemptOutcome::ConnectionLost));
+    let broken = FinalAnswer::Failed(FailureReason::StreamBroken);
+    assert_eq!(c.poll_commands(1.3).commands, vec![Command::Answer { ticket: t, answer: broken }]);
+    assert!(!c.response_started(1.4, t, write.attempt) && c.is_quiet());
 }
 
 #[test]
 fn an_answer_that_is_not_streamed_must_be_whole_in_time() {
     let mut c = core(4);
-    let t = c.take(1.0, &Ask { whole_within_s: Some(3.0), ..ask(0) }).unwrap();
-    c.act(1.0);
+    let t = c.accept_request(1.0, &AdmittedRequest { unary_timeout_s: Some(3.0), ..ask(0) }).unwrap();
+    c.poll_commands(1.0);
     let read = first_send(&mut c, 1.02);
-    c.ended(1.1, t, read.send, end(Cause::Read));
+    c.attempt_ended(1.1, t, read.attempt, end(AttemptOutcome::Prefilled));
     let write = first_send(&mut c, 1.1);
-    assert!(c.began(1.2, t, write.send));
-    let wake = c.act(1.2).wake_at.unwrap();
+    assert!(c.response_started(1.2, t, write.attempt));
+    let wake = c.poll_commands(1.2).wake_at.unwrap();
     assert!(wake < 4.0);
-    let todo = c.act(wake).todo;
-    assert!(todo.contains(&Do::Answer { ticket: t, answer: Answer::Errored(Why::TimeUp) }));
-    assert!(todo.contains(&Do::CallOff { ticket: t, send: write.send }));
-    c.ended(wake, t, write.send, end(Cause::CalledOff));
-    assert!(c.act(wake).todo.is_empty() && c.is_quiet());
+    let todo = c.poll_commands(wake).commands;
+    assert!(todo.contains(&Command::Answer {
+        ticket: t,
+        answer: FinalAnswer::Failed(FailureReason::DeadlineExceeded)
+    }));
+    assert!(todo.contains(&Command::CancelAttempt { request: t, attempt: write.attempt }));
+    c.attempt_ended(wake, t, write.attempt, end(AttemptOutcome::Cancelled));
+    assert!(c.poll_commands(wake).commands.is_empty() && c.is_quiet());
 }
 
 // A read whose answer was lost has left a state that nobody will fetch.
-#[test_case(Cause::NoAnswer, true; "no answer")]
-#[test_case(Cause::Lost, true; "connection lost")]
-#[test_case(Cause::Failed(500), true; "failed")]
-#[test_case(Cause::TurnedAway, false; "turned away, it never began")]
-#[test_case(Cause::NoConnection, false; "never sent")]
-fn what_a_failed_read_left_is_let_go(cause: Cause, let_go: bool) {
+#[test_case(AttemptOutcome::TimedOut, true; "no answer")]
+#[test_case(AttemptOutcome::ConnectionLost, true; "connection lost")]
+#[test_case(AttemptOutcome::ErrorStatus(500), true; "failed")]
+#[test_case(AttemptOutcome::Rejected, false; "turned away, it never began")]
+#[test_case(AttemptOutcome::ConnectFailed, false; "never sent")]
+fn what_a_failed_read_left_is_let_go(cause: AttemptOutcome, let_go: bool) {
     let mut c = core(4);
-    let t = c.take(1.0, &ask(0)).unwrap();
-    c.act(1.0);
+    let t = c.accept_request(1.0, &ask(0)).unwrap();
+    c.poll_commands(1.0);
     let read = first_send(&mut c, 1.02);
-    c.ended(1.1, t, read.send, end(cause));
-    let todo = c.act(1.1).todo;
-    let named = |d: &Do| matches!(d, Do::Release { state, .. } if state.name == read.name);
+    c.attempt_ended(1.1, t, read.attempt, end(cause));
+    let todo = c.poll_commands(1.1).commands;
+    let named =
+        |d: &Command| matches!(d, Command::Release { reservation: state, .. } if state.name == read.name);
     assert_eq!(todo.iter().any(named), let_go);
 }
 
 #[test]
 fn no_more_is_taken_than_may_be_open() {
     let mut c = core(2);
-    let first = c.take(1.0, &ask(0)).unwrap();
-    c.take(1.0, &ask(0)).unwrap();
-    assert_eq!(c.take(1.0, &ask(0)), Err(Refusal::Full));
-    c.left(1.1, first);
-    assert!(c.take(1.1, &ask(0)).is_ok());
-    assert_eq!((c.tally.refused, c.tally.left), (1, 1));
+    let first = c.accept_request(1.0, &ask(0)).unwrap();
+    c.accept_request(1.0, &ask(0)).unwrap();
+    assert_eq!(c.accept_request(1.0, &ask(0)), Err(RejectReason::NodeFull));
+    c.client_disconnected(1.1, first);
+    assert!(c.accept_request(1.1, &ask(0)).is_ok());
+    assert_eq!((c.counters.denied, c.counters.disconnected), (1, 1));
 }
 
 #[test]
 fn an_older_list_is_one_that_was_overtaken() {
     let mut c = core(2);
-    c.list(1.0, &list(5, &[State::Gone; 8]));
-    c.list(1.1, &list(4, &[State::In; 8]));
-    c.take(1.2, &ask(0)).unwrap();
-    let sends = c.act(1.3).todo.iter().filter(|d| matches!(d, Do::Send(_))).count();
+    c.update_endpoints(1.0, &list(5, &[State::Gone; 8]));
+    c.update_endpoints(1.1, &list(4, &[State::In; 8]));
+    c.accept_request(1.2, &ask(0)).unwrap();
+    let sends =
+        c.poll_commands(1.3).commands.iter().filter(|d| matches!(d, Command::StartAttempt(_))).count();
     assert_eq!((c.revision(), sends), (Some(5), 0));
 }
 
 #[test]
 fn when_the_grace_is_over_each_gets_the_answer_that_is_true_of_it() {
     let mut c = core(8);
-    let (read, held, written) = (c.take(1.0, &ask(0)), c.take(1.0, &ask(2)), c.take(1.0, &ask(2)));
+    let (read, held, written) =
+        (c.accept_request(1.0, &ask(0)), c.accept_request(1.0, &ask(2)), c.accept_request(1.0, &ask(2)));
     let mut sends = Vec::new();
     for k in 0..20 {
-        let todo = c.act(1.0 + 0.01 * f64::from(k)).todo;
-        sends.extend(todo.into_iter().filter_map(|d| if let Do::Send(o) = d { Some(o) } else { None }));
+        let todo = c.poll_commands(1.0 + 0.01 * f64::from(k)).commands;
+        sends.extend(todo.into_iter().filter_map(|d| {
+            if let Command::StartAttempt(o) = d {
+                Some(o)
+            } else {
+                None
+            }
+        }));
     }
-    let of = |t: &Result<Ticket, Refusal>| sends.iter().find(|o| Ok(o.ticket) == *t).unwrap();
-    c.ended(1.3, held.clone().unwrap(), of(&held).send, end(Cause::Read));
-    c.ended(1.3, written.clone().unwrap(), of(&written).send, end(Cause::Read));
-    let writes = c.act(1.3).todo;
+    let of = |t: &Result<RequestId, RejectReason>| sends.iter().find(|o| Ok(o.request) == *t).unwrap();
+    c.attempt_ended(1.3, held.clone().unwrap(), of(&held).attempt, end(AttemptOutcome::Prefilled));
+    c.attempt_ended(1.3, written.clone().unwrap(), of(&written).attempt, end(AttemptOutcome::Prefilled));
+    let writes = c.poll_commands(1.3).commands;
     for d in &writes {
         // One writer has proved that it has not run.
-        if let Do::Send(o) = d {
-            if Ok(o.ticket) == held {
-                c.ended(1.31, o.ticket, o.send, end(Cause::TurnedAway));
+        if let Command::StartAttempt(o) = d {
+            if Ok(o.request) == held {
+                c.attempt_ended(1.31, o.request, o.attempt, end(AttemptOutcome::Rejected));
             }
         }
     }
-    c.end_all(1.32);
-    let todo = c.act(1.32).todo;
-    let answer = |t: &Result<Ticket, Refusal>| {
+    c.fail_all_open(1.32);
+    let todo = c.poll_commands(1.32).commands;
+    let answer = |t: &Result<RequestId, RejectReason>| {
         todo.iter().find_map(|d| match d {
-            Do::Answer { ticket, answer } if Ok(*ticket) == *t => Some(*answer),
+            Command::Answer { ticket, answer } if Ok(*ticket) == *t => Some(*answer),
             _ => None,
         })
     };
-    let shed = Some(Answer::Shed { come_back_s: Some(1.0) });
+    let shed = Some(FinalAnswer::Rejected { retry_after_s: Some(1.0) });
     assert_eq!((answer(&read), answer(&held)), (shed, shed));
-    assert_eq!(answer(&written), Some(Answer::Errored(Why::Stopping)));
-    assert!(todo.iter().any(|d| matches!(d, Do::Release { .. })), "what waited is let go of");
-    assert_eq!((c.take(1.4, &ask(0)), c.open()), (Err(Refusal::Leaving), 0));
+    assert_eq!(answer(&written), Some(FinalAnswer::Failed(FailureReason::ShuttingDown)));
+    assert!(todo.iter().any(|d| matches!(d, Command::Release { .. })), "what waited is let go of");
+    assert_eq!((c.accept_request(1.4, &ask(0)), c.open()), (Err(RejectReason::ShuttingDown), 0));
 }
--- a/crates/nickelgw-node/src/core/trace.rs
+++ b/crates/nickelgw-node/src/core/trace.rs
@@ -1,7 +1,7 @@
 //! What happened to a request, step by step, with the figures that each choice was made on. Every open one is written
 //! down; of those that are over, failures and slow ones are kept, and of the rest a sample. Bounded.
 
-use super::{Answer, Cause, Place};
+use super::{AttemptOutcome, Endpoint, FinalAnswer};
 use nickelgw::interface::{DispatchRationale, RejectionReason};
 use std::collections::VecDeque;
 use std::fmt::Write;
@@ -15,64 +15,72 @@
 const SAMPLE: u64 = 64;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
-    Sent {
-        send: u32,
-        eng: Rc<Place>,
-        read: bool,
-        grounds: DispatchRationale,
+pub enum TraceEvent {
+    AttemptStarted {
+        attempt: u32,
+        engine: Rc<Endpoint>,
+        is_prefill: bool,
+        rationale: DispatchRationale,
         /// It fetches a held state.
-        from_state: bool,
+        from_reservation: bool,
     },
-    Ended {
+    AttemptEnded {
         send: u32,
-        cause: Cause,
+        outcome: AttemptOutcome,
     },
-    Began {
+    ResponseStarted {
         send: u32,
     },
-    GivenUp(RejectionReason),
-    Answered(Answer),
-    Left,
+    Rejected(RejectionReason),
+    Answered(FinalAnswer),
+    ClientDisconnected,
 }
 
 #[derive(Clone, Debug)]
-pub struct Story {
+pub struct RequestTrace {
     pub id: Rc<str>,
     pub model: Rc<str>,
-    pub at: f64,
-    pub target_s: f64,
+    pub accepted_at: f64,
+    pub ttft_objective_s: f64,
     pub prompt_tokens: f64,
-    pub steps: Vec<(f64, Step)>,
-    pub unwritten: u32,
+    pub events: Vec<(f64, TraceEvent)>,
+    pub omitted_events: u32,
 }
 
-impl Story {
-    pub fn new(id: Rc<str>, model: Rc<str>, at: f64, target_s: f64, prompt_tokens: f64) -> Story {
-        Story { id, model, at, target_s, prompt_tokens, steps: Vec::new(), unwritten: 0 }
+impl RequestTrace {
+    pub fn new(id: Rc<str>, model: Rc<str>, at: f64, target_s: f64, prompt_tokens: f64) -> RequestTrace {
+        RequestTrace {
+            id,
+            model,
+            accepted_at: at,
+            ttft_objective_s: target_s,
+            prompt_tokens,
+            events: Vec::new(),
+            omitted_events: 0,
+        }
     }
 
-    pub fn add(&mut self, at: f64, step: Step) {
-        let last = matches!(step, Step::Answered(_) | Step::Left);
-        if self.steps.len() < MOST_STEPS || last {
-            self.steps.push((at, step));
+    pub fn add(&mut self, at: f64, step: TraceEvent) {
+        let last = matches!(step, TraceEvent::Answered(_) | TraceEvent::ClientDisconnected);
+        if self.events.len() < MOST_STEPS || last {
+            self.events.push((at, step));
         } else {
-            self.unwritten += 1;
+            self.omitted_events += 1;
         }
     }
 
     fn began_s(&self) -> Option<f64> {
-        let began = self.steps.iter().find(|s| matches!(s.1, Step::Began { .. }));
-        began.map(|s| s.0 - self.at)
+        let began = self.events.iter().find(|s| matches!(s.1, TraceEvent::ResponseStarted { .. }));
+        began.map(|s| s.0 - self.accepted_at)
     }
 
     fn is_good(&self) -> bool {
-        let completed = self.steps.iter().any(|s| s.1 == Step::Answered(Answer::Completed));
-        completed && self.began_s().is_some_and(|s| s <= self.target_s)
+        let completed = self.events.iter().any(|s| s.1 == TraceEvent::Answered(FinalAnswer::Completed));
+        completed && self.began_s().is_some_and(|s| s <= self.ttft_objective_s)
     }
 
     /// The story in words, a line each.
-    pub fn tell(&self) -> String {
+    pub fn describe(&self) -> String {
         let mut out = String::new();
         let _ = writeln!(
             out,
@@ -80,16 +88,22 @@
             self.id,
             self.model,
             self.prompt_tokens,
-            1e3 * self.target_s
+            1e3 * self.ttft_objective_s
         );
         let mut sent_at = Vec::new();
-        for (at, step) in &self.steps {
-            let ms = 1e3 * (at - self.at);
+        for (at, step) in &self.events {
+            let ms = 1e3 * (at - self.accepted_at);
             let took = |send: u32, sent: &[(u32, f64)]| {
                 sent.iter().find(|s| s.0 == send).map_or(0.0, |s| 1e3 * (at - s.1))
             };
             let word = match step {
-                Step::Sent { send, eng, read, grounds, from_state } => {
+                TraceEvent::AttemptStarted {
+                    attempt: send,
+                    engine: eng,
+                    is_prefill: read,
+                    rationale: grounds,
+                    from_reservation: from_state,
+                } => {
                     sent_at.push((*send, *at));
                     let what = match (read, from_state) {
                         (true, _) => "its prompt was sent to be read at",
@@ -103,48 +117,50 @@
                         1e3 * grounds.expected_s
                     )
                 }
-                Step::Ended { send, cause: Cause::Read } => {
+                TraceEvent::AttemptEnded { send, outcome: AttemptOutcome::Prefilled } => {
                     format!("read after {:.0} ms (send {send}); the state waits", took(*send, &sent_at))
                 }
-                Step::Ended { send, cause } => {
+                TraceEvent::AttemptEnded { send, outcome: cause } => {
                     format!("send {send} ended after {:.0} ms: {}", took(*send, &sent_at), why(*cause))
                 }
-                Step::Began { send } => {
+                TraceEvent::ResponseStarted { send } => {
                     format!("first token after {:.0} ms of its write (send {send})", took(*send, &sent_at))
                 }
-                Step::GivenUp(reason) => format!("given up: {}", said(*reason)),
-                Step::Answered(Answer::Completed) => "completed".into(),
-                Step::Answered(Answer::Shed { come_back_s }) => match come_back_s {
-                    Some(s) => {
-                        format!("shed, nothing had an effect; the client may come back after {s:.1} s")
+                TraceEvent::Rejected(reason) => format!("given up: {}", said(*reason)),
+                TraceEvent::Answered(FinalAnswer::Completed) => "completed".into(),
+                TraceEvent::Answered(FinalAnswer::Rejected { retry_after_s: come_back_s }) => {
+                    match come_back_s {
+                        Some(s) => {
+                            format!("shed, nothing had an effect; the client may come back after {s:.1} s")
+                        }
+                        None => "shed, nothing had an effect".into(),
                     }
-                    None => "shed, nothing had an effect".into(),
-                },
-                Step::Answered(Answer::Errored(why)) => format!("errored: {why:?}"),
-                Step::Left => "the client left".into(),
+                }
+                TraceEvent::Answered(FinalAnswer::Failed(why)) => format!("errored: {why:?}"),
+                TraceEvent::ClientDisconnected => "the client left".into(),
             };
             let _ = writeln!(out, "{ms:>9.1} ms  {word}");
         }
-        if self.unwritten > 0 {
-            let _ = writeln!(out, "{} further steps were not written down", self.unwritten);
+        if self.omitted_events > 0 {
+            let _ = writeln!(out, "{} further steps were not written down", self.omitted_events);
         }
         out
     }
 }
 
-fn why(cause: Cause) -> String {
+fn why(cause: AttemptOutcome) -> String {
     match cause {
-        Cause::Completed => "whole".into(),
-        Cause::Read => "read".into(),
-        Cause::Failed(status) => format!("the engine failed (status {status})"),
-        Cause::Garbled => "the engine's answer was none that the protocol allows".into(),
-        Cause::TurnedAway => "the engine turned it away, it has not run".into(),
-        Cause::NoState => "the writer found no state".into(),
-        Cause::NoAnswer => "no answer in time".into(),
-        Cause::NoConnection => "the engine could not be reached, it has not run".into(),
-        Cause::Lost => "the connection broke, it may have run".into(),
-        Cause::CalledOff => "called off".into(),
-        Cause::NotSent => "not sent".into(),
+        AttemptOutcome::Completed => "whole".into(),
+        AttemptOutcome::Prefilled => "read".into(),
+        AttemptOutcome::ErrorStatus(status) => format!("the engine failed (status {status})"),
+        AttemptOutcome::Malformed => "the engine's answer was none that the protocol allows".into(),
+        AttemptOutcome::Rejected => "the engine turned it away, it has not run".into(),
+        AttemptOutcome::ReservationNotFound => "the writer found no state".into(),
+        AttemptOutcome::TimedOut => "no answer in time".into(),
+        AttemptOutcome::ConnectFailed => "the engine could not be reached, it has not run".into(),
+        AttemptOutcome::ConnectionLost => "the connection broke, it may have run".into(),
+        AttemptOutcome::Cancelled => "called off".into(),
+        AttemptOutcome::NotDelivered => "not sent".into(),
     }
 }
 
@@ -170,13 +186,13 @@
 
 /// Stories of requests that are over.
 #[derive(Default)]
-pub struct Ring {
-    kept: VecDeque<Story>,
+pub struct TraceBuffer {
+    kept: VecDeque<RequestTrace>,
     seen: u64,
 }
 
-impl Ring {
-    pub fn over(&mut self, story: Story) {
+impl TraceBuffer {
+    pub fn push(&mut self, story: RequestTrace) {
         self.seen += 1;
         if story.is_good() && !self.seen.is_multiple_of(SAMPLE) {
             return;
@@ -187,7 +203,7 @@
         self.kept.push_back(story);
     }
 
-    pub fn find(&self, id: &str) -> Option<&Story> {
+    pub fn find(&self, id: &str) -> Option<&RequestTrace> {
         self.kept.iter().rev().find(|s| *s.id == *id)
     }
 
@@ -203,68 +219,71 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::core::Why;
+    use crate::core::FailureReason;
 
-    fn eng(id: &str) -> Rc<Place> {
-        Rc::new(Place { id: id.into(), address: "a".into(), tls_name: None })
+    fn eng(id: &str) -> Rc<Endpoint> {
+        Rc::new(Endpoint { id: id.into(), address: "a".into(), tls_name: None })
     }
 
-    fn story(n: usize, last: Step, first_at: f64) -> Story {
-        let mut s = Story::new(format!("q{n}").into(), "chat".into(), 10.0, 0.5, 100.0);
+    fn story(n: usize, last: TraceEvent, first_at: f64) -> RequestTrace {
+        let mut s = RequestTrace::new(format!("q{n}").into(), "chat".into(), 10.0, 0.5, 100.0);
         s.add(
             10.0,
-            Step::Sent {
-                send: 0,
-                eng: eng("r0"),
-                read: true,
-                grounds: DispatchRationale {
+            TraceEvent::AttemptStarted {
+                attempt: 0,
+                engine: eng("r0"),
+                is_prefill: true,
+                rationale: DispatchRationale {
                     requests_ahead: 2.0,
                     expected_s: 0.1,
                     engine_age_s: f64::INFINITY,
                     unreachable_s: -1.0,
                 },
-                from_state: false,
+                from_reservation: false,
             },
         );
-        s.add(10.1, Step::Ended { send: 0, cause: Cause::Read });
+        s.add(10.1, TraceEvent::AttemptEnded { send: 0, outcome: AttemptOutcome::Prefilled });
         s.add(
             10.1,
-            Step::Sent {
-                send: 1,
-                eng: eng("w0"),
-                read: false,
-                grounds: DispatchRationale {
+            TraceEvent::AttemptStarted {
+                attempt: 1,
+                engine: eng("w0"),
+                is_prefill: false,
+                rationale: DispatchRationale {
                     requests_ahead: 0.0,
                     expected_s: 0.05,
                     engine_age_s: f64::INFINITY,
                     unreachable_s: -1.0,
                 },
-                from_state: true,
+                from_reservation: true,
             },
         );
-        s.add(first_at, Step::Began { send: 1 });
+        s.add(first_at, TraceEvent::ResponseStarted { send: 1 });
         s.add(11.0, last);
         s
     }
 
     #[test]
     fn failures_and_slow_ones_are_kept_the_rest_in_part_and_all_bounded() {
-        let mut r = Ring::default();
-        (0..640).for_each(|n| r.over(story(n, Step::Answered(Answer::Completed), 10.2)));
+        let mut r = TraceBuffer::default();
+        (0..640).for_each(|n| r.push(story(n, TraceEvent::Answered(FinalAnswer::Completed), 10.2)));
         assert_eq!(r.len(), 10);
-        r.over(story(1000, Step::Answered(Answer::Errored(Why::StreamBroken)), 10.2));
-        r.over(story(1001, Step::Answered(Answer::Completed), 10.7));
+        r.push(story(1000, TraceEvent::Answered(FinalAnswer::Failed(FailureReason::StreamBroken)), 10.2));
+        r.push(story(1001, TraceEvent::Answered(FinalAnswer::Completed), 10.7));
         assert!(r.find("q1000").is_some() && r.find("q1001").is_some());
-        (0..3000).for_each(|n| r.over(story(n, Step::Left, 10.2)));
+        (0..3000).for_each(|n| r.push(story(n, TraceEvent::ClientDisconnected, 10.2)));
         assert_eq!(r.len(), MOST_STORIES);
-        let mut long = story(1, Step::Left, 10.2);
-        (0..100).for_each(|n| long.add(11.0, Step::Ended { send: n, cause: Cause::Lost }));
-        assert_eq!((long.steps.len(), long.unwritten), (MOST_STEPS, 57));
+        let mut long = story(1, TraceEvent::ClientDisconnected, 10.2);
+        (0..100).for_each(|n| {
+            long.add(11.0, TraceEvent::AttemptEnded { send: n, outcome: AttemptOutcome::ConnectionLost })
+        });
+        assert_eq!((long.events.len(), long.omitted_events), (MOST_STEPS, 57));
     }
 
     #[test]
     fn it_is_told_in_words() {
-        let told = story(7, Step::Answered(Answer::Errored(Why::StreamBroken)), 10.2).tell();
+        let told =
+            story(7, TraceEvent::Answered(FinalAnswer::Failed(FailureReason::StreamBroken)), 10.2).describe();
         for wanted in [
             "q7: model chat",
             "read at r0 (send 0; 2.0 there",
--- a/crates/nickelgw-node/src/core/together.rs
+++ b/crates/nickelgw-node/src/core/zone_failover.rs
@@ -13,8 +13,8 @@
 /// And while it is left, or returned to.
 const KNOCKS: f64 = 1.0;
 
-pub struct Together {
-    ways: Ways,
+pub struct ZoneFailover {
+    zone_weights: Ways,
     figures: Figures,
     zones: Vec<String>,
     name: u64,
@@ -31,13 +31,13 @@
 
 /// What a round brought.
 #[derive(Clone, Debug, Default)]
-pub struct Round {
-    pub turns: Vec<Turn>,
+pub struct ZoneRound {
+    pub transitions: Vec<Turn>,
     /// What others are to be told, and whether at once.
-    pub tell: Vec<record::Seen>,
-    pub news: bool,
+    pub reports: Vec<record::Seen>,
+    pub urgent: bool,
     /// No zone is left or returned to.
-    pub whole: bool,
+    pub all_zones_active: bool,
 }
 
 fn engine(id: &str) -> u64 {
@@ -45,11 +45,11 @@
     short(id) & u64::from(u32::MAX)
 }
 
-impl Together {
-    pub fn new(zones: Vec<String>, name: &str, figures: Figures, round_s: f64, seed: u64) -> Together {
+impl ZoneFailover {
+    pub fn new(zones: Vec<String>, name: &str, figures: Figures, round_s: f64, seed: u64) -> ZoneFailover {
         let n = zones.len();
-        Together {
-            ways: Ways::new(n, figures),
+        ZoneFailover {
+            zone_weights: Ways::new(n, figures),
             figures,
             zones,
             name: short(name),
@@ -64,14 +64,14 @@
 
     /// Each zone with the part of the traffic that it is given.
     pub fn ways(&self) -> Vec<(String, f64)> {
-        self.zones.iter().enumerate().map(|(z, name)| (name.clone(), self.ways.part(z))).collect()
+        self.zones.iter().enumerate().map(|(z, name)| (name.clone(), self.zone_weights.part(z))).collect()
     }
 
     /// A line for each turn.
-    pub fn log(&self, turns: &[Turn]) {
+    pub fn log_transitions(&self, turns: &[Turn]) {
         for t in turns {
             let (zone, part, engines, nodes) =
-                (&self.zones[t.zone], self.ways.own_part(t.zone), t.engines, t.nodes);
+                (&self.zones[t.zone], self.zone_weights.own_part(t.zone), t.engines, t.nodes);
             match t.state {
                 State::Left(_, None) => tracing::warn!(%zone, engines, nodes, "a zone is left"),
                 State::Left(..) => tracing::info!(%zone, "a zone that was left is heard"),
@@ -84,7 +84,7 @@
 
     /// Looks at what the module and the own zone's other nodes saw, and tells the module what follows. Ways are from a zone:
     /// what nodes of other zones reach is their own.
-    pub fn round(&mut self, now: f64, router: &mut Router, others: &[Known]) -> Round {
+    pub fn update(&mut self, now: f64, router: &mut Router, others: &[Known]) -> ZoneRound {
         let n = self.zones.len();
         let mut there = vec![There::default(); n];
         let own = |zone| Seen { node: self.name, zone, heard: None, silent: Vec::new(), part: 1.0 };
@@ -106,17 +106,17 @@
             s.silent.truncate(MOST_SILENT);
         }
         seen.extend(others.iter().flat_map(|k| self.of(k)));
-        let turns = self.ways.look(now, &seen, &there);
+        let turns = self.zone_weights.look(now, &seen, &there);
         let nodes = (others.len() + 1) as f64;
         for zone in 0..n {
-            router.set_zone_weight(zone as u32, self.ways.part(zone));
+            router.set_zone_weight(zone as u32, self.zone_weights.part(zone));
         }
         // News is looked at more often than by the round: what is asked goes by time.
         let rounds = ((now - self.knocked_at) / self.round_s).min(1.0);
         self.knocked_at = now;
-        let knocks: Vec<usize> = self.ways.to_knock().collect();
+        let knocks: Vec<usize> = self.zone_weights.to_knock().collect();
         for zone in knocks {
-            let all = match self.ways.state(zone) {
+            let all = match self.zone_weights.state(zone) {
                 Some(State::Doubted(_)) => KNOCKS_IN_DOUBT,
                 _ => KNOCKS,
             };
@@ -130,8 +130,8 @@
             self.heard[s.zone] = self.heard[s.zone].max(s.heard.unwrap_or(f64::NEG_INFINITY));
         }
         let (tell, news) = self.tell(now, &seen[..n]);
-        let whole = (0..n).all(|z| self.ways.part(z) == 1.0);
-        Round { turns, tell, news, whole }
+        let whole = (0..n).all(|z| self.zone_weights.part(z) == 1.0);
+        ZoneRound { transitions: turns, reports: tell, urgent: news, all_zones_active: whole }
     }
 
     fn dice(&mut self) -> f64 {
@@ -160,7 +160,7 @@
         let mut all = Vec::new();
         for s in own {
             let z = s.zone;
-            let own_part = self.ways.own_part(z);
+            let own_part = self.zone_weights.own_part(z);
             let newly = s.silent.iter().any(|x| !self.told[z].contains(&x.0)) && own_part > 0.0;
             let contradicts =
                 s.heard.is_some_and(|h| h > self.silence[z]) && self.heard[z] <= self.silence[z];
--- a/crates/nickelgw-node/src/driver.rs
+++ b/crates/nickelgw-node/src/driver.rs
@@ -2,10 +2,13 @@
 
 use crate::admin::Counted;
 use crate::core::ledger::ReservationId;
-use crate::core::life::{self, Exit, Left, Life};
-use crate::core::together::Round;
-use crate::core::trace::Story;
-use crate::core::{Answer, Ask, Cause, Core, Do, End, Place, Refusal, Ticket, Why};
+use crate::core::shutdown::{self, Exit, ProcessLifecycle, Remaining};
+use crate::core::trace::RequestTrace;
+use crate::core::zone_failover::ZoneRound;
+use crate::core::{
+    AdmittedRequest, AttemptOutcome, AttemptResult, Command, Endpoint, FailureReason, FinalAnswer, NodeCore,
+    RejectReason, RequestId,
+};
 use crate::engines::Engines;
 use crate::keep::Keeper;
 use crate::meter::Meter;
@@ -57,24 +60,24 @@
 pub enum Said {
     Order(Order),
     Take {
-        ask: Ask,
+        ask: AdmittedRequest,
         job: Job,
-        taken: Sender<Ticket>,
+        taken: Sender<RequestId>,
     },
     Began {
-        ticket: Ticket,
+        ticket: RequestId,
         send: u32,
         grant: Sender<Sink>,
     },
     Ended {
-        ticket: Ticket,
+        ticket: RequestId,
         send: u32,
-        end: End,
+        end: AttemptResult,
         sink: Option<Sink>,
     },
     Probed {
-        place: Rc<Place>,
-        cause: Cause,
+        place: Rc<Endpoint>,
+        cause: AttemptOutcome,
         load: Option<LoadReport>,
     },
     LetGo {
@@ -82,7 +85,7 @@
         done: bool,
     },
     Swept {
-        place: Rc<Place>,
+        place: Rc<Endpoint>,
         done: bool,
     },
     Learnt {
@@ -92,7 +95,7 @@
     /// What the other nodes of the zone have told; what they are to be told goes back.
     Round {
         others: Vec<Known>,
-        to: Sender<Round>,
+        to: Sender<ZoneRound>,
     },
     Count {
         to: Sender<Counted>,
@@ -131,13 +134,13 @@
 }
 
 impl Sink {
-    pub async fn pass(&mut self, frame: Bytes, data: &[u8]) -> Result<(), Cause> {
+    pub async fn pass(&mut self, frame: Bytes, data: &[u8]) -> Result<(), AttemptOutcome> {
         match self {
             // Asked for by the node for its own count, not by this client.
             Sink::Stream { usage: false, .. } if is_usage_only(data) => Ok(()),
-            Sink::Stream { to, .. } => to.send(frame).await.map_err(|_| Cause::CalledOff),
+            Sink::Stream { to, .. } => to.send(frame).await.map_err(|_| AttemptOutcome::Cancelled),
             Sink::Whole(whole) => {
-                whole.add(Chunk::parse(data).map_err(|_| Cause::Garbled)?);
+                whole.add(Chunk::parse(data).map_err(|_| AttemptOutcome::Malformed)?);
                 Ok(())
             }
         }
@@ -153,7 +156,7 @@
 const FRAMES_AHEAD: usize = 32;
 
 pub struct Driver {
-    pub core: Core,
+    pub core: NodeCore,
     /// Something was found silent, that others may want to hear of.
     pub met: Sender<()>,
     pub clock: Clock,
@@ -162,15 +165,15 @@
     pub to_core: Sender<Word>,
     pub words: Receiver<Word>,
     /// Clients gone. Not bounded by itself: each request open says it once at most.
-    pub left: Receiver<Ticket>,
+    pub left: Receiver<RequestId>,
     pub poke: Sender<()>,
     /// Requests that wait for the core.
     pub waiting: Rc<Cell<usize>>,
-    pub jobs: HashMap<Ticket, Job>,
+    pub jobs: HashMap<RequestId, Job>,
     /// Sends out; dropped, a send is called off.
-    pub sends: HashMap<(Ticket, u32), Out>,
+    pub sends: HashMap<(RequestId, u32), Out>,
     pub meter: Option<Arc<Mutex<Meter>>>,
-    pub life: Life,
+    pub life: ProcessLifecycle,
     pub boot: String,
     pub keepers: Vec<Rc<Keeper>>,
     pub doors: Rc<Doors>,
@@ -206,12 +209,16 @@
     }
 }
 
-fn failed(why: Why) -> ApiError {
+fn failed(why: FailureReason) -> ApiError {
     let (status, code, word) = match why {
-        Why::TimeUp => (504, "timeout", "no answer began in time"),
-        Why::SendsFailed => (502, "engines_failed", "the engines asked did not answer"),
-        Why::Stopping => (503, "node_stopping", "the node stops; what came of the answer is not whole"),
-        Why::StreamBroken => (502, "stream_broken", "the answer broke off; what came of it is not whole"),
+        FailureReason::DeadlineExceeded => (504, "timeout", "no answer began in time"),
+        FailureReason::AttemptsFailed => (502, "engines_failed", "the engines asked did not answer"),
+        FailureReason::ShuttingDown => {
+            (503, "node_stopping", "the node stops; what came of the answer is not whole")
+        }
+        FailureReason::StreamBroken => {
+            (502, "stream_broken", "the answer broke off; what came of it is not whole")
+        }
     };
     ApiError::new(status, "server_error", code, word)
 }
@@ -270,25 +277,26 @@
     /// What its stage of life asks for.
     fn live(&mut self, now: f64) -> (Option<Exit>, Option<f64>) {
         let connections = self.doors.connections.get();
-        let left = Left { open: self.core.open(), states: self.core.ledger.len(), connections };
-        let (todo, mut wake) = self.life.act(now, left);
+        let left =
+            Remaining { open_requests: self.core.open(), reservations: self.core.ledger.len(), connections };
+        let (todo, mut wake) = self.life.poll_commands(now, left);
         for d in todo {
-            tracing::info!(stage = ?self.life.stage(), open = left.open, states = left.states, "{d:?}");
+            tracing::info!(stage = ?self.life.stage(), open = left.open_requests, states = left.reservations, "{d:?}");
             match d {
-                life::Do::SayLeaving => {
+                shutdown::Do::SayLeaving => {
                     self.doors.healthy.set(false);
                     self.doors.parting.set(true);
                 }
-                life::Do::StopListening => drop(self.doors.listening.0.close()),
-                life::Do::RefuseWork => {
-                    self.core.refuse_work();
+                shutdown::Do::StopListening => drop(self.doors.listening.0.close()),
+                shutdown::Do::RefuseWork => {
+                    self.core.stop_accepting();
                     self.doors.idling.0.close();
                 }
-                life::Do::EndAll => {
-                    self.core.end_all(now);
+                shutdown::Do::EndAll => {
+                    self.core.fail_all_open(now);
                     wake = Some(now);
                 }
-                life::Do::Exit(exit) => return (Some(exit), None),
+                shutdown::Do::Exit(exit) => return (Some(exit), None),
             }
         }
         (None, wake)
@@ -297,28 +305,28 @@
     fn counted(&self) -> Counted {
         let (c, ledger) = (&self.core, &self.core.ledger);
         Counted {
-            tally: c.tally,
-            account: ledger.account,
+            tally: c.counters,
+            account: ledger.counters,
             violations: c.guard.counts().iter().map(|(v, n)| (v.name(), *n)).collect(),
             open: c.open(),
             states: ledger.len(),
-            held_p99_s: ledger.waited(0.99),
-            held_longest_s: ledger.waited(1.0),
-            stories: c.ring.len(),
-            ways: c.together.as_ref().map(|t| t.ways()).unwrap_or_default(),
+            held_p99_s: ledger.unclaimed_quantile_s(0.99),
+            held_longest_s: ledger.unclaimed_quantile_s(1.0),
+            stories: c.traces.len(),
+            ways: c.zone_failover.as_ref().map(|t| t.ways()).unwrap_or_default(),
         }
     }
 
     fn serving(&mut self) {
-        self.life.heard();
-        if self.life.stage() == life::Stage::Serving {
+        self.life.endpoints_known();
+        if self.life.stage() == shutdown::Stage::Serving {
             self.doors.healthy.set(true);
             self.on_serving.take().into_iter().for_each(|say| say());
         }
     }
 
-    fn gone(&mut self, now: f64, ticket: Ticket) {
-        self.core.left(now, ticket);
+    fn gone(&mut self, now: f64, ticket: RequestId) {
+        self.core.client_disconnected(now, ticket);
         if let Some(job) = self.jobs.remove(&ticket) {
             self.note(&job, "left");
         }
@@ -335,25 +343,26 @@
                 if taken.is_closed() {
                     return;
                 }
-                match self.core.take(now, &ask) {
+                match self.core.accept_request(now, &ask) {
                     Ok(ticket) => {
                         let _ = taken.try_send(ticket);
                         let model = job.chat.model.as_str().into();
-                        let target_s = self.core.target_s(&ask);
-                        let story = Story::new(job.id.clone(), model, now, target_s, ask.prompt_tokens);
-                        self.core.trace(ticket, story);
+                        let target_s = self.core.ttft_objective_s(&ask);
+                        let story =
+                            RequestTrace::new(job.id.clone(), model, now, target_s, ask.prompt_tokens);
+                        self.core.start_trace(ticket, story);
                         self.jobs.insert(ticket, job);
                     }
                     Err(refusal) => drop(job.reply.try_send(Reply::Error(self.refused(refusal)))),
                 }
             }
-            Said::Order(Order::Hasten) => self.life.hasten(now),
+            Said::Order(Order::Hasten) => self.life.skip_stage(now),
             Said::Order(order @ (Order::Release | Order::Resume)) => {
                 self.keepers.iter().for_each(|k| k.release(order == Order::Release));
             }
-            Said::Order(order) => self.life.leave(now, order == Order::HandOver),
+            Said::Order(order) => self.life.begin_drain(now, order == Order::HandOver),
             Said::Began { ticket, send, grant } => {
-                if self.core.began(now, ticket, send) {
+                if self.core.response_started(now, ticket, send) {
                     if let Some(job) = self.jobs.get_mut(&ticket) {
                         let _ = grant.try_send(sink(job));
                     }
@@ -362,54 +371,58 @@
             Said::Ended { ticket, send, end, sink } => {
                 self.sends.remove(&(ticket, send));
                 let job = self.jobs.get(&ticket);
-                if let Some(job) = job.filter(|_| !matches!(end.cause, Cause::Read | Cause::Completed)) {
-                    tracing::debug!(request = %job.id, send, cause = ?end.cause, "send ended");
+                if let Some(job) = job
+                    .filter(|_| !matches!(end.outcome, AttemptOutcome::Prefilled | AttemptOutcome::Completed))
+                {
+                    tracing::debug!(request = %job.id, send, cause = ?end.outcome, "send ended");
                 }
                 // The client's own stream is closed by the answer that follows.
                 let begun = sink.and_then(|sink| Some((sink, self.jobs.remove(&ticket)?)));
                 if let Some((sink, job)) = begun {
-                    let whole = end.cause == Cause::Completed;
+                    let whole = end.outcome == AttemptOutcome::Completed;
                     self.finish(sink, &job, whole);
-                    let answer = match end.cause {
-                        Cause::Completed => "completed",
-                        Cause::CalledOff => "left",
+                    let answer = match end.outcome {
+                        AttemptOutcome::Completed => "completed",
+                        AttemptOutcome::Cancelled => "left",
                         _ => "errored",
                     };
                     self.note(&job, answer);
                 }
-                self.core.ended(now, ticket, send, end);
+                self.core.attempt_ended(now, ticket, send, end);
             }
             Said::Probed { place, cause, load } => {
-                self.core.probed(now, &place.id, cause, load);
-                if matches!(cause, Cause::NoAnswer | Cause::NoConnection) {
+                self.core.probe_finished(now, &place.id, cause, load);
+                if matches!(cause, AttemptOutcome::TimedOut | AttemptOutcome::ConnectFailed) {
                     let _ = self.met.try_send(());
                 }
             }
-            Said::LetGo { call, done } => self.core.let_go(now, call, done),
-            Said::Swept { place, done } => self.core.swept(now, &place.address, done),
-            Said::Part(p) => self.core.place(now, p.number.zip(p.of)),
+            Said::LetGo { call, done } => self.core.release_finished(now, call, done),
+            Said::Swept { place, done } => self.core.orphan_cleanup_finished(now, &place.address, done),
+            Said::Part(p) => self.core.set_fleet_position(now, p.number.zip(p.of)),
             Said::Round { others, to } => {
-                let Some(round) = self.core.round(now, &others) else { return };
-                self.core.together.iter().for_each(|t| t.log(&round.turns));
+                let Some(round) = self.core.zone_round(now, &others) else { return };
+                self.core.zone_failover.iter().for_each(|t| t.log_transitions(&round.transitions));
                 let _ = to.try_send(round);
             }
             Said::Count { to } => drop(to.try_send(self.counted())),
-            Said::Why { id, to } => drop(to.try_send(self.core.story(&id).map(Story::tell))),
-            Said::Learnt { to } => drop(to.try_send(self.core.learnt(now))),
+            Said::Why { id, to } => {
+                drop(to.try_send(self.core.request_trace(&id).map(RequestTrace::describe)))
+            }
+            Said::Learnt { to } => drop(to.try_send(self.core.learned_state(now))),
             Said::List { list, renewed } => {
-                self.core.renewed(now, &renewed);
-                self.core.list(now, &list);
+                self.core.engines_replaced(now, &renewed);
+                self.core.update_endpoints(now, &list);
                 self.serving();
                 let sources = &self.sources;
                 let wanted =
                     |a: &str| sources.iter().any(|s| s == a) || list.engines.iter().any(|l| l.address == a);
                 self.engines.pool.forget_others(wanted);
             }
-            Said::ListFailed => self.core.list_failed(now),
+            Said::ListFailed => self.core.endpoint_poll_failed(now),
         }
     }
 
-    fn refused(&self, refusal: Refusal) -> ApiError {
+    fn refused(&self, refusal: RejectReason) -> ApiError {
         refusal.error(self.engines.limits.come_back_s)
     }
 
@@ -423,13 +436,14 @@
     fn finish(&self, sink: Sink, job: &Job, whole: bool) {
         match sink {
             Sink::Stream { to, .. } => {
-                let last = if whole { sse::done() } else { sse::frame(&failed(Why::StreamBroken).body()) };
+                let last =
+                    if whole { sse::done() } else { sse::frame(&failed(FailureReason::StreamBroken).body()) };
                 self.last(to, last);
             }
             Sink::Whole(w) => {
                 let reply = match whole {
                     true => Reply::Whole(w.body(&job.chat.model)),
-                    false => Reply::Error(failed(Why::StreamBroken)),
+                    false => Reply::Error(failed(FailureReason::StreamBroken)),
                 };
                 let _ = job.reply.try_send(reply);
             }
@@ -445,54 +459,55 @@
     fn act(&mut self, now: f64) -> Option<f64> {
         loop {
             let begun = Instant::now();
-            let actions = self.core.act(now);
+            let actions = self.core.poll_commands(now);
             if let Some(meter) = &self.meter {
                 let mut m = meter.lock().unwrap_or_else(|e| e.into_inner());
                 Meter::note(&mut m.act, begun.elapsed());
             }
             let mut again = false;
-            for d in actions.todo {
+            for d in actions.commands {
                 match d {
-                    Do::Send(order) => {
-                        let key = (order.ticket, order.send);
-                        let Some(job) = self.jobs.get(&order.ticket) else {
-                            self.core.ended(now, key.0, key.1, End::default());
+                    Command::StartAttempt(order) => {
+                        let key = (order.request, order.attempt);
+                        let Some(job) = self.jobs.get(&order.request) else {
+                            self.core.attempt_ended(now, key.0, key.1, AttemptResult::default());
                             again = true;
                             continue;
                         };
-                        tracing::debug!(request = %job.id, send = order.send, engine = %order.eng.id,
-                            read = order.what == crate::core::Work::Read, "send");
+                        tracing::debug!(request = %job.id, send = order.attempt, engine = %order.engine.id,
+                            read = order.kind == crate::core::AttemptKind::Prefill, "send");
                         let (id, chat) = (job.id.clone(), job.chat.clone());
                         let out = Rc::new(Cell::new(false));
                         let words = self.to_core.clone();
                         let task = self.engines.clone().send(order, id, chat, words, out.clone());
                         self.sends.insert(key, (self.ex.spawn(task), out));
                     }
-                    Do::CallOff { ticket, send } => {
+                    Command::CancelAttempt { request: ticket, attempt: send } => {
                         let sent = self.sends.remove(&(ticket, send));
                         // Given up while its connection was still being made: it is known not to have run, and may
                         // go elsewhere. Seen as a handshake that stalled until the probe beside it was given up.
                         let out = sent.is_none_or(|s| s.1.get()) || !self.jobs.contains_key(&ticket);
-                        let cause = if out { Cause::CalledOff } else { Cause::NoConnection };
-                        let end = End { cause, ..End::default() };
-                        self.core.ended(now, ticket, send, end);
+                        let cause =
+                            if out { AttemptOutcome::Cancelled } else { AttemptOutcome::ConnectFailed };
+                        let end = AttemptResult { outcome: cause, ..AttemptResult::default() };
+                        self.core.attempt_ended(now, ticket, send, end);
                         again = true;
                     }
-                    Do::Answer { ticket, answer } => self.answer(ticket, answer),
-                    Do::Release { call, state, .. } => {
+                    Command::Answer { ticket, answer } => self.answer(ticket, answer),
+                    Command::Release { reservation_id: call, reservation: state, .. } => {
                         let task = self.engines.clone().let_go(call, state, self.to_core.clone());
                         self.ex.spawn(task).detach();
                     }
-                    Do::Probe(place) => {
+                    Command::Probe(place) => {
                         let task = self.engines.clone().probe(place, self.to_core.clone());
                         self.ex.spawn(task).detach();
                     }
-                    Do::Sweep(place) => {
+                    Command::ReleaseOrphans(place) => {
                         let boot = self.boot.clone();
                         let task = self.engines.clone().sweep(place, boot, self.to_core.clone());
                         self.ex.spawn(task).detach();
                     }
-                    Do::AskList => drop(self.poke.try_send(())),
+                    Command::PollEndpoints => drop(self.poke.try_send(())),
                 }
             }
             if !again {
@@ -501,23 +516,23 @@
         }
     }
 
-    fn answer(&mut self, ticket: Ticket, answer: Answer) {
+    fn answer(&mut self, ticket: RequestId, answer: FinalAnswer) {
         // Begun streams were answered where their end was heard.
         let Some(job) = self.jobs.remove(&ticket) else { return };
-        if let (Some(to), Answer::Errored(why)) = (job.stream.clone(), answer) {
+        if let (Some(to), FinalAnswer::Failed(why)) = (job.stream.clone(), answer) {
             // Its send is called off with this, so that nothing comes after.
             self.last(to, sse::frame(&failed(why).body()));
             return self.note(&job, "errored");
         }
         let (error, word) = match answer {
-            Answer::Shed { come_back_s } => {
+            FinalAnswer::Rejected { retry_after_s: come_back_s } => {
                 let mut e = ApiError::new(503, "server_error", "shed", "no engine has room in time");
                 e.retry_after_s = come_back_s;
                 (e, "shed")
             }
-            Answer::Errored(why) => (failed(why), "errored"),
+            FinalAnswer::Failed(why) => (failed(why), "errored"),
             // Cannot come for one that has not begun.
-            Answer::Completed => (failed(Why::SendsFailed), "errored"),
+            FinalAnswer::Completed => (failed(FailureReason::AttemptsFailed), "errored"),
         };
         let _ = job.reply.try_send(Reply::Error(error));
         self.note(&job, word);
--- a/crates/nickelgw-node/src/engines.rs
+++ b/crates/nickelgw-node/src/engines.rs
@@ -2,7 +2,7 @@
 
 use crate::client::{whole, Connection, Peer, Pool};
 use crate::core::ledger::ReservationId;
-use crate::core::{Cause, End, Order, Place, Reservation, Work};
+use crate::core::{AttemptKind, AttemptOutcome, AttemptRequest, AttemptResult, Endpoint, Reservation};
 use crate::driver::{Sink, Word};
 use crate::{seconds, within, Limits};
 use async_channel::{bounded, Sender};
@@ -33,10 +33,10 @@
 }
 
 /// Its time is over: before anything went out that is an engine which could not be reached.
-fn late(out: &Cell<bool>) -> Cause {
+fn late(out: &Cell<bool>) -> AttemptOutcome {
     match out.get() {
-        true => Cause::NoAnswer,
-        false => Cause::NoConnection,
+        true => AttemptOutcome::TimedOut,
+        false => AttemptOutcome::ConnectFailed,
     }
 }
 
@@ -45,29 +45,29 @@
     KvTransfer {
         do_remote_prefill: true,
         remote_request_id: Some(s.name.clone()),
-        remote_engine_id: Some(s.reader.id.clone()),
-        remote_host: Some(s.reader.address.clone()),
-        remote_tls_name: s.reader.tls_name.clone(),
+        remote_engine_id: Some(s.prefill_engine.id.clone()),
+        remote_host: Some(s.prefill_engine.address.clone()),
+        remote_tls_name: s.prefill_engine.tls_name.clone(),
         remote_grant: grant.clone(),
         ..KvTransfer::default()
     }
 }
 
 /// What a stream has come to, and the load told with it.
-type Ended = (Cause, Option<LoadReport>);
+type Ended = (AttemptOutcome, Option<LoadReport>);
 
 impl Engines {
     pub fn new(pool: Rc<Pool>, node: &str, zone: &str, limits: Rc<Limits>) -> Rc<Engines> {
         Rc::new(Engines { pool, node: node.into(), zone: zone.into(), limits })
     }
 
-    fn peer<'a>(&self, place: &'a Place) -> Peer<'a> {
+    fn peer<'a>(&self, place: &'a Endpoint) -> Peer<'a> {
         let host = || place.address.rsplit_once(':').map_or(&*place.address, |a| a.0);
         let name = self.pool.tls.is_some().then(|| place.tls_name.as_deref().unwrap_or_else(host));
         Peer { address: &place.address, name, out: None }
     }
 
-    fn peer_out<'a>(&self, place: &'a Place, out: &'a Cell<bool>) -> Peer<'a> {
+    fn peer_out<'a>(&self, place: &'a Endpoint, out: &'a Cell<bool>) -> Peer<'a> {
         Peer { out: Some(out), ..self.peer(place) }
     }
 
@@ -76,8 +76,8 @@
         b.header(NODE, &self.node).header(ZONE, &self.zone).header(LOAD_FORMAT, "JSON")
     }
 
-    fn completion(&self, order: &Order, id: &str, body: Bytes) -> Option<Request<Full<Bytes>>> {
-        let b = self.request(Method::POST, &order.eng.address, "/v1/chat/completions");
+    fn completion(&self, order: &AttemptRequest, id: &str, body: Bytes) -> Option<Request<Full<Bytes>>> {
+        let b = self.request(Method::POST, &order.engine.address, "/v1/chat/completions");
         let b = b.header(CONTENT_TYPE, "application/json").header(TE, "trailers");
         b.header(REQUEST_ID, id).header(SEND_ID, &order.name).body(Full::new(body)).ok()
     }
@@ -86,16 +86,16 @@
     /// `out` is set once something of it may have gone out.
     pub async fn send(
         self: Rc<Self>,
-        order: Order,
+        order: AttemptRequest,
         id: Rc<str>,
         chat: Rc<ChatRequest>,
         words: Sender<Word>,
         out: Rc<Cell<bool>>,
     ) {
-        let (ticket, send) = (order.ticket, order.send);
-        let (end, sink) = match &order.what {
-            Work::Read => (self.read(&order, &id, &chat, &out).await, None),
-            Work::Write { state, grant, .. } => {
+        let (ticket, send) = (order.request, order.attempt);
+        let (end, sink) = match &order.kind {
+            AttemptKind::Prefill => (self.read(&order, &id, &chat, &out).await, None),
+            AttemptKind::Decode { reservation: state, grant, .. } => {
                 let kv = state.as_ref().map(|s| transfer(s, grant));
                 self.write(&order, &id, &chat, kv, &words, &out).await
             }
@@ -104,45 +104,57 @@
         let _ = words.send(Word::new(crate::driver::Said::Ended { ticket, send, end, sink })).await;
     }
 
-    async fn read(&self, order: &Order, id: &str, chat: &ChatRequest, out: &Cell<bool>) -> End {
+    async fn read(
+        &self,
+        order: &AttemptRequest,
+        id: &str,
+        chat: &ChatRequest,
+        out: &Cell<bool>,
+    ) -> AttemptResult {
         let request = read_body(chat).ok().and_then(|body| self.completion(order, id, body));
-        let Some(request) = request else { return End::default() };
+        let Some(request) = request else { return AttemptResult::default() };
         let answer =
-            within(order.patience_s, self.pool.fetch(self.peer_out(&order.eng, out), &request)).await;
+            within(order.timeout_s, self.pool.fetch(self.peer_out(&order.engine, out), &request)).await;
         let (status, headers, body) = match answer {
-            None => return End { cause: late(out), ..End::default() },
-            Some(Err(cause)) => return End { cause, ..End::default() },
+            None => return AttemptResult { outcome: late(out), ..AttemptResult::default() },
+            Some(Err(cause)) => return AttemptResult { outcome: cause, ..AttemptResult::default() },
             Some(Ok(a)) => a,
         };
         let load = report(&headers);
         if status != 200 {
-            return End { cause: Cause::of_status(status, &body), load, kept: 0.0 };
+            return AttemptResult {
+                outcome: AttemptOutcome::from_status(status, &body),
+                load,
+                cached_tokens: 0.0,
+            };
         }
         match ReadAnswer::parse(&body) {
             Ok(a) if a.kv_transfer_params.remote_request_id.as_deref() == Some(&order.name) => {
                 let kept = a.usage.prompt_tokens_details.unwrap_or_default().cached_tokens as f64;
-                End { cause: Cause::Read, load, kept }
+                AttemptResult { outcome: AttemptOutcome::Prefilled, load, cached_tokens: kept }
             }
-            _ => End { cause: Cause::Garbled, load, kept: 0.0 },
+            _ => AttemptResult { outcome: AttemptOutcome::Malformed, load, cached_tokens: 0.0 },
         }
     }
 
     async fn write(
         &self,
-        order: &Order,
+        order: &AttemptRequest,
         id: &str,
         chat: &ChatRequest,
         kv: Option<KvTransfer>,
         words: &Sender<Word>,
         out: &Cell<bool>,
-    ) -> (End, Option<Sink>) {
-        let Work::Write { idle_s, .. } = order.what else { return (End::default(), None) };
-        let ended = |cause, load| (End { cause, load, kept: 0.0 }, None);
+    ) -> (AttemptResult, Option<Sink>) {
+        let AttemptKind::Decode { idle_timeout_s: idle_s, .. } = order.kind else {
+            return (AttemptResult::default(), None);
+        };
+        let ended = |cause, load| (AttemptResult { outcome: cause, load, cached_tokens: 0.0 }, None);
         let request = write_body(chat, kv.as_ref()).ok().and_then(|body| self.completion(order, id, body));
-        let Some(request) = request else { return ended(Cause::NotSent, None) };
-        let mut patience = Timer::after(seconds(order.patience_s));
+        let Some(request) = request else { return ended(AttemptOutcome::NotDelivered, None) };
+        let mut patience = Timer::after(seconds(order.timeout_s));
         let begun =
-            futures_lite::future::or(async { Some(self.begin(&order.eng, &request, out).await) }, async {
+            futures_lite::future::or(async { Some(self.begin(&order.engine, &request, out).await) }, async {
                 (&mut patience).await;
                 None
             });
@@ -152,26 +164,26 @@
             Some(Ok(s)) => s,
         };
         let (grant, granted) = bounded(1);
-        let (ticket, send) = (order.ticket, order.send);
+        let (ticket, send) = (order.request, order.attempt);
         let began = crate::driver::Said::Began { ticket, send, grant };
         if words.send(Word::new(began)).await.is_err() {
-            return ended(Cause::CalledOff, None);
+            return ended(AttemptOutcome::Cancelled, None);
         }
         // Too late: another has the client, or it has gone. The core knows this send as ended already.
-        let Ok(mut sink) = granted.recv().await else { return ended(Cause::CalledOff, None) };
+        let Ok(mut sink) = granted.recv().await else { return ended(AttemptOutcome::Cancelled, None) };
         let stall = self.limits.client_stall_s;
         let (cause, load) = stream.pump(&mut sink, idle_s, stall).await;
         // With something left unread on it, the next answer would begin with that.
-        if cause == Cause::Completed && stream.at_end {
+        if cause == AttemptOutcome::Completed && stream.at_end {
             self.pool.give_back(stream.conn);
         }
-        (End { cause, load, kept: 0.0 }, Some(sink))
+        (AttemptResult { outcome: cause, load, cached_tokens: 0.0 }, Some(sink))
     }
 
     /// Up to the first event of the stream.
     async fn begin(
         &self,
-        place: &Place,
+        place: &Endpoint,
         request: &Request<Full<Bytes>>,
         out: &Cell<bool>,
     ) -> Result<Stream, Ended> {
@@ -183,17 +195,17 @@
         if status != 200 {
             let body = whole(body).await.map_err(|c| (c, load.clone()))?;
             self.pool.give_back(conn);
-            return Err((Cause::of_status(status, &body), load));
+            return Err((AttemptOutcome::from_status(status, &body), load));
         }
         let kind = head.headers.get(CONTENT_TYPE).and_then(|v| v.to_str().ok()).unwrap_or("");
         if !kind.starts_with("text/event-stream") {
-            return Err((Cause::Garbled, load));
+            return Err((AttemptOutcome::Malformed, load));
         }
         let mut s =
             Stream { body, events: Events::default(), first: None, trailers: None, at_end: false, conn };
         match s.next().await {
             Ok(Some(first)) => s.first = Some(first),
-            Ok(None) => return Err((Cause::Garbled, load)),
+            Ok(None) => return Err((AttemptOutcome::Malformed, load)),
             Err(cause) => return Err((cause, load)),
         }
         Ok(s)
@@ -203,31 +215,31 @@
     async fn short(
         &self,
         method: Method,
-        place: &Place,
+        place: &Endpoint,
         path: &str,
-    ) -> Result<(u16, HeaderMap, Bytes), Cause> {
+    ) -> Result<(u16, HeaderMap, Bytes), AttemptOutcome> {
         let built = self.request(method, &place.address, path).body(Full::default());
-        let request = built.map_err(|_| Cause::NoConnection)?;
+        let request = built.map_err(|_| AttemptOutcome::ConnectFailed)?;
         let answer = within(self.limits.probe_s, self.pool.fetch(self.peer(place), &request)).await;
-        answer.unwrap_or(Err(Cause::NoAnswer))
+        answer.unwrap_or(Err(AttemptOutcome::TimedOut))
     }
 
-    pub async fn probe(self: Rc<Self>, place: Rc<Place>, words: Sender<Word>) {
+    pub async fn probe(self: Rc<Self>, place: Rc<Endpoint>, words: Sender<Word>) {
         let (cause, load) = match self.short(Method::GET, &place, "/health").await {
             Err(cause) => (cause, None),
-            Ok((200, headers, _)) => (Cause::Completed, report(&headers)),
-            Ok((status, headers, body)) => (Cause::of_status(status, &body), report(&headers)),
+            Ok((200, headers, _)) => (AttemptOutcome::Completed, report(&headers)),
+            Ok((status, headers, body)) => (AttemptOutcome::from_status(status, &body), report(&headers)),
         };
         let _ = words.send(Word::new(crate::driver::Said::Probed { place, cause, load })).await;
     }
 
     /// Whether an engine answers its probe at all, however it does.
-    pub async fn answers(&self, place: &Place) -> bool {
+    pub async fn answers(&self, place: &Endpoint) -> bool {
         self.short(Method::GET, place, "/health").await.is_ok()
     }
 
     /// Whatever this node's earlier processes left at the reader is let go of; `boot`: what is this one's stays.
-    pub async fn sweep(self: Rc<Self>, place: Rc<Place>, boot: String, words: Sender<Word>) {
+    pub async fn sweep(self: Rc<Self>, place: Rc<Endpoint>, boot: String, words: Sender<Word>) {
         let path = format!("/v1/states?except={boot}");
         let answer = self.short(Method::DELETE, &place, &path).await;
         // A reader that does not know the call will not learn it: its own limit frees them.
@@ -237,7 +249,7 @@
 
     pub async fn let_go(self: Rc<Self>, call: ReservationId, state: Reservation, words: Sender<Word>) {
         let path = format!("/v1/states/{}", state.name);
-        let answer = self.short(Method::DELETE, &state.reader, &path).await;
+        let answer = self.short(Method::DELETE, &state.prefill_engine, &path).await;
         // Not found is let go too: fetched, or never there.
         let done = matches!(answer, Ok((200 | 204 | 404, _, _)));
         let _ = words.send(Word::new(crate::driver::Said::LetGo { call, done })).await;
@@ -256,22 +268,22 @@
 
 impl Stream {
     /// The next event; none at the end of the body.
-    async fn next(&mut self) -> Result<Option<Event>, Cause> {
+    async fn next(&mut self) -> Result<Option<Event>, AttemptOutcome> {
         loop {
-            if let Some(e) = self.events.next_event().map_err(|_| Cause::Garbled)? {
+            if let Some(e) = self.events.next_event().map_err(|_| AttemptOutcome::Malformed)? {
                 let sound = match &e {
                     Event::Done => true,
                     Event::Data { data, .. } => serde_json::from_slice::<serde::de::IgnoredAny>(data).is_ok(),
                 };
-                return if sound { Ok(Some(e)) } else { Err(Cause::Garbled) };
+                return if sound { Ok(Some(e)) } else { Err(AttemptOutcome::Malformed) };
             }
             match self.body.frame().await {
-                None if self.events.is_cut() => return Err(Cause::Garbled),
+                None if self.events.is_cut() => return Err(AttemptOutcome::Malformed),
                 None => {
                     self.at_end = true;
                     return Ok(None);
                 }
-                Some(Err(_)) => return Err(Cause::Lost),
+                Some(Err(_)) => return Err(AttemptOutcome::ConnectionLost),
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) => self.events.push(&data),
                     Err(frame) => self.trailers = frame.into_trailers().ok(),
@@ -292,31 +304,31 @@
                         (&mut idle).await;
                         None
                     });
-                    let Some(next) = next.await else { return (Cause::NoAnswer, None) };
+                    let Some(next) = next.await else { return (AttemptOutcome::TimedOut, None) };
                     next
                 }
             };
             match event {
                 // Ended without [DONE]: cut, whatever the framing says.
-                Ok(None) => return (Cause::Lost, None),
+                Ok(None) => return (AttemptOutcome::ConnectionLost, None),
                 Err(cause) => return (cause, None),
                 Ok(Some(Event::Done)) => {
                     let rest = within(idle_s, self.next()).await;
                     let load = self.trailers.as_ref().and_then(report);
                     return match rest {
-                        Some(Ok(None)) => (Cause::Completed, load),
+                        Some(Ok(None)) => (AttemptOutcome::Completed, load),
                         // The answer is whole; what follows it is not passed on.
-                        _ => (Cause::Completed, None),
+                        _ => (AttemptOutcome::Completed, None),
                     };
                 }
                 Ok(Some(Event::Data { data, .. })) if data.starts_with(b"{\"error\"") => {
-                    return (Cause::Failed(200), None);
+                    return (AttemptOutcome::ErrorStatus(200), None);
                 }
                 Ok(Some(Event::Data { frame, data })) => match within(stall_s, sink.pass(frame, &data)).await
                 {
                     Some(Ok(())) => {}
                     Some(Err(cause)) => return (cause, None),
-                    None => return (Cause::CalledOff, None),
+                    None => return (AttemptOutcome::Cancelled, None),
                 },
             }
         }
--- a/crates/nickelgw-node/src/fleet.rs
+++ b/crates/nickelgw-node/src/fleet.rs
@@ -2,7 +2,7 @@
 //! the core and to disk.
 
 use crate::client::Peer;
-use crate::core::Place;
+use crate::core::Endpoint;
 use crate::driver::{Said, Word};
 use crate::engines::Engines;
 use crate::{within, Clock};
@@ -52,7 +52,7 @@
         for l in probes {
             let me = self.clone();
             let probe = async move {
-                let place = Place { id: l.id, address: l.address, tls_name: l.tls_name };
+                let place = Endpoint { id: l.id, address: l.address, tls_name: l.tls_name };
                 // Twice, as one lost word must not take an engine away.
                 let answers = me.engines.answers(&place).await || me.engines.answers(&place).await;
                 me.view.borrow_mut().probed(me.clock.now(), &place.id, answers);
--- a/crates/nickelgw-node/src/lib.rs
+++ b/crates/nickelgw-node/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod client;
 pub mod core;
 mod driver;
-pub use crate::core::life::Exit;
+pub use crate::core::shutdown::Exit;
 pub use driver::Order;
 mod engines;
 pub mod fleet;
@@ -22,8 +22,8 @@
 pub use parked::{Lot, MOST_TRIES};
 pub use together::{Fleet as Together, Sockets};
 
-use crate::core::life::Life;
-use crate::core::{Core, Door, Figures};
+use crate::core::shutdown::ProcessLifecycle;
+use crate::core::{Admission, CoreConfig, NodeCore};
 use async_channel::{bounded, unbounded};
 use nickelgw::interface::Deployment;
 use nickelgw_background::core::{Class, Spec};
@@ -67,8 +67,8 @@
     pub name: String,
     pub zone: String,
     pub deployment: Deployment,
-    pub figures: Figures,
-    pub door: Door,
+    pub figures: CoreConfig,
+    pub door: Admission,
     pub limits: Limits,
     pub source: Source,
     pub last_list: Option<PathBuf>,
@@ -82,7 +82,7 @@
     pub tls: TlsStart,
     pub repeats: repeats::Figures,
     pub retries: budget::Figures,
-    pub life: crate::core::life::Figures,
+    pub life: crate::core::shutdown::Figures,
     /// What the process is told to do, in service.
     pub orders: async_channel::Receiver<Order>,
     /// What is doubted of the fleet.
@@ -177,15 +177,15 @@
     let looked = connections.clone();
     let engines = engines::Engines::new(connections, &start.name, &start.zone, limits.clone());
     let seed = start.deployment.seed ^ u64::from(start.deployment.node);
-    let boot = start.figures.boot.clone();
+    let boot = start.figures.incarnation.clone();
     let (keeper, found) = keep::Keeper::open(start.store, clock);
     let repeats = start.deployment.routes.iter().map(parked::repeat).collect();
-    let mut core = Core::new(start.deployment, start.figures);
+    let mut core = NodeCore::new(start.deployment, start.figures);
     let doors = driver::Doors::new();
     let met = bounded(1);
     let whole = Rc::new(std::cell::Cell::new(true));
     let fleet_of_nodes = start.together.map(|t| {
-        core.join(&t.accord.own().name, t.zones, t.accord.round_s(), seed);
+        core.join_fleet(&t.accord.own().name, t.zones, t.accord.round_s(), seed);
         let accord = Rc::new(RefCell::new(t.accord));
         let (words, closing) = (to_core.clone(), doors.listening.1.clone());
         (
@@ -204,13 +204,13 @@
             Kind::Repeat => relays.restore(clock.now() - f.age_s.unwrap_or(0.0), &f.key, &f.value),
             Kind::Learnt => {
                 let trust = belief::weight(f.age_s.unwrap_or(f64::INFINITY));
-                let read = core.recall(&f.value, trust);
+                let read = core.restore_state(&f.value, trust);
                 tracing::info!(trust, read, "what the process before had learnt");
             }
             Kind::List | Kind::Parked => {}
         }
     }
-    let mut life = Life::new(start.life);
+    let mut life = ProcessLifecycle::new(start.life);
     let (gate, opened) = bounded::<()>(1);
     let (say, patient) = (start.on_serving, start.patient);
     let mut on_serving: Option<Box<dyn FnOnce() + Send>> = Some(Box::new(move || {
@@ -229,11 +229,11 @@
     });
     if let Some(list) = watch::last(start.last_list.as_deref()) {
         tracing::info!(engines = list.engines.len(), revision = list.revision, "served from the last list");
-        core.list_unproved(clock.now(), &list);
+        core.restore_endpoints(clock.now(), &list);
         // What a source says next is reconciled with it: an empty first word is doubted too.
         fleet.view.borrow_mut().full(clock.now(), 0, list.engines, false);
         fleet.view.borrow_mut().news();
-        life.heard();
+        life.endpoints_known();
         doors.healthy.set(true);
         on_serving.take().into_iter().for_each(|say| say());
     }
@@ -258,7 +258,7 @@
             sources = registry.endpoints.clone();
             if registry.nodes.is_some() {
                 // Until it has a place it uses nothing of what all share.
-                core.place(clock.now(), None);
+                core.set_fleet_position(clock.now(), None);
             }
             let (name, token) = (start.name.clone(), RefCell::new(None));
             let client = Rc::new(fleet::Client { registry, name, fleet: fleet.clone(), token });
--- a/crates/nickelgw-node/src/parked.rs
+++ b/crates/nickelgw-node/src/parked.rs
@@ -1,6 +1,6 @@
 //! Offline inferences on sockets and on disk: taken under a ticket, run in room that others leave, answered by the ticket.
 
-use crate::core::Ask;
+use crate::core::AdmittedRequest;
 use crate::driver::Reply;
 use crate::keep::Keeper;
 use crate::server::{json_answer, Answer, Asked, Server};
@@ -87,7 +87,7 @@
         lot: Lot,
         repeats: Vec<Repeat>,
         clock: crate::Clock,
-        door: &crate::core::Door,
+        door: &crate::core::Admission,
         accord: Option<Rc<RefCell<Accord>>>,
         whole: Rc<Cell<bool>>,
     ) -> Rc<Parking> {
@@ -152,7 +152,7 @@
 
     /// Of what is run here, by its weight, and by how much of what waits in the whole fleet waits here: a tenant parked at
     /// one node has as much in all as one parked at five.
-    fn part(&self, tenants: &[crate::core::door::Tenant], name: &str) -> f64 {
+    fn part(&self, tenants: &[crate::core::admission::Tenant], name: &str) -> f64 {
         let weight = tenants.iter().position(|t| t.name == name).and_then(|t| self.weights.get(t));
         let own = self.core.borrow().waiting().find(|w| w.0 == name).map_or(0, |w| w.1);
         let hash = short(name) as u32;
@@ -183,7 +183,11 @@
 
 impl Server {
     /// Parks a request whose client can wait: its ticket, once its record is on disk.
-    pub async fn park(self: Rc<Self>, mut chat: ChatRequest, ask: &Ask) -> Result<Answer, ApiError> {
+    pub async fn park(
+        self: Rc<Self>,
+        mut chat: ChatRequest,
+        ask: &AdmittedRequest,
+    ) -> Result<Answer, ApiError> {
         let field = |what: &'static str| ApiError::invalid(&Malformed::field(FIELD, what));
         let Some(p) = self.parked.clone() else { return Err(field("is not served here")) };
         let within = chat.fields.remove(FIELD).and_then(|v| serde_json::from_str::<f64>(v.get()).ok());
@@ -248,7 +252,7 @@
 
     /// What became of a ticket. One that is unknown, too old or another tenant's is told apart by nothing.
     pub fn parked(&self, bearer: Option<&str>, ticket: &str) -> Result<Answer, ApiError> {
-        let tenant = self.door.tenant(bearer).map_err(|r| r.error(self.limits.come_back_s))?;
+        let tenant = self.door.authenticate(bearer).map_err(|r| r.error(self.limits.come_back_s))?;
         let tenant = tenant.map_or("", |t| &self.door.tenants[t].name);
         let none = || ApiError::new(404, "invalid_request_error", "not_found", "there is no such ticket");
         let p = self.parked.as_ref().ok_or_else(none)?;
@@ -358,12 +362,12 @@
             return Ok(gone(400, "it cannot be read any more"));
         };
         let key = self.door.tenants.iter().find(|t| t.name == r.tenant).map(|t| t.key.as_str());
-        let Ok(mut ask) = self.door.enter(&chat, key, None) else {
+        let Ok(mut ask) = self.door.admit(&chat, key, None) else {
             return Ok(gone(410, "it is not served any more"));
         };
-        ask.spare = true;
+        ask.is_background = true;
         ask.timeout_s = ask.timeout_s.min(left_s);
-        ask.whole_within_s = ask.whole_within_s.map(|s| s.min(left_s));
+        ask.unary_timeout_s = ask.unary_timeout_s.map(|s| s.min(left_s));
         // The same name at engines each time: by it they know a repeat.
         let id: Rc<str> = format!("parked-{ticket:032x}").into();
         let digest = *blake3::hash(&r.body).as_bytes();
--- a/crates/nickelgw-node/src/repeat.rs
+++ b/crates/nickelgw-node/src/repeat.rs
@@ -206,7 +206,7 @@
     pub async fn keyed(self: Rc<Self>, a: Asked, key: &str) -> Result<Answer, ApiError> {
         let tenant = a.ask.tenant.map_or("", |t| &self.door.tenants[t].name);
         let key = Key::of(tenant, key);
-        let may_repeat = self.door.models[a.ask.route].may_repeat;
+        let may_repeat = self.door.models[a.ask.route].is_idempotent;
         let now = self.clock.now();
         let entered = self.repeats.table.borrow_mut().enter(now, key, a.digest, may_repeat);
         let serial = match entered {
--- a/crates/nickelgw-node/src/server.rs
+++ b/crates/nickelgw-node/src/server.rs
@@ -1,7 +1,7 @@
 //! The chat API's sockets: requests are read within limits and handed to the core, answers written as they come.
 
 use crate::client::looked;
-use crate::core::{Ask, Door, Refusal, Ticket};
+use crate::core::{Admission, AdmittedRequest, RejectReason, RequestId};
 use crate::driver::{Doors, Job, Reply, Said, Word};
 use crate::keep::Keeper;
 use crate::repeat::Relays;
@@ -31,10 +31,10 @@
 use std::time::Instant;
 
 pub struct Server {
-    pub door: Door,
+    pub door: Admission,
     pub limits: Rc<Limits>,
     pub to_core: Sender<Word>,
-    pub gone: Sender<Ticket>,
+    pub gone: Sender<RequestId>,
     pub waiting: Rc<Cell<usize>>,
     pub name: String,
     pub serial: RefCell<u64>,
@@ -54,8 +54,8 @@
 
 /// Says that the client has gone, unless its answer was whole by then.
 pub struct Gone {
-    pub ticket: Option<Ticket>,
-    to: Sender<Ticket>,
+    pub ticket: Option<RequestId>,
+    to: Sender<RequestId>,
 }
 
 impl Drop for Gone {
@@ -285,7 +285,7 @@
 
 /// A request that has passed the door.
 pub struct Asked {
-    pub ask: Ask,
+    pub ask: AdmittedRequest,
     pub id: Rc<str>,
     pub chat: Rc<ChatRequest>,
     pub since: Instant,
@@ -385,7 +385,7 @@
         let timeout = header(TIMEOUT).and_then(|v| v.parse::<f64>().ok()).map(|ms| ms / 1e3);
         let body = self.body(body).await?;
         let chat = ChatRequest::parse(&body).map_err(|m| ApiError::invalid(&m))?;
-        let ask = self.door.enter(&chat, bearer, timeout).map_err(|r| r.error(self.limits.come_back_s))?;
+        let ask = self.door.admit(&chat, bearer, timeout).map_err(|r| r.error(self.limits.come_back_s))?;
         if chat.fields.contains_key(crate::parked::FIELD) {
             return self.park(chat, &ask).await;
         }
@@ -426,7 +426,7 @@
 
     /// Has it taken, and waits for its answer or the beginning of it.
     pub async fn run(&self, a: Asked) -> Result<(Reply, Gone), ApiError> {
-        let behind = || Refusal::Behind.error(self.limits.come_back_s);
+        let behind = || RejectReason::QueueFull.error(self.limits.come_back_s);
         if self.waiting.get() >= self.limits.most_waiting {
             return Err(behind());
         }
--- a/crates/nickelgw-node/src/together.rs
+++ b/crates/nickelgw-node/src/together.rs
@@ -56,9 +56,9 @@
                 return;
             }
             if let Ok(round) = told.recv().await {
-                whole.set(round.whole);
-                accord.borrow_mut().tell(clock.now(), round.tell, round.news);
-                if round.news {
+                whole.set(round.all_zones_active);
+                accord.borrow_mut().tell(clock.now(), round.reports, round.urgent);
+                if round.urgent {
                     let _ = tell.try_send(());
                 }
             }
--- a/crates/nickelgw-node/tests/common/mod.rs
+++ b/crates/nickelgw-node/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 use nickelgw::interface::{Deployment, Idempotency, IdempotencyScope, ModelRoute};
 use nickelgw_audit::{judge, Line, Verdict};
-use nickelgw_node::core::door::{Model, Tenant};
-use nickelgw_node::core::{Door, Figures};
+use nickelgw_node::core::admission::{Model, Tenant};
+use nickelgw_node::core::{Admission, CoreConfig};
 use nickelgw_node::{Limits, Start, TlsStart};
 use nickelgw_protocol::list::{self, State};
 use nickelgw_standin::client::{self, Ask, Seen};
@@ -106,30 +106,30 @@
         name: name.into(),
         timeout_s: 4.0,
         timeout_per_token_s: 0.0,
-        whole_timeout_s: 8.0,
-        may_repeat: name == "chat",
+        unary_timeout_s: 8.0,
+        is_idempotent: name == "chat",
     };
     Start {
         name: "node0".into(),
         zone: "a".into(),
         deployment,
-        figures: Figures {
-            boot: format!("node0-{}", (unix_now() * 1e6) as u64),
-            epoch_unix_s: unix_now(),
+        figures: CoreConfig {
+            incarnation: format!("node0-{}", (unix_now() * 1e6) as u64),
+            started_at_unix_s: unix_now(),
             zones: vec!["a".into(), "b".into()],
-            most_open: 1000,
-            stream_idle_s: 0.8,
-            let_go_within_s: 10.0,
-            sweep_s: (0.0, 60.0),
-            come_back_s: 1.0,
+            max_open_requests: 1000,
+            stream_idle_timeout_s: 0.8,
+            release_timeout_s: 10.0,
+            orphan_cleanup_window_s: (0.0, 60.0),
+            retry_after_s: 1.0,
             grants: None,
-            fair: None,
-            tenant_most_open: vec![None],
+            fair_share: None,
+            tenant_max_open: vec![None],
         },
-        door: Door {
+        door: Admission {
             models: ["chat", "review", "booking", "marked"].map(model).to_vec(),
             tenants: vec![Tenant { name: "t".into(), key: KEY.into() }],
-            most_prompt_tokens: 50_000.0,
+            max_prompt_tokens: 50_000.0,
         },
         limits: Limits {
             most_connections: 1000,
@@ -155,7 +155,7 @@
         tls: TlsStart { reload_s: 0.05, at_once: 16, at_once_engine: 2, ..TlsStart::default() },
         repeats: Default::default(),
         retries: Default::default(),
-        life: nickelgw_node::core::life::Figures { notice_s: 0.1, grace_s: 5.0, end_s: 1.0 },
+        life: nickelgw_node::core::shutdown::Figures { notice_s: 0.1, grace_s: 5.0, end_s: 1.0 },
         orders: async_channel::bounded(1).1,
         together: None,
         parked: None,
--- a/crates/nickelgw-node/tests/leaving.rs
+++ b/crates/nickelgw-node/tests/leaving.rs
@@ -75,7 +75,7 @@
     assert_eq!((stream.how.as_str(), stream.code.as_deref()), ("errored", Some("node_stopping")));
     assert_eq!((whole.status, whole.code.as_deref()), (503, Some("node_stopping")));
     assert_ne!(held.how, "completed");
-    assert_eq!(w.exit.take().unwrap().join().unwrap(), Exit::Cut);
+    assert_eq!(w.exit.take().unwrap().join().unwrap(), Exit::RequestsCut);
     thread::sleep(Duration::from_millis(900));
     w.assert_empty(&["r0a", "w0a"]);
     w.assert_sound();
@@ -94,7 +94,7 @@
         tell(&w, o);
     }
     assert_eq!(stream.join().unwrap().code.as_deref(), Some("node_stopping"));
-    assert_eq!(w.exit.take().unwrap().join().unwrap(), Exit::Cut);
+    assert_eq!(w.exit.take().unwrap().join().unwrap(), Exit::RequestsCut);
     assert!(from.elapsed() < Duration::from_secs(5));
     w.assert_empty(&["r0a", "w0a"]);
 }
--- a/crates/nickelgw-node/tests/path.rs
+++ b/crates/nickelgw-node/tests/path.rs
@@ -4,7 +4,7 @@
 
 use common::{figures, post, start, World};
 use nickelgw_chat::core::grant::{grant, GrantKey, Granted};
-use nickelgw_node::core::Grants;
+use nickelgw_node::core::GrantConfig;
 use nickelgw_standin::client::{self, status, Ask, Leave};
 use nickelgw_standin::model;
 use nickelgw_standin::record::unix_now;
@@ -125,7 +125,7 @@
 fn bodies_of_eight_megabytes_and_prompts_of_one_token() {
     let big = |id| model::Figures { memory_tokens: 1e7, read_tokens_per_s: 1e8, ..figures(id) };
     let large = |s: &mut nickelgw_node::Start| {
-        (s.limits.most_body_bytes, s.limits.body_s, s.door.most_prompt_tokens) = (9_000_000, 5.0, 4e6);
+        (s.limits.most_body_bytes, s.limits.body_s, s.door.max_prompt_tokens) = (9_000_000, 5.0, 4e6);
     };
     let w = World::with(vec![big("r0a"), big("w0a")], large);
     let mut ask = w.ask("big", "chat");
@@ -188,7 +188,7 @@
 
 #[test]
 fn a_tenant_has_its_own_limit_of_open_requests() {
-    let w = world(&["r0a", "w0a"], |s| s.figures.tenant_most_open = vec![Some(2)]);
+    let w = world(&["r0a", "w0a"], |s| s.figures.tenant_max_open = vec![Some(2)]);
     w.control("w0a", json!({"fault": "silence", "for_s": 0.6}));
     let first = [w.later(w.ask("a", "chat")), w.later(w.ask("b", "chat"))];
     w.wait("both are taken", |l| l.iter().filter(|l| l["ev"] == "read").count() == 2);
@@ -203,7 +203,7 @@
 fn a_state_goes_only_to_the_writer_that_was_granted_it_and_once() {
     let known = |id| model::Figures { grant_keys: vec![(7, SECRET.into())], ..figures(id) };
     let key = || GrantKey::of(7, SECRET).unwrap();
-    let grants = Grants { keys: vec![(0.0, key())], lifetime_s: 5.0 };
+    let grants = GrantConfig { keys: vec![(0.0, key())], lifetime_s: 5.0 };
     let w = World::with(vec![known("r0a"), figures("w0a")], |s| s.figures.grants = Some(grants));
     assert_eq!(w.play(w.ask("fine", "chat")).how, "completed");
     assert_eq!((w.count("fetched", ""), w.count("not_granted", "")), (1, 0));
@@ -250,7 +250,7 @@
     let w = world(&["r0a", "w0a"], |_| {});
     let mut second = start(&w.list);
     second.name = "node1".into();
-    second.figures.boot = "node1".into();
+    second.figures.incarnation = "node1".into();
     (second.deployment.node, second.deployment.node_count) = (1, 2);
     let other = common::serve(second);
     w.wait("the other hears the list", |l| l.iter().any(|l| l["ev"] == "told" && l["node"] == "node1"));
--- a/crates/nickelgw-platform/src/core/engine.rs
+++ b/crates/nickelgw-platform/src/core/engine.rs
@@ -3,7 +3,7 @@
 use super::request::Head;
 use super::{closes, framing, head_length, names, Framing, Spoilt, MOST_HEADERS};
 use bytes::Bytes;
-use nickelgw_node::core::Cause;
+use nickelgw_node::core::AttemptOutcome;
 use nickelgw_options::load;
 use nickelgw_protocol::load::{LoadReport, PRESENT, UNREAD, WAITING};
 use std::collections::BTreeMap;
@@ -105,13 +105,13 @@
 }
 
 /// What an answer that is no stream means for a send.
-pub fn cause(a: &Answer, read: bool) -> Cause {
+pub fn cause(a: &Answer, read: bool) -> AttemptOutcome {
     match a.status {
-        202 if read => Cause::Read,
-        410 if a.rejected && !read => Cause::NoState,
-        503 | 504 if a.rejected => Cause::TurnedAway,
-        200..=299 => Cause::Garbled,
-        status => Cause::Failed(status),
+        202 if read => AttemptOutcome::Prefilled,
+        410 if a.rejected && !read => AttemptOutcome::ReservationNotFound,
+        503 | 504 if a.rejected => AttemptOutcome::Rejected,
+        200..=299 => AttemptOutcome::Malformed,
+        status => AttemptOutcome::ErrorStatus(status),
     }
 }
 
--- a/crates/nickelgw-platform/src/core/request.rs
+++ b/crates/nickelgw-platform/src/core/request.rs
@@ -1,7 +1,7 @@
 //! A client's request: what its head asks for, and what is refused at the door.
 
 use super::{closes, framing, head_length, names, Framing, Spoilt, MOST_HEADERS};
-use nickelgw_node::core::Ask;
+use nickelgw_node::core::AdmittedRequest;
 
 pub const CHAT: &str = "/v1/chat/completions";
 pub const READY: &str = "/healthz";
@@ -126,7 +126,7 @@
     }
 
     /// What is asked for, by a body of this length.
-    pub fn ask(&self, names: &Names, body: &[u8]) -> Result<Ask, Unusable> {
+    pub fn ask(&self, names: &Names, body: &[u8]) -> Result<AdmittedRequest, Unusable> {
         let id = self.id.as_deref().ok_or("a request without an id")?;
         let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
         if id.is_empty() || id.len() > LONGEST_ID || !id.bytes().all(plain) {
@@ -143,17 +143,17 @@
         let budget = self.budget.as_deref().ok_or("a request without a budget")?;
         let whole = budget.len() <= 9 && !budget.is_empty() && budget.bytes().all(|b| b.is_ascii_digit());
         let budget: f64 = budget.parse().ok().filter(|_| whole).ok_or("a budget that is no number")?;
-        let mut ask = Ask {
+        let mut ask = AdmittedRequest {
             name: Some(id.to_string()),
             route,
             tenant,
             timeout_s: budget / 1e3,
-            whole_within_s: None,
+            unary_timeout_s: None,
             prompt_tokens: 0.0,
             prefix_tokens: 0.0,
             session: self.session.clone().unwrap_or_default(),
             prefix: None,
-            spare: false,
+            is_background: false,
         };
         let most = body.len() as f64;
         let tokens = |v: &str| {
--- a/crates/nickelgw-platform/src/core/tests.rs
+++ b/crates/nickelgw-platform/src/core/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 use bytes::{Bytes, BytesMut};
 use nickelgw::interface::EngineRole;
-use nickelgw_node::core::Cause;
+use nickelgw_node::core::AttemptOutcome;
 use nickelgw_protocol::load::UNREAD;
 use proptest::prelude::*;
 use test_case::test_case;
@@ -19,7 +19,7 @@
     Names { routes: vec!["doc".into(), "chat".into()], tenants: vec!["acme".into()] }
 }
 
-fn asked(text: &str) -> Result<nickelgw_node::core::Ask, String> {
+fn asked(text: &str) -> Result<nickelgw_node::core::AdmittedRequest, String> {
     let (h, _) = head(text.as_bytes()).map_err(|e| e.to_string())?.ok_or("not whole")?;
     h.ask(&names(), br#"{"model":"chat","x":"0123456789"}"#).map_err(str::to_string)
 }
@@ -185,14 +185,14 @@
     );
 }
 
-#[test_case("202 Accepted", true, Cause::Read; "read")]
-#[test_case("202 Accepted", false, Cause::Garbled; "a writer that says read")]
-#[test_case("410 Gone\r\nX-Rejected: 1", false, Cause::NoState; "no state")]
-#[test_case("503 Full\r\nX-Rejected: 1", true, Cause::TurnedAway; "turned away")]
-#[test_case("504 Late\r\nX-Rejected: 1", false, Cause::TurnedAway; "too late")]
-#[test_case("503 Full", false, Cause::Failed(503); "a bare 503 proves nothing")]
-#[test_case("500 Error", true, Cause::Failed(500); "error")]
-fn answers_mean(head: &str, read: bool, wanted: Cause) {
+#[test_case("202 Accepted", true, AttemptOutcome::Prefilled; "read")]
+#[test_case("202 Accepted", false, AttemptOutcome::Malformed; "a writer that says read")]
+#[test_case("410 Gone\r\nX-Rejected: 1", false, AttemptOutcome::ReservationNotFound; "no state")]
+#[test_case("503 Full\r\nX-Rejected: 1", true, AttemptOutcome::Rejected; "turned away")]
+#[test_case("504 Late\r\nX-Rejected: 1", false, AttemptOutcome::Rejected; "too late")]
+#[test_case("503 Full", false, AttemptOutcome::ErrorStatus(503); "a bare 503 proves nothing")]
+#[test_case("500 Error", true, AttemptOutcome::ErrorStatus(500); "error")]
+fn answers_mean(head: &str, read: bool, wanted: AttemptOutcome) {
     let (a, _) = answer(format!("HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n").as_bytes()).unwrap().unwrap();
     assert_eq!(cause(&a, read), wanted);
 }
--- a/crates/nickelgw-platform/src/counters.rs
+++ b/crates/nickelgw-platform/src/counters.rs
@@ -11,14 +11,14 @@
 /// Writes one line with all counters: requests by how they ended, KV reservations by what became of them.
 pub fn write(node: &Node) {
     let core = node.core.borrow();
-    let (requests, reservations) = (core.tally, core.ledger.account);
+    let (requests, reservations) = (core.counters, core.ledger.counters);
     tracing::info!(
         at = node.now(),
         ?requests,
         ?reservations,
         open = core.open(),
         reserved = core.ledger.len(),
-        unclaimed_longest_s = core.ledger.waited(1.0),
+        unclaimed_longest_s = core.ledger.unclaimed_quantile_s(1.0),
         transitions_not_logged = core.ledger.unlogged,
         violations = ?core.guard.counts(),
         "counters"
@@ -32,7 +32,7 @@
         Timer::after(seconds(EVERY_S)).await;
         let now = {
             let core = node.core.borrow();
-            (core.tally, core.ledger.account)
+            (core.counters, core.ledger.counters)
         };
         if last.replace(now) != Some(now) {
             write(&node);
--- a/crates/nickelgw-platform/src/discovery.rs
+++ b/crates/nickelgw-platform/src/discovery.rs
@@ -6,7 +6,7 @@
 use crate::node::Node;
 use crate::wire::{Pool, Use, Within};
 use async_channel::Receiver;
-use nickelgw_node::core::Cause;
+use nickelgw_node::core::AttemptOutcome;
 use nickelgw_node::{seconds, within};
 use smol::Timer;
 use std::cell::RefCell;
@@ -54,7 +54,9 @@
                 (after, failures) = (None, 0);
                 continue;
             }
-            Some(Err(Cause::Garbled)) => Err(unusable(&node, "an answer that cannot be read".into())),
+            Some(Err(AttemptOutcome::Malformed)) => {
+                Err(unusable(&node, "an answer that cannot be read".into()))
+            }
             Some(Err(cause)) => Err(format!("{cause:?}")),
             Some(Ok((answer, body))) if answer.status == 200 => {
                 News::parse(&body).map_err(|why| unusable(&node, why))
--- a/crates/nickelgw-platform/src/lib.rs
+++ b/crates/nickelgw-platform/src/lib.rs
@@ -15,7 +15,7 @@
 use crate::core::request::Names;
 use crate::core::told::Times;
 use clients::Clients;
-use nickelgw_node::core::{Core, Figures};
+use nickelgw_node::core::{CoreConfig, NodeCore};
 use nickelgw_node::seconds;
 use node::Node;
 pub use orders::{orders, Ordered, Orders};
@@ -65,22 +65,22 @@
     let listener = Async::new(listener)?;
     let ex = Rc::new(LocalExecutor::new());
     let names = Names { routes: start.told.routes, tenants: start.told.tenants };
-    let figures = Figures {
-        boot: String::new(),
-        epoch_unix_s: unix,
+    let figures = CoreConfig {
+        incarnation: String::new(),
+        started_at_unix_s: unix,
         zones: start.told.zones,
-        most_open: start.most_open,
-        stream_idle_s: STREAM_IDLE_S,
-        let_go_within_s: LET_GO_S,
+        max_open_requests: start.most_open,
+        stream_idle_timeout_s: STREAM_IDLE_S,
+        release_timeout_s: LET_GO_S,
         // What an earlier process left is freed by the platform.
-        sweep_s: (-1.0, -1.0),
-        come_back_s: COME_BACK_S,
+        orphan_cleanup_window_s: (-1.0, -1.0),
+        retry_after_s: COME_BACK_S,
         grants: None,
-        fair: None,
-        tenant_most_open: Vec::new(),
+        fair_share: None,
+        tenant_max_open: Vec::new(),
     };
     tracing::debug!(deployment = ?start.told.deployment, "begins");
-    let core = Core::new(start.told.deployment, figures);
+    let core = NodeCore::new(start.told.deployment, figures);
     let shared = start.sockets.saturating_sub(OWN + discovery::CONNECTIONS);
     let for_clients = (FOR_CLIENTS * shared as f64) as usize;
     let for_engines = shared - for_clients;
@@ -140,7 +140,7 @@
         clients.part();
         Timer::after(seconds(STILL_COMING_S)).await;
         stop_accepting.close();
-        node.core.borrow_mut().refuse_work();
+        node.core.borrow_mut().stop_accepting();
         let mut ended = false;
         loop {
             clients.close_unused();
