--- a/crates/nickelgw-platform/src/node.rs
+++ b/crates/nickelgw-platform/src/node.rs
@@ -9,7 +9,10 @@
 use crate::wire::{Closer, Pool, Use, Within};
 use async_channel::{Receiver, Sender};
 use bytes::Bytes;
-use nickelgw_node::core::{Answer, Ask, Cause, Core, Do, End, Order, Place, Refusal, Ticket, Work};
+use nickelgw_node::core::{
+    AdmittedRequest, AttemptKind, AttemptOutcome, AttemptRequest, AttemptResult, Command, Endpoint,
+    FinalAnswer, NodeCore, RejectReason, RequestId,
+};
 use nickelgw_node::{seconds, within};
 use nickelgw_protocol::load::LoadReport;
 use smol::{LocalExecutor, Task, Timer};
@@ -52,7 +55,7 @@
 type Out = (Task<()>, Rc<Progress>);
 
 pub struct Node {
-    pub core: RefCell<Core>,
+    pub core: RefCell<NodeCore>,
     pub roll: RefCell<Roll>,
     seldom: RefCell<Seldom>,
     pub ex: Rc<LocalExecutor<'static>>,
@@ -61,9 +64,9 @@
     /// For a probe, or a call that lets go, to be answered.
     pub short_s: f64,
     pub probe: &'static str,
-    jobs: RefCell<HashMap<Ticket, Job>>,
+    jobs: RefCell<HashMap<RequestId, Job>>,
     /// Sends out; dropped, a send is called off.
-    sends: RefCell<HashMap<(Ticket, u32), Out>>,
+    sends: RefCell<HashMap<(RequestId, u32), Out>>,
     /// Ids of the requests open.
     ids: RefCell<HashSet<String>>,
     poke: Sender<()>,
@@ -74,7 +77,7 @@
 pub struct Taken {
     node: Rc<Node>,
     id: String,
-    ticket: Ticket,
+    ticket: RequestId,
     pub over: bool,
 }
 
@@ -84,7 +87,7 @@
         if !self.over {
             tracing::debug!(at = self.node.now(), request = %self.id, "its client has gone, or its stream broke");
             self.node.jobs.borrow_mut().remove(&self.ticket);
-            self.node.core.borrow_mut().left(self.node.now(), self.ticket);
+            self.node.core.borrow_mut().client_disconnected(self.node.now(), self.ticket);
             self.node.look();
         }
     }
@@ -92,7 +95,7 @@
 
 impl Node {
     pub fn new(
-        core: Core,
+        core: NodeCore,
         roll: Roll,
         ex: Rc<LocalExecutor<'static>>,
         pool: Rc<Pool>,
@@ -140,7 +143,7 @@
         }
         self.roll.borrow_mut().hear(news);
         let list = self.roll.borrow().list();
-        self.core.borrow_mut().list(self.now(), &list);
+        self.core.borrow_mut().update_endpoints(self.now(), &list);
         self.look();
     }
 
@@ -151,14 +154,14 @@
 
     pub fn take(
         self: &Rc<Self>,
-        ask: &Ask,
+        ask: &AdmittedRequest,
         passed: Passed,
         client: &Rc<Socket>,
-    ) -> Result<(Taken, Receiver<Reply>), Refusal> {
-        let ticket = self.core.borrow_mut().take(self.now(), ask)?;
+    ) -> Result<(Taken, Receiver<Reply>), RejectReason> {
+        let ticket = self.core.borrow_mut().accept_request(self.now(), ask)?;
         let (reply, replied) = async_channel::bounded(1);
         let id = passed.id.clone();
-        tracing::debug!(at = self.now(), request = %id, route = ask.route, due_s = ask.timeout_s, target_s = self.core.borrow().target_s(ask), prompt = ask.prompt_tokens, body = passed.body.len(), "taken");
+        tracing::debug!(at = self.now(), request = %id, route = ask.route, due_s = ask.timeout_s, target_s = self.core.borrow().ttft_objective_s(ask), prompt = ask.prompt_tokens, body = passed.body.len(), "taken");
         self.ids.borrow_mut().insert(id.clone());
         self.jobs.borrow_mut().insert(ticket, Job { passed: Rc::new(passed), reply, client: client.clone() });
         self.look();
@@ -187,7 +190,7 @@
     fn act(self: &Rc<Self>) -> Option<f64> {
         let now = self.now();
         loop {
-            let actions = self.core.borrow_mut().act(now);
+            let actions = self.core.borrow_mut().poll_commands(now);
             let mut again = false;
             for (ticket, reason) in &actions.reasons {
                 if let Some(job) = self.jobs.borrow().get(ticket) {
@@ -206,34 +209,43 @@
             for t in &actions.transitions {
                 tracing::debug!(at = now, request = %t.name, prefill = t.id.prefill, from = ?t.from, to = ?t.to, after_s = t.after_s, "reservation");
             }
-            for d in actions.todo {
+            for d in actions.commands {
                 match d {
-                    Do::Send(order) => again |= !self.send(now, order),
-                    Do::CallOff { ticket, send } => {
+                    Command::StartAttempt(order) => again |= !self.send(now, order),
+                    Command::CancelAttempt { request: ticket, attempt: send } => {
                         let Some((task, progress)) = self.sends.borrow_mut().remove(&(ticket, send)) else {
                             continue;
                         };
                         // The executor lets go of a task some time later; what follows may be out before that.
                         progress.on.take().inspect(Closer::close);
                         drop(task);
-                        let cause = if progress.out.get() { Cause::CalledOff } else { Cause::NoConnection };
+                        let cause = if progress.out.get() {
+                            AttemptOutcome::Cancelled
+                        } else {
+                            AttemptOutcome::ConnectFailed
+                        };
                         tracing::debug!(at = now, ticket = ticket.serial, send, ?cause, "attempt cancelled");
-                        self.core.borrow_mut().ended(now, ticket, send, End { cause, ..End::default() });
+                        self.core.borrow_mut().attempt_ended(
+                            now,
+                            ticket,
+                            send,
+                            AttemptResult { outcome: cause, ..AttemptResult::default() },
+                        );
                         again = true;
                     }
-                    Do::Answer { ticket, answer } => self.answer(ticket, answer),
-                    Do::Release { call, state, at } => {
+                    Command::Answer { ticket, answer } => self.answer(ticket, answer),
+                    Command::Release { reservation_id: call, reservation: state, endpoints: at } => {
                         let node = self.clone();
                         let task = async move {
                             let done = node.clone().release(&state.name, &at).await;
-                            node.core.borrow_mut().let_go(node.now(), call, done);
+                            node.core.borrow_mut().release_finished(node.now(), call, done);
                             node.look();
                         };
                         self.ex.spawn(task).detach();
                     }
-                    Do::Probe(place) => self.ex.spawn(self.clone().probe(place)).detach(),
+                    Command::Probe(place) => self.ex.spawn(self.clone().probe(place)).detach(),
                     // What earlier processes left here is freed by the platform, and the list comes unasked.
-                    Do::Sweep(_) | Do::AskList => {}
+                    Command::ReleaseOrphans(_) | Command::PollEndpoints => {}
                 }
             }
             if !again {
@@ -242,27 +254,27 @@
         }
     }
 
-    fn answer(&self, ticket: Ticket, answer: Answer) {
+    fn answer(&self, ticket: RequestId, answer: FinalAnswer) {
         // Begun streams were ended where their end was heard.
         let Some(job) = self.jobs.borrow_mut().remove(&ticket) else { return };
         tracing::debug!(at = self.now(), request = %job.passed.id, ?answer, "answered");
         let reply = match answer {
-            Answer::Shed { come_back_s } => Reply::Shed(come_back_s),
-            Answer::Errored(_) | Answer::Completed => Reply::Errored,
+            FinalAnswer::Rejected { retry_after_s: come_back_s } => Reply::Shed(come_back_s),
+            FinalAnswer::Failed(_) | FinalAnswer::Completed => Reply::Errored,
         };
         let _ = job.reply.try_send(reply);
     }
 
     /// Begins a send. False: there is no client for it any more.
-    fn send(self: &Rc<Self>, now: f64, order: Order) -> bool {
-        let (ticket, send) = (order.ticket, order.send);
+    fn send(self: &Rc<Self>, now: f64, order: AttemptRequest) -> bool {
+        let (ticket, send) = (order.request, order.attempt);
         let Some((passed, client)) = self.client(ticket) else {
-            self.core.borrow_mut().ended(now, ticket, send, End::default());
+            self.core.borrow_mut().attempt_ended(now, ticket, send, AttemptResult::default());
             return false;
         };
-        let read = matches!(order.what, Work::Read);
-        let g = &order.grounds;
-        tracing::debug!(at = now, request = %passed.id, send, engine = %order.eng.id, read, there = g.requests_ahead, expected_s = g.expected_s, age_s = g.engine_age_s, silent_s = g.unreachable_s, "sent");
+        let read = matches!(order.kind, AttemptKind::Prefill);
+        let g = &order.rationale;
+        tracing::debug!(at = now, request = %passed.id, send, engine = %order.engine.id, read, there = g.requests_ahead, expected_s = g.expected_s, age_s = g.engine_age_s, silent_s = g.unreachable_s, "sent");
         let progress = Rc::new(Progress::default());
         let (node, made) = (self.clone(), progress.clone());
         let task = self.ex.spawn(async move {
@@ -271,15 +283,15 @@
             if let Some((task, _)) = node.sends.borrow_mut().remove(&(ticket, send)) {
                 task.detach();
             }
-            if end.cause == Cause::Read {
-                tracing::debug!(at = node.now(), request = %passed.id, engine = %order.eng.id, kept = end.kept, "read");
-            } else if end.cause != Cause::Completed {
-                tracing::debug!(at = node.now(), request = %passed.id, send, engine = %order.eng.id, cause = ?end.cause, "send ended");
+            if end.outcome == AttemptOutcome::Prefilled {
+                tracing::debug!(at = node.now(), request = %passed.id, engine = %order.engine.id, kept = end.cached_tokens, "read");
+            } else if end.outcome != AttemptOutcome::Completed {
+                tracing::debug!(at = node.now(), request = %passed.id, send, engine = %order.engine.id, cause = ?end.outcome, "send ended");
             }
-            if end.cause == Cause::Garbled {
-                node.unusable("engine", &order.eng.id);
+            if end.outcome == AttemptOutcome::Malformed {
+                node.unusable("engine", &order.engine.id);
             }
-            node.core.borrow_mut().ended(node.now(), ticket, send, end);
+            node.core.borrow_mut().attempt_ended(node.now(), ticket, send, end);
             node.look();
         });
         self.sends.borrow_mut().insert((ticket, send), (task, progress));
@@ -287,21 +299,27 @@
     }
 
     /// The client's side of a request that is still wanted.
-    fn client(&self, ticket: Ticket) -> Option<(Rc<Passed>, Rc<Socket>)> {
+    fn client(&self, ticket: RequestId) -> Option<(Rc<Passed>, Rc<Socket>)> {
         let (passed, client) =
             self.jobs.borrow().get(&ticket).map(|j| (j.passed.clone(), j.client.clone()))?;
         // Its connection tells before its own task does, which may be late under load.
         client.off().is_none().then_some((passed, client))
     }
 
-    async fn exchange(&self, order: &Order, passed: &Passed, client: &Socket, progress: &Progress) -> End {
+    async fn exchange(
+        &self,
+        order: &AttemptRequest,
+        passed: &Passed,
+        client: &Socket,
+        progress: &Progress,
+    ) -> AttemptResult {
         // From the order on, not from each step.
-        let patience_s = order.patience_s;
-        match order.what {
-            Work::Read => within(patience_s, self.read(order, passed, client, progress))
+        let patience_s = order.timeout_s;
+        match order.kind {
+            AttemptKind::Prefill => within(patience_s, self.read(order, passed, client, progress))
                 .await
                 .unwrap_or_else(|| overdue(progress)),
-            Work::Write { idle_s, .. } => {
+            AttemptKind::Decode { idle_timeout_s: idle_s, .. } => {
                 match within(patience_s, self.begin(order, passed, client, progress)).await {
                     None => overdue(progress),
                     Some(Err(end)) => end,
@@ -311,10 +329,18 @@
         }
     }
 
-    async fn read(&self, order: &Order, passed: &Passed, client: &Socket, progress: &Progress) -> End {
+    async fn read(
+        &self,
+        order: &AttemptRequest,
+        passed: &Passed,
+        client: &Socket,
+        progress: &Progress,
+    ) -> AttemptResult {
         match self.ask(order, passed, client, progress).await {
             Err(end) => end,
-            Ok((_, answer)) if answer.events => End { cause: Cause::Garbled, ..End::default() },
+            Ok((_, answer)) if answer.events => {
+                AttemptResult { outcome: AttemptOutcome::Malformed, ..AttemptResult::default() }
+            }
             Ok((c, answer)) => self.rest(c, answer, true).await,
         }
     }
@@ -322,40 +348,45 @@
     /// The request is written and the head of its answer is there.
     async fn ask(
         &self,
-        order: &Order,
+        order: &AttemptRequest,
         passed: &Passed,
         client: &Socket,
         progress: &Progress,
-    ) -> Result<(crate::wire::Connection, engine::Answer), End> {
+    ) -> Result<(crate::wire::Connection, engine::Answer), AttemptResult> {
         let began = self.now();
         let ask = async {
-            let what = if order.once { Use::Once } else { Use::Send };
-            let mut c = self.pool.connection(&order.eng.address, what).await?;
+            let what = if order.runs_once { Use::Once } else { Use::Send };
+            let mut c = self.pool.connection(&order.engine.address, what).await?;
             // The connection may have come up late: the attempt begins only now.
             if client.off().is_some() {
                 self.pool.give_back(c);
-                return Err(Cause::NotSent);
+                return Err(AttemptOutcome::NotDelivered);
             }
             // Nor does anything new begin at an engine that was told to drain meanwhile: as if it had said so itself.
-            if !self.roll.borrow().is_in(&order.eng.id) {
-                return Err(Cause::TurnedAway);
+            if !self.roll.borrow().is_in(&order.engine.id) {
+                return Err(AttemptOutcome::Rejected);
             }
             progress.on.replace(Some(c.closer()));
             // The connection may have taken a while: the engine is told what is left by now.
-            let left_s = order.patience_s - (self.now() - began);
-            c.write(&passed.bytes(&order.eng.address, left_s), &progress.out).await?;
-            tracing::debug!(at = self.now(), request = %passed.id, send = order.send, idle_s = c.stood_s(), "attempt written");
+            let left_s = order.timeout_s - (self.now() - began);
+            c.write(&passed.bytes(&order.engine.address, left_s), &progress.out).await?;
+            tracing::debug!(at = self.now(), request = %passed.id, send = order.attempt, idle_s = c.stood_s(), "attempt written");
             let answer = c.answer().await;
-            if answer.is_ok() || answer == Err(Cause::Lost) {
+            if answer.is_ok() || answer == Err(AttemptOutcome::ConnectionLost) {
                 self.pool.told(&c, answer.is_ok());
             }
             Ok((c, answer?))
         };
-        ask.await.map_err(|cause| End { cause, ..End::default() })
+        ask.await.map_err(|cause| AttemptResult { outcome: cause, ..AttemptResult::default() })
     }
 
     /// An answer that is no stream, to its end.
-    async fn rest(&self, mut c: crate::wire::Connection, answer: engine::Answer, read: bool) -> End {
+    async fn rest(
+        &self,
+        mut c: crate::wire::Connection,
+        answer: engine::Answer,
+        read: bool,
+    ) -> AttemptResult {
         let cause = engine::cause(&answer, read);
         // Its status has settled it: a body that breaks off changes nothing but the connection.
         let kept = match c.body(&answer, MOST_BODY).await {
@@ -367,26 +398,26 @@
             }
             Err(_) => 0.0,
         };
-        End { cause, load: answer.report, kept }
+        AttemptResult { outcome: cause, load: answer.report, cached_tokens: kept }
     }
 
     /// Up to the first event of the stream, which is whole before anything of it is passed on.
     async fn begin(
         &self,
-        order: &Order,
+        order: &AttemptRequest,
         passed: &Passed,
         client: &Socket,
         progress: &Progress,
-    ) -> Result<Stream, End> {
+    ) -> Result<Stream, AttemptResult> {
         let (mut c, answer) = self.ask(order, passed, client, progress).await?;
         if answer.status != 200 {
             return Err(self.rest(c, answer, false).await);
         }
-        let garbled = || End { cause: Cause::Garbled, ..End::default() };
+        let garbled = || AttemptResult { outcome: AttemptOutcome::Malformed, ..AttemptResult::default() };
         if !answer.events || answer.framing != Framing::Chunked {
             return Err(garbled());
         }
-        let failed = |cause| End { cause, ..End::default() };
+        let failed = |cause| AttemptResult { outcome: cause, ..AttemptResult::default() };
         let mut events = Events::default();
         let Piece::Data(first) = c.piece(&mut events).await.map_err(failed)? else { return Err(garbled()) };
         let mut stream = Stream { c, events, first, next: None, again: !answer.close, report: answer.report };
@@ -401,16 +432,16 @@
     }
 
     /// Passes a begun stream on as it comes, and says how it ended.
-    async fn pass_on(&self, order: &Order, mut s: Stream, idle_s: f64) -> End {
-        let ended = |cause, load| End { cause, load, kept: 0.0 };
-        if !self.core.borrow_mut().began(self.now(), order.ticket, order.send) {
-            return ended(Cause::CalledOff, None);
+    async fn pass_on(&self, order: &AttemptRequest, mut s: Stream, idle_s: f64) -> AttemptResult {
+        let ended = |cause, load| AttemptResult { outcome: cause, load, cached_tokens: 0.0 };
+        if !self.core.borrow_mut().response_started(self.now(), order.request, order.attempt) {
+            return ended(AttemptOutcome::Cancelled, None);
         }
         self.look();
         tracing::debug!(at = self.now(), request = %order.name, "begun");
         // The answer is this stream from now on.
-        let Some(job) = self.jobs.borrow_mut().remove(&order.ticket) else {
-            return ended(Cause::CalledOff, None);
+        let Some(job) = self.jobs.borrow_mut().remove(&order.request) else {
+            return ended(AttemptOutcome::Cancelled, None);
         };
         let (to, from) = async_channel::bounded(AHEAD);
         let _ = job.reply.try_send(Reply::Stream(from));
@@ -424,14 +455,14 @@
                     }
                     let last = piece == Piece::Last;
                     if to.send(piece).await.is_err() {
-                        return ended(Cause::CalledOff, None);
+                        return ended(AttemptOutcome::Cancelled, None);
                     }
                     if last {
                         tracing::debug!(at = self.now(), request = %order.name, "whole");
                         if s.again {
                             self.pool.give_back(s.c);
                         }
-                        return ended(Cause::Completed, load);
+                        return ended(AttemptOutcome::Completed, load);
                     }
                 }
                 Err(cause) => return ended(cause, None),
@@ -440,13 +471,13 @@
                 Some(piece) => Ok(piece),
                 None => {
                     let piece = s.c.piece(&mut s.events);
-                    within(idle_s, piece).await.unwrap_or(Err(Cause::NoAnswer))
+                    within(idle_s, piece).await.unwrap_or(Err(AttemptOutcome::TimedOut))
                 }
             };
         }
     }
 
-    async fn probe(self: Rc<Self>, place: Rc<Place>) {
+    async fn probe(self: Rc<Self>, place: Rc<Endpoint>) {
         let (cause, load) = match self
             .pool
             .short(Use::Short, Within::whole(self.short_s), "GET", self.probe, &place.address, MOST_BODY)
@@ -456,23 +487,23 @@
             Ok((answer, body)) => {
                 let told = std::str::from_utf8(&body).ok().and_then(|b| engine::report(b.trim()));
                 let cause = match answer.status {
-                    200 => Cause::Completed,
+                    200 => AttemptOutcome::Completed,
                     // It answers, and has no room now.
-                    503 => Cause::TurnedAway,
-                    status => Cause::Failed(status),
+                    503 => AttemptOutcome::Rejected,
+                    status => AttemptOutcome::ErrorStatus(status),
                 };
                 (cause, answer.report.or(told))
             }
         };
-        self.core.borrow_mut().probed(self.now(), &place.id, cause, load);
+        self.core.borrow_mut().probe_finished(self.now(), &place.id, cause, load);
         self.look();
     }
 
     /// Releases all that is reserved for the request, at whichever of these engines confirms it first. They are called one after the other
     /// without waiting for the ones before: an open connection may be silent.
-    async fn release(self: Rc<Self>, id: &str, at: &[Rc<Place>]) -> bool {
+    async fn release(self: Rc<Self>, id: &str, at: &[Rc<Endpoint>]) -> bool {
         let (confirm, confirmed) = async_channel::bounded(at.len().max(1));
-        let call = |(n, place): (usize, &Rc<Place>)| {
+        let call = |(n, place): (usize, &Rc<Endpoint>)| {
             let (node, id, place, confirm) = (self.clone(), id.to_string(), place.clone(), confirm.clone());
             self.ex.spawn(async move {
                 Timer::after(seconds(n as f64 * RELEASE_GAP_S)).await;
@@ -492,7 +523,7 @@
     }
 
     /// One release call; `fresh`: on a new connection, which proves that its way is open.
-    async fn release_call(&self, id: &str, place: &Place, fresh: bool) -> bool {
+    async fn release_call(&self, id: &str, place: &Endpoint, fresh: bool) -> bool {
         let target = format!("{}{id}", names::HELD);
         let (began, within) = (self.now(), Within::whole(self.short_s));
         let what = if fresh { Use::Fresh } else { Use::Short };
@@ -504,13 +535,13 @@
 
     /// What has not begun is given up; streams go on.
     pub fn end_waiting(&self) {
-        self.core.borrow_mut().end_waiting(self.now());
+        self.core.borrow_mut().fail_unstarted(self.now());
         self.look();
     }
 
     /// The process is about to end.
     pub fn exits(&self) {
-        self.core.borrow_mut().exits();
+        self.core.borrow_mut().process_exiting();
     }
 
     /// Requests open.
@@ -524,9 +555,9 @@
     }
 }
 
-fn overdue(progress: &Progress) -> End {
-    let cause = if progress.out.get() { Cause::NoAnswer } else { Cause::NoConnection };
-    End { cause, ..End::default() }
+fn overdue(progress: &Progress) -> AttemptResult {
+    let cause = if progress.out.get() { AttemptOutcome::TimedOut } else { AttemptOutcome::ConnectFailed };
+    AttemptResult { outcome: cause, ..AttemptResult::default() }
 }
 
 /// A stream that has begun.
--- a/crates/nickelgw-platform/src/wire.rs
+++ b/crates/nickelgw-platform/src/wire.rs
@@ -7,7 +7,7 @@
 use crate::core::{Framing, Spoilt};
 use bytes::{Buf, Bytes, BytesMut};
 use futures_lite::AsyncWriteExt;
-use nickelgw_node::core::Cause;
+use nickelgw_node::core::AttemptOutcome;
 use nickelgw_node::{seconds, within};
 use smol::{Async, Timer};
 use std::cell::{Cell, RefCell};
@@ -69,11 +69,11 @@
     }
 }
 
-impl From<Broken> for Cause {
-    fn from(b: Broken) -> Cause {
+impl From<Broken> for AttemptOutcome {
+    fn from(b: Broken) -> AttemptOutcome {
         match b {
-            Broken::Ended => Cause::Lost,
-            Broken::Spoilt(_) => Cause::Garbled,
+            Broken::Ended => AttemptOutcome::ConnectionLost,
+            Broken::Spoilt(_) => AttemptOutcome::Malformed,
         }
     }
 }
@@ -194,15 +194,15 @@
     }
 
     /// Writes a request. Until its last byte is handed over it is known not to have run.
-    pub async fn write(&mut self, bytes: &[u8], out: &Cell<bool>) -> Result<(), Cause> {
+    pub async fn write(&mut self, bytes: &[u8], out: &Cell<bool>) -> Result<(), AttemptOutcome> {
         // An error tells that not all of it was taken over.
-        write_all(&self.stream, bytes).await.map_err(|_| Cause::NoConnection)?;
+        write_all(&self.stream, bytes).await.map_err(|_| AttemptOutcome::ConnectFailed)?;
         out.set(true);
         Ok(())
     }
 
     /// The head of the answer that counts: interim ones before it are passed over.
-    pub async fn answer(&mut self) -> Result<Answer, Cause> {
+    pub async fn answer(&mut self) -> Result<Answer, AttemptOutcome> {
         for _ in 0..MOST_INTERIM {
             let head = |b: &mut BytesMut| {
                 Ok(engine::answer(b)?.map(|(answer, n)| {
@@ -215,16 +215,16 @@
                 return Ok(answer);
             }
         }
-        Err(Cause::Garbled)
+        Err(AttemptOutcome::Malformed)
     }
 
     /// What comes next of a stream of events. Dropped while it waits it has lost nothing.
-    pub async fn piece(&mut self, events: &mut Events) -> Result<Piece, Cause> {
+    pub async fn piece(&mut self, events: &mut Events) -> Result<Piece, AttemptOutcome> {
         Ok(next(&self.stream, &mut self.buf, |b| events.next(b)).await?)
     }
 
     /// A whole body, and whether the connection can carry a further request.
-    pub async fn body(&mut self, answer: &Answer, most: usize) -> Result<(Bytes, bool), Cause> {
+    pub async fn body(&mut self, answer: &Answer, most: usize) -> Result<(Bytes, bool), AttemptOutcome> {
         if answer.status == 204 || answer.status == 304 {
             return Ok((Bytes::new(), !answer.close));
         }
@@ -274,7 +274,7 @@
     }
 
     /// A connection that stands, or a new one.
-    pub async fn connection(&self, address: &str, what: Use) -> Result<Connection, Cause> {
+    pub async fn connection(&self, address: &str, what: Use) -> Result<Connection, AttemptOutcome> {
         let idle_s = match what {
             Use::Once => self.idle_s.min(YOUNG * self.kept_s.borrow().get(address).unwrap_or(&f64::INFINITY)),
             Use::Send | Use::Short | Use::Fresh => self.idle_s,
@@ -292,13 +292,13 @@
         if self.open.get() >= most {
             self.close_idle(|_| true);
         }
-        let to: SocketAddr = address.parse().map_err(|_| Cause::NoConnection)?;
+        let to: SocketAddr = address.parse().map_err(|_| AttemptOutcome::ConnectFailed)?;
         if self.open.get() >= most {
-            return Err(Cause::NoConnection);
+            return Err(AttemptOutcome::ConnectFailed);
         }
         let descriptor = Descriptor::new(&self.open);
         let made = within(self.connect_s, Async::<TcpStream>::connect(to)).await;
-        let stream = made.and_then(Result::ok).ok_or(Cause::NoConnection)?;
+        let stream = made.and_then(Result::ok).ok_or(AttemptOutcome::ConnectFailed)?;
         let _ = stream.get_ref().set_nodelay(true);
         let address = address.to_string();
         Ok(Connection {
@@ -403,7 +403,7 @@
         target: &str,
         address: &str,
         most: usize,
-    ) -> Result<(Answer, Bytes), Cause> {
+    ) -> Result<(Answer, Bytes), AttemptOutcome> {
         let call = async {
             let head = async {
                 let mut c = self.connection(address, what).await?;
@@ -411,13 +411,14 @@
                 let answer = c.answer().await?;
                 Ok((c, answer))
             };
-            let (mut c, answer) = within(within_s.head, head).await.unwrap_or(Err(Cause::NoAnswer))?;
+            let (mut c, answer) =
+                within(within_s.head, head).await.unwrap_or(Err(AttemptOutcome::TimedOut))?;
             let (body, again) = c.body(&answer, most).await?;
             if again {
                 self.give_back(c);
             }
             Ok((answer, body))
         };
-        within(within_s.whole, call).await.unwrap_or(Err(Cause::NoAnswer))
+        within(within_s.whole, call).await.unwrap_or(Err(AttemptOutcome::TimedOut))
     }
 }
