--- a/crates/nickelgw-cli/src/bench.rs
+++ b/crates/nickelgw-cli/src/bench.rs
@@ -13,7 +13,7 @@
 use nickelgw_protocol::list::{self, Line, List, State};
 use nickelgw_protocol::sse::{Event, Events};
 use nickelgw_protocol::{REQUEST_ID, SEND_ID};
-use nickelgw_standin::model::Figures;
+use nickelgw_test_servers::model::Figures;
 use nickelgw_tls::core::pool::Figures as PoolFigures;
 use serde_json::{json, Value};
 use smol::process::Child;
--- a/crates/nickelgw-cli/src/bench_fleet.rs
+++ b/crates/nickelgw-cli/src/bench_fleet.rs
@@ -6,8 +6,8 @@
 use hdrhistogram::Histogram;
 use nickelgw_protocol::list::{self, Line, State};
 use nickelgw_registry::core::view::{Event, Figures, View};
-use nickelgw_standin::model::{Figures as EngineFigures, Role};
-use nickelgw_standin::{client, Record};
+use nickelgw_test_servers::model::{Figures as EngineFigures, Role};
+use nickelgw_test_servers::{client, Record};
 use serde_json::json;
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
@@ -86,7 +86,7 @@
         out_tokens: 4,
         ..EngineFigures::default()
     };
-    thread::spawn(move || smol::block_on(nickelgw_standin::engine::run(l, f, Record::default(), 1)));
+    thread::spawn(move || smol::block_on(nickelgw_test_servers::engine::run(l, f, Record::default(), 1)));
     Ok(made)
 }
 
@@ -103,7 +103,7 @@
     ] {
         let l = TcpListener::bind("127.0.0.1:0")?;
         let registry = l.local_addr()?.to_string();
-        thread::spawn(move || smol::block_on(nickelgw_standin::registry::run(l, Record::default())));
+        thread::spawn(move || smol::block_on(nickelgw_test_servers::registry::run(l, Record::default())));
         let put = |l: &Line| {
             order(&registry, json!({"order": "put", "key": format!("{PREFIX}{}", l.id), "value": l}));
         };
@@ -132,7 +132,7 @@
                             max_tokens: Some(4),
                             timeout_s: 4.0,
                             target_s: 1.0,
-                            intended: nickelgw_standin::record::unix_now(),
+                            intended: nickelgw_test_servers::record::unix_now(),
                             ..client::Ask::default()
                         };
                         let seen = client::ask(&ask, &Record::default()).await;
@@ -222,11 +222,11 @@
                 ..EngineFigures::default()
             };
             lines.push(line(n, &address));
-            thread::spawn(move || smol::block_on(nickelgw_standin::engine::run(l, f, Record::default(), 1)));
+            thread::spawn(move || smol::block_on(nickelgw_test_servers::engine::run(l, f, Record::default(), 1)));
         }
         let l = TcpListener::bind("127.0.0.1:0")?;
         let registry = l.local_addr()?.to_string();
-        thread::spawn(move || smol::block_on(nickelgw_standin::registry::run(l, Record::default())));
+        thread::spawn(move || smol::block_on(nickelgw_test_servers::registry::run(l, Record::default())));
         for l in &lines {
             order(&registry, json!({"order": "put", "key": format!("{PREFIX}{}", l.id), "value": l}));
         }
@@ -375,7 +375,7 @@
                                 stream: true,
                                 timeout_s: 4.0,
                                 target_s: 1.0,
-                                intended: nickelgw_standin::record::unix_now(),
+                                intended: nickelgw_test_servers::record::unix_now(),
                                 ..client::Ask::default()
                             };
                             client::ask(&ask, &Record::default()).await.is_some_and(|s| s.how == "completed")
--- a/crates/nickelgw-cli/src/bench_path.rs
+++ b/crates/nickelgw-cli/src/bench_path.rs
@@ -9,7 +9,7 @@
 use nickelgw_chat::core::repeats::{self, Ended, Enter, Key, Repeats};
 use nickelgw_node::core::ledger::{Ledger, ReservationId};
 use nickelgw_node::core::{Endpoint, Reservation};
-use nickelgw_standin::client;
+use nickelgw_test_servers::client;
 use nickelgw_store::core::shelf::{Batch, Figures as ShelfFigures, Shelf, Waiter};
 use nickelgw_store::core::Kind;
 use nickelgw_store::Store;
--- a/crates/nickelgw-cli/src/bench_tls.rs
+++ b/crates/nickelgw-cli/src/bench_tls.rs
@@ -7,10 +7,10 @@
 use nickelgw_node::client::{Connection, Pool, Tls};
 use nickelgw_node::TlsStart;
 use nickelgw_protocol::list::{self, Line, State};
-use nickelgw_standin::authority::{put, Authority, Fault};
-use nickelgw_standin::model::{Figures, Role, TlsFiles};
-use nickelgw_standin::record::unix_now;
-use nickelgw_standin::Record;
+use nickelgw_test_servers::authority::{put, Authority, Fault};
+use nickelgw_test_servers::model::{Figures, Role, TlsFiles};
+use nickelgw_test_servers::record::unix_now;
+use nickelgw_test_servers::Record;
 use nickelgw_tls::core::pool::Figures as PoolFigures;
 use nickelgw_tls::{Client, Files, Server, Versions};
 use rustls::pki_types::ServerName;
@@ -40,7 +40,7 @@
     json: Option<PathBuf>,
 }
 
-fn certificate(e: nickelgw_standin::authority::Failed) -> Unusable {
+fn certificate(e: nickelgw_test_servers::authority::Failed) -> Unusable {
     Unusable(format!("no certificate was made: {e}"))
 }
 
@@ -203,7 +203,7 @@
                 .into_iter()
                 .map(|(l, f)| {
                     let record = record.of(&f.id);
-                    ex.spawn(nickelgw_standin::engine::run(l, f, record, 1))
+                    ex.spawn(nickelgw_test_servers::engine::run(l, f, record, 1))
                 })
                 .collect();
             smol::block_on(ex.run(async {
--- a/crates/nickelgw-cli/src/main.rs
+++ b/crates/nickelgw-cli/src/main.rs
@@ -12,8 +12,8 @@
 mod up;
 
 use clap::{Parser, Subcommand, ValueEnum};
-use nickelgw_standin::model::Role;
-use nickelgw_standin::Record;
+use nickelgw_test_servers::model::Role;
+use nickelgw_test_servers::Record;
 use std::net::TcpListener;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -159,7 +159,7 @@
         What::BenchFleet(b) => b.run(),
         What::BenchPath(b) => b.run(),
         What::Authority { dir, name } => {
-            let made = nickelgw_standin::authority::write_all(&dir, &name);
+            let made = nickelgw_test_servers::authority::write_all(&dir, &name);
             let made = made.map_err(|e| Unusable(format!("{}: {e}", dir.display())))?;
             made.iter().for_each(|f| println!("{}", f.display()));
             Ok(ExitCode::SUCCESS)
@@ -171,7 +171,7 @@
                 return Err(Unusable("a request id has letters, digits, '-', '_' and '.'".into()));
             }
             let call = format!("GET /why/{request_id} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
-            let answer = smol::block_on(nickelgw_standin::client::raw(&admin, &[call.as_bytes()], 0.0, 5.0));
+            let answer = smol::block_on(nickelgw_test_servers::client::raw(&admin, &[call.as_bytes()], 0.0, 5.0));
             let answer = String::from_utf8_lossy(&answer).to_string();
             let Some((head, body)) = answer.split_once("\r\n\r\n") else {
                 return Err(Unusable(format!("{admin}: no node answers there")));
@@ -188,20 +188,20 @@
         What::Platform => platform::run(),
         What::Engine { id, role, zone, cell, cold, figures, port, seed, record: to } => {
             let wrong = |e: serde_json::Error| Unusable(format!("--figures: {e}"));
-            let mut f: nickelgw_standin::model::Figures = serde_json::from_str(&figures).map_err(wrong)?;
+            let mut f: nickelgw_test_servers::model::Figures = serde_json::from_str(&figures).map_err(wrong)?;
             let role = match role {
                 EngineRole::Read => Role::Read,
                 EngineRole::Write => Role::Write,
             };
             (f.id, f.role, f.zone, f.cell, f.cold) = (id.clone(), role, zone, cell, cold);
             let listener = bind(&format!("127.0.0.1:{port}"))?;
-            let work = nickelgw_standin::engine::run(listener, f, record(to, &id)?, seed);
+            let work = nickelgw_test_servers::engine::run(listener, f, record(to, &id)?, seed);
             smol::block_on(futures_lite::future::or(work, signals::ended()?))?;
             Ok(ExitCode::SUCCESS)
         }
         What::Registry { port, record: to } => {
             let listener = bind(&format!("127.0.0.1:{port}"))?;
-            let work = nickelgw_standin::registry::run(listener, record(to, "registry")?);
+            let work = nickelgw_test_servers::registry::run(listener, record(to, "registry")?);
             smol::block_on(futures_lite::future::or(work, signals::ended()?))?;
             Ok(ExitCode::SUCCESS)
         }
@@ -215,7 +215,7 @@
                 }
             };
             let listener = bind(&format!("127.0.0.1:{port}"))?;
-            let work = nickelgw_standin::list::run(listener, lines, lag_ms / 1e3, record(to, "list")?);
+            let work = nickelgw_test_servers::list::run(listener, lines, lag_ms / 1e3, record(to, "list")?);
             smol::block_on(futures_lite::future::or(work, signals::ended()?))?;
             Ok(ExitCode::SUCCESS)
         }
--- a/crates/nickelgw-cli/src/rehearse/stage.rs
+++ b/crates/nickelgw-cli/src/rehearse/stage.rs
@@ -23,7 +23,7 @@
     pub(super) lines: RefCell<Vec<Line>>,
 }
 
-pub(super) fn no_certificate(e: nickelgw_standin::authority::Failed) -> Unusable {
+pub(super) fn no_certificate(e: nickelgw_test_servers::authority::Failed) -> Unusable {
     Unusable(format!("no certificate was made: {e}"))
 }
 
@@ -36,7 +36,7 @@
     pub(super) fn trust(&self, others: &[&str]) -> Result<(), Unusable> {
         let Some(a) = &*self.authority.borrow() else { return Ok(()) };
         let text = [&[a.root_pem.as_str()], others].concat().concat();
-        nickelgw_standin::authority::put(&self.file("certs/root.pem"), text.as_bytes(), 0o644)?;
+        nickelgw_test_servers::authority::put(&self.file("certs/root.pem"), text.as_bytes(), 0o644)?;
         Ok(())
     }
 
--- a/crates/nickelgw-cli/src/start.rs
+++ b/crates/nickelgw-cli/src/start.rs
@@ -1,8 +1,8 @@
 //! Wiring: a node's settings become what the node is started with.
 
 use crate::Unusable;
-use nickelgw_accord::core::record::{Key, Record};
-use nickelgw_accord::core::{Accord, Figures as AccordFigures};
+use nickelgw_gossip::core::record::{Key, Record};
+use nickelgw_gossip::core::{Accord, Figures as AccordFigures};
 use nickelgw_chat::core::budget::Figures as RetryFigures;
 use nickelgw_chat::core::grant::GrantKey;
 use nickelgw_chat::core::repeats::Figures as RepeatFigures;
@@ -10,11 +10,11 @@
 use nickelgw_node::core::{Admission, CoreConfig, FairShareConfig, GrantConfig};
 use nickelgw_node::fleet::Registry;
 use nickelgw_node::{Limits, Lot, Meter, Sockets, Source, Start, TlsStart, Together};
-use nickelgw_parked::core::Figures as ParkedFigures;
+use nickelgw_deferred::core::Figures as ParkedFigures;
 use nickelgw_registry::core::member::Figures as MemberFigures;
 use nickelgw_registry::core::view::Figures as ViewFigures;
 use nickelgw_settings::{check, Node, Problem};
-use nickelgw_standin::record::unix_now;
+use nickelgw_test_servers::record::unix_now;
 use nickelgw_tls::{Files, Said, Versions};
 use std::sync::{Arc, Mutex};
 
--- a/crates/nickelgw-cli/src/up.rs
+++ b/crates/nickelgw-cli/src/up.rs
@@ -2,8 +2,8 @@
 
 use crate::{signals, start, Unusable};
 use nickelgw_protocol::list::{self, Line, State};
-use nickelgw_standin::model::{Figures, Role};
-use nickelgw_standin::{client, Record};
+use nickelgw_test_servers::model::{Figures, Role};
+use nickelgw_test_servers::{client, Record};
 use std::net::TcpListener;
 use std::process::ExitCode;
 use std::thread;
@@ -44,7 +44,7 @@
             tls_name: None,
         });
         thread::spawn(move || {
-            smol::block_on(nickelgw_standin::engine::run(listener, f, Record::default(), u64::from(n)))
+            smol::block_on(nickelgw_test_servers::engine::run(listener, f, Record::default(), u64::from(n)))
         });
     }
     Ok(lines)
@@ -54,7 +54,7 @@
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?.to_string();
     thread::spawn(move || {
-        smol::block_on(nickelgw_standin::list::run(listener, lines, 0.0, Record::default()))
+        smol::block_on(nickelgw_test_servers::list::run(listener, lines, 0.0, Record::default()))
     });
     Ok(address)
 }
--- a/crates/nickelgw-cli/tests/fleet/main.rs
+++ b/crates/nickelgw-cli/tests/fleet/main.rs
@@ -3,10 +3,10 @@
 mod parked;
 mod site;
 
-use nickelgw_accord::core::record::{Datagram, Key, Record, Seen, Word};
-use nickelgw_standin::model::Figures;
-use nickelgw_standin::record::unix_now;
-use nickelgw_standin::relay::Mode;
+use nickelgw_gossip::core::record::{Datagram, Key, Record, Seen, Word};
+use nickelgw_test_servers::model::Figures;
+use nickelgw_test_servers::record::unix_now;
+use nickelgw_test_servers::relay::Mode;
 use rustix::process::Signal;
 use serde_json::json;
 use site::*;
--- a/crates/nickelgw-cli/tests/fleet/parked.rs
+++ b/crates/nickelgw-cli/tests/fleet/parked.rs
@@ -1,8 +1,8 @@
 //! Offline inferences at a site that is cut off, run when capacity returns.
 
 use crate::site::*;
-use nickelgw_standin::model::Figures;
-use nickelgw_standin::record::unix_now;
+use nickelgw_test_servers::model::Figures;
+use nickelgw_test_servers::record::unix_now;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/nickelgw-cli/tests/fleet/site.rs
+++ b/crates/nickelgw-cli/tests/fleet/site.rs
@@ -1,11 +1,11 @@
 //! Nodes as processes over three zones, stand-in engines of a list for each zone, and a relay between any two parties.
 
 use nickelgw_protocol::list::{self, Line, State};
-use nickelgw_standin::client::{self, Ask};
-use nickelgw_standin::model::{Figures, Role};
-use nickelgw_standin::record::unix_now;
-use nickelgw_standin::relay::{self, Mode, Way};
-use nickelgw_standin::Record;
+use nickelgw_test_servers::client::{self, Ask};
+use nickelgw_test_servers::model::{Figures, Role};
+use nickelgw_test_servers::record::unix_now;
+use nickelgw_test_servers::relay::{self, Mode, Way};
+use nickelgw_test_servers::Record;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
@@ -125,7 +125,7 @@
                     let (l, address) = bind();
                     let of = record.of(&id);
                     let own = f.clone();
-                    spawn(move || nickelgw_standin::engine::run(l, own, of, n as u64));
+                    spawn(move || nickelgw_test_servers::engine::run(l, own, of, n as u64));
                     let mut ways = Vec::new();
                     for lines in &mut lines {
                         let (l, relayed) = bind();
@@ -143,7 +143,7 @@
             .into_iter()
             .map(|lines| {
                 let (l, a) = bind();
-                spawn(move || nickelgw_standin::list::run(l, lines, 0.0, Record::default()));
+                spawn(move || nickelgw_test_servers::list::run(l, lines, 0.0, Record::default()));
                 a.to_string()
             })
             .collect();
@@ -237,7 +237,7 @@
             let (l, address) = bind();
             let of = self.record.of(&id);
             let line = line(&f, address, Some(unix_now()));
-            spawn(move || nickelgw_standin::engine::run(l, f, of, 1));
+            spawn(move || nickelgw_test_servers::engine::run(l, f, of, 1));
             for list in &self.lists {
                 tell(list, json!({"line": line}));
                 tell(list, json!({"remove": e.id}));
--- a/crates/nickelgw-cli/tests/life.rs
+++ b/crates/nickelgw-cli/tests/life.rs
@@ -1,10 +1,10 @@
 //! A node as a process: taken over under load, killed, told to go.
 
 use nickelgw_protocol::list::{self, State};
-use nickelgw_standin::client::{self, Ask};
-use nickelgw_standin::model::{Figures, Role};
-use nickelgw_standin::record::unix_now;
-use nickelgw_standin::Record;
+use nickelgw_test_servers::client::{self, Ask};
+use nickelgw_test_servers::model::{Figures, Role};
+use nickelgw_test_servers::record::unix_now;
+use nickelgw_test_servers::Record;
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{BufRead, BufReader};
 use std::net::{Ipv4Addr, TcpListener};
@@ -50,12 +50,12 @@
                 tls_name: None,
             });
             let of = record.of(id);
-            thread::spawn(move || smol::block_on(nickelgw_standin::engine::run(l, f, of, 1)));
+            thread::spawn(move || smol::block_on(nickelgw_test_servers::engine::run(l, f, of, 1)));
         }
         let engines = lines.iter().map(|l| l.address.clone()).collect();
         let l = TcpListener::bind("127.0.0.1:0").unwrap();
         let listed = l.local_addr().unwrap().to_string();
-        thread::spawn(move || smol::block_on(nickelgw_standin::list::run(l, lines, 0.0, Record::default())));
+        thread::spawn(move || smol::block_on(nickelgw_test_servers::list::run(l, lines, 0.0, Record::default())));
         // A port that a node started anew can listen on again, at an address of its own: at 127.0.0.1 a connection made
         // meanwhile by another test may have been given it.
         static SITES: AtomicU8 = AtomicU8::new(1);
--- a/crates/nickelgw-cli/tests/platform_reservations.rs
+++ b/crates/nickelgw-cli/tests/platform_reservations.rs
@@ -10,7 +10,7 @@
 mod world;
 
 use common::LONG;
-use nickelgw_standin::platform::Outcome;
+use nickelgw_test_servers::platform::Outcome;
 use rustix::process::Signal;
 use std::sync::atomic::Ordering::Relaxed;
 use std::thread::sleep;
--- a/crates/nickelgw-cli/tests/platform_reservations/world.rs
+++ b/crates/nickelgw-cli/tests/platform_reservations/world.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{line, peer, plain, Peer, Then, LONG};
 use crate::processes::{configured, start_with, Node};
-use nickelgw_standin::platform::{request, Asked, Engine, Outcome, Proxy, Role, Rules, Table};
+use nickelgw_test_servers::platform::{request, Asked, Engine, Outcome, Proxy, Role, Rules, Table};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 use std::process::{Command, Stdio};
--- a/crates/nickelgw-cli/tests/platform_soak/faults.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/faults.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::Fleet;
 use nanorand::{Rng, WyRand};
-use nickelgw_standin::platform::Proxy;
+use nickelgw_test_servers::platform::Proxy;
 use rustix::process::Signal;
 use std::sync::atomic::Ordering::Relaxed;
 use std::thread::sleep;
--- a/crates/nickelgw-cli/tests/platform_soak/fleet.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/fleet.rs
@@ -4,7 +4,7 @@
 use crate::processes::{configured, start_with};
 use crate::world::{endpoints, places, Place};
 use nanorand::{Rng, WyRand};
-use nickelgw_standin::platform::{request, Asked, Outcome, Rules, Table};
+use nickelgw_test_servers::platform::{request, Asked, Outcome, Rules, Table};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::json;
 use std::net::SocketAddr;
--- a/crates/nickelgw-node/examples/fleet.rs
+++ b/crates/nickelgw-node/examples/fleet.rs
@@ -6,8 +6,8 @@
 use nanorand::{Rng, WyRand};
 use nickelgw::decide::Router;
 use nickelgw::interface::*;
-use nickelgw_accord::core::record::{Key, Record};
-use nickelgw_accord::core::{Accord, Figures as AccordFigures};
+use nickelgw_gossip::core::record::{Key, Record};
+use nickelgw_gossip::core::{Accord, Figures as AccordFigures};
 use nickelgw_node::core::zone_failover::ZoneFailover;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
--- a/crates/nickelgw-node/src/background.rs
+++ b/crates/nickelgw-node/src/background.rs
@@ -3,7 +3,7 @@
 
 use crate::Clock;
 use async_channel::{bounded, Receiver, Sender};
-use nickelgw_background::core::{Do, Figures, Scheduler, Spec, TaskId};
+use nickelgw_background_tasks::core::{Do, Figures, Scheduler, Spec, TaskId};
 use smol::{LocalExecutor, Task};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/nickelgw-node/src/core/mod.rs
+++ b/crates/nickelgw-node/src/core/mod.rs
@@ -24,7 +24,7 @@
     AttemptEnd, Deployment, EngineEntry, EngineHandle, EngineLoad, EngineRole, Idempotency, IncomingRequest,
     LearnedState, Lifecycle, Outcome, RejectionReason, RequestHandle,
 };
-use nickelgw_accord::core::Known;
+use nickelgw_gossip::core::Known;
 use nickelgw_chat::core::grant::{grant, Granted};
 use nickelgw_protocol::list::{self, List};
 use nickelgw_protocol::load::{self, LoadReport};
--- a/crates/nickelgw-node/src/core/zone_failover.rs
+++ b/crates/nickelgw-node/src/core/zone_failover.rs
@@ -4,8 +4,8 @@
 use nanorand::{Rng, WyRand};
 use nickelgw::decide::Router;
 use nickelgw::interface::EngineRole;
-use nickelgw_accord::core::record::{self, short, MOST_SILENT};
-use nickelgw_accord::core::Known;
+use nickelgw_gossip::core::record::{self, short, MOST_SILENT};
+use nickelgw_gossip::core::Known;
 use nickelgw_zones::core::{Figures, Seen, State, There, Turn, Ways};
 
 /// Engines of a zone asked by all nodes together in a round, where something there is silent: as many as prove it left.
--- a/crates/nickelgw-node/src/driver.rs
+++ b/crates/nickelgw-node/src/driver.rs
@@ -15,7 +15,7 @@
 use crate::{seconds, Clock};
 use async_channel::{Receiver, Sender};
 use bytes::Bytes;
-use nickelgw_accord::core::Known;
+use nickelgw_gossip::core::Known;
 use nickelgw_protocol::chat::{ApiError, ChatRequest, Chunk, Whole};
 use nickelgw_protocol::list::List;
 use nickelgw_protocol::load::LoadReport;
--- a/crates/nickelgw-node/src/lib.rs
+++ b/crates/nickelgw-node/src/lib.rs
@@ -26,7 +26,7 @@
 use crate::core::{Admission, CoreConfig, NodeCore};
 use async_channel::{bounded, unbounded};
 use nickelgw::interface::Deployment;
-use nickelgw_background::core::{Class, Spec};
+use nickelgw_background_tasks::core::{Class, Spec};
 use nickelgw_chat::core::{budget, repeats};
 use nickelgw_registry::core::view::View;
 use nickelgw_store::core::{belief, Kind};
--- a/crates/nickelgw-node/src/parked.rs
+++ b/crates/nickelgw-node/src/parked.rs
@@ -8,10 +8,10 @@
 use async_channel::{bounded, Receiver, Sender};
 use bytes::Bytes;
 use nickelgw::interface::{self as route, IdempotencyScope, ModelRoute};
-use nickelgw_accord::core::record::short;
-use nickelgw_accord::core::Accord;
-use nickelgw_parked::core::record::{Answer as Kept, Record, State};
-use nickelgw_parked::core::{Figures, Look, Parked, Refused, Repeat, Tally, Ticket, Write};
+use nickelgw_gossip::core::record::short;
+use nickelgw_gossip::core::Accord;
+use nickelgw_deferred::core::record::{Answer as Kept, Record, State};
+use nickelgw_deferred::core::{Figures, Look, Parked, Refused, Repeat, Tally, Ticket, Write};
 use nickelgw_protocol::chat::{ApiError, ChatRequest};
 use nickelgw_protocol::Malformed;
 use nickelgw_store::core::Kind;
@@ -158,12 +158,12 @@
         let hash = short(name) as u32;
         let others = self.accord.as_ref().map_or(0, |a| {
             let a = a.borrow();
-            let of = |k: &nickelgw_accord::core::Known| {
+            let of = |k: &nickelgw_gossip::core::Known| {
                 k.record.parked.iter().filter(|p| p.0 == hash).map(|p| u64::from(p.1)).sum::<u64>()
             };
             a.alive(self.keeper.now()).map(of).sum()
         });
-        nickelgw_parked::core::part(weight.copied().unwrap_or(1.0), own, others)
+        nickelgw_deferred::core::part(weight.copied().unwrap_or(1.0), own, others)
     }
 
     fn found_room(&self) {
--- a/crates/nickelgw-node/src/together.rs
+++ b/crates/nickelgw-node/src/together.rs
@@ -3,7 +3,7 @@
 use crate::driver::{Said, Word};
 use crate::{seconds, Clock};
 use async_channel::{bounded, Receiver, Sender};
-use nickelgw_accord::core::Accord;
+use nickelgw_gossip::core::Accord;
 use smol::net::UdpSocket;
 use smol::Timer;
 use std::cell::{Cell, RefCell};
@@ -47,7 +47,7 @@
     let Some(socket) = bound.map(UdpSocket::from) else { return };
     let (tell, told) = bounded(1);
     let round_s = accord.borrow().round_s();
-    let carry = nickelgw_accord::run(socket, accord.clone(), clock.0, told, new);
+    let carry = nickelgw_gossip::run(socket, accord.clone(), clock.0, told, new);
     let rounds = async {
         loop {
             let others = accord.borrow().near(clock.now());
--- a/crates/nickelgw-node/tests/bad_input.rs
+++ b/crates/nickelgw-node/tests/bad_input.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{figures, World, KEY};
-use nickelgw_standin::client::{self, raw, status};
+use nickelgw_test_servers::client::{self, raw, status};
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::thread;
@@ -58,7 +58,7 @@
 
 #[test]
 fn what_does_not_fit_is_refused_with_a_time_to_come_back() {
-    let slow = nickelgw_standin::model::Figures { read_s: 0.5, ..figures("r0a") };
+    let slow = nickelgw_test_servers::model::Figures { read_s: 0.5, ..figures("r0a") };
     let w = World::with(vec![slow, figures("w0a")], |s| s.figures.max_open_requests = 2);
     let first: Vec<_> = (0..2).map(|n| w.later(w.ask(&format!("q{n}"), "chat"))).collect();
     w.wait("both are taken", |l| l.iter().filter(|l| l["ev"] == "send").count() >= 2);
--- a/crates/nickelgw-node/tests/common/mod.rs
+++ b/crates/nickelgw-node/tests/common/mod.rs
@@ -7,10 +7,10 @@
 use nickelgw_node::core::{Admission, CoreConfig};
 use nickelgw_node::{Limits, Start, TlsStart};
 use nickelgw_protocol::list::{self, State};
-use nickelgw_standin::client::{self, Ask, Seen};
-use nickelgw_standin::model::{self, Role};
-use nickelgw_standin::record::unix_now;
-use nickelgw_standin::Record;
+use nickelgw_test_servers::client::{self, Ask, Seen};
+use nickelgw_test_servers::model::{self, Role};
+use nickelgw_test_servers::record::unix_now;
+use nickelgw_test_servers::Record;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -198,7 +198,7 @@
             exit: None,
         };
         let lines: Vec<list::Line> = engines.into_iter().map(|f| world.engine(f)).collect();
-        thread::spawn(move || smol::block_on(nickelgw_standin::list::run(l, lines, 0.0, record.of("list"))));
+        thread::spawn(move || smol::block_on(nickelgw_test_servers::list::run(l, lines, 0.0, record.of("list"))));
         let mut s = start(&world.list);
         let (tell, orders) = async_channel::bounded(4);
         s.orders = orders;
@@ -214,7 +214,7 @@
         let (l, address) = listener();
         self.engines.insert(f.id.clone(), address.clone());
         let (line, record) = (line(&f, &address), self.record.of(&f.id));
-        thread::spawn(move || smol::block_on(nickelgw_standin::engine::run(l, f, record, 5)));
+        thread::spawn(move || smol::block_on(nickelgw_test_servers::engine::run(l, f, record, 5)));
         line
     }
 
--- a/crates/nickelgw-node/tests/failures.rs
+++ b/crates/nickelgw-node/tests/failures.rs
@@ -4,8 +4,8 @@
 
 use common::{figures, World};
 use nickelgw_audit::Rule;
-use nickelgw_standin::client::{self, Leave};
-use nickelgw_standin::model;
+use nickelgw_test_servers::client::{self, Leave};
+use nickelgw_test_servers::model;
 use serde_json::json;
 use std::thread;
 use std::time::Duration;
--- a/crates/nickelgw-node/tests/leaving.rs
+++ b/crates/nickelgw-node/tests/leaving.rs
@@ -4,8 +4,8 @@
 
 use common::{figures, post, World};
 use nickelgw_node::{Exit, Order};
-use nickelgw_standin::client::{self, status, Ask};
-use nickelgw_standin::model;
+use nickelgw_test_servers::client::{self, status, Ask};
+use nickelgw_test_servers::model;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/crates/nickelgw-node/tests/registry.rs
+++ b/crates/nickelgw-node/tests/registry.rs
@@ -7,7 +7,7 @@
 use nickelgw_node::Source;
 use nickelgw_protocol::list::{Line, State};
 use nickelgw_registry::core::member;
-use nickelgw_standin::client;
+use nickelgw_test_servers::client;
 use serde_json::{json, Value};
 use std::path::PathBuf;
 use std::thread;
@@ -50,7 +50,7 @@
 fn registry(w: &World) -> String {
     let (l, address) = listener();
     let record = w.record.of("registry");
-    thread::spawn(move || smol::block_on(nickelgw_standin::registry::run(l, record)));
+    thread::spawn(move || smol::block_on(nickelgw_test_servers::registry::run(l, record)));
     address
 }
 
--- a/crates/nickelgw-node/tests/repeats.rs
+++ b/crates/nickelgw-node/tests/repeats.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{figures, post, World};
-use nickelgw_standin::client::{raw, status};
-use nickelgw_standin::model::Figures;
+use nickelgw_test_servers::client::{raw, status};
+use nickelgw_test_servers::model::Figures;
 use std::thread;
 use std::time::Duration;
 
--- a/crates/nickelgw-node/tests/stalled.rs
+++ b/crates/nickelgw-node/tests/stalled.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{figures, post, World};
-use nickelgw_standin::client::{self, Ask};
-use nickelgw_standin::model;
+use nickelgw_test_servers::client::{self, Ask};
+use nickelgw_test_servers::model;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/crates/nickelgw-options/tests/settings.rs
+++ b/crates/nickelgw-platform-config/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use nickelgw::decide::Router;
 use nickelgw::interface::{EngineRole, Idempotency, IdempotencyScope, IncomingRequest};
-use nickelgw_options::{load, Told};
+use nickelgw_platform_config::{load, Told};
 use serde_json::{json, Value};
 use test_case::test_case;
 
--- a/crates/nickelgw-platform/src/start.rs
+++ b/crates/nickelgw-platform/src/start.rs
@@ -1,8 +1,8 @@
 //! What a node is told at its start: the environment and the configuration, which must agree.
 
 use crate::core::list::News;
-use nickelgw_options::fields::{list, num_or, text, Bad};
-use nickelgw_options::{inner, Told};
+use nickelgw_platform_config::fields::{list, num_or, text, Bad};
+use nickelgw_platform_config::{inner, Told};
 use serde_json::Value;
 use std::path::Path;
 
--- a/crates/nickelgw-drill/src/main.rs
+++ b/crates/nickelgw-simulator-adapter/src/main.rs
@@ -2,7 +2,7 @@
 
 mod node;
 
-use nickelgw_options::fields::{index, num, text, Bad};
+use nickelgw_platform_config::fields::{index, num, text, Bad};
 use node::Node;
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap};
@@ -76,7 +76,7 @@
 
 fn main() {
     if let Err(Bad(why)) = run(io::stdin().lock(), io::stdout().lock()) {
-        eprintln!("nickelgw-drill: {why}");
+        eprintln!("nickelgw-simulator-adapter: {why}");
         std::process::exit(1);
     }
 }
--- a/crates/nickelgw-drill/src/node.rs
+++ b/crates/nickelgw-simulator-adapter/src/node.rs
@@ -2,8 +2,8 @@
 
 use nickelgw::decide::Router;
 use nickelgw::interface::*;
-use nickelgw_options::fields::{flag, index, num, num_or, text, Bad};
-use nickelgw_options::{inner, position, Told};
+use nickelgw_platform_config::fields::{flag, index, num, num_or, text, Bad};
+use nickelgw_platform_config::{inner, position, Told};
 use serde_json::{json, Value};
 use std::collections::HashMap;
 
@@ -25,7 +25,7 @@
         return Err(Bad::field(event, "telemetry", "an object"));
     }
     let value = |name: &str| report.get(name).map(|_| num(report, name)).transpose();
-    nickelgw_options::load(value).map(Some)
+    nickelgw_platform_config::load(value).map(Some)
 }
 
 fn outcome(event: &Value) -> Result<Outcome, Bad> {
