--- a/crates/nickelgw-background-tasks/src/core/mod.rs
+++ b/crates/nickelgw-background-tasks/src/core/mod.rs
@@ -32,24 +32,24 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Class {
+pub enum TaskClass {
     /// Something is owed: states to let go of, commits that are waited for.
-    Owed,
+    Required,
     /// The node decides worse without it: lists, probes, certificates.
-    Needed,
+    Maintenance,
     /// Nice to have: reports, compaction.
     Idle,
 }
 
-impl Class {
+impl TaskClass {
     fn weight(self) -> f64 {
         [100.0, 10.0, 1.0][self as usize]
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Spec {
-    pub class: Class,
+pub struct TaskSpec {
+    pub class: TaskClass,
     /// Comes again so long after its last end; none: only when asked for.
     pub every_s: Option<f64>,
     /// How long it may wait once it is wanted before it runs on credit.
@@ -65,10 +65,10 @@
 pub struct TaskId(pub usize);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Do {
+pub enum TaskCommand {
     Run(TaskId),
     /// It has not ended in its time: whatever it still does counts for nothing.
-    GiveUp(TaskId),
+    Cancel(TaskId),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -83,16 +83,16 @@
 }
 
 struct Task {
-    spec: Spec,
+    spec: TaskSpec,
     state: State,
     /// Asked for while it ran.
     again: bool,
     failures: u32,
-    pub account: Account,
+    pub account: TaskCounters,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Account {
+pub struct TaskCounters {
     pub runs: u64,
     pub failed: u64,
     pub given_up: u64,
@@ -126,9 +126,9 @@
     }
 
     /// One that comes by itself is first wanted after a part of its time, which differs from node to node.
-    pub fn add(&mut self, now: f64, spec: Spec) -> TaskId {
+    pub fn add(&mut self, now: f64, spec: TaskSpec) -> TaskId {
         let first = spec.every_s.map_or(f64::INFINITY, |e| now + e * self.dice());
-        let (state, account) = (State::Waiting(first), Account::default());
+        let (state, account) = (State::Waiting(first), TaskCounters::default());
         self.tasks.push(Task { spec, state, again: false, failures: 0, account });
         TaskId(self.tasks.len() - 1)
     }
@@ -137,7 +137,7 @@
         self.chance.generate::<u32>() as f64 / u32::MAX as f64
     }
 
-    pub fn account(&self, id: TaskId) -> Account {
+    pub fn account(&self, id: TaskId) -> TaskCounters {
         self.tasks[id.0].account
     }
 
@@ -193,13 +193,13 @@
     }
 
     /// What to do now, and when to look again.
-    pub fn due(&mut self, now: f64) -> (Vec<Do>, Option<f64>) {
+    pub fn due(&mut self, now: f64) -> (Vec<TaskCommand>, Option<f64>) {
         self.fill(now);
         let mut todo = Vec::new();
         for n in 0..self.tasks.len() {
             let State::Running { since, .. } = self.tasks[n].state else { continue };
             if now >= since + self.tasks[n].spec.most_s {
-                todo.push(Do::GiveUp(TaskId(n)));
+                todo.push(TaskCommand::Cancel(TaskId(n)));
                 let t = &mut self.tasks[n];
                 // What it has taken so far is paid for.
                 let owed = (now - since).min(t.spec.most_s) - t.spec.takes_s;
@@ -230,7 +230,7 @@
             self.time_left -= t.spec.takes_s;
             self.bytes_left -= t.spec.bytes;
             self.running += 1;
-            todo.push(Do::Run(TaskId(n)));
+            todo.push(TaskCommand::Run(TaskId(n)));
         }
         (todo, self.wake(now))
     }
--- a/crates/nickelgw-background-tasks/src/core/tests.rs
+++ b/crates/nickelgw-background-tasks/src/core/tests.rs
@@ -2,8 +2,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn spec(class: Class, every_s: Option<f64>, takes_s: f64) -> Spec {
-    Spec { class, every_s, deadline_s: 1.0, most_s: 2.0, takes_s, bytes: 0.0 }
+fn spec(class: TaskClass, every_s: Option<f64>, takes_s: f64) -> TaskSpec {
+    TaskSpec { class, every_s, deadline_s: 1.0, most_s: 2.0, takes_s, bytes: 0.0 }
 }
 
 /// Plays virtual time: a run of a task takes what its entry says. Gives the seconds of work done.
@@ -13,8 +13,8 @@
         let (todo, wake) = s.due(now);
         for d in todo {
             match d {
-                Do::Run(id) => out.push((now + takes[id.0], id)),
-                Do::GiveUp(id) => out.retain(|o| o.1 != id),
+                TaskCommand::Run(id) => out.push((now + takes[id.0], id)),
+                TaskCommand::Cancel(id) => out.retain(|o| o.1 != id),
             }
         }
         let next = out.iter().map(|o| o.0).chain(wake).fold(f64::INFINITY, f64::min);
@@ -33,7 +33,8 @@
 fn all_classes_run_and_together_keep_to_their_share() {
     let mut s = Scheduler::new(Figures::default(), 1);
     // Wanted far more than may be had: 1 s of work a second each.
-    let ids = [Class::Owed, Class::Needed, Class::Idle].map(|c| s.add(0.0, spec(c, Some(0.0), 0.01)));
+    let ids = [TaskClass::Required, TaskClass::Maintenance, TaskClass::Idle]
+        .map(|c| s.add(0.0, spec(c, Some(0.0), 0.01)));
     let work = play(&mut s, 100.0, &[0.01; 3]);
     assert!(work < 100.0 * 0.02 + 0.2, "{work} s");
     let runs = ids.map(|id| s.account(id).runs);
@@ -43,8 +44,8 @@
 #[test]
 fn what_does_not_end_is_given_up_and_holds_nobody_up() {
     let mut s = Scheduler::new(Figures { most_at_once: 1, time_share: 0.5, ..Figures::default() }, 1);
-    let stuck = s.add(0.0, spec(Class::Owed, Some(1.0), 0.01));
-    let other = s.add(0.0, spec(Class::Idle, Some(1.0), 0.01));
+    let stuck = s.add(0.0, spec(TaskClass::Required, Some(1.0), 0.01));
+    let other = s.add(0.0, spec(TaskClass::Idle, Some(1.0), 0.01));
     play(&mut s, 120.0, &[f64::INFINITY, 0.01]);
     let (stuck, other) = (s.account(stuck), s.account(other));
     assert!(stuck.given_up >= 3 && other.runs > 20, "{stuck:?} {other:?}");
@@ -53,12 +54,12 @@
 #[test]
 fn failures_come_again_at_growing_gaps_with_chance() {
     let mut s = Scheduler::new(Figures { time_share: 1.0, ..Figures::default() }, 3);
-    let id = s.add(0.0, spec(Class::Needed, None, 0.001));
+    let id = s.add(0.0, spec(TaskClass::Maintenance, None, 0.001));
     s.want(0.0, id);
     let (mut now, mut at) = (0.0, Vec::new());
     while at.len() < 10 {
         let (todo, wake) = s.due(now);
-        if todo.contains(&Do::Run(id)) {
+        if todo.contains(&TaskCommand::Run(id)) {
             at.push(now);
             s.ended(now, id, 0.001, 0.0, false);
             // Asking again does not get round the gap.
@@ -75,12 +76,12 @@
 #[test]
 fn asked_for_faster_than_the_budget_lets_it_runs_at_the_budgets_pace() {
     let mut s = Scheduler::new(Figures::default(), 1);
-    let probe = s.add(0.0, spec(Class::Needed, None, 0.02));
+    let probe = s.add(0.0, spec(TaskClass::Maintenance, None, 0.02));
     let (mut now, mut runs) = (0.0, 0);
     while now < 50.0 {
         s.want(now, probe);
         for d in s.due(now).0 {
-            if let Do::Run(id) = d {
+            if let TaskCommand::Run(id) = d {
                 runs += 1;
                 s.ended(now, id, 0.02, 0.0, true);
             }
@@ -101,7 +102,7 @@
     ) {
         let f = Figures { time_share: 0.1, ..Figures::default() };
         let mut s = Scheduler::new(f, seed);
-        let classes = [Class::Owed, Class::Needed, Class::Idle];
+        let classes = [TaskClass::Required, TaskClass::Maintenance, TaskClass::Idle];
         let ids: Vec<TaskId> = tasks.iter().map(|t| s.add(0.0, spec(classes[t.0], Some(t.1), t.2))).collect();
         let takes: Vec<f64> = tasks.iter().map(|t| t.2).collect();
         let work = play(&mut s, 60.0, &takes);
--- a/crates/nickelgw-chat/src/core/grant.rs
+++ b/crates/nickelgw-chat/src/core/grant.rs
@@ -29,16 +29,16 @@
 
 /// What is granted.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Granted<'a> {
-    pub state: &'a str,
-    pub reader: &'a str,
-    pub writer: &'a str,
+pub struct GrantClaims<'a> {
+    pub reservation: &'a str,
+    pub prefill_engine: &'a str,
+    pub decode_engine: &'a str,
     /// Seconds since 1970.
-    pub until: f64,
+    pub expires_at: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum GrantError {
     /// Not of the form that tickets have.
     Malformed,
     UnknownKey,
@@ -49,9 +49,9 @@
     Replayed,
 }
 
-fn code(key: &GrantKey, g: &Granted, until_ms: u64) -> blake3::Hash {
+fn code(key: &GrantKey, g: &GrantClaims, until_ms: u64) -> blake3::Hash {
     let mut h = blake3::Hasher::new_keyed(&key.secret);
-    for part in [g.state, g.reader, g.writer] {
+    for part in [g.reservation, g.prefill_engine, g.decode_engine] {
         // Lengths first: no two grants have the same bytes.
         h.update(&(part.len() as u64).to_le_bytes()).update(part.as_bytes());
     }
@@ -60,8 +60,8 @@
 }
 
 /// `KEY.UNTIL.CODE`: key number, milliseconds since 1970, 64 hex digits.
-pub fn grant(key: &GrantKey, g: &Granted) -> String {
-    let until_ms = (g.until.max(0.0) * 1e3) as u64;
+pub fn grant(key: &GrantKey, g: &GrantClaims) -> String {
+    let until_ms = (g.expires_at.max(0.0) * 1e3) as u64;
     format!("{}.{until_ms}.{}", key.number, code(key, g, until_ms).to_hex())
 }
 
@@ -69,16 +69,16 @@
 const MOST_USED: usize = 65_536;
 
 /// The reader's side.
-pub struct Checker {
+pub struct GrantChecker {
     keys: BTreeMap<u32, GrantKey>,
     used: BTreeMap<[u8; 32], ()>,
     order: VecDeque<(u64, [u8; 32])>,
 }
 
-impl Checker {
+impl GrantChecker {
     pub fn new(keys: impl IntoIterator<Item = GrantKey>) -> Self {
         let keys = keys.into_iter().map(|k| (k.number, k)).collect();
-        Checker { keys, used: BTreeMap::new(), order: VecDeque::new() }
+        GrantChecker { keys, used: BTreeMap::new(), order: VecDeque::new() }
     }
 
     /// Old and new keys are both good while they rotate; tickets of one left out are refused from now on.
@@ -88,20 +88,20 @@
 
     /// Looks at a ticket that came for a state, and marks it as used. `now` in seconds since 1970; `g.until` counts
     /// for nothing, the ticket's own is read.
-    pub fn check(&mut self, now: f64, ticket: &str, g: &Granted) -> Result<(), Refused> {
+    pub fn check(&mut self, now: f64, ticket: &str, g: &GrantClaims) -> Result<(), GrantError> {
         let mut parts = ticket.splitn(3, '.');
         let (number, until, mac) = (parts.next(), parts.next(), parts.next());
-        let number: u32 = number.and_then(|n| n.parse().ok()).ok_or(Refused::Malformed)?;
-        let until_ms: u64 = until.and_then(|n| n.parse().ok()).ok_or(Refused::Malformed)?;
-        let mac = mac.and_then(|m| blake3::Hash::from_hex(m).ok()).ok_or(Refused::Malformed)?;
-        let key = self.keys.get(&number).ok_or(Refused::UnknownKey)?;
+        let number: u32 = number.and_then(|n| n.parse().ok()).ok_or(GrantError::Malformed)?;
+        let until_ms: u64 = until.and_then(|n| n.parse().ok()).ok_or(GrantError::Malformed)?;
+        let mac = mac.and_then(|m| blake3::Hash::from_hex(m).ok()).ok_or(GrantError::Malformed)?;
+        let key = self.keys.get(&number).ok_or(GrantError::UnknownKey)?;
         // Compared in constant time, as `Hash` does.
         if code(key, g, until_ms) != mac {
-            return Err(Refused::Altered);
+            return Err(GrantError::Altered);
         }
         let now_ms = (now.max(0.0) * 1e3) as u64;
         if now_ms > until_ms {
-            return Err(Refused::Expired);
+            return Err(GrantError::Expired);
         }
         while let Some(&(end, old)) = self.order.front() {
             if end >= now_ms && self.order.len() < MOST_USED {
@@ -111,7 +111,7 @@
             self.used.remove(&old);
         }
         if self.used.insert(*mac.as_bytes(), ()).is_some() {
-            return Err(Refused::Replayed);
+            return Err(GrantError::Replayed);
         }
         self.order.push_back((until_ms, *mac.as_bytes()));
         Ok(())
@@ -132,43 +132,46 @@
         GrantKey::of(n, &format!("a secret of some length {n}")).unwrap()
     }
 
-    const G: Granted = Granted { state: "s1", reader: "r1", writer: "w1", until: 100.0 };
+    const G: GrantClaims =
+        GrantClaims { reservation: "s1", prefill_engine: "r1", decode_engine: "w1", expires_at: 100.0 };
 
     #[test]
     fn a_ticket_is_good_once_for_what_it_was_granted() {
-        let mut c = Checker::new([key(1)]);
+        let mut c = GrantChecker::new([key(1)]);
         let t = grant(&key(1), &G);
-        for other in
-            [Granted { state: "s2", ..G }, Granted { reader: "r2", ..G }, Granted { writer: "w2", ..G }]
-        {
-            assert_eq!(c.check(50.0, &t, &other), Err(Refused::Altered));
+        for other in [
+            GrantClaims { reservation: "s2", ..G },
+            GrantClaims { prefill_engine: "r2", ..G },
+            GrantClaims { decode_engine: "w2", ..G },
+        ] {
+            assert_eq!(c.check(50.0, &t, &other), Err(GrantError::Altered));
         }
         assert_eq!(c.check(50.0, &t, &G), Ok(()));
-        assert_eq!(c.check(50.0, &t, &G), Err(Refused::Replayed));
-        assert_eq!(c.check(101.0, &grant(&key(1), &G), &G), Err(Refused::Expired));
+        assert_eq!(c.check(50.0, &t, &G), Err(GrantError::Replayed));
+        assert_eq!(c.check(101.0, &grant(&key(1), &G), &G), Err(GrantError::Expired));
         // Parts moved over a border are another grant.
-        let moved = Granted { state: "s", reader: "1r1", ..G };
-        assert_eq!(c.check(50.0, &grant(&key(1), &moved), &G), Err(Refused::Altered));
+        let moved = GrantClaims { reservation: "s", prefill_engine: "1r1", ..G };
+        assert_eq!(c.check(50.0, &grant(&key(1), &moved), &G), Err(GrantError::Altered));
         assert!(GrantKey::of(1, "short").is_none());
     }
 
     #[test]
     fn old_and_new_keys_are_good_while_they_rotate() {
-        let mut c = Checker::new([key(1)]);
-        let (old, new) = (grant(&key(1), &G), grant(&key(2), &Granted { state: "s2", ..G }));
-        let second = Granted { state: "s2", ..G };
-        assert_eq!(c.check(1.0, &new, &second), Err(Refused::UnknownKey));
+        let mut c = GrantChecker::new([key(1)]);
+        let (old, new) = (grant(&key(1), &G), grant(&key(2), &GrantClaims { reservation: "s2", ..G }));
+        let second = GrantClaims { reservation: "s2", ..G };
+        assert_eq!(c.check(1.0, &new, &second), Err(GrantError::UnknownKey));
         c.rotate([key(1), key(2)]);
         assert_eq!((c.check(1.0, &old, &G), c.check(1.0, &new, &second)), (Ok(()), Ok(())));
         c.rotate([key(2)]);
-        assert_eq!(c.check(1.0, &grant(&key(1), &G), &G), Err(Refused::UnknownKey));
+        assert_eq!(c.check(1.0, &grant(&key(1), &G), &G), Err(GrantError::UnknownKey));
     }
 
     #[test]
     fn used_tickets_are_remembered_no_longer_than_they_live() {
-        let mut c = Checker::new([key(1)]);
+        let mut c = GrantChecker::new([key(1)]);
         for n in 0..100 {
-            let g = Granted { until: f64::from(n) + 1.0, ..G };
+            let g = GrantClaims { expires_at: f64::from(n) + 1.0, ..G };
             assert_eq!(c.check(f64::from(n), &grant(&key(1), &g), &g), Ok(()));
             assert!(c.remembered() <= 3);
         }
@@ -183,7 +186,7 @@
             let n = at % chars.len();
             let same = chars[n].eq_ignore_ascii_case(&to);
             chars[n] = to;
-            let mut c = Checker::new([key(1)]);
+            let mut c = GrantChecker::new([key(1)]);
             if !same {
                 prop_assert!(c.check(1.0, &chars.iter().collect::<String>(), &G).is_err());
             }
--- a/crates/nickelgw-chat/src/core/repeats.rs
+++ b/crates/nickelgw-chat/src/core/idempotency.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct IdempotencyConfig {
     pub most_entries: usize,
     /// Bytes of answers recorded, in all and for one.
     pub most_bytes: usize,
@@ -15,9 +15,9 @@
     pub takeover_s: f64,
 }
 
-impl Default for Figures {
+impl Default for IdempotencyConfig {
     fn default() -> Self {
-        Figures {
+        IdempotencyConfig {
             most_entries: 16_384,
             most_bytes: 64 << 20,
             most_bytes_each: 256 << 10,
@@ -44,7 +44,7 @@
 pub struct Serial(pub u64);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Enter {
+pub enum KeyLookup {
     /// Not seen: it runs, as this entry.
     New(Serial),
     /// The same still runs: its answer is this one's too, from the beginning.
@@ -66,10 +66,10 @@
 pub enum Ended {
     Completed,
     /// Nothing has run: a repeat runs anew.
-    Shed,
-    Errored,
+    Rejected,
+    Failed,
     /// Called off, as no client was left.
-    CalledOff,
+    Cancelled,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -103,12 +103,12 @@
     Forget(Serial),
 }
 
-pub struct Repeats {
-    figures: Figures,
+pub struct IdempotencyTable {
+    figures: IdempotencyConfig,
     by_key: BTreeMap<Key, Serial>,
     entries: BTreeMap<Serial, Entry>,
     /// Entries by the time, in microseconds, when they are to be looked at: forgotten, or called off.
-    due: BTreeSet<(i64, Serial)>,
+    poll_commands: BTreeSet<(i64, Serial)>,
     /// Ended ones that may run again: what goes first when there is no room.
     spare: BTreeSet<Serial>,
     bytes: usize,
@@ -118,13 +118,13 @@
     pub replayed: u64,
 }
 
-impl Repeats {
-    pub fn new(figures: Figures) -> Self {
-        Repeats {
+impl IdempotencyTable {
+    pub fn new(figures: IdempotencyConfig) -> Self {
+        IdempotencyTable {
             figures,
             by_key: BTreeMap::new(),
             entries: BTreeMap::new(),
-            due: BTreeSet::new(),
+            poll_commands: BTreeSet::new(),
             spare: BTreeSet::new(),
             bytes: 0,
             next: 0,
@@ -147,38 +147,38 @@
     }
 
     /// A request with a key. `body`: digest of what is asked. `may_repeat`: its model route may run again.
-    pub fn enter(&mut self, now: f64, key: Key, body: [u8; 32], may_repeat: bool) -> Enter {
+    pub fn look_up(&mut self, now: f64, key: Key, body: [u8; 32], may_repeat: bool) -> KeyLookup {
         self.expire(now);
         if let Some(&serial) = self.by_key.get(&key) {
             if let Some(e) = self.entries.get_mut(&serial) {
                 if e.body != body {
-                    return Enter::Mismatch;
+                    return KeyLookup::Mismatch;
                 }
                 match &mut e.stage {
                     Stage::Running { .. } if e.whole => {
                         self.heard(now, serial, 1);
                         self.joined += 1;
-                        return Enter::Join(serial);
+                        return KeyLookup::Join(serial);
                     }
                     Stage::Done { .. } if e.whole => {
                         self.replayed += 1;
-                        return Enter::Recorded(serial);
+                        return KeyLookup::Recorded(serial);
                     }
                     // What is not whole cannot be heard from its beginning. Where it may, it runs anew beside.
-                    _ if e.may_repeat => return Enter::Unrecorded,
-                    _ => return Enter::NotKept,
+                    _ if e.may_repeat => return KeyLookup::Unrecorded,
+                    _ => return KeyLookup::NotKept,
                 }
             }
         }
         if self.entries.len() >= self.figures.most_entries && !self.make_room() {
-            return if may_repeat { Enter::Unrecorded } else { Enter::Full };
+            return if may_repeat { KeyLookup::Unrecorded } else { KeyLookup::Full };
         }
         self.next += 1;
         let serial = Serial(self.next);
         let stage = Stage::Running { heard_by: 1, alone_since: now };
         self.by_key.insert(key, serial);
         self.entries.insert(serial, Entry { key, body, may_repeat, stage, bytes: 0, whole: true });
-        Enter::New(serial)
+        KeyLookup::New(serial)
     }
 
     /// One that an earlier process of the node took at `at`, on a route that may not run again: whether it ended, and
@@ -188,7 +188,7 @@
             return;
         }
         self.next += 1;
-        let stage = Stage::Done { at, how: Ended::Errored };
+        let stage = Stage::Done { at, how: Ended::Failed };
         self.by_key.insert(key, Serial(self.next));
         let entry = Entry { key, body, may_repeat: false, stage, bytes: 0, whole: false };
         self.entries.insert(Serial(self.next), entry);
@@ -215,12 +215,12 @@
         };
         let (at, done) = ((at * 1e6) as i64, matches!(e.stage, Stage::Done { .. }));
         if is {
-            self.due.insert((at, serial));
+            self.poll_commands.insert((at, serial));
             if done && e.may_repeat {
                 self.spare.insert(serial);
             }
         } else {
-            self.due.remove(&(at, serial));
+            self.poll_commands.remove(&(at, serial));
             self.spare.remove(&serial);
         }
     }
@@ -252,7 +252,7 @@
     }
 
     /// A client that heard it has gone.
-    pub fn left(&mut self, now: f64, serial: Serial) {
+    pub fn listener_left(&mut self, now: f64, serial: Serial) {
         self.heard(now, serial, -1);
     }
 
@@ -270,17 +270,17 @@
     }
 
     /// It has ended. What a repeat may run again is kept only if its answer is whole and good.
-    pub fn ended(&mut self, now: f64, serial: Serial, how: Ended) {
+    pub fn response_ended(&mut self, now: f64, serial: Serial, how: Ended) {
         self.filed(serial, false);
         let Some(e) = self.entries.get_mut(&serial) else { return };
         e.stage = Stage::Done { at: now, how };
         let again = match how {
-            Ended::Shed => true,
+            Ended::Rejected => true,
             Ended::Completed => e.may_repeat && !e.whole,
-            Ended::Errored | Ended::CalledOff => e.may_repeat,
+            Ended::Failed | Ended::Cancelled => e.may_repeat,
         };
         // Called off, nothing of an answer is there to be heard.
-        if how == Ended::CalledOff {
+        if how == Ended::Cancelled {
             e.whole = false;
         }
         if again {
@@ -290,7 +290,7 @@
         }
     }
 
-    pub fn how(&self, serial: Serial) -> Option<Ended> {
+    pub fn outcome(&self, serial: Serial) -> Option<Ended> {
         match self.entries.get(&serial)?.stage {
             Stage::Done { how, .. } => Some(how),
             Stage::Running { .. } => None,
@@ -300,7 +300,7 @@
     /// Forgets what has been kept for its time. Looks at nothing else: every request comes through here.
     fn expire(&mut self, now: f64) {
         let now = (now * 1e6) as i64;
-        while let Some(&(_, s)) = self.due.first().filter(|d| d.0 <= now) {
+        while let Some(&(_, s)) = self.poll_commands.first().filter(|d| d.0 <= now) {
             match self.entries.get(&s).map(|e| e.stage) {
                 Some(Stage::Done { .. }) => self.forget(s),
                 // Nobody has come for it.
@@ -315,10 +315,10 @@
     /// What to do now, and when to look again.
     pub fn due(&mut self, now: f64) -> (Vec<Do>, Option<f64>) {
         self.expire(now);
-        (std::mem::take(&mut self.ready), self.due.first().map(|d| d.0 as f64 / 1e6))
+        (std::mem::take(&mut self.ready), self.poll_commands.first().map(|d| d.0 as f64 / 1e6))
     }
 }
 
 #[cfg(test)]
-#[path = "repeats_tests.rs"]
+#[path = "idempotency_tests.rs"]
 mod tests;
--- a/crates/nickelgw-chat/src/core/mod.rs
+++ b/crates/nickelgw-chat/src/core/mod.rs
@@ -1,5 +1,5 @@
 //! Repeated requests as state, budgets of retries, tickets for held states.
 
-pub mod budget;
 pub mod grant;
-pub mod repeats;
+pub mod idempotency;
+pub mod retry_budget;
--- a/crates/nickelgw-chat/src/core/budget.rs
+++ b/crates/nickelgw-chat/src/core/retry_budget.rs
@@ -37,11 +37,11 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
-    FirstTry,
+pub enum RetryVerdict {
+    FirstAttempt,
     Retry,
     /// Over budget: come back after so long.
-    Refused {
+    Rejected {
         come_back_s: f64,
     },
 }
@@ -79,7 +79,7 @@
     }
 }
 
-pub struct Budget {
+pub struct RetryBudget {
     figures: Figures,
     buckets: BTreeMap<(usize, usize), Bucket>,
     seen: Seen,
@@ -89,10 +89,10 @@
     pub refused: u64,
 }
 
-impl Budget {
+impl RetryBudget {
     /// The seed is the node's: nodes spread what they tell differently.
     pub fn new(figures: Figures, seed: u64) -> Self {
-        Budget {
+        RetryBudget {
             figures,
             buckets: BTreeMap::new(),
             seen: Seen::default(),
@@ -111,7 +111,7 @@
         route: usize,
         marked: Option<u32>,
         body: [u8; 16],
-    ) -> Verdict {
+    ) -> RetryVerdict {
         let f = self.figures.clone();
         let retry = marked.map_or_else(|| f.by_body && self.seen.has(&body), |n| n > 0);
         let bucket = self.buckets.entry((tenant, route)).or_insert(Bucket { left: f.burst, refused: 0 });
@@ -120,14 +120,14 @@
             if f.by_body {
                 self.seen.add(now, body, &f);
             }
-            return Verdict::FirstTry;
+            return RetryVerdict::FirstAttempt;
         }
         if bucket.left >= 1.0 {
             bucket.left -= 1.0;
             bucket.refused = bucket.refused.saturating_sub(1);
             self.admitted += 1;
             self.retries += 1;
-            return Verdict::Retry;
+            return RetryVerdict::Retry;
         }
         bucket.refused = (bucket.refused + 1).min(1 << 20);
         self.refused += 1;
@@ -136,7 +136,9 @@
         let far = f.first_come_back_s * (1.0 + f64::from(bucket.refused).sqrt());
         let most = far.min(f.longest_come_back_s);
         let dice = self.chance.generate::<u32>() as f64 / u32::MAX as f64;
-        Verdict::Refused { come_back_s: f.first_come_back_s + dice * (most - f.first_come_back_s).max(0.0) }
+        RetryVerdict::Rejected {
+            come_back_s: f.first_come_back_s + dice * (most - f.first_come_back_s).max(0.0),
+        }
     }
 
     /// One has begun to be answered.
@@ -164,29 +166,29 @@
 
     #[test]
     fn a_storm_of_retries_keeps_to_its_share() {
-        let mut b = Budget::new(Figures::default(), 1);
+        let mut b = RetryBudget::new(Figures::default(), 1);
         // Each first try is followed by five retries at once.
         for n in 0..2000u64 {
             let now = n as f64 * 0.01;
-            assert_eq!(b.judge(now, 0, 0, Some(0), body(n)), Verdict::FirstTry);
+            assert_eq!(b.judge(now, 0, 0, Some(0), body(n)), RetryVerdict::FirstAttempt);
             b.answered(0, 0);
             (1..=5).map(|k| b.judge(now, 0, 0, Some(k), body(n))).for_each(|_| {});
         }
         assert!(b.retries as f64 <= 0.1 * 2000.0 + 5.0, "{}", b.retries);
         assert!(b.retries as f64 >= 0.095 * 2000.0 && b.refused > 9000);
         // Another tenant's, and another route's, budget is its own.
-        assert_eq!(b.judge(20.0, 1, 0, Some(1), body(1)), Verdict::Retry);
-        assert_eq!(b.judge(20.0, 0, 1, Some(1), body(1)), Verdict::Retry);
+        assert_eq!(b.judge(20.0, 1, 0, Some(1), body(1)), RetryVerdict::Retry);
+        assert_eq!(b.judge(20.0, 0, 1, Some(1), body(1)), RetryVerdict::Retry);
     }
 
     #[test]
     fn a_few_retries_are_never_refused() {
-        let mut b = Budget::new(Figures { by_body: true, ..Figures::default() }, 1);
+        let mut b = RetryBudget::new(Figures { by_body: true, ..Figures::default() }, 1);
         for n in 0..1000u64 {
             b.judge(n as f64, 0, 0, None, body(n));
             b.answered(0, 0);
             if n % 20 == 0 {
-                assert_eq!(b.judge(n as f64 + 0.5, 0, 0, None, body(n)), Verdict::Retry);
+                assert_eq!(b.judge(n as f64 + 0.5, 0, 0, None, body(n)), RetryVerdict::Retry);
             }
         }
         assert_eq!(b.refused, 0);
@@ -194,20 +196,20 @@
 
     #[test]
     fn while_nothing_is_answered_only_the_burst_is_let_in() {
-        let mut b = Budget::new(Figures::default(), 1);
+        let mut b = RetryBudget::new(Figures::default(), 1);
         let admitted = (0..1000).filter(|n| {
             b.judge(0.01 * f64::from(*n), 0, 0, Some(0), body(1));
-            b.judge(0.01 * f64::from(*n), 0, 0, Some(1), body(1)) == Verdict::Retry
+            b.judge(0.01 * f64::from(*n), 0, 0, Some(1), body(1)) == RetryVerdict::Retry
         });
         assert_eq!(admitted.count(), 5);
     }
 
     #[test]
     fn come_back_times_spread_and_stay_in_bounds() {
-        let mut b = Budget::new(Figures { burst: 0.0, ..Figures::default() }, 7);
+        let mut b = RetryBudget::new(Figures { burst: 0.0, ..Figures::default() }, 7);
         let mut times = Vec::new();
         for _ in 0..1000 {
-            if let Verdict::Refused { come_back_s } = b.judge(0.0, 0, 0, Some(1), body(1)) {
+            if let RetryVerdict::Rejected { come_back_s } = b.judge(0.0, 0, 0, Some(1), body(1)) {
                 times.push(come_back_s);
             }
         }
@@ -220,12 +222,12 @@
     #[test]
     fn bodies_are_remembered_for_a_time_and_a_number() {
         let f = Figures { most_remembered: 100, remember_s: 5.0, by_body: true, ..Figures::default() };
-        let mut b = Budget::new(f, 1);
+        let mut b = RetryBudget::new(f, 1);
         (0..500).map(|n| b.judge(0.0, 0, 0, None, body(n))).for_each(|_| {});
         assert_eq!(b.remembered(), 100);
-        assert_eq!(b.judge(1.0, 0, 0, None, body(499)), Verdict::Retry);
-        assert_eq!(b.judge(1.0, 0, 0, None, body(0)), Verdict::FirstTry, "forgotten");
+        assert_eq!(b.judge(1.0, 0, 0, None, body(499)), RetryVerdict::Retry);
+        assert_eq!(b.judge(1.0, 0, 0, None, body(0)), RetryVerdict::FirstAttempt, "forgotten");
         b.judge(9.0, 0, 0, None, body(1000));
-        assert_eq!(b.judge(9.0, 0, 0, None, body(499)), Verdict::FirstTry, "too long ago");
+        assert_eq!(b.judge(9.0, 0, 0, None, body(499)), RetryVerdict::FirstAttempt, "too long ago");
     }
 }
--- a/crates/nickelgw-cli/src/bench.rs
+++ b/crates/nickelgw-cli/src/bench.rs
@@ -10,7 +10,7 @@
 use nickelgw_node::client::{Connection, Peer, Pool};
 use nickelgw_protocol::chat::ChatRequest;
 use nickelgw_protocol::engine::{read_body, write_body, ReadAnswer};
-use nickelgw_protocol::list::{self, Line, List, State};
+use nickelgw_protocol::list::{self, EndpointEntry, EndpointList, EngineState};
 use nickelgw_protocol::sse::{Event, Events};
 use nickelgw_protocol::{REQUEST_ID, SEND_ID};
 use nickelgw_test_servers::model::Figures;
@@ -236,10 +236,10 @@
         let args = texts(&["engine", "--id", &id, "--role", role, "--figures", &figures]);
         let (c, address) = child(&args, &dir.join("log")).await?;
         children.push(c);
-        let role = if read { list::Role::Read } else { list::Role::Write };
-        let (zone, state) = ("a".to_string(), State::In);
+        let role = if read { list::EngineRole::Prefill } else { list::EngineRole::Decode };
+        let (zone, state) = ("a".to_string(), EngineState::Active);
         let memory_tokens = f.memory_tokens;
-        lines.push(Line {
+        lines.push(EndpointEntry {
             id,
             address,
             zone,
@@ -252,9 +252,9 @@
         });
     }
     let of = |r| lines.iter().filter(|l| l.role == r).map(|l| (l.address.clone(), None)).collect::<Vec<_>>();
-    let (readers, writers) = (of(list::Role::Read), of(list::Role::Write));
+    let (readers, writers) = (of(list::EngineRole::Prefill), of(list::EngineRole::Decode));
     let path = dir.join("list.json");
-    std::fs::write(&path, serde_json::to_vec(&List { revision: 1, engines: lines.clone() })?)?;
+    std::fs::write(&path, serde_json::to_vec(&EndpointList { revision: 1, engines: lines.clone() })?)?;
     let args = texts(&["list", "--engines", &path.display().to_string(), "--lag-ms", "0"]);
     let (c, listed) = child(&args, &dir.join("log")).await?;
     children.push(c);
--- a/crates/nickelgw-cli/src/bench_fleet.rs
+++ b/crates/nickelgw-cli/src/bench_fleet.rs
@@ -4,8 +4,8 @@
 use crate::rehearse::rest;
 use crate::Unusable;
 use hdrhistogram::Histogram;
-use nickelgw_protocol::list::{self, Line, State};
-use nickelgw_registry::core::view::{Event, Figures, View};
+use nickelgw_protocol::list::{self, EndpointEntry, EngineState};
+use nickelgw_registry::core::view::{EndpointView, Event, Figures};
 use nickelgw_test_servers::model::{Figures as EngineFigures, Role};
 use nickelgw_test_servers::{client, Record};
 use serde_json::json;
@@ -25,15 +25,15 @@
     short: bool,
 }
 
-fn line(n: usize, address: &str) -> Line {
-    Line {
+fn line(n: usize, address: &str) -> EndpointEntry {
+    EndpointEntry {
         id: format!("e{n}"),
         address: address.into(),
         zone: "a".into(),
         cell: 0,
-        role: if n.is_multiple_of(2) { list::Role::Read } else { list::Role::Write },
+        role: if n.is_multiple_of(2) { list::EngineRole::Prefill } else { list::EngineRole::Decode },
         memory_tokens: 2e5,
-        state: State::In,
+        state: EngineState::Active,
         started_at: None,
         tls_name: None,
     }
@@ -43,19 +43,20 @@
 fn resync() {
     println!("the view alone, medians of 9:");
     for n in [100usize, 1_000, 10_000] {
-        let lines: Vec<Line> = (0..n).map(|k| line(k, &format!("10.0.{}.{}:80", k / 250, k % 250))).collect();
+        let lines: Vec<EndpointEntry> =
+            (0..n).map(|k| line(k, &format!("10.0.{}.{}:80", k / 250, k % 250))).collect();
         let bytes = serde_json::to_vec(&lines).map_or(0, |b| b.len());
-        let mut v = View::new(Figures::default());
+        let mut v = EndpointView::new(Figures::default());
         let (mut full, mut change) = (Vec::new(), Vec::new());
         for r in 0..9u64 {
             let (again, from) = (lines.clone(), Instant::now());
-            v.full(r as f64, 2 * r + 1, again, false);
+            v.replace_all(r as f64, 2 * r + 1, again, false);
             full.push(from.elapsed().as_secs_f64() * 1e6);
             let mut l = lines[n / 2].clone();
-            l.state = if r.is_multiple_of(2) { State::Draining } else { State::In };
+            l.state = if r.is_multiple_of(2) { EngineState::Draining } else { EngineState::Active };
             let from = Instant::now();
-            v.changes(r as f64, 2 * r + 2, vec![Event::Put(l)]);
-            v.news();
+            v.apply_events(r as f64, 2 * r + 2, vec![Event::Put(l)]);
+            v.take_changes();
             change.push(from.elapsed().as_secs_f64() * 1e6);
         }
         full.sort_by(f64::total_cmp);
@@ -71,7 +72,7 @@
 }
 
 /// Engines of a fleet that is deployed anew, in this process.
-fn deployed(n: usize, generation: usize) -> Result<Line, Unusable> {
+fn deployed(n: usize, generation: usize) -> Result<EndpointEntry, Unusable> {
     let l = TcpListener::bind("127.0.0.1:0")?;
     let mut made = line(n, &l.local_addr()?.to_string());
     made.id = format!("g{generation}-e{n}");
@@ -104,10 +105,10 @@
         let l = TcpListener::bind("127.0.0.1:0")?;
         let registry = l.local_addr()?.to_string();
         thread::spawn(move || smol::block_on(nickelgw_test_servers::registry::run(l, Record::default())));
-        let put = |l: &Line| {
+        let put = |l: &EndpointEntry| {
             order(&registry, json!({"order": "put", "key": format!("{PREFIX}{}", l.id), "value": l}));
         };
-        let old: Vec<Line> = (0..ENGINES).map(|n| deployed(n, 0)).collect::<Result<_, _>>()?;
+        let old: Vec<EndpointEntry> = (0..ENGINES).map(|n| deployed(n, 0)).collect::<Result<_, _>>()?;
         old.iter().for_each(put);
         let site = Site { dir: std::env::temp_dir(), lines: Vec::new(), registry: registry.clone() };
         let kept = std::env::temp_dir().join(format!("nickelgw-bench-rolling-{}", std::process::id()));
@@ -155,7 +156,7 @@
                 put(&deployed(n, 1)?);
                 let mut going = line.clone();
                 if drained {
-                    going.state = State::Draining;
+                    going.state = EngineState::Draining;
                     put(&going);
                 }
                 leaving.push_back(going);
@@ -186,7 +187,7 @@
 
 struct Site {
     dir: PathBuf,
-    lines: Vec<Line>,
+    lines: Vec<EndpointEntry>,
     registry: String,
 }
 
@@ -222,7 +223,9 @@
                 ..EngineFigures::default()
             };
             lines.push(line(n, &address));
-            thread::spawn(move || smol::block_on(nickelgw_test_servers::engine::run(l, f, Record::default(), 1)));
+            thread::spawn(move || {
+                smol::block_on(nickelgw_test_servers::engine::run(l, f, Record::default(), 1))
+            });
         }
         let l = TcpListener::bind("127.0.0.1:0")?;
         let registry = l.local_addr()?.to_string();
@@ -276,7 +279,7 @@
     fn site(&self, site: &Site) -> Result<(), Unusable> {
         println!("from a change at the source to the list that the node keeps on disk:");
         let file = site.dir.join("engines.json");
-        let write = |lines: &[Line]| {
+        let write = |lines: &[EndpointEntry]| {
             let text = serde_json::to_vec(&json!({"revision": 1, "engines": lines})).unwrap_or_default();
             std::fs::write(site.dir.join("engines.new"), text)
                 .and_then(|()| std::fs::rename(site.dir.join("engines.new"), &file))
@@ -330,7 +333,7 @@
             order(&site.registry, json!({"order": "restart", "for_s": 0.2}));
             let id = 2 + n % 10;
             let mut l = site.lines[id].clone();
-            l.state = State::Draining;
+            l.state = EngineState::Draining;
             order(&site.registry, json!({"order": "put", "key": format!("{PREFIX}e{id}"), "value": l}));
             order(&site.registry, json!({"order": "compact"}));
             let from = Instant::now();
--- a/crates/nickelgw-cli/src/bench_path.rs
+++ b/crates/nickelgw-cli/src/bench_path.rs
@@ -4,15 +4,15 @@
 use crate::rehearse::rest;
 use crate::Unusable;
 use hdrhistogram::Histogram;
-use nickelgw_chat::core::budget::{self, Budget};
-use nickelgw_chat::core::grant::{grant, Checker, GrantKey, Granted};
-use nickelgw_chat::core::repeats::{self, Ended, Enter, Key, Repeats};
+use nickelgw_chat::core::grant::{grant, GrantChecker, GrantClaims, GrantKey};
+use nickelgw_chat::core::idempotency::{self, Ended, IdempotencyTable, Key, KeyLookup};
+use nickelgw_chat::core::retry_budget::{self, RetryBudget};
 use nickelgw_node::core::ledger::{Ledger, ReservationId};
 use nickelgw_node::core::{Endpoint, Reservation};
-use nickelgw_test_servers::client;
-use nickelgw_store::core::shelf::{Batch, Figures as ShelfFigures, Shelf, Waiter};
-use nickelgw_store::core::Kind;
+use nickelgw_store::core::write_buffer::{Batch, Figures as ShelfFigures, Waiter, WriteBuffer};
+use nickelgw_store::core::RecordKind;
 use nickelgw_store::Store;
+use nickelgw_test_servers::client;
 use serde_json::json;
 use smol::io::AsyncWriteExt;
 use smol::LocalExecutor;
@@ -49,22 +49,27 @@
 fn calls() {
     println!("one call, median of 5 rounds of 40000 (least to most):");
     let key = |n| GrantKey::of(n, "a secret of some length").expect("long enough");
-    let g = Granted { state: "node0-1234-17a0b-1", reader: "read0", writer: "write0", until: 0.0 };
-    ns("a grant made", |n| drop(black_box(grant(&key(1), &Granted { until: n as f64, ..g }))));
-    let mut checker = Checker::new([key(1)]);
+    let g = GrantClaims {
+        reservation: "node0-1234-17a0b-1",
+        prefill_engine: "read0",
+        decode_engine: "write0",
+        expires_at: 0.0,
+    };
+    ns("a grant made", |n| drop(black_box(grant(&key(1), &GrantClaims { expires_at: n as f64, ..g }))));
+    let mut checker = GrantChecker::new([key(1)]);
     let made: Vec<String> =
-        (0..200_000).map(|n| grant(&key(1), &Granted { until: 1e6 + n as f64, ..g })).collect();
+        (0..200_000).map(|n| grant(&key(1), &GrantClaims { expires_at: 1e6 + n as f64, ..g })).collect();
     ns("a grant checked and remembered", |n| {
         black_box(checker.check(1.0, &made[n as usize], &g)).expect("sound and new");
     });
-    let mut table = Repeats::new(repeats::Figures::default());
+    let mut table = IdempotencyTable::new(idempotency::IdempotencyConfig::default());
     ns("a key entered and its run ended", |n| {
         let key = Key::of("tenant", &n.to_string());
-        if let Enter::New(s) = table.enter(n as f64 * 1e-3, key, [1; 32], true) {
-            table.ended(n as f64 * 1e-3, s, Ended::Completed);
+        if let KeyLookup::New(s) = table.look_up(n as f64 * 1e-3, key, [1; 32], true) {
+            table.response_ended(n as f64 * 1e-3, s, Ended::Completed);
         }
     });
-    let mut budget = Budget::new(budget::Figures::default(), 1);
+    let mut budget = RetryBudget::new(retry_budget::Figures::default(), 1);
     ns("a retry judged", |n| {
         black_box(budget.judge(n as f64 * 1e-3, 0, 0, Some((n % 4) as u32), [0; 16]));
     });
@@ -94,7 +99,7 @@
     println!("the store, 1000 records a second, each waited for:");
     {
         let (store, _) = Store::open(&path).map_err(wrong)?;
-        let mut shelf = Shelf::new(ShelfFigures::default());
+        let mut shelf = WriteBuffer::new(ShelfFigures::default());
         let mut waits = Histogram::<u64>::new_with_bounds(1, 60_000_000_000, 3).expect("a valid range");
         let mut commits = waits.clone();
         let (from, mut n, mut put_at) = (Instant::now(), 0u64, HashMap::new());
@@ -105,14 +110,20 @@
                 // Its wait counts from when it was due: a commit that holds others up is seen.
                 put_at.insert(Waiter(n), n as f64 / 1000.0);
                 let key = blake3::hash(&n.to_le_bytes());
-                shelf.put(now, 1e9 + now, (Kind::Repeat, key.as_bytes()), &[7; 32], Some(Waiter(n)));
+                shelf.put(
+                    now,
+                    1e9 + now,
+                    (RecordKind::IdempotencyKey, key.as_bytes()),
+                    &[7; 32],
+                    Some(Waiter(n)),
+                );
             }
-            if let (Some(batch), _) = shelf.due(now) {
+            if let (Some(batch), _) = shelf.poll_batch(now) {
                 let began = Instant::now();
                 store.commit(&batch).map_err(wrong)?;
                 commits.saturating_record(began.elapsed().as_nanos() as u64);
                 let now = from.elapsed().as_secs_f64();
-                for (w, _) in shelf.committed(now, batch.number, true) {
+                for (w, _) in shelf.commit_finished(now, batch.number, true) {
                     let waited = now - put_at.remove(&w).unwrap_or(now);
                     waits.saturating_record((waited * 1e9) as u64);
                 }
@@ -120,7 +131,7 @@
                 std::thread::sleep(Duration::from_micros(200));
             }
         }
-        let a = shelf.account;
+        let a = shelf.counters;
         println!(
             "  a commit: p50 {:.0} us, p99 {:.0} us; {} of them",
             us(&commits, 0.5),
@@ -138,16 +149,16 @@
     for records in [1_000u64, 10_000, 60_000] {
         {
             let (store, _) = Store::open(&path).map_err(wrong)?;
-            let mut shelf = Shelf::new(ShelfFigures::default());
+            let mut shelf = WriteBuffer::new(ShelfFigures::default());
             for n in 0..records {
                 let key = blake3::hash(&n.to_le_bytes());
-                shelf.put(0.0, 1e9, (Kind::Repeat, key.as_bytes()), &[7; 32], None);
+                shelf.put(0.0, 1e9, (RecordKind::IdempotencyKey, key.as_bytes()), &[7; 32], None);
             }
             let mut now = 10.0;
             while !shelf.is_clean() {
-                let batch: Batch = shelf.due(now).0.unwrap_or_default();
+                let batch: Batch = shelf.poll_batch(now).0.unwrap_or_default();
                 store.commit(&batch).map_err(wrong)?;
-                shelf.committed(now, batch.number, true);
+                shelf.commit_finished(now, batch.number, true);
                 now += 10.0;
             }
         }
@@ -155,7 +166,7 @@
         let from = Instant::now();
         let (store, found) = Store::open(&path).map_err(wrong)?;
         let opened = from.elapsed();
-        let mut shelf = Shelf::new(ShelfFigures::default());
+        let mut shelf = WriteBuffer::new(ShelfFigures::default());
         let n = shelf.restore(0.0, 1e9 + 1.0, found).len();
         let whole = from.elapsed();
         drop(store);
--- a/crates/nickelgw-cli/src/bench_tls.rs
+++ b/crates/nickelgw-cli/src/bench_tls.rs
@@ -5,8 +5,8 @@
 use crate::Unusable;
 use hdrhistogram::Histogram;
 use nickelgw_node::client::{Connection, Pool, Tls};
-use nickelgw_node::TlsStart;
-use nickelgw_protocol::list::{self, Line, State};
+use nickelgw_node::TlsOptions;
+use nickelgw_protocol::list::{self, EndpointEntry, EngineState};
 use nickelgw_test_servers::authority::{put, Authority, Fault};
 use nickelgw_test_servers::model::{Figures, Role, TlsFiles};
 use nickelgw_test_servers::record::unix_now;
@@ -173,7 +173,7 @@
 }
 
 /// Engines on threads of this process, all recording to one place.
-fn fleet(c: &Certs, n: u16, record: &Record, cold: bool) -> Result<Vec<Line>, Unusable> {
+fn fleet(c: &Certs, n: u16, record: &Record, cold: bool) -> Result<Vec<EndpointEntry>, Unusable> {
     let mut lines = Vec::new();
     let mut threads: Vec<Vec<(TcpListener, Figures)>> = (0..4).map(|_| Vec::new()).collect();
     for k in 0..n {
@@ -182,15 +182,15 @@
         let role = if read { Role::Read } else { Role::Write };
         let f = Figures { role, cold, slots: 16, ..c.engine(&id, &quick())? };
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        lines.push(Line {
+        lines.push(EndpointEntry {
             id: id.clone(),
             address: listener.local_addr()?.to_string(),
             tls_name: Some(format!("{id}.example.org")),
             zone: "a".into(),
             cell: 0,
-            role: if read { list::Role::Read } else { list::Role::Write },
+            role: if read { list::EngineRole::Prefill } else { list::EngineRole::Decode },
             memory_tokens: 1e9,
-            state: State::In,
+            state: EngineState::Active,
             started_at: cold.then(unix_now),
         });
         threads[k as usize % 4].push((listener, f));
@@ -236,7 +236,12 @@
     let node = nickelgw_settings::node_text("rush", &text).map_err(|p| crate::start::problems(&p))?;
     let mut start = crate::start::start(&node, None)?;
     if !paced {
-        start.tls = TlsStart { at_once: 100_000, at_once_engine: 100_000, retire_gap_s: 0.0, ..start.tls };
+        start.tls = TlsOptions {
+            max_handshakes: 100_000,
+            max_handshakes_per_engine: 100_000,
+            retire_gap_s: 0.0,
+            ..start.tls
+        };
     }
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?.to_string();
--- a/crates/nickelgw-cli/src/main.rs
+++ b/crates/nickelgw-cli/src/main.rs
@@ -171,7 +171,8 @@
                 return Err(Unusable("a request id has letters, digits, '-', '_' and '.'".into()));
             }
             let call = format!("GET /why/{request_id} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
-            let answer = smol::block_on(nickelgw_test_servers::client::raw(&admin, &[call.as_bytes()], 0.0, 5.0));
+            let answer =
+                smol::block_on(nickelgw_test_servers::client::raw(&admin, &[call.as_bytes()], 0.0, 5.0));
             let answer = String::from_utf8_lossy(&answer).to_string();
             let Some((head, body)) = answer.split_once("\r\n\r\n") else {
                 return Err(Unusable(format!("{admin}: no node answers there")));
@@ -188,7 +189,8 @@
         What::Platform => platform::run(),
         What::Engine { id, role, zone, cell, cold, figures, port, seed, record: to } => {
             let wrong = |e: serde_json::Error| Unusable(format!("--figures: {e}"));
-            let mut f: nickelgw_test_servers::model::Figures = serde_json::from_str(&figures).map_err(wrong)?;
+            let mut f: nickelgw_test_servers::model::Figures =
+                serde_json::from_str(&figures).map_err(wrong)?;
             let role = match role {
                 EngineRole::Read => Role::Read,
                 EngineRole::Write => Role::Write,
@@ -210,7 +212,7 @@
                 None => Vec::new(),
                 Some(p) => {
                     let bytes = std::fs::read(&p).map_err(|e| Unusable(format!("{}: {e}", p.display())))?;
-                    let list = nickelgw_protocol::list::List::parse(&bytes);
+                    let list = nickelgw_protocol::list::EndpointList::parse(&bytes);
                     list.map_err(|e| Unusable(format!("{}: {e}", p.display())))?.engines
                 }
             };
--- a/crates/nickelgw-cli/src/rehearse.rs
+++ b/crates/nickelgw-cli/src/rehearse.rs
@@ -4,7 +4,7 @@
 use futures_lite::{AsyncBufReadExt, StreamExt};
 use nanorand::{Rng, WyRand};
 use nickelgw_audit::{Rule, Service, Verdict};
-use nickelgw_protocol::list::{self, Line, State};
+use nickelgw_protocol::list::{self, EndpointEntry, EngineState};
 use nickelgw_rehearsal::core::bench_day;
 use nickelgw_rehearsal::core::script::Script;
 use nickelgw_rehearsal::core::series::Series;
--- a/crates/nickelgw-cli/src/rehearse/stage.rs
+++ b/crates/nickelgw-cli/src/rehearse/stage.rs
@@ -20,7 +20,7 @@
     /// The authority in force, on TLS days.
     pub(super) authority: RefCell<Option<Authority>>,
     /// Engines' lines as the day began.
-    pub(super) lines: RefCell<Vec<Line>>,
+    pub(super) lines: RefCell<Vec<EndpointEntry>>,
 }
 
 pub(super) fn no_certificate(e: nickelgw_test_servers::authority::Failed) -> Unusable {
@@ -77,7 +77,7 @@
     }
 
     /// Tells the list, or the registry, of an engine's line.
-    pub(super) async fn publish(&self, line: &Line, at_once: bool) {
+    pub(super) async fn publish(&self, line: &EndpointEntry, at_once: bool) {
         let order = match self.day.registry() {
             true => json!({"order": "put", "key": engine_key(&line.id), "value": line}),
             false if at_once => json!({"line": line, "lag_s": 0.0}),
@@ -146,7 +146,7 @@
         Some(f)
     }
 
-    pub(super) async fn start_engine(&self, name: &str, cold: bool) -> Result<Line, Unusable> {
+    pub(super) async fn start_engine(&self, name: &str, cold: bool) -> Result<EndpointEntry, Unusable> {
         let mut f = self.figures(name).ok_or_else(|| Unusable(format!("no engine {name}")))?;
         if self.day.tls() {
             self.certificate(name, CertFault::None)?;
@@ -165,18 +165,24 @@
         }
         let (child, address) = child(&args, &self.file(&format!("logs/{name}.log"))).await?;
         self.engines.borrow_mut().insert(name.to_string(), (child, address.clone()));
-        Ok(self.line(f, address, State::In, cold.then(unix_now)))
+        Ok(self.line(f, address, EngineState::Active, cold.then(unix_now)))
     }
 
     /// An engine's line in the list.
-    pub(super) fn line(&self, f: Figures, address: String, state: State, started_at: Option<f64>) -> Line {
-        Line {
+    pub(super) fn line(
+        &self,
+        f: Figures,
+        address: String,
+        state: EngineState,
+        started_at: Option<f64>,
+    ) -> EndpointEntry {
+        EndpointEntry {
             tls_name: self.day.tls().then(|| tls_name(&f.id)),
             id: f.id,
             address,
             zone: f.zone,
             cell: f.cell,
-            role: if f.role == Role::Read { list::Role::Read } else { list::Role::Write },
+            role: if f.role == Role::Read { list::EngineRole::Prefill } else { list::EngineRole::Decode },
             memory_tokens: f.memory_tokens,
             state,
             started_at,
@@ -235,7 +241,7 @@
             Kind::Drain => {
                 let Some(figures) = self.figures(&name) else { return Ok(()) };
                 let address = self.address_of(&name).unwrap_or_default();
-                let line = self.line(figures, address, State::Draining, None);
+                let line = self.line(figures, address, EngineState::Draining, None);
                 self.publish(&line, false).await;
                 // It turns work away once every node has had the time to hear of it.
                 rest((self.day.list_lag_ms() + self.day.drain_grace_ms()) / 1e3).await;
--- a/crates/nickelgw-cli/src/serve.rs
+++ b/crates/nickelgw-cli/src/serve.rs
@@ -4,7 +4,7 @@
 use crate::signals::{Signal, Signals};
 use crate::{start, Unusable};
 use futures_lite::{AsyncBufReadExt, StreamExt};
-use nickelgw_node::Order;
+use nickelgw_node::ProcessSignal;
 use smol::process::{Command, Stdio};
 use std::io::Write;
 use std::net::{TcpListener, UdpSocket};
@@ -41,12 +41,13 @@
         let measured = self.meter.is_some().then(Default::default);
         // Whatever is wrong is said before anything listens.
         let mut start = start::start(&node, measured.clone())?;
-        start.patient = self.inherited;
+        start.accept_when_ready = self.inherited;
         if self.inherited {
             // The process before needs its states until it has gone.
-            let l = start.life;
-            let gone = l.notice_s + l.grace_s + l.end_s + 1.0;
-            start.figures.orphan_cleanup_window_s = (gone, start.figures.orphan_cleanup_window_s.1 + gone);
+            let l = start.shutdown;
+            let gone = l.announce_s + l.drain_timeout_s + l.exit_timeout_s + 1.0;
+            start.core_config.orphan_cleanup_window_s =
+                (gone, start.core_config.orphan_cleanup_window_s.1 + gone);
         }
         let listener = match self.inherited {
             true => TcpListener::from(std::io::stdin().as_fd().try_clone_to_owned()?),
@@ -58,39 +59,39 @@
             .map_err(|e| Unusable(format!("the socket taken over listens nowhere: {e}")))?;
         say(&format!("listening {address}"));
         if self.inherited {
-            start.admin_later = node.admin.clone();
+            start.admin_address = node.admin.clone();
         } else if let Some(a) = &node.admin {
             let l = TcpListener::bind(a).map_err(|e| Unusable(format!("{a}: cannot listen: {e}")))?;
             say(&format!("admin {}", l.local_addr()?));
             start.admin = Some(l);
         }
-        if let Some(t) = start.together.as_mut().filter(|_| !self.inherited) {
+        if let Some(t) = start.gossip.as_mut().filter(|_| !self.inherited) {
             let at = t.sockets.listen.clone();
             let s =
                 UdpSocket::bind(&at).map_err(|e| Unusable(format!("{at}: cannot listen for nodes: {e}")))?;
             let bound = s.local_addr()?.to_string();
             say(&format!("accord {bound}"));
             if node.accord.as_ref().is_some_and(|a| a.address.is_none()) {
-                t.accord.reached_at(bound);
+                t.gossip.set_own_address(bound);
             }
             t.sockets.socket = Some(s);
         }
         let spare = listener.try_clone()?;
         let (tell, orders) = async_channel::bounded(16);
-        start.orders = orders;
+        start.signals = orders;
         start.on_serving = Some(Box::new(|| say("serving")));
         let mut signals = Signals::new()?;
         let told = async {
             let mut leaving = false;
             loop {
                 let order = match (signals.next().await?, leaving) {
-                    (Signal::End, false) => Order::Leave,
-                    (Signal::End, true) => Order::Hasten,
+                    (Signal::End, false) => ProcessSignal::Drain,
+                    (Signal::End, true) => ProcessSignal::SkipStage,
                     (Signal::Renew, true) => continue,
                     (Signal::Renew, false) => match renew(&tell, &spare).await {
-                        Ok(()) => Order::HandOver,
+                        Ok(()) => ProcessSignal::DrainHandedOver,
                         Err(Unusable(why)) => {
-                            let _ = tell.send(Order::Resume).await;
+                            let _ = tell.send(ProcessSignal::ResumeStore).await;
                             tracing::error!("no new process took over, this one serves on: {why}");
                             continue;
                         }
@@ -109,8 +110,8 @@
     }
 }
 
-async fn renew(tell: &async_channel::Sender<Order>, spare: &TcpListener) -> Result<(), Unusable> {
-    let _ = tell.send(Order::Release).await;
+async fn renew(tell: &async_channel::Sender<ProcessSignal>, spare: &TcpListener) -> Result<(), Unusable> {
+    let _ = tell.send(ProcessSignal::ReleaseStore).await;
     take_over(spare).await
 }
 
--- a/crates/nickelgw-cli/src/start.rs
+++ b/crates/nickelgw-cli/src/start.rs
@@ -1,21 +1,24 @@
 //! Wiring: a node's settings become what the node is started with.
 
 use crate::Unusable;
-use nickelgw_gossip::core::record::{Key, Record};
-use nickelgw_gossip::core::{Accord, Figures as AccordFigures};
-use nickelgw_chat::core::budget::Figures as RetryFigures;
 use nickelgw_chat::core::grant::GrantKey;
-use nickelgw_chat::core::repeats::Figures as RepeatFigures;
+use nickelgw_chat::core::idempotency::IdempotencyConfig as RepeatFigures;
+use nickelgw_chat::core::retry_budget::Figures as RetryFigures;
+use nickelgw_deferred::core::Figures as ParkedFigures;
+use nickelgw_gossip::core::record::{NodeRecord, SharedKey};
+use nickelgw_gossip::core::{Gossip, GossipConfig as AccordFigures};
 use nickelgw_node::core::admission::{Model, Tenant};
 use nickelgw_node::core::{Admission, CoreConfig, FairShareConfig, GrantConfig};
-use nickelgw_node::fleet::Registry;
-use nickelgw_node::{Limits, Lot, Meter, Sockets, Source, Start, TlsStart, Together};
-use nickelgw_deferred::core::Figures as ParkedFigures;
+use nickelgw_node::discovery::RegistryOptions;
+use nickelgw_node::{
+    DeferredQueueConfig, EndpointSource, GossipOptions, GossipSockets, LatencyMetrics, Limits, NodeOptions,
+    TlsOptions,
+};
 use nickelgw_registry::core::member::Figures as MemberFigures;
 use nickelgw_registry::core::view::Figures as ViewFigures;
 use nickelgw_settings::{check, Node, Problem};
 use nickelgw_test_servers::record::unix_now;
-use nickelgw_tls::{Files, Said, Versions};
+use nickelgw_tls::{Files, TlsEvent, Versions};
 use std::sync::{Arc, Mutex};
 
 pub fn problems(all: &[Problem]) -> Unusable {
@@ -26,10 +29,10 @@
 /// How long a let-go call is repeated: a reader back from a longer cut frees its states by itself.
 const LET_GO_WITHIN_S: f64 = 15.0;
 
-fn source(n: &Node) -> Source {
+fn source(n: &Node) -> EndpointSource {
     if let Some(r) = &n.registry {
         let lease_s = r.lease_ms() / 1e3;
-        return Source::Registry(Registry {
+        return EndpointSource::Registry(RegistryOptions {
             endpoints: r.endpoint.clone(),
             tls_name: r.tls_name.clone(),
             engines: r.engines_prefix().into(),
@@ -44,8 +47,8 @@
         });
     }
     match &n.list_file {
-        Some(f) => Source::File(f.into()),
-        None => Source::List(n.list.clone().unwrap_or_default()),
+        Some(f) => EndpointSource::File(f.into()),
+        None => EndpointSource::List(n.list.clone().unwrap_or_default()),
     }
 }
 
@@ -86,28 +89,33 @@
 }
 
 /// Keys and trust as the settings name them, looked at once: unsound, the node does not start.
-fn tls(n: &Node) -> Result<TlsStart, Unusable> {
+fn tls(n: &Node) -> Result<TlsOptions, Unusable> {
     let path = |p: &Option<String>| p.as_ref().map(Into::into);
     let versions = |old| if old { Versions::From12 } else { Versions::Only13 };
-    let sound = |said: Vec<Said>, any: bool| match said.into_iter().next() {
+    let sound = |said: Vec<TlsEvent>, any: bool| match said.into_iter().next() {
         _ if any => Ok(()),
-        Some(Said::Unreadable(p)) => Err(Unusable(p.to_string())),
-        Some(Said::Refused(why)) => Err(Unusable(format!("keys and trust: {why}"))),
+        Some(TlsEvent::Unreadable(p)) => Err(Unusable(p.to_string())),
+        Some(TlsEvent::Refused(why)) => Err(Unusable(format!("keys and trust: {why}"))),
         _ => Err(Unusable("keys and trust: cannot be used".into())),
     };
-    let mut out = TlsStart { reload_s: 1.0, at_once: 16, at_once_engine: 2, ..TlsStart::default() };
+    let mut out = TlsOptions {
+        reload_s: 1.0,
+        max_handshakes: 16,
+        max_handshakes_per_engine: 2,
+        ..TlsOptions::default()
+    };
     if let Some(t) = &n.engine_tls {
         let files = Files { chain: path(&t.chain), key: path(&t.key), trust: Some((&t.trust).into()) };
         let mut c = nickelgw_tls::Client::new(files, versions(t.allow_tls12()), t.trust_overlap_ms() / 1e3);
         c.resume = t.resume();
         let said = c.look(unix_now());
         sound(said, c.config().is_some())?;
-        out = TlsStart {
+        out = TlsOptions {
             engines: Some(c),
             chat: None,
             reload_s: t.reload_ms() / 1e3,
-            at_once: t.handshakes_at_once() as usize,
-            at_once_engine: t.handshakes_at_once_engine() as usize,
+            max_handshakes: t.handshakes_at_once() as usize,
+            max_handshakes_per_engine: t.handshakes_at_once_engine() as usize,
             retire_gap_s: t.retire_gap_ms() / 1e3,
         };
     }
@@ -127,52 +135,52 @@
 const OVERLAP_S: f64 = 600.0;
 
 /// How the node is one of a fleet; its socket is bound by the caller, who knows whether another process has it still.
-fn together(n: &Node, epoch: f64) -> Option<Together> {
+fn together(n: &Node, epoch: f64) -> Option<GossipOptions> {
     let a = n.accord.as_ref()?;
     let round_s = a.round_ms() / 1e3;
-    let own = Record {
+    let own = NodeRecord {
         name: n.name.clone(),
         incarnation: (epoch * 1e3) as u64,
         seq: 0,
         address: a.address.clone().unwrap_or_else(|| a.listen.clone()),
         zone: n.zone.clone(),
-        seen: Vec::new(),
-        parked: Vec::new(),
+        zone_reports: Vec::new(),
+        deferred_by_tenant: Vec::new(),
     };
     let figures = AccordFigures { round_s, ..AccordFigures::default() };
     let seed = n.seed() ^ epoch.to_bits();
-    Some(Together {
-        accord: Accord::new(figures, Key::of(&a.key), own, a.peer.clone(), seed),
-        zones: nickelgw_zones::core::Figures {
-            silent_s: n.limits.unwrap_or_default().probe_ms() / 1e3,
-            step_s: a.step_ms() / 1e3,
-            wait_s: a.wait_ms() / 1e3,
-            longest_wait_s: a.longest_wait_ms() / 1e3,
+    Some(GossipOptions {
+        gossip: Gossip::new(figures, SharedKey::from_secret(&a.key), own, a.peer.clone(), seed),
+        zones: nickelgw_zones::core::ZoneConfig {
+            detection_s: n.limits.unwrap_or_default().probe_ms() / 1e3,
+            recovery_step_s: a.step_ms() / 1e3,
+            failback_delay_s: a.wait_ms() / 1e3,
+            max_failback_delay_s: a.longest_wait_ms() / 1e3,
             ..Default::default()
         },
-        sockets: Sockets { socket: None, listen: a.listen.clone() },
+        sockets: GossipSockets { socket: None, listen: a.listen.clone() },
     })
 }
 
-fn parked(n: &Node) -> Option<Lot> {
+fn parked(n: &Node) -> Option<DeferredQueueConfig> {
     let p = n.parked.as_ref()?;
-    Some(Lot {
+    Some(DeferredQueueConfig {
         file: (&p.file).into(),
-        figures: ParkedFigures {
+        limits: ParkedFigures {
             most_records: p.most_records() as usize,
             most_bytes: p.most_bytes() as usize,
             most_each: p.most_records_tenant() as usize,
             longest_wait_s: p.longest_wait_ms() / 1e3,
             keep_s: p.keep_ms() / 1e3,
             most_answer: p.most_answer_bytes() as usize,
-            most_tries: nickelgw_node::MOST_TRIES,
+            most_tries: nickelgw_node::MAX_ATTEMPTS,
         },
-        most_running: p.most_running() as usize,
+        max_running: p.most_running() as usize,
         weights: n.tenant.iter().map(|t| t.weight()).collect(),
     })
 }
 
-pub fn start(n: &Node, meter: Option<Arc<Mutex<Meter>>>) -> Result<Start, Unusable> {
+pub fn start(n: &Node, meter: Option<Arc<Mutex<LatencyMetrics>>>) -> Result<NodeOptions, Unusable> {
     let leaving = n.leaving.unwrap_or_default();
     let l = n.limits.unwrap_or_default();
     let epoch = unix_now();
@@ -184,14 +192,14 @@
         is_idempotent: r.repeat() == nickelgw_settings::proto::Repeat::Retriable,
     };
     let tenant = |t: &nickelgw_settings::proto::Tenant| Tenant { name: t.name.clone(), key: t.key.clone() };
-    Ok(Start {
+    Ok(NodeOptions {
         tls: tls(n)?,
-        repeats: repeats(n),
-        retries: retries(n),
+        idempotency: repeats(n),
+        retry_budget: retries(n),
         name: n.name.clone(),
         zone: n.zone.clone(),
         deployment: check::deployment(n),
-        figures: CoreConfig {
+        core_config: CoreConfig {
             // A process's own: states named by an earlier one are not this one's.
             incarnation: format!("{}-{:x}-{:x}", n.name, std::process::id(), (epoch * 1e6) as u64),
             started_at_unix_s: epoch,
@@ -215,42 +223,42 @@
             }),
             tenant_max_open: n.tenant.iter().map(|t| t.most_open.map(|m| m as usize)).collect(),
         },
-        door: Admission {
+        admission: Admission {
             models: n.model_route.iter().map(model).collect(),
             tenants: n.tenant.iter().map(tenant).collect(),
             max_prompt_tokens: l.most_prompt_tokens(),
         },
         limits: Limits {
-            most_connections: l.most_connections() as usize,
-            most_body_bytes: l.most_body_bytes() as usize,
-            head_s: l.head_ms() / 1e3,
-            body_s: l.body_ms() / 1e3,
-            connect_s: l.connect_ms() / 1e3,
-            probe_s: l.probe_ms() / 1e3,
-            most_idle: l.most_idle_connections() as usize,
-            idle_s: l.idle_connection_ms() / 1e3,
-            most_waiting: l.most_waiting() as usize,
-            client_stall_s: l.client_stall_ms() / 1e3,
-            come_back_s: l.come_back_ms() / 1e3,
+            max_connections: l.most_connections() as usize,
+            max_body_bytes: l.most_body_bytes() as usize,
+            head_timeout_s: l.head_ms() / 1e3,
+            body_timeout_s: l.body_ms() / 1e3,
+            connect_timeout_s: l.connect_ms() / 1e3,
+            probe_timeout_s: l.probe_ms() / 1e3,
+            max_idle_connections: l.most_idle_connections() as usize,
+            idle_timeout_s: l.idle_connection_ms() / 1e3,
+            max_queued: l.most_waiting() as usize,
+            client_stall_timeout_s: l.client_stall_ms() / 1e3,
+            retry_after_s: l.come_back_ms() / 1e3,
             send_buffer: l.send_buffer_bytes() as usize,
         },
-        source: source(n),
-        view: doubt(n),
-        together: together(n, epoch),
-        parked: parked(n),
-        last_list: n.last_list.as_ref().map(Into::into),
+        endpoint_source: source(n),
+        view_config: doubt(n),
+        gossip: together(n, epoch),
+        deferred: parked(n),
+        endpoint_cache: n.last_list.as_ref().map(Into::into),
         store: n.store.as_ref().map(Into::into),
         admin: None,
-        admin_later: None,
-        life: nickelgw_node::core::shutdown::Figures {
-            notice_s: leaving.notice_ms() / 1e3,
-            grace_s: leaving.grace_ms() / 1e3,
-            end_s: leaving.end_ms() / 1e3,
+        admin_address: None,
+        shutdown: nickelgw_node::core::shutdown::ShutdownConfig {
+            announce_s: leaving.notice_ms() / 1e3,
+            drain_timeout_s: leaving.grace_ms() / 1e3,
+            exit_timeout_s: leaving.end_ms() / 1e3,
         },
         // Told nothing, unless the caller puts its own here.
-        orders: async_channel::bounded(1).1,
+        signals: async_channel::bounded(1).1,
         on_serving: None,
-        patient: false,
-        meter,
+        accept_when_ready: false,
+        latency: meter,
     })
 }
--- a/crates/nickelgw-cli/src/up.rs
+++ b/crates/nickelgw-cli/src/up.rs
@@ -1,7 +1,7 @@
 //! `nickelgw up`: nodes and stand-ins in one process, to try things out.
 
 use crate::{signals, start, Unusable};
-use nickelgw_protocol::list::{self, Line, State};
+use nickelgw_protocol::list::{self, EndpointEntry, EngineState};
 use nickelgw_test_servers::model::{Figures, Role};
 use nickelgw_test_servers::{client, Record};
 use std::net::TcpListener;
@@ -22,7 +22,7 @@
 }
 
 /// Stand-ins on threads of their own; they end with the process.
-pub fn engines(readers: u16, writers: u16, figures: &Figures) -> Result<Vec<Line>, Unusable> {
+pub fn engines(readers: u16, writers: u16, figures: &Figures) -> Result<Vec<EndpointEntry>, Unusable> {
     let mut lines = Vec::new();
     for n in 0..readers + writers {
         let read = n < readers;
@@ -32,14 +32,14 @@
         };
         let f = Figures { id: id.clone(), role, ..figures.clone() };
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        lines.push(Line {
+        lines.push(EndpointEntry {
             id,
             address: listener.local_addr()?.to_string(),
             zone: f.zone.clone(),
             cell: f.cell,
-            role: if read { list::Role::Read } else { list::Role::Write },
+            role: if read { list::EngineRole::Prefill } else { list::EngineRole::Decode },
             memory_tokens: f.memory_tokens,
-            state: State::In,
+            state: EngineState::Active,
             started_at: None,
             tls_name: None,
         });
@@ -50,7 +50,7 @@
     Ok(lines)
 }
 
-pub fn list(lines: Vec<Line>) -> Result<String, Unusable> {
+pub fn list(lines: Vec<EndpointEntry>) -> Result<String, Unusable> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?.to_string();
     thread::spawn(move || {
--- a/crates/nickelgw-cli/tests/fleet/main.rs
+++ b/crates/nickelgw-cli/tests/fleet/main.rs
@@ -3,7 +3,7 @@
 mod parked;
 mod site;
 
-use nickelgw_gossip::core::record::{Datagram, Key, Record, Seen, Word};
+use nickelgw_gossip::core::record::{Datagram, Message, NodeRecord, SharedKey, ZoneReport};
 use nickelgw_test_servers::model::Figures;
 use nickelgw_test_servers::record::unix_now;
 use nickelgw_test_servers::relay::Mode;
@@ -162,18 +162,23 @@
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let lie = |key: &str, seq: u64| {
         let silent = (0..8).map(|e| (e, 10)).collect();
-        let record = Record {
+        let record = NodeRecord {
             name: "liar".into(),
             incarnation: 1,
             seq,
             address: socket.local_addr().unwrap().to_string(),
             zone: "a".into(),
-            parked: vec![],
-            seen: vec![Seen { zone: "b".into(), heard_ms: None, silent, part: 0 }],
+            deferred_by_tenant: vec![],
+            zone_reports: vec![ZoneReport {
+                zone: "b".into(),
+                last_response_age_ms: None,
+                unreachable: silent,
+                weight_per_mille: 0,
+            }],
         };
         let at_ms = (unix_now() * 1e3) as u64;
-        let word = Word::Records(vec![(0, record)]);
-        Key::of(key).seal(&Datagram { from: "liar".into(), at_ms, word }).unwrap()
+        let word = Message::Records(vec![(0, record)]);
+        SharedKey::from_secret(key).seal(&Datagram { from: "liar".into(), at_ms, message: word }).unwrap()
     };
     for seq in 0..20 {
         for n in &site.nodes {
--- a/crates/nickelgw-cli/tests/fleet/site.rs
+++ b/crates/nickelgw-cli/tests/fleet/site.rs
@@ -1,6 +1,6 @@
 //! Nodes as processes over three zones, stand-in engines of a list for each zone, and a relay between any two parties.
 
-use nickelgw_protocol::list::{self, Line, State};
+use nickelgw_protocol::list::{self, EndpointEntry, EngineState};
 use nickelgw_test_servers::client::{self, Ask};
 use nickelgw_test_servers::model::{Figures, Role};
 use nickelgw_test_servers::record::unix_now;
@@ -70,15 +70,15 @@
 }
 
 /// An engine as the lists have it.
-fn line(f: &Figures, address: SocketAddr, started_at: Option<f64>) -> Line {
-    Line {
+fn line(f: &Figures, address: SocketAddr, started_at: Option<f64>) -> EndpointEntry {
+    EndpointEntry {
         id: f.id.clone(),
         address: address.to_string(),
         zone: f.zone.clone(),
         cell: 0,
-        role: if f.role == Role::Read { list::Role::Read } else { list::Role::Write },
+        role: if f.role == Role::Read { list::EngineRole::Prefill } else { list::EngineRole::Decode },
         memory_tokens: f.memory_tokens,
-        state: State::In,
+        state: EngineState::Active,
         started_at,
         tls_name: None,
     }
@@ -116,7 +116,7 @@
             "routes": {"chat": {"repeat": "retriable"}, "booking": {"repeat": "non_retriable"}}});
         record.note("rules", rules);
         let mut engines = Vec::new();
-        let mut lines: Vec<Vec<Line>> = vec![Vec::new(); ZONES.len()];
+        let mut lines: Vec<Vec<EndpointEntry>> = vec![Vec::new(); ZONES.len()];
         for zone in ZONES {
             for (role, letter) in [(Role::Read, 'r'), (Role::Write, 'w')] {
                 for n in 0..plan.engines {
--- a/crates/nickelgw-cli/tests/life.rs
+++ b/crates/nickelgw-cli/tests/life.rs
@@ -1,6 +1,6 @@
 //! A node as a process: taken over under load, killed, told to go.
 
-use nickelgw_protocol::list::{self, State};
+use nickelgw_protocol::list::{self, EngineState};
 use nickelgw_test_servers::client::{self, Ask};
 use nickelgw_test_servers::model::{Figures, Role};
 use nickelgw_test_servers::record::unix_now;
@@ -38,14 +38,14 @@
         for (id, role) in [("r0", Role::Read), ("w0", Role::Write), ("w1", Role::Write)] {
             let f = Figures { id: id.into(), role, out_tokens: 8, step_s, slots: 64, ..Figures::default() };
             let l = TcpListener::bind("127.0.0.1:0").unwrap();
-            lines.push(list::Line {
+            lines.push(list::EndpointEntry {
                 id: id.into(),
                 address: l.local_addr().unwrap().to_string(),
                 zone: "a".into(),
                 cell: 0,
-                role: if role == Role::Read { list::Role::Read } else { list::Role::Write },
+                role: if role == Role::Read { list::EngineRole::Prefill } else { list::EngineRole::Decode },
                 memory_tokens: 2e5,
-                state: State::In,
+                state: EngineState::Active,
                 started_at: None,
                 tls_name: None,
             });
@@ -55,7 +55,9 @@
         let engines = lines.iter().map(|l| l.address.clone()).collect();
         let l = TcpListener::bind("127.0.0.1:0").unwrap();
         let listed = l.local_addr().unwrap().to_string();
-        thread::spawn(move || smol::block_on(nickelgw_test_servers::list::run(l, lines, 0.0, Record::default())));
+        thread::spawn(move || {
+            smol::block_on(nickelgw_test_servers::list::run(l, lines, 0.0, Record::default()))
+        });
         // A port that a node started anew can listen on again, at an address of its own: at 127.0.0.1 a connection made
         // meanwhile by another test may have been given it.
         static SITES: AtomicU8 = AtomicU8::new(1);
--- a/crates/nickelgw-deferred/src/core/mod.rs
+++ b/crates/nickelgw-deferred/src/core/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod record;
 
-use record::{Answer, Record, State};
+use record::{DeferredAnswer, DeferredRecord, DeferredState};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Names one; given out only when its record is on disk.
@@ -25,7 +25,7 @@
 
 /// Whether it may run again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     Retriable,
     /// Repeats are dropped by all engines for so long.
     Deduped(f64),
@@ -34,7 +34,7 @@
 
 /// Why one is not taken; nothing of it is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum DeferredRejection {
     Records,
     Bytes,
     Tenant,
@@ -53,7 +53,7 @@
 }
 
 struct Entry {
-    record: Record,
+    record: DeferredRecord,
     bytes: usize,
     /// Of the write that holds its record as it stands.
     version: u64,
@@ -63,14 +63,14 @@
 
 /// What a client that asks by its ticket is told.
 #[derive(Debug, PartialEq)]
-pub enum Look<'a> {
+pub enum DeferredStatus<'a> {
     Parked,
     Running,
-    Ended(&'a Answer),
+    Ended(&'a DeferredAnswer),
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct DeferredCounters {
     pub parked: u64,
     pub refused: u64,
     pub answered: u64,
@@ -79,7 +79,7 @@
     pub errored: u64,
 }
 
-pub struct Parked {
+pub struct DeferredQueue {
     figures: Figures,
     all: BTreeMap<Ticket, Entry>,
     bytes: usize,
@@ -91,7 +91,7 @@
     due_at: f64,
     /// Of the last write.
     version: u64,
-    pub tally: Tally,
+    pub counters: DeferredCounters,
 }
 
 /// A tenant's part of what is run at a node: its weight, by how much of all that waits for it waits here. Parked at five nodes it
@@ -101,9 +101,9 @@
     weight * here / (here + elsewhere as f64)
 }
 
-impl Parked {
-    pub fn new(figures: Figures) -> Parked {
-        Parked {
+impl DeferredQueue {
+    pub fn new(figures: Figures) -> DeferredQueue {
+        DeferredQueue {
             figures,
             all: BTreeMap::new(),
             bytes: 0,
@@ -111,7 +111,7 @@
             served: BTreeMap::new(),
             due_at: f64::INFINITY,
             version: 0,
-            tally: Tally::default(),
+            counters: DeferredCounters::default(),
         }
     }
 
@@ -133,17 +133,17 @@
         &mut self,
         now: f64,
         found: impl Iterator<Item = (Ticket, Vec<u8>)>,
-        repeat: impl Fn(&Record) -> Option<Repeat>,
+        repeat: impl Fn(&DeferredRecord) -> Option<RetryPolicy>,
     ) -> Vec<Write> {
         let mut writes = Vec::new();
         for (ticket, bytes) in found {
-            let Some(record) = Record::read(&bytes) else {
+            let Some(record) = DeferredRecord::read(&bytes) else {
                 writes.push(self.remove(ticket));
                 continue;
             };
             self.bytes += bytes.len();
-            let (running, repeat) = (record.state == State::Running, repeat(&record));
-            let waits = !matches!(record.state, State::Ended { .. });
+            let (running, repeat) = (record.state == DeferredState::Running, repeat(&record));
+            let waits = !matches!(record.state, DeferredState::Ended { .. });
             // Looked over once; from then on it is known when the next is due.
             self.due_at = now;
             self.all.insert(ticket, Entry { record, bytes: bytes.len(), version: 0, on_disk: true });
@@ -152,7 +152,7 @@
                 None if waits => writes.push(self.end(
                     now,
                     ticket,
-                    Answer::error(410, "gone", "its tenant or model is no more"),
+                    DeferredAnswer::error(410, "gone", "its tenant or model is no more"),
                 )),
                 Some(r) if running && !self.may_run(now, ticket, r) => writes.push(self.lost(now, ticket)),
                 _ if running => writes.push(self.put_back(ticket)),
@@ -164,37 +164,46 @@
     }
 
     fn lost(&mut self, now: f64, ticket: Ticket) -> Write {
-        self.tally.errored += 1;
-        self.end(now, ticket, Answer::error(502, "may_have_run", "it may have run, and does not run again"))
+        self.counters.errored += 1;
+        self.end(
+            now,
+            ticket,
+            DeferredAnswer::error(502, "may_have_run", "it may have run, and does not run again"),
+        )
     }
 
-    fn may_run(&self, now: f64, ticket: Ticket, repeat: Repeat) -> bool {
+    fn may_run(&self, now: f64, ticket: Ticket, repeat: RetryPolicy) -> bool {
         let Some(e) = self.all.get(&ticket) else { return false };
         match (repeat, e.record.first_run) {
-            (Repeat::Retriable, _) | (_, None) => true,
-            (Repeat::Never, Some(_)) => false,
+            (RetryPolicy::Retriable, _) | (_, None) => true,
+            (RetryPolicy::Never, Some(_)) => false,
             // Half of the span is left for the run itself.
-            (Repeat::Deduped(memory_s), Some(first)) => now < first + memory_s / 2.0 && now >= first,
+            (RetryPolicy::Deduped(memory_s), Some(first)) => now < first + memory_s / 2.0 && now >= first,
         }
     }
 
     /// Takes one in; the record is to be on disk before its client hears of it.
-    pub fn take(&mut self, now: f64, ticket: Ticket, r: Record) -> Result<Write, Refused> {
+    pub fn enqueue(
+        &mut self,
+        now: f64,
+        ticket: Ticket,
+        r: DeferredRecord,
+    ) -> Result<Write, DeferredRejection> {
         let bytes = r.bytes();
         let of_tenant = self.all.values().filter(|e| e.record.tenant == r.tenant).count();
         let why = if r.until - now > self.figures.longest_wait_s {
-            Some(Refused::Wait)
+            Some(DeferredRejection::Wait)
         } else if self.all.len() >= self.figures.most_records {
-            Some(Refused::Records)
+            Some(DeferredRejection::Records)
         } else if self.bytes + bytes.len() > self.figures.most_bytes {
-            Some(Refused::Bytes)
+            Some(DeferredRejection::Bytes)
         } else if of_tenant >= self.figures.most_each {
-            Some(Refused::Tenant)
+            Some(DeferredRejection::Tenant)
         } else {
             None
         };
         if let Some(why) = why {
-            self.tally.refused += 1;
+            self.counters.refused += 1;
             return Err(why);
         }
         self.bytes += bytes.len();
@@ -212,16 +221,16 @@
 
     /// The write is on disk, or could not be: what was being taken in is then as if it never came. One that has been overtaken
     /// says nothing of the record as it stands.
-    pub fn written(&mut self, ticket: Ticket, version: u64, done: bool) {
+    pub fn write_finished(&mut self, ticket: Ticket, version: u64, done: bool) {
         let Some(e) = self.all.get_mut(&ticket).filter(|e| e.version == version) else { return };
         if done {
-            let new = !e.on_disk && e.record.state == State::Parked;
+            let new = !e.on_disk && e.record.state == DeferredState::Parked;
             e.on_disk = true;
             if new {
-                self.tally.parked += 1;
+                self.counters.parked += 1;
                 self.queue(ticket);
             }
-        } else if e.record.state == State::Parked {
+        } else if e.record.state == DeferredState::Parked {
             self.forget(ticket);
         }
     }
@@ -256,11 +265,11 @@
 
     /// The next to be run: of the tenant that has had least for its weight, the oldest. `weight`: its part of what is
     /// run here. It may have run from the write on, which is to be on disk before it is sent where that matters.
-    pub fn next(
+    pub fn next_runnable(
         &mut self,
         now: f64,
         weight: impl Fn(&str) -> f64,
-        repeat: impl Fn(&Record) -> Option<Repeat>,
+        repeat: impl Fn(&DeferredRecord) -> Option<RetryPolicy>,
     ) -> Option<Write> {
         loop {
             let ready = self.queues.iter().filter(|q| !q.1.is_empty());
@@ -278,13 +287,13 @@
                 continue;
             }
             *self.served.entry(tenant.clone()).or_insert(0.0) += 1.0 / weight(&tenant).max(1e-6);
-            e.record.state = State::Running;
+            e.record.state = DeferredState::Running;
             e.record.first_run = e.record.first_run.or(Some(now));
             return Some(self.rewrite(ticket));
         }
     }
 
-    pub fn record(&self, ticket: Ticket) -> Option<&Record> {
+    pub fn record(&self, ticket: Ticket) -> Option<&DeferredRecord> {
         self.all.get(&ticket).map(|e| &e.record)
     }
 
@@ -306,7 +315,7 @@
 
     fn put_back(&mut self, ticket: Ticket) -> Write {
         if let Some(e) = self.all.get_mut(&ticket) {
-            e.record.state = State::Parked;
+            e.record.state = DeferredState::Parked;
         }
         let write = self.rewrite(ticket);
         if let Some(e) = self.all.get_mut(&ticket) {
@@ -319,10 +328,10 @@
 
     /// Given out, it came back without an answer: `ran` nothing of it where it was turned away. It waits for its next turn,
     /// or ends.
-    pub fn back(&mut self, now: f64, ticket: Ticket, ran: bool, repeat: Repeat) -> Write {
+    pub fn attempt_failed(&mut self, now: f64, ticket: Ticket, ran: bool, repeat: RetryPolicy) -> Write {
         let most = self.figures.most_tries;
         let Some(e) = self.all.get_mut(&ticket) else { return self.remove(ticket) };
-        if !ran && repeat == Repeat::Never {
+        if !ran && repeat == RetryPolicy::Never {
             e.record.first_run = None;
         }
         e.record.tries += u32::from(ran);
@@ -334,29 +343,29 @@
     }
 
     /// It has its answer, which is to be on disk before its client sees it.
-    pub fn answered(&mut self, now: f64, ticket: Ticket, answer: Answer) -> Write {
-        self.tally.answered += 1;
+    pub fn complete(&mut self, now: f64, ticket: Ticket, answer: DeferredAnswer) -> Write {
+        self.counters.answered += 1;
         let long = answer.body.len() > self.figures.most_answer;
         let word = "the answer is longer than is kept";
-        self.end(now, ticket, if long { Answer::error(507, "answer_too_long", word) } else { answer })
+        self.end(now, ticket, if long { DeferredAnswer::error(507, "answer_too_long", word) } else { answer })
     }
 
-    fn end(&mut self, now: f64, ticket: Ticket, answer: Answer) -> Write {
+    fn end(&mut self, now: f64, ticket: Ticket, answer: DeferredAnswer) -> Write {
         self.unqueue(ticket);
         let Some(e) = self.all.get_mut(&ticket) else { return self.remove(ticket) };
-        if matches!(e.record.state, State::Ended { .. }) {
+        if matches!(e.record.state, DeferredState::Ended { .. }) {
             // What was told stays told: the same write once more.
             return Write { ticket, version: e.version, bytes: Some(e.record.bytes()) };
         }
         self.due_at = self.due_at.min(now + self.figures.keep_s);
-        e.record.state = State::Ended { at: now, answer };
+        e.record.state = DeferredState::Ended { at: now, answer };
         // The question is not asked any more.
         e.record.body = Vec::new();
         self.rewrite(ticket)
     }
 
     /// What has had its time: parked ones are given up, answers kept long enough go.
-    pub fn due(&mut self, now: f64) -> Vec<Write> {
+    pub fn poll_expired(&mut self, now: f64) -> Vec<Write> {
         // All are looked over only when one has had its time.
         if now < self.due_at {
             return Vec::new();
@@ -366,8 +375,8 @@
         for (&ticket, e) in &self.all {
             let (at, of) = match e.record.state {
                 // Not on disk yet it waits for that first; then it is queued, and looked at again.
-                State::Parked if e.on_disk => (e.record.until, &mut given_up),
-                State::Ended { at, .. } => (at + self.figures.keep_s, &mut gone),
+                DeferredState::Parked if e.on_disk => (e.record.until, &mut given_up),
+                DeferredState::Ended { at, .. } => (at + self.figures.keep_s, &mut gone),
                 _ => continue,
             };
             if now >= at {
@@ -379,23 +388,23 @@
         gone.iter().for_each(|t| self.forget(*t));
         let mut writes: Vec<Write> = gone.into_iter().map(|t| self.remove(t)).collect();
         for t in given_up {
-            self.tally.given_up += 1;
+            self.counters.given_up += 1;
             writes.push(self.end(
                 now,
                 t,
-                Answer::error(504, "timeout", "its time passed before there was room"),
+                DeferredAnswer::error(504, "timeout", "its time passed before there was room"),
             ));
         }
         writes
     }
 
     /// What the client of this tenant is told; none: there is no such ticket, for it.
-    pub fn look(&self, ticket: Ticket, tenant: &str) -> Option<Look<'_>> {
+    pub fn status(&self, ticket: Ticket, tenant: &str) -> Option<DeferredStatus<'_>> {
         let e = self.all.get(&ticket).filter(|e| e.record.tenant == tenant)?;
         Some(match &e.record.state {
-            State::Ended { answer, .. } if e.on_disk => Look::Ended(answer),
-            State::Parked => Look::Parked,
-            _ => Look::Running,
+            DeferredState::Ended { answer, .. } if e.on_disk => DeferredStatus::Ended(answer),
+            DeferredState::Parked => DeferredStatus::Parked,
+            _ => DeferredStatus::Running,
         })
     }
 }
--- a/crates/nickelgw-deferred/src/core/record.rs
+++ b/crates/nickelgw-deferred/src/core/record.rs
@@ -5,30 +5,30 @@
 
 /// What the client is told, once.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct DeferredAnswer {
     pub status: u16,
     pub body: Vec<u8>,
 }
 
-impl Answer {
-    pub fn error(status: u16, code: &'static str, word: &str) -> Answer {
-        Answer { status, body: ApiError::new(status, "server_error", code, word).body().to_vec() }
+impl DeferredAnswer {
+    pub fn error(status: u16, code: &'static str, word: &str) -> DeferredAnswer {
+        DeferredAnswer { status, body: ApiError::new(status, "server_error", code, word).body().to_vec() }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum State {
+pub enum DeferredState {
     Parked,
     /// Given out to be run: from here on it may have run.
     Running,
     Ended {
         at: f64,
-        answer: Answer,
+        answer: DeferredAnswer,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Record {
+pub struct DeferredRecord {
     pub tenant: String,
     pub model: String,
     pub body: Vec<u8>,
@@ -38,16 +38,16 @@
     /// When it first may have run, where repeats are dropped for a time from then on.
     pub first_run: Option<f64>,
     pub tries: u32,
-    pub state: State,
+    pub state: DeferredState,
 }
 
-impl Record {
+impl DeferredRecord {
     pub fn bytes(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    pub fn read(bytes: &[u8]) -> Option<Record> {
-        let r: Record = postcard::from_bytes(bytes).ok()?;
+    pub fn read(bytes: &[u8]) -> Option<DeferredRecord> {
+        let r: DeferredRecord = postcard::from_bytes(bytes).ok()?;
         let sound = r.parked_at.is_finite() && r.until.is_finite() && r.first_run.is_none_or(f64::is_finite);
         sound.then_some(r)
     }
--- a/crates/nickelgw-deferred/src/core/tests.rs
+++ b/crates/nickelgw-deferred/src/core/tests.rs
@@ -15,8 +15,8 @@
     }
 }
 
-fn record(tenant: &str, at: f64, until: f64) -> Record {
-    Record {
+fn record(tenant: &str, at: f64, until: f64) -> DeferredRecord {
+    DeferredRecord {
         tenant: tenant.into(),
         model: "chat".into(),
         body: b"{}".to_vec(),
@@ -24,38 +24,38 @@
         until,
         first_run: None,
         tries: 0,
-        state: State::Parked,
+        state: DeferredState::Parked,
     }
 }
 
-fn park(p: &mut Parked, ticket: Ticket, tenant: &str, at: f64) {
-    let w = p.take(at, ticket, record(tenant, at, at + 100.0)).unwrap();
-    p.written(ticket, w.version, true);
+fn park(p: &mut DeferredQueue, ticket: Ticket, tenant: &str, at: f64) {
+    let w = p.enqueue(at, ticket, record(tenant, at, at + 100.0)).unwrap();
+    p.write_finished(ticket, w.version, true);
 }
 
-fn answer() -> Answer {
-    Answer { status: 200, body: b"well".to_vec() }
+fn answer() -> DeferredAnswer {
+    DeferredAnswer { status: 200, body: b"well".to_vec() }
 }
 
 #[test]
 fn nothing_is_run_or_told_before_its_record_is_on_disk() {
-    let mut p = Parked::new(figures());
-    let w = p.take(0.0, 1, record("t", 0.0, 100.0)).unwrap();
-    assert_eq!(p.next(0.0, |_| 1.0, |_| Some(Repeat::Never)), None);
-    p.written(1, w.version, false);
-    assert!(p.is_empty() && p.look(1, "t").is_none(), "what could not be kept never came");
+    let mut p = DeferredQueue::new(figures());
+    let w = p.enqueue(0.0, 1, record("t", 0.0, 100.0)).unwrap();
+    assert_eq!(p.next_runnable(0.0, |_| 1.0, |_| Some(RetryPolicy::Never)), None);
+    p.write_finished(1, w.version, false);
+    assert!(p.is_empty() && p.status(1, "t").is_none(), "what could not be kept never came");
     park(&mut p, 2, "t", 0.0);
-    assert_eq!(p.next(0.0, |_| 1.0, |_| Some(Repeat::Never)).unwrap().ticket, 2);
-    let w = p.answered(1.0, 2, answer());
-    assert_eq!(p.look(2, "t"), Some(Look::Running), "nor an answer");
-    p.written(2, w.version, true);
-    assert_eq!(p.look(2, "t"), Some(Look::Ended(&answer())));
-    assert_eq!(p.look(2, "another"), None);
+    assert_eq!(p.next_runnable(0.0, |_| 1.0, |_| Some(RetryPolicy::Never)).unwrap().ticket, 2);
+    let w = p.complete(1.0, 2, answer());
+    assert_eq!(p.status(2, "t"), Some(DeferredStatus::Running), "nor an answer");
+    p.write_finished(2, w.version, true);
+    assert_eq!(p.status(2, "t"), Some(DeferredStatus::Ended(&answer())));
+    assert_eq!(p.status(2, "another"), None);
 }
 
 #[test]
 fn tenants_are_served_by_their_weights_and_each_oldest_first() {
-    let mut p = Parked::new(figures());
+    let mut p = DeferredQueue::new(figures());
     for n in 0..50u32 {
         park(&mut p, 1000 - Ticket::from(n), "many", f64::from(n) / 100.0);
     }
@@ -66,7 +66,7 @@
     let weight = |t: &str| if t == "heavy" { 2.0 } else { 1.0 };
     let mut order = Vec::new();
     for _ in 0..20 {
-        let t = p.next(2.0, weight, |_| Some(Repeat::Retriable)).unwrap().ticket;
+        let t = p.next_runnable(2.0, weight, |_| Some(RetryPolicy::Retriable)).unwrap().ticket;
         order.push((p.record(t).unwrap().tenant.clone(), t));
     }
     let count = |t: &str| order.iter().filter(|o| o.0 == t).count();
@@ -78,7 +78,7 @@
 /// Five sites with room for one at a time each, where a tenant that is at all five competes with one that is at one.
 #[test]
 fn a_tenant_parked_at_one_site_is_not_passed_by_one_parked_at_five() {
-    let mut site = Parked::new(figures());
+    let mut site = DeferredQueue::new(figures());
     for n in 0..40 {
         park(&mut site, n, "here", 0.0);
         park(&mut site, 100 + n, "everywhere", 0.0);
@@ -86,7 +86,7 @@
     let parts = |t: &str| part(1.0, 40, if t == "here" { 0 } else { 4 * 40 });
     let mut first = Vec::new();
     for _ in 0..30 {
-        let t = site.next(1.0, parts, |_| Some(Repeat::Retriable)).unwrap().ticket;
+        let t = site.next_runnable(1.0, parts, |_| Some(RetryPolicy::Retriable)).unwrap().ticket;
         first.push(site.record(t).unwrap().tenant.clone());
     }
     let here = first.iter().filter(|t| *t == "here").count();
@@ -96,80 +96,80 @@
 #[test]
 fn a_full_place_refuses_and_keeps_nothing_of_it() {
     let f = Figures { most_records: 3, most_each: 2, ..figures() };
-    let mut p = Parked::new(f);
+    let mut p = DeferredQueue::new(f);
     park(&mut p, 1, "a", 0.0);
     park(&mut p, 2, "a", 0.0);
-    assert_eq!(p.take(0.0, 3, record("a", 0.0, 9.0)), Err(Refused::Tenant));
+    assert_eq!(p.enqueue(0.0, 3, record("a", 0.0, 9.0)), Err(DeferredRejection::Tenant));
     park(&mut p, 4, "b", 0.0);
-    assert_eq!(p.take(0.0, 5, record("b", 0.0, 9.0)), Err(Refused::Records));
-    assert_eq!((p.len(), p.look(5, "b")), (3, None));
-    let mut p = Parked::new(Figures { most_bytes: 200, ..figures() });
-    let big = Record { body: vec![0; 300], ..record("a", 0.0, 9.0) };
-    assert_eq!(p.take(0.0, 1, big), Err(Refused::Bytes));
-    assert_eq!(p.take(0.0, 1, record("a", 0.0, 2000.0)), Err(Refused::Wait));
-    assert_eq!(p.tally.refused, 2);
+    assert_eq!(p.enqueue(0.0, 5, record("b", 0.0, 9.0)), Err(DeferredRejection::Records));
+    assert_eq!((p.len(), p.status(5, "b")), (3, None));
+    let mut p = DeferredQueue::new(Figures { most_bytes: 200, ..figures() });
+    let big = DeferredRecord { body: vec![0; 300], ..record("a", 0.0, 9.0) };
+    assert_eq!(p.enqueue(0.0, 1, big), Err(DeferredRejection::Bytes));
+    assert_eq!(p.enqueue(0.0, 1, record("a", 0.0, 2000.0)), Err(DeferredRejection::Wait));
+    assert_eq!(p.counters.refused, 2);
 }
 
 #[test]
 fn one_whose_time_passes_ends_then_and_its_answer_goes_later() {
-    let mut p = Parked::new(figures());
+    let mut p = DeferredQueue::new(figures());
     park(&mut p, 1, "t", 0.0);
-    assert!(p.due(99.9).is_empty());
-    let w = p.due(100.0);
+    assert!(p.poll_expired(99.9).is_empty());
+    let w = p.poll_expired(100.0);
     assert_eq!(w.len(), 1);
-    p.written(1, w[0].version, true);
-    assert!(matches!(p.look(1, "t"), Some(Look::Ended(a)) if a.status == 504));
-    assert_eq!(p.next(100.0, |_| 1.0, |_| Some(Repeat::Retriable)), None);
-    let w = p.due(150.0);
+    p.write_finished(1, w[0].version, true);
+    assert!(matches!(p.status(1, "t"), Some(DeferredStatus::Ended(a)) if a.status == 504));
+    assert_eq!(p.next_runnable(100.0, |_| 1.0, |_| Some(RetryPolicy::Retriable)), None);
+    let w = p.poll_expired(150.0);
     assert_eq!(w.iter().map(|w| (w.ticket, w.bytes.as_deref())).collect::<Vec<_>>(), [(1, None)]);
-    assert_eq!((p.look(1, "t"), p.len()), (None, 0));
+    assert_eq!((p.status(1, "t"), p.len()), (None, 0));
 }
 
 #[test]
 fn what_is_damaged_or_of_nobody_any_more_harms_no_other() {
-    let mut p = Parked::new(figures());
+    let mut p = DeferredQueue::new(figures());
     let sound = record("t", 0.0, 100.0).bytes();
     let nobody = record("gone", 0.0, 100.0).bytes();
     let found = [(1, sound), (2, vec![1, 2, 3]), (3, nobody)];
-    let writes = p.restore(1.0, found.into_iter(), |r| (r.tenant == "t").then_some(Repeat::Retriable));
+    let writes = p.restore(1.0, found.into_iter(), |r| (r.tenant == "t").then_some(RetryPolicy::Retriable));
     assert_eq!(writes.len(), 2);
-    assert_eq!((p.look(1, "t"), p.look(2, "t")), (Some(Look::Parked), None));
-    p.written(3, writes[1].version, true);
-    assert!(matches!(p.look(3, "gone"), Some(Look::Ended(a)) if a.status == 410));
+    assert_eq!((p.status(1, "t"), p.status(2, "t")), (Some(DeferredStatus::Parked), None));
+    p.write_finished(3, writes[1].version, true);
+    assert!(matches!(p.status(3, "gone"), Some(DeferredStatus::Ended(a)) if a.status == 410));
 }
 
 #[test]
 fn an_ending_that_was_told_is_not_taken_back_by_a_second_one() {
-    let mut p = Parked::new(figures());
+    let mut p = DeferredQueue::new(figures());
     park(&mut p, 1, "t", 0.0);
-    p.next(1.0, |_| 1.0, |_| Some(Repeat::Retriable)).unwrap();
-    let first = p.answered(2.0, 1, answer());
-    p.written(1, first.version, true);
-    let second = p.answered(3.0, 1, Answer { status: 200, body: b"late".to_vec() });
-    assert_eq!(p.look(1, "t"), Some(Look::Ended(&answer())));
+    p.next_runnable(1.0, |_| 1.0, |_| Some(RetryPolicy::Retriable)).unwrap();
+    let first = p.complete(2.0, 1, answer());
+    p.write_finished(1, first.version, true);
+    let second = p.complete(3.0, 1, DeferredAnswer { status: 200, body: b"late".to_vec() });
+    assert_eq!(p.status(1, "t"), Some(DeferredStatus::Ended(&answer())));
     assert_eq!(second, first);
 }
 
 /// A disk that fails: the write of its way back into the queue is overtaken by its ending.
 #[test]
 fn a_write_that_was_overtaken_neither_tells_of_the_newer_nor_takes_its_place() {
-    let mut p = Parked::new(figures());
+    let mut p = DeferredQueue::new(figures());
     park(&mut p, 1, "t", 0.0);
-    p.next(50.0, |_| 1.0, |_| Some(Repeat::Retriable)).unwrap();
-    let back = p.back(60.0, 1, true, Repeat::Retriable);
+    p.next_runnable(50.0, |_| 1.0, |_| Some(RetryPolicy::Retriable)).unwrap();
+    let back = p.attempt_failed(60.0, 1, true, RetryPolicy::Retriable);
     assert!(p.is_latest(1, back.version));
-    let ended = &p.due(100.0)[0];
-    p.written(1, back.version, true);
+    let ended = &p.poll_expired(100.0)[0];
+    p.write_finished(1, back.version, true);
     assert_eq!(
-        p.look(1, "t"),
-        Some(Look::Running),
+        p.status(1, "t"),
+        Some(DeferredStatus::Running),
         "its ending is not on disk: a crash would undo what was told"
     );
     assert!(!p.is_latest(1, back.version), "tried again, it would undo the ending");
-    p.written(1, ended.version, true);
-    assert!(matches!(p.look(1, "t"), Some(Look::Ended(a)) if a.status == 504));
+    p.write_finished(1, ended.version, true);
+    assert!(matches!(p.status(1, "t"), Some(DeferredStatus::Ended(a)) if a.status == 504));
     assert!(
-        p.due(150.0)[0].bytes.is_none() && !p.is_latest(1, ended.version),
+        p.poll_expired(150.0)[0].bytes.is_none() && !p.is_latest(1, ended.version),
         "nor may it come back once it is gone"
     );
 }
@@ -200,11 +200,11 @@
     ]
 }
 
-fn kind(r: &Record) -> Option<Repeat> {
+fn kind(r: &DeferredRecord) -> Option<RetryPolicy> {
     Some(match r.tenant.as_str() {
-        "never" => Repeat::Never,
-        "deduped" => Repeat::Deduped(20.0),
-        _ => Repeat::Retriable,
+        "never" => RetryPolicy::Never,
+        "deduped" => RetryPolicy::Deduped(20.0),
+        _ => RetryPolicy::Retriable,
     })
 }
 
@@ -216,39 +216,43 @@
 }
 
 impl Disk {
-    fn flush(&mut self, p: &mut Parked) {
+    fn flush(&mut self, p: &mut DeferredQueue) {
         while let Some(w) = self.waiting.pop_front() {
             match w.bytes {
                 Some(b) => drop(self.holds.insert(w.ticket, b)),
                 None => drop(self.holds.remove(&w.ticket)),
             }
-            p.written(w.ticket, w.version, true);
+            p.write_finished(w.ticket, w.version, true);
         }
     }
 
-    fn fail(&mut self, p: &Parked) {
+    fn fail(&mut self, p: &DeferredQueue) {
         let again =
             self.waiting.pop_front().filter(|w| w.bytes.is_none() || p.is_latest(w.ticket, w.version));
         self.waiting.extend(again);
     }
 
-    fn crash(&mut self, now: f64) -> Parked {
+    fn crash(&mut self, now: f64) -> DeferredQueue {
         self.waiting.clear();
-        let mut p = Parked::new(figures());
+        let mut p = DeferredQueue::new(figures());
         let found: Vec<_> = self.holds.clone().into_iter().collect();
         for w in p.restore(now, found.into_iter(), kind) {
-            p.written(w.ticket, w.version, true);
+            p.write_finished(w.ticket, w.version, true);
             self.waiting.push_back(w);
         }
         p
     }
 }
 
-type Said = BTreeMap<Ticket, Answer>;
+type Said = BTreeMap<Ticket, DeferredAnswer>;
 
-fn says_the_same(p: &Parked, tickets: &[(Ticket, &str, f64)], said: &mut Said) -> Result<(), TestCaseError> {
+fn says_the_same(
+    p: &DeferredQueue,
+    tickets: &[(Ticket, &str, f64)],
+    said: &mut Said,
+) -> Result<(), TestCaseError> {
     for (t, tenant, _) in tickets {
-        if let Some(Look::Ended(a)) = p.look(*t, tenant) {
+        if let Some(DeferredStatus::Ended(a)) = p.status(*t, tenant) {
             let before = said.entry(*t).or_insert_with(|| a.clone());
             prop_assert_eq!(&*before, a, "another answer");
         }
@@ -257,7 +261,7 @@
 }
 
 fn play(ops: &[Op]) -> Result<(), TestCaseError> {
-    let (mut p, mut disk) = (Parked::new(figures()), Disk::default());
+    let (mut p, mut disk) = (DeferredQueue::new(figures()), Disk::default());
     let (mut now, mut count) = (0.0, 0);
     let mut tickets: Vec<(Ticket, &str, f64)> = Vec::new();
     let mut runs: BTreeMap<Ticket, Vec<f64>> = BTreeMap::new();
@@ -268,7 +272,7 @@
             Op::Take(k) => {
                 count += 1;
                 let tenant = ["never", "deduped", "plain"][*k as usize];
-                if let Ok(w) = p.take(now, count, record(tenant, now, now + 30.0)) {
+                if let Ok(w) = p.enqueue(now, count, record(tenant, now, now + 30.0)) {
                     disk.waiting.push_back(w);
                     disk.flush(&mut p);
                     tickets.push((count, tenant, now + 30.0));
@@ -276,11 +280,11 @@
             }
             Op::Next => {
                 disk.flush(&mut p);
-                if let Some(w) = p.next(now, |_| 1.0, kind) {
+                if let Some(w) = p.next_runnable(now, |_| 1.0, kind) {
                     let t = w.ticket;
                     disk.waiting.push_back(w);
                     disk.flush(&mut p);
-                    if p.record(t).is_some_and(|r| r.state == State::Running) {
+                    if p.record(t).is_some_and(|r| r.state == DeferredState::Running) {
                         runs.entry(t).or_default().push(now);
                         out.push(t);
                     }
@@ -293,12 +297,12 @@
                         runs.get_mut(&t).map(Vec::pop);
                     }
                     let k = kind(p.record(t).unwrap()).unwrap();
-                    disk.waiting.push_back(p.back(now, t, *ran, k));
+                    disk.waiting.push_back(p.attempt_failed(now, t, *ran, k));
                 }
             }
             Op::Answer => {
                 if let Some(t) = out.pop() {
-                    disk.waiting.push_back(p.answered(now, t, answer()));
+                    disk.waiting.push_back(p.complete(now, t, answer()));
                 }
             }
             Op::Flush => disk.flush(&mut p),
@@ -309,7 +313,7 @@
             }
             Op::Wait(s) => {
                 now += f64::from(*s) / 10.0;
-                disk.waiting.extend(p.due(now));
+                disk.waiting.extend(p.poll_expired(now));
             }
         }
         says_the_same(&p, &tickets, &mut said)?;
@@ -318,12 +322,12 @@
     now += 31.0;
     while let Some(t) = out.pop() {
         let k = kind(p.record(t).unwrap()).unwrap();
-        disk.waiting.push_back(p.back(now, t, true, k));
+        disk.waiting.push_back(p.attempt_failed(now, t, true, k));
     }
-    disk.waiting.extend(p.due(now));
+    disk.waiting.extend(p.poll_expired(now));
     disk.flush(&mut p);
     for (t, tenant, until) in &tickets {
-        let ended = matches!(p.look(*t, tenant), Some(Look::Ended(_)));
+        let ended = matches!(p.status(*t, tenant), Some(DeferredStatus::Ended(_)));
         prop_assert!(ended || said.contains_key(t), "{t} of {tenant} has no ending");
         let of = runs.get(t).cloned().unwrap_or_default();
         prop_assert!(*tenant != "never" || of.len() <= 1, "{of:?}");
--- a/crates/nickelgw-gossip/src/core/record.rs
+++ b/crates/nickelgw-gossip/src/core/record.rs
@@ -3,29 +3,29 @@
 use serde::{Deserialize, Serialize};
 
 /// What fits a datagram on any path; longer ones are refused.
-pub const MOST_BYTES: usize = 1200;
-pub const MOST_ZONES: usize = 16;
-pub const MOST_SILENT: usize = 8;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
+pub const MAX_ZONES: usize = 16;
+pub const MAX_UNREACHABLE: usize = 8;
 /// Tenants told of: those with the most parked.
-pub const MOST_TENANTS: usize = 24;
+pub const MAX_TENANTS: usize = 24;
 const MOST_NAME: usize = 64;
 const VERSION: u8 = 1;
 const SEAL: usize = blake3::OUT_LEN;
 
 /// What a node saw of a zone. Times are ages, so that no two clocks have to agree.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct ZoneReport {
     pub zone: String,
     /// Since any engine of it was last heard.
-    pub heard_ms: Option<u32>,
+    pub last_response_age_ms: Option<u32>,
     /// Engines not reached since they were heard, by the hash of their ids, and since when.
-    pub silent: Vec<(u32, u32)>,
+    pub unreachable: Vec<(u32, u32)>,
     /// The part of the traffic that it gives the zone, in thousandths.
-    pub part: u16,
+    pub weight_per_mille: u16,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Record {
+pub struct NodeRecord {
     pub name: String,
     /// When its process began; with the sequence it says which of two records is newer.
     pub incarnation: u64,
@@ -33,32 +33,34 @@
     /// Where datagrams reach it.
     pub address: String,
     pub zone: String,
-    pub seen: Vec<Seen>,
+    pub zone_reports: Vec<ZoneReport>,
     /// Offline inferences that wait here, by the hash of the tenant's name.
-    pub parked: Vec<(u32, u32)>,
+    pub deferred_by_tenant: Vec<(u32, u32)>,
 }
 
-impl Record {
+impl NodeRecord {
     pub fn version(&self) -> (u64, u64) {
         (self.incarnation, self.seq)
     }
 
     fn is_sound(&self) -> bool {
         let short = |s: &str| !s.is_empty() && s.len() <= MOST_NAME;
-        let seen = |s: &Seen| short(&s.zone) && s.silent.len() <= MOST_SILENT && s.part <= 1000;
+        let seen = |s: &ZoneReport| {
+            short(&s.zone) && s.unreachable.len() <= MAX_UNREACHABLE && s.weight_per_mille <= 1000
+        };
         short(&self.name)
             && short(&self.address)
             && short(&self.zone)
-            && self.seen.len() <= MOST_ZONES
-            && self.parked.len() <= MOST_TENANTS
-            && self.seen.iter().all(seen)
+            && self.zone_reports.len() <= MAX_ZONES
+            && self.deferred_by_tenant.len() <= MAX_TENANTS
+            && self.zone_reports.iter().all(seen)
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Message {
     /// Records, each with the time that it has travelled and lain elsewhere, in milliseconds.
-    Records(Vec<(u32, Record)>),
+    Records(Vec<(u32, NodeRecord)>),
     /// What the sender has: names by their hash, with versions.
     Digest(Vec<(u64, u64, u64)>),
     /// What it wants, by the hash of names; none: all there is.
@@ -70,12 +72,12 @@
     pub from: String,
     /// Unix time at which it was made: an old one that is played again is known by it.
     pub at_ms: u64,
-    pub word: Word,
+    pub message: Message,
 }
 
 /// Why a datagram is not heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
-pub enum Refused {
+pub enum DatagramError {
     #[error("longer or shorter than any datagram of ours")]
     Length,
     #[error("of another version")]
@@ -88,9 +90,14 @@
     Time,
 }
 
-impl Refused {
-    pub const ALL: [Refused; 5] =
-        [Refused::Length, Refused::Version, Refused::Key, Refused::Unreadable, Refused::Time];
+impl DatagramError {
+    pub const ALL: [DatagramError; 5] = [
+        DatagramError::Length,
+        DatagramError::Version,
+        DatagramError::Key,
+        DatagramError::Unreadable,
+        DatagramError::Time,
+    ];
 
     pub fn name(self) -> &'static str {
         ["length", "version", "key", "unreadable", "time"][self as usize]
@@ -99,17 +106,17 @@
 
 /// The fleet's key. It is not shown.
 #[derive(Clone)]
-pub struct Key([u8; 32]);
+pub struct SharedKey([u8; 32]);
 
-impl std::fmt::Debug for Key {
+impl std::fmt::Debug for SharedKey {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str("Key")
     }
 }
 
-impl Key {
-    pub fn of(secret: &str) -> Key {
-        Key(blake3::derive_key("nickelgw accord: datagrams between nodes", secret.as_bytes()))
+impl SharedKey {
+    pub fn from_secret(secret: &str) -> SharedKey {
+        SharedKey(blake3::derive_key("nickelgw accord: datagrams between nodes", secret.as_bytes()))
     }
 
     /// None: too long for one datagram.
@@ -122,40 +129,40 @@
         out.push(VERSION);
         out.extend_from_slice(blake3::keyed_hash(&self.0, body).as_bytes());
         out.extend_from_slice(body);
-        (out.len() <= MOST_BYTES).then_some(out)
+        (out.len() <= MAX_DATAGRAM_BYTES).then_some(out)
     }
 
-    pub fn open(&self, bytes: &[u8], unix_ms: u64, slack_ms: u64) -> Result<Datagram, Refused> {
-        if bytes.len() > MOST_BYTES {
-            return Err(Refused::Length);
+    pub fn open(&self, bytes: &[u8], unix_ms: u64, slack_ms: u64) -> Result<Datagram, DatagramError> {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(DatagramError::Length);
         }
-        let (version, rest) = bytes.split_first().ok_or(Refused::Length)?;
+        let (version, rest) = bytes.split_first().ok_or(DatagramError::Length)?;
         if *version != VERSION {
-            return Err(Refused::Version);
+            return Err(DatagramError::Version);
         }
-        let (seal, body) = rest.split_at_checked(SEAL).ok_or(Refused::Length)?;
-        let seal = <[u8; SEAL]>::try_from(seal).map_err(|_| Refused::Length)?;
+        let (seal, body) = rest.split_at_checked(SEAL).ok_or(DatagramError::Length)?;
+        let seal = <[u8; SEAL]>::try_from(seal).map_err(|_| DatagramError::Length)?;
         // Compared in constant time.
         if blake3::keyed_hash(&self.0, body) != seal {
-            return Err(Refused::Key);
+            return Err(DatagramError::Key);
         }
-        let d: Datagram = postcard::from_bytes(body).map_err(|_| Refused::Unreadable)?;
-        let sound = match &d.word {
-            Word::Records(r) => r.iter().all(|r| r.1.is_sound()),
-            Word::Digest(_) | Word::Want(_) => true,
+        let d: Datagram = postcard::from_bytes(body).map_err(|_| DatagramError::Unreadable)?;
+        let sound = match &d.message {
+            Message::Records(r) => r.iter().all(|r| r.1.is_sound()),
+            Message::Digest(_) | Message::Want(_) => true,
         };
         if !sound {
-            return Err(Refused::Unreadable);
+            return Err(DatagramError::Unreadable);
         }
         if d.at_ms.abs_diff(unix_ms) > slack_ms {
-            return Err(Refused::Time);
+            return Err(DatagramError::Time);
         }
         Ok(d)
     }
 }
 
 /// What stands for a name, or an engine's id, where the whole would be too long.
-pub fn short(name: &str) -> u64 {
+pub fn name_hash(name: &str) -> u64 {
     let hash = blake3::hash(name.as_bytes());
     let first = hash.as_bytes().first_chunk::<8>().copied().unwrap_or_default();
     u64::from_le_bytes(first)
--- a/crates/nickelgw-gossip/src/lib.rs
+++ b/crates/nickelgw-gossip/src/lib.rs
@@ -2,8 +2,8 @@
 
 pub mod core;
 
-use crate::core::record::MOST_BYTES;
-use crate::core::Accord;
+use crate::core::record::MAX_DATAGRAM_BYTES;
+use crate::core::Gossip;
 use async_channel::{Receiver, Sender};
 use smol::net::{SocketAddr, UdpSocket};
 use smol::Timer;
@@ -23,17 +23,17 @@
 /// once; `heard`: something new has come.
 pub async fn run(
     socket: UdpSocket,
-    accord: Rc<RefCell<Accord>>,
+    accord: Rc<RefCell<Gossip>>,
     began: Instant,
     told: Receiver<()>,
     heard: Sender<()>,
 ) {
     let now = || began.elapsed().as_secs_f64();
-    let mut buffer = [0; MOST_BYTES + 1];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     let mut addresses: HashMap<String, SocketAddr> = HashMap::new();
     let mut logged_at = f64::NEG_INFINITY;
     loop {
-        let (datagrams, next) = accord.borrow_mut().due(now(), unix_ms());
+        let (datagrams, next) = accord.borrow_mut().poll_datagrams(now(), unix_ms());
         for (to, bytes) in datagrams {
             let known = addresses.get(&to).copied();
             // Names are looked up once; one that cannot be is tried again with the next datagram to it.
@@ -59,14 +59,14 @@
         };
         match futures_lite::future::or(come, futures_lite::future::or(told, due)).await {
             Some(Ok((n, from))) => {
-                let new = accord.borrow_mut().hear(now(), unix_ms(), &buffer[..n]);
+                let new = accord.borrow_mut().receive(now(), unix_ms(), &buffer[..n]);
                 if new == Ok(true) {
                     let _ = heard.try_send(());
                 }
                 if let Err(why) = new {
                     if now() >= logged_at + LOG_S {
                         logged_at = now();
-                        let refused = accord.borrow().tally.refused;
+                        let refused = accord.borrow().counters.rejected;
                         tracing::warn!(%from, %why, ?refused, "a datagram between nodes was refused");
                     }
                 }
--- a/crates/nickelgw-node/examples/fleet.rs
+++ b/crates/nickelgw-node/examples/fleet.rs
@@ -6,8 +6,8 @@
 use nanorand::{Rng, WyRand};
 use nickelgw::decide::Router;
 use nickelgw::interface::*;
-use nickelgw_gossip::core::record::{Key, Record};
-use nickelgw_gossip::core::{Accord, Figures as AccordFigures};
+use nickelgw_gossip::core::record::{NodeRecord, SharedKey};
+use nickelgw_gossip::core::{Gossip, GossipConfig as AccordFigures};
 use nickelgw_node::core::zone_failover::ZoneFailover;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -34,7 +34,7 @@
 struct Node {
     router: Router,
     together: ZoneFailover,
-    accord: Accord,
+    accord: Gossip,
     /// Sends made for each handle, and whether each is out.
     sends: HashMap<u32, Vec<bool>>,
     left_at: Option<f64>,
@@ -146,13 +146,13 @@
     fn look(&mut self, n: usize, now: f64) {
         let x = &mut self.nodes[n];
         x.looked_at = now;
-        let others = x.accord.near(now);
+        let others = x.accord.zone_peers(now);
         let round = x.together.update(now, &mut x.router, &others);
-        x.accord.tell(now, round.reports, round.urgent);
+        x.accord.publish(now, round.reports, round.urgent);
         if now >= LOST_AT && x.left_at.is_none() && x.together.ways()[1].1 == 0.0 {
             x.left_at = Some(now);
         }
-        let (out, _) = x.accord.due(now, unix_ms(now));
+        let (out, _) = x.accord.poll_datagrams(now, unix_ms(now));
         self.send(now, out);
         self.decide(n, now);
     }
@@ -209,8 +209,8 @@
                 self.at(next, Event::Round(n));
             }
             Event::Datagram { to, bytes } => {
-                let new = self.nodes[to].accord.hear(now, unix_ms(now), &bytes) == Ok(true);
-                let (out, _) = self.nodes[to].accord.due(now, unix_ms(now));
+                let new = self.nodes[to].accord.receive(now, unix_ms(now), &bytes) == Ok(true);
+                let (out, _) = self.nodes[to].accord.poll_datagrams(now, unix_ms(now));
                 self.send(now, out);
                 // As the shell does: not at every datagram.
                 if new && now >= self.nodes[to].looked_at + 0.025 {
@@ -274,18 +274,18 @@
         router.update_endpoints(0.0, &lines, true);
         let name = format!("n{n}");
         let zones: Vec<String> = ZONES.iter().map(|z| z.to_string()).collect();
-        let own = Record {
+        let own = NodeRecord {
             name: name.clone(),
             incarnation: 1,
             seq: 0,
             address: format!("{name}:1"),
             zone: ZONES[n % 3].into(),
-            seen: vec![],
-            parked: vec![],
+            zone_reports: vec![],
+            deferred_by_tenant: vec![],
         };
         let peers = if exchange { vec!["n0:1".into(), "n1:1".into(), "n2:1".into()] } else { vec![] };
-        let key = Key::of("a key for the fleet in one process");
-        let accord = Accord::new(AccordFigures::default(), key, own, peers, n as u64);
+        let key = SharedKey::from_secret("a key for the fleet in one process");
+        let accord = Gossip::new(AccordFigures::default(), key, own, peers, n as u64);
         let together = ZoneFailover::new(zones, &name, Default::default(), 0.1, n as u64);
         nodes.push(Node {
             router,
@@ -338,8 +338,10 @@
     left.sort_by(f64::total_cmp);
     let of = (0..count).filter(|&n| concerned(n)).count();
     let wrong = w.nodes.iter().enumerate().filter(|x| !concerned(x.0) && x.1.left_at.is_some()).count();
-    let (sent, bytes) =
-        w.nodes.iter().fold((0, 0), |s, n| (s.0 + n.accord.tally.sent, s.1 + n.accord.tally.sent_bytes));
+    let (sent, bytes) = w
+        .nodes
+        .iter()
+        .fold((0, 0), |s, n| (s.0 + n.accord.counters.sent, s.1 + n.accord.counters.sent_bytes));
     let each = count as f64 * END;
     let (first, half, last) = (left.first(), left.get(left.len() / 2), left.last());
     println!(
--- a/crates/nickelgw-node/src/admin.rs
+++ b/crates/nickelgw-node/src/admin.rs
@@ -1,13 +1,13 @@
 //! The operators' port: metrics, health, and the story of a request. Plain HTTP, for loopback or a guarded network.
 
-use crate::driver::{Doors, Said, Word};
+use crate::event_loop::{Event, ListenerState, TimedEvent};
 use crate::server::{json_answer, Answer};
 use crate::Clock;
 use async_channel::{bounded, Sender};
 use hyper::header::{HeaderValue, CONTENT_TYPE};
 use hyper::{Method, Request};
-use nickelgw_gossip::core::record::Refused;
-use nickelgw_gossip::core::Accord;
+use nickelgw_gossip::core::record::DatagramError;
+use nickelgw_gossip::core::Gossip;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -52,12 +52,12 @@
 type Real = Gauge<f64, AtomicU64>;
 
 pub struct Admin {
-    pub to_core: Sender<Word>,
-    pub doors: Rc<Doors>,
+    pub to_core: Sender<TimedEvent>,
+    pub doors: Rc<ListenerState>,
     pub behind: Rc<crate::background::Background>,
-    pub keeper: Rc<crate::keep::Keeper>,
-    pub accord: Option<Rc<RefCell<Accord>>>,
-    pub parked: Option<Rc<crate::parked::Parking>>,
+    pub keeper: Rc<crate::persistence::StoreWriter>,
+    pub accord: Option<Rc<RefCell<Gossip>>>,
+    pub parked: Option<Rc<crate::deferred::DeferredRequests>>,
     pub clock: Clock,
 }
 
@@ -78,7 +78,7 @@
 impl Admin {
     async fn counted(&self) -> Option<Counted> {
         let (to, from) = bounded(1);
-        self.to_core.send(Word::new(Said::Count { to })).await.ok()?;
+        self.to_core.send(TimedEvent::new(Event::CollectMetrics { to })).await.ok()?;
         from.recv().await.ok()
     }
 
@@ -111,7 +111,7 @@
         whole(&mut r, "stories", "Stories kept for 'why'", c.stories);
         self.together(&mut r, c.ways);
         self.parked(&mut r);
-        let kept = self.keeper.account();
+        let kept = self.keeper.counters();
         let real = |r: &mut Registry, name: &str, help: &str, unit: Unit, v: f64| {
             let g = Real::default();
             g.set(v);
@@ -151,10 +151,12 @@
         }
         r.register("zone_part", "Part of the traffic that a zone is given", parts);
         let (a, now) = (accord.borrow(), self.clock.now());
-        whole(r, "nodes", "Nodes heard lately, this one too", a.count(now));
-        let t = a.tally;
-        let refused = Refused::ALL.iter().map(|w| (w.name(), t.refused[*w as usize]));
-        let all = [("sent", t.sent), ("heard", t.heard), ("no_room", t.full)].into_iter().chain(refused);
+        whole(r, "nodes", "Nodes heard lately, this one too", a.node_count(now));
+        let t = a.counters;
+        let refused = DatagramError::ALL.iter().map(|w| (w.name(), t.rejected[*w as usize]));
+        let all = [("sent", t.sent), ("heard", t.received), ("no_room", t.dropped_table_full)]
+            .into_iter()
+            .chain(refused);
         by_how(r, "datagrams", "Datagrams between nodes; refused ones by why", all);
         let bytes = Counter::<u64>::default();
         bytes.inc_by(t.sent_bytes);
@@ -178,7 +180,7 @@
 
     async fn why(&self, id: &str) -> Option<String> {
         let (to, from) = bounded(1);
-        let asked = Word::new(Said::Why { id: id.chars().take(64).collect(), to });
+        let asked = TimedEvent::new(Event::Explain { id: id.chars().take(64).collect(), to });
         self.to_core.send(asked).await.ok()?;
         from.recv().await.ok().flatten()
     }
--- a/crates/nickelgw-node/src/background.rs
+++ b/crates/nickelgw-node/src/background.rs
@@ -3,7 +3,7 @@
 
 use crate::Clock;
 use async_channel::{bounded, Receiver, Sender};
-use nickelgw_background_tasks::core::{Do, Figures, Scheduler, Spec, TaskId};
+use nickelgw_background_tasks::core::{Figures, Scheduler, TaskCommand, TaskId, TaskSpec};
 use smol::{LocalExecutor, Task};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -61,7 +61,7 @@
     pub fn add<F: Future<Output = Done> + 'static>(
         &self,
         name: &'static str,
-        spec: Spec,
+        spec: TaskSpec,
         work: impl Fn() -> F + 'static,
     ) -> TaskId {
         let id = self.scheduler.borrow_mut().add(self.clock.now(), spec);
@@ -87,8 +87,8 @@
             let (todo, wake) = self.scheduler.borrow_mut().due(self.clock.now());
             for d in todo {
                 match d {
-                    Do::Run(id) => self.begin(id),
-                    Do::GiveUp(id) => {
+                    TaskCommand::Run(id) => self.begin(id),
+                    TaskCommand::Cancel(id) => {
                         let run = self.runs.borrow_mut().remove(&id);
                         drop(run);
                         tracing::warn!(task = self.works.borrow()[id.0].0, "background work was given up");
--- a/crates/nickelgw-node/src/client.rs
+++ b/crates/nickelgw-node/src/client.rs
@@ -12,8 +12,10 @@
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{Builder, SendRequest};
 use hyper::{Request, Response};
-use nickelgw_tls::core::pool::{self, Answer, Asker, Conn, Do, Failure, Figures};
-use nickelgw_tls::{why, Said, Why};
+use nickelgw_tls::core::pool::{
+    self, Checkout, ConnectFailure, ConnectionId, Figures, PoolCommand, WaiterId,
+};
+use nickelgw_tls::{why, TlsEvent, TlsFailure};
 use smol::net::TcpStream;
 use smol::{LocalExecutor, Task, Timer};
 use smol_hyper::rt::FuturesIo;
@@ -70,7 +72,7 @@
 pub struct Connection {
     pool: Rc<Pool>,
     lane: String,
-    id: Conn,
+    id: ConnectionId,
     inner: Option<Inner>,
     /// Made for this call: nothing was ever answered on it.
     fresh: bool,
@@ -89,8 +91,8 @@
 struct Asking<'a> {
     pool: &'a Pool,
     lane: &'a str,
-    asker: Option<Asker>,
-    told: Option<Receiver<Answer>>,
+    asker: Option<WaiterId>,
+    told: Option<Receiver<Checkout>>,
 }
 
 impl Drop for Asking<'_> {
@@ -99,7 +101,7 @@
         let now = self.pool.now();
         self.pool.waiting.borrow_mut().remove(&asker);
         match self.told.as_ref().and_then(|t| t.try_recv().ok()) {
-            Some(Answer::Reuse(id)) => self.pool.core.borrow_mut().returned(now, self.lane, id),
+            Some(Checkout::Reuse(id)) => self.pool.core.borrow_mut().returned(now, self.lane, id),
             _ => self.pool.core.borrow_mut().gave_up(now, asker),
         }
         self.pool.settle();
@@ -109,8 +111,8 @@
 pub struct Pool {
     ex: Rc<LocalExecutor<'static>>,
     core: RefCell<pool::Pool>,
-    standing: RefCell<HashMap<Conn, Inner>>,
-    waiting: RefCell<HashMap<Asker, Sender<Answer>>>,
+    standing: RefCell<HashMap<ConnectionId, Inner>>,
+    waiting: RefCell<HashMap<WaiterId, Sender<Checkout>>>,
     next: Cell<u64>,
     began: Instant,
     connect_s: f64,
@@ -154,7 +156,7 @@
         let Some(tls) = self.tls.clone() else { return };
         let said = looked("engines", tls.0.clone(), nickelgw_tls::Client::look).await;
         if let Some((_, generation)) = tls.config() {
-            if said.iter().any(|s| !matches!(s, Said::Unreadable(_) | Said::Refused(_))) {
+            if said.iter().any(|s| !matches!(s, TlsEvent::Unreadable(_) | TlsEvent::Refused(_))) {
                 self.core.borrow_mut().rotate(self.now(), generation);
             }
         }
@@ -174,11 +176,11 @@
         self.act(todo);
     }
 
-    fn act(&self, todo: Vec<Do>) {
+    fn act(&self, todo: Vec<PoolCommand>) {
         for d in todo {
             match d {
-                Do::Close(c) => drop(self.standing.borrow_mut().remove(&c)),
-                Do::Tell(asker, answer) => {
+                PoolCommand::Close(c) => drop(self.standing.borrow_mut().remove(&c)),
+                PoolCommand::Notify(asker, answer) => {
                     let told = self.waiting.borrow_mut().remove(&asker);
                     // The channel holds the one answer; if nobody reads it any more its guard gives all back.
                     if let Some(to) = told {
@@ -197,10 +199,10 @@
 
     async fn connection(self: &Rc<Self>, peer: Peer<'_>) -> Result<Connection, AttemptOutcome> {
         let lane = peer.lane();
-        let asker = Asker(self.next.replace(self.next.get() + 1));
+        let asker = WaiterId(self.next.replace(self.next.get() + 1));
         let mut answer = self.core.borrow_mut().want(self.now(), &lane, asker);
         let mut asking = Asking { pool: self, lane: &lane, asker: Some(asker), told: None };
-        if answer == Answer::Wait {
+        if answer == Checkout::Wait {
             let (to, from) = async_channel::bounded(1);
             self.waiting.borrow_mut().insert(asker, to);
             asking.told = Some(from.clone());
@@ -211,7 +213,7 @@
             answer = told;
         }
         match answer {
-            Answer::Reuse(id) => {
+            Checkout::Reuse(id) => {
                 asking.asker = None;
                 let inner = self.standing.borrow_mut().remove(&id).filter(|i| !i.sender.is_closed());
                 match inner {
@@ -226,10 +228,10 @@
                     }
                 }
             }
-            Answer::Open => {
+            Checkout::Open => {
                 let generation = self.tls.as_ref().and_then(Tls::config).map_or(0, |c| c.1);
                 let opened = within(self.connect_s, self.open(peer)).await;
-                let late = || Err(Why::Connection("not in time".into()));
+                let late = || Err(TlsFailure::Connection("not in time".into()));
                 let opened = opened.unwrap_or_else(late);
                 asking.asker = None;
                 match opened {
@@ -248,7 +250,7 @@
                     }
                 }
             }
-            Answer::Refused | Answer::Wait => {
+            Checkout::Rejected | Checkout::Wait => {
                 asking.asker = None;
                 Err(AttemptOutcome::ConnectFailed)
             }
@@ -256,7 +258,7 @@
     }
 
     /// Connects, and verifies: no byte of a request leaves before that.
-    async fn open(&self, peer: Peer<'_>) -> Result<Inner, Why> {
+    async fn open(&self, peer: Peer<'_>) -> Result<Inner, TlsFailure> {
         let io = |e: std::io::Error| why(&e);
         let stream = TcpStream::connect(peer.address).await.map_err(io)?;
         stream.set_nodelay(true).map_err(io)?;
@@ -270,9 +272,9 @@
             return Ok(Inner { sender, _task });
         };
         let config = self.tls.as_ref().and_then(Tls::config);
-        let (config, _) = config.ok_or_else(|| Why::Protocol("no keys and trust in force".into()))?;
+        let (config, _) = config.ok_or_else(|| TlsFailure::Protocol("no keys and trust in force".into()))?;
         let name = ServerName::try_from(name.to_string());
-        let name = name.map_err(|_| Why::Certificate("the engine's name is none".into()))?;
+        let name = name.map_err(|_| TlsFailure::Certificate("the engine's name is none".into()))?;
         let stream = TlsConnector::from(config).connect(name, stream).await.map_err(io)?;
         let (sender, conn) = http.handshake(FuturesIo::new(stream)).await.map_err(gone)?;
         let _task = self.ex.spawn(async move { drop(conn.await) });
@@ -315,8 +317,8 @@
             };
             // TLS 1.3: the far side verifies us after we may have written. Its certificate alert says that its
             // handshake never ended, so it has read nothing of what came after: proven not to have run.
-            if conn.fresh && peer.name.is_some() && matches!(why(&e), Why::OursRefused(_)) {
-                self.core.borrow_mut().broke(self.now(), &conn.lane, Failure::Untrusted);
+            if conn.fresh && peer.name.is_some() && matches!(why(&e), TlsFailure::OursRefused(_)) {
+                self.core.borrow_mut().broke(self.now(), &conn.lane, ConnectFailure::Untrusted);
                 tracing::warn!(engine = conn.lane, "our certificate is not accepted, or missing");
                 return Err(AttemptOutcome::ConnectFailed);
             }
@@ -356,8 +358,8 @@
 pub(crate) async fn looked<T: Send + 'static>(
     side: &str,
     files: Arc<Mutex<T>>,
-    look: fn(&mut T, f64) -> Vec<Said>,
-) -> Vec<Said> {
+    look: fn(&mut T, f64) -> Vec<TlsEvent>,
+) -> Vec<TlsEvent> {
     let now = unix_now();
     let said = smol::unblock(move || look(&mut files.lock().unwrap_or_else(|e| e.into_inner()), now)).await;
     say(side, &said);
@@ -365,15 +367,15 @@
 }
 
 /// What a look at keys and trust brought, for operators.
-fn say(side: &str, said: &[Said]) {
+fn say(side: &str, said: &[TlsEvent]) {
     for s in said {
         match s {
-            Said::InForce { generation } => tracing::info!(side, generation, "keys and trust in force"),
-            Said::Unreadable(p) => {
+            TlsEvent::InForce { generation } => tracing::info!(side, generation, "keys and trust in force"),
+            TlsEvent::Unreadable(p) => {
                 tracing::warn!(side, problem = %p, "keys and trust not read; the old stay")
             }
-            Said::Refused(why) => tracing::warn!(side, %why, "keys and trust refused; the old stay"),
-            Said::Notice(n) => tracing::warn!(side, notice = ?n, "certificate"),
+            TlsEvent::Refused(why) => tracing::warn!(side, %why, "keys and trust refused; the old stay"),
+            TlsEvent::Notice(n) => tracing::warn!(side, notice = ?n, "certificate"),
         }
     }
 }
--- a/crates/nickelgw-node/src/core/apply_decisions.rs
+++ b/crates/nickelgw-node/src/core/apply_decisions.rs
@@ -206,8 +206,12 @@
         let unix_now = self.figures.started_at_unix_s + now;
         let g = self.figures.grants.as_ref()?;
         let until = unix_now + g.lifetime_s;
-        let granted =
-            Granted { state: &state.name, reader: &state.prefill_engine.id, writer: &writer.id, until };
+        let granted = GrantClaims {
+            reservation: &state.name,
+            prefill_engine: &state.prefill_engine.id,
+            decode_engine: &writer.id,
+            expires_at: until,
+        };
         Some(grant(g.key(unix_now)?, &granted))
     }
 }
--- a/crates/nickelgw-node/src/core/commands.rs
+++ b/crates/nickelgw-node/src/core/commands.rs
@@ -6,7 +6,7 @@
 use nickelgw::interface::{DispatchRationale, RejectionReason};
 use nickelgw_chat::core::grant::GrantKey;
 use nickelgw_protocol::load::LoadReport;
-use nickelgw_tenants::core::fair;
+use nickelgw_tenants::core::fair_share;
 use std::rc::Rc;
 
 /// Names a request taken. A late word for one that is over finds nothing and is passed over.
@@ -155,7 +155,7 @@
 /// Weights of the tenants.
 #[derive(Clone, Debug)]
 pub struct FairShareConfig {
-    pub limits: fair::Figures,
+    pub limits: fair_share::FairShareLimits,
     pub weights: Vec<f64>,
 }
 
--- a/crates/nickelgw-node/src/core/membership.rs
+++ b/crates/nickelgw-node/src/core/membership.rs
@@ -19,26 +19,26 @@
     }
 
     /// A list from the same source never goes back: an older one is an answer that was overtaken.
-    pub fn update_endpoints(&mut self, now: f64, list: &List) {
+    pub fn update_endpoints(&mut self, now: f64, list: &EndpointList) {
         if self.revision.is_some_and(|r| list.revision < r) {
             return;
         }
         self.revision = Some(list.revision);
         let mut lines = Vec::with_capacity(list.engines.len());
-        let draining = list.engines.iter().filter(|l| l.state != list::State::In);
+        let draining = list.engines.iter().filter(|l| l.state != list::EngineState::Active);
         self.draining = draining.map(|l| l.id.clone()).collect();
         for l in &list.engines {
             // A zone not in the settings cannot be weighed; the engine is left out, as if gone.
             let Some(zone) = self.figures.zones.iter().position(|z| *z == l.zone) else { continue };
             let role = match l.role {
-                list::Role::Read => EngineRole::Prefill,
-                list::Role::Write => EngineRole::Decode,
-                list::Role::Both => EngineRole::Unified,
+                list::EngineRole::Prefill => EngineRole::Prefill,
+                list::EngineRole::Decode => EngineRole::Decode,
+                list::EngineRole::Unified => EngineRole::Unified,
             };
             let standing = match l.state {
-                list::State::In => Lifecycle::Active,
-                list::State::Draining => Lifecycle::Draining,
-                list::State::Gone => Lifecycle::Removed,
+                list::EngineState::Active => Lifecycle::Active,
+                list::EngineState::Draining => Lifecycle::Draining,
+                list::EngineState::Removed => Lifecycle::Removed,
             };
             let known =
                 self.places.get(&l.id).filter(|(p, _)| p.address == l.address && p.tls_name == l.tls_name);
@@ -88,7 +88,7 @@
     pub fn join_fleet(
         &mut self,
         name: &str,
-        figures: nickelgw_zones::core::Figures,
+        figures: nickelgw_zones::core::ZoneConfig,
         round_s: f64,
         seed: u64,
     ) {
@@ -97,7 +97,7 @@
     }
 
     /// What other nodes of the fleet have told: turns the ways to zones. What is to be told to them comes back.
-    pub fn zone_round(&mut self, now: f64, others: &[Known]) -> Option<ZoneRound> {
+    pub fn zone_round(&mut self, now: f64, others: &[PeerRecord]) -> Option<ZoneRound> {
         Some(self.zone_failover.as_mut()?.update(now, &mut self.router, others))
     }
 
@@ -117,7 +117,7 @@
     }
 
     /// The last list of an earlier process: used until a source speaks, whose first word counts at any revision.
-    pub fn restore_endpoints(&mut self, now: f64, list: &List) {
+    pub fn restore_endpoints(&mut self, now: f64, list: &EndpointList) {
         self.update_endpoints(now, list);
         self.revision = None;
     }
--- a/crates/nickelgw-node/src/core/mod.rs
+++ b/crates/nickelgw-node/src/core/mod.rs
@@ -24,11 +24,11 @@
     AttemptEnd, Deployment, EngineEntry, EngineHandle, EngineLoad, EngineRole, Idempotency, IncomingRequest,
     LearnedState, Lifecycle, Outcome, RejectionReason, RequestHandle,
 };
-use nickelgw_gossip::core::Known;
-use nickelgw_chat::core::grant::{grant, Granted};
-use nickelgw_protocol::list::{self, List};
+use nickelgw_chat::core::grant::{grant, GrantClaims};
+use nickelgw_gossip::core::PeerRecord;
+use nickelgw_protocol::list::{self, EndpointList};
 use nickelgw_protocol::load::{self, LoadReport};
-use nickelgw_tenants::core::fair;
+use nickelgw_tenants::core::fair_share;
 use orphan_cleanup::OrphanCleanup;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -90,8 +90,8 @@
     taken: Vec<Option<Taken>>,
     open: usize,
     open_by_tenant: Vec<usize>,
-    fair: fair::Fair,
-    limit: fair::Limit,
+    fair: fair_share::FairShare,
+    limit: fair_share::ConcurrencyLimit,
     serial: u64,
     pub ledger: Ledger,
     /// What every attempt passes, and what counts broken rules.
@@ -153,8 +153,8 @@
             zone_failover: None,
             traces: TraceBuffer::default(),
             open_by_tenant: vec![0; figures.tenant_max_open.len()],
-            fair: fair::Fair::default(),
-            limit: fair::Limit::new(
+            fair: fair_share::FairShare::default(),
+            limit: fair_share::ConcurrencyLimit::new(
                 figures.fair_share.as_ref().map_or_else(Default::default, |f| f.limits),
                 figures.max_open_requests as f64,
             ),
@@ -197,7 +197,7 @@
             return Err(why);
         }
         if let Some((t, w)) = self.weight(ask.tenant) {
-            self.fair.opened(t, w);
+            self.fair.request_opened(t, w);
         }
         let arrival = IncomingRequest {
             route: ask.route,
@@ -304,7 +304,7 @@
         }
         taken.stage = Stage::Streaming(send);
         let late = now > taken.good_until;
-        self.limit.answered(now, self.open, late);
+        self.limit.record_answer(now, self.open, late);
         let Some(taken) = self.get(t) else { return false };
         // A begun stream has no deadline, but a client that does not stream sees none of it before its end.
         if taken.whole_at.is_finite() {
@@ -433,10 +433,10 @@
             *n -= 1;
         }
         if self.weight(tenant).is_some() {
-            tenant.into_iter().for_each(|t| self.fair.closed(t));
+            tenant.into_iter().for_each(|t| self.fair.request_closed(t));
             // Given up before it began: there was too much.
             if !begun && matches!(how, TraceEvent::Answered(_)) {
-                self.limit.answered(now, self.open, true);
+                self.limit.record_answer(now, self.open, true);
             }
         }
         if let Some(mut story) = story {
--- a/crates/nickelgw-node/src/core/shutdown.rs
+++ b/crates/nickelgw-node/src/core/shutdown.rs
@@ -9,13 +9,13 @@
 //! | ending | no | no | refused | each gets one clear ending | states are let go of, or `end_s` is over |
 
 #[derive(Clone, Copy, Debug)]
-pub struct Figures {
+pub struct ShutdownConfig {
     /// How long work is still taken once the front layer is told: for its health checks to see it.
-    pub notice_s: f64,
+    pub announce_s: f64,
     /// How long what runs may run on after that.
-    pub grace_s: f64,
+    pub drain_timeout_s: f64,
     /// How long endings may take to reach clients, and states to be let go of.
-    pub end_s: f64,
+    pub exit_timeout_s: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -58,33 +58,33 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Do {
+pub enum ShutdownCommand {
     /// The health check says that it goes, and answers close their connections.
-    SayLeaving,
+    AnnounceShutdown,
     StopListening,
     /// New requests are refused, unused connections closed.
-    RefuseWork,
+    StopAccepting,
     /// Everything open gets its ending now.
-    EndAll,
+    FailAllOpen,
     Exit(Exit),
 }
 
 #[derive(Debug)]
 pub struct ProcessLifecycle {
-    figures: Figures,
+    figures: ShutdownConfig,
     stage: Stage,
     listening: bool,
     cut: bool,
     /// Stages to be cut short: several signals may come between two looks.
     hastened: u32,
-    ready: Vec<Do>,
+    ready: Vec<ShutdownCommand>,
 }
 
 /// How often what is left is looked at, once it counts.
 const LOOK_S: f64 = 0.02;
 
 impl ProcessLifecycle {
-    pub fn new(figures: Figures) -> ProcessLifecycle {
+    pub fn new(figures: ShutdownConfig) -> ProcessLifecycle {
         ProcessLifecycle {
             figures,
             stage: Stage::Starting,
@@ -111,8 +111,8 @@
         if !matches!(self.stage, Stage::Starting | Stage::Serving) {
             return;
         }
-        self.ready.push(Do::SayLeaving);
-        self.stage = Stage::Announcing { until: now + self.figures.notice_s };
+        self.ready.push(ShutdownCommand::AnnounceShutdown);
+        self.stage = Stage::Announcing { until: now + self.figures.announce_s };
         if handed_over {
             self.stop_listening();
         }
@@ -129,7 +129,7 @@
 
     fn stop_listening(&mut self) {
         if std::mem::take(&mut self.listening) {
-            self.ready.push(Do::StopListening);
+            self.ready.push(ShutdownCommand::StopListening);
         }
     }
 
@@ -142,22 +142,22 @@
     }
 
     /// What to do, and when to look again.
-    pub fn poll_commands(&mut self, now: f64, left: Remaining) -> (Vec<Do>, Option<f64>) {
+    pub fn poll_commands(&mut self, now: f64, left: Remaining) -> (Vec<ShutdownCommand>, Option<f64>) {
         if let Stage::Announcing { until } = self.stage {
             if self.over(now, until) {
                 self.stop_listening();
-                self.ready.push(Do::RefuseWork);
+                self.ready.push(ShutdownCommand::StopAccepting);
                 // From when it was due: a late look makes no longer life.
-                self.stage = Stage::Draining { until: until.min(now) + self.figures.grace_s };
+                self.stage = Stage::Draining { until: until.min(now) + self.figures.drain_timeout_s };
             }
         }
         if let Stage::Draining { until } = self.stage {
             if left.open_requests == 0 || self.over(now, until) {
                 self.cut = left.open_requests > 0;
                 if self.cut {
-                    self.ready.push(Do::EndAll);
+                    self.ready.push(ShutdownCommand::FailAllOpen);
                 }
-                self.stage = Stage::Ending { until: until.min(now) + self.figures.end_s };
+                self.stage = Stage::Ending { until: until.min(now) + self.figures.exit_timeout_s };
                 // What ending all has done is seen at the next look.
                 return (std::mem::take(&mut self.ready), Some(now + LOOK_S));
             }
@@ -171,7 +171,7 @@
                     (false, false) => Exit::Clean,
                 };
                 self.stage = Stage::Exited(exit);
-                self.ready.push(Do::Exit(exit));
+                self.ready.push(ShutdownCommand::Exit(exit));
             }
         }
         let wake = match self.stage {
@@ -189,7 +189,7 @@
     use proptest::prelude::*;
     use proptest::test_runner::RngSeed;
 
-    const F: Figures = Figures { notice_s: 1.0, grace_s: 5.0, end_s: 0.5 };
+    const F: ShutdownConfig = ShutdownConfig { announce_s: 1.0, drain_timeout_s: 5.0, exit_timeout_s: 0.5 };
 
     fn left(open: usize, states: usize, connections: usize) -> Remaining {
         Remaining { open_requests: open, reservations: states, connections }
@@ -200,23 +200,35 @@
         let mut l = ProcessLifecycle::new(F);
         l.endpoints_known();
         l.begin_drain(10.0, false);
-        assert_eq!(l.poll_commands(10.0, left(3, 1, 4)), (vec![Do::SayLeaving], Some(11.0)));
-        assert_eq!(l.poll_commands(11.0, left(2, 1, 4)).0, vec![Do::StopListening, Do::RefuseWork]);
+        assert_eq!(
+            l.poll_commands(10.0, left(3, 1, 4)),
+            (vec![ShutdownCommand::AnnounceShutdown], Some(11.0))
+        );
+        assert_eq!(
+            l.poll_commands(11.0, left(2, 1, 4)).0,
+            vec![ShutdownCommand::StopListening, ShutdownCommand::StopAccepting]
+        );
         assert_eq!(l.poll_commands(12.0, left(1, 0, 1)).0, vec![]);
         // Its last stream has ended, and the connection's last bytes are on their way.
         assert_eq!(l.poll_commands(12.5, left(0, 0, 1)).0, vec![]);
-        assert_eq!(l.poll_commands(12.6, left(0, 0, 0)).0, vec![Do::Exit(Exit::Clean)]);
+        assert_eq!(l.poll_commands(12.6, left(0, 0, 0)).0, vec![ShutdownCommand::Exit(Exit::Clean)]);
     }
 
     #[test]
     fn what_outlasts_the_grace_is_ended() {
         let mut l = ProcessLifecycle::new(F);
         l.begin_drain(0.0, true);
-        assert_eq!(l.poll_commands(0.0, left(1, 1, 1)).0, vec![Do::SayLeaving, Do::StopListening]);
-        assert_eq!(l.poll_commands(1.0, left(1, 1, 1)).0, vec![Do::RefuseWork]);
-        assert_eq!(l.poll_commands(6.0, left(1, 1, 1)).0, vec![Do::EndAll]);
+        assert_eq!(
+            l.poll_commands(0.0, left(1, 1, 1)).0,
+            vec![ShutdownCommand::AnnounceShutdown, ShutdownCommand::StopListening]
+        );
+        assert_eq!(l.poll_commands(1.0, left(1, 1, 1)).0, vec![ShutdownCommand::StopAccepting]);
+        assert_eq!(l.poll_commands(6.0, left(1, 1, 1)).0, vec![ShutdownCommand::FailAllOpen]);
         assert_eq!(l.poll_commands(6.1, left(0, 1, 0)).0, vec![]);
-        assert_eq!(l.poll_commands(6.5, left(0, 1, 0)).0, vec![Do::Exit(Exit::ReservationsLeft)]);
+        assert_eq!(
+            l.poll_commands(6.5, left(0, 1, 0)).0,
+            vec![ShutdownCommand::Exit(Exit::ReservationsLeft)]
+        );
     }
 
     #[test]
@@ -225,11 +237,11 @@
         l.begin_drain(0.0, false);
         l.poll_commands(0.0, left(1, 0, 1));
         l.skip_stage(0.1);
-        assert!(l.poll_commands(0.1, left(1, 0, 1)).0.contains(&Do::RefuseWork));
+        assert!(l.poll_commands(0.1, left(1, 0, 1)).0.contains(&ShutdownCommand::StopAccepting));
         l.skip_stage(0.2);
-        assert_eq!(l.poll_commands(0.2, left(1, 0, 1)).0, vec![Do::EndAll]);
+        assert_eq!(l.poll_commands(0.2, left(1, 0, 1)).0, vec![ShutdownCommand::FailAllOpen]);
         l.skip_stage(0.25);
-        assert_eq!(l.poll_commands(0.25, left(0, 0, 1)).0, vec![Do::Exit(Exit::RequestsCut)]);
+        assert_eq!(l.poll_commands(0.25, left(0, 0, 1)).0, vec![ShutdownCommand::Exit(Exit::RequestsCut)]);
     }
 
     proptest! {
@@ -266,17 +278,17 @@
                     wake = next;
                 }
                 // A look comes up to 0.6 s late.
-                let most = told + F.notice_s + F.grace_s + F.end_s + 0.6;
+                let most = told + F.announce_s + F.drain_timeout_s + F.exit_timeout_s + 0.6;
                 prop_assert_eq!(rank(l.stage()), 5);
                 prop_assert!(ended.unwrap_or(now) <= most);
-                prop_assert_eq!(said.iter().filter(|d| matches!(d, Do::Exit(_))).count(), 1);
+                prop_assert_eq!(said.iter().filter(|d| matches!(d, ShutdownCommand::Exit(_))).count(), 1);
             }
             for d in &said {
                 prop_assert_eq!(said.iter().filter(|x| *x == d).count(), 1, "{:?}", d);
             }
-            let at = |d: Do| said.iter().position(|x| *x == d);
-            if let (Some(refuse), Some(end)) = (at(Do::RefuseWork), at(Do::EndAll)) {
-                prop_assert!(at(Do::StopListening) < Some(refuse) && refuse < end);
+            let at = |d: ShutdownCommand| said.iter().position(|x| *x == d);
+            if let (Some(refuse), Some(end)) = (at(ShutdownCommand::StopAccepting), at(ShutdownCommand::FailAllOpen)) {
+                prop_assert!(at(ShutdownCommand::StopListening) < Some(refuse) && refuse < end);
             }
         }
     }
--- a/crates/nickelgw-node/src/core/tests.rs
+++ b/crates/nickelgw-node/src/core/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use nickelgw::interface::{IdempotencyScope, ModelRoute};
 use nickelgw_chat::core::grant::GrantKey;
-use nickelgw_protocol::list::{Line, State};
+use nickelgw_protocol::list::{EndpointEntry, EngineState};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
@@ -49,19 +49,19 @@
     }
 }
 
-fn list(revision: u64, states: &[State]) -> List {
-    let line = |(n, &state): (usize, &State)| Line {
+fn list(revision: u64, states: &[EngineState]) -> EndpointList {
+    let line = |(n, &state): (usize, &EngineState)| EndpointEntry {
         id: format!("e{n}"),
         address: format!("127.0.0.1:{n}"),
         zone: if n % 4 < 2 { "a" } else { "b" }.into(),
         cell: 0,
-        role: if n % 2 == 0 { list::Role::Read } else { list::Role::Write },
+        role: if n % 2 == 0 { list::EngineRole::Prefill } else { list::EngineRole::Decode },
         memory_tokens: 1e5,
         state,
         started_at: None,
         tls_name: None,
     };
-    List { revision, engines: states.iter().enumerate().map(line).collect() }
+    EndpointList { revision, engines: states.iter().enumerate().map(line).collect() }
 }
 
 fn core(most_open: usize) -> NodeCore {
@@ -83,7 +83,7 @@
         tenant_max_open: vec![None],
     };
     let mut c = NodeCore::new(deployment, figures);
-    c.update_endpoints(0.0, &list(1, &[State::In; 8]));
+    c.update_endpoints(0.0, &list(1, &[EngineState::Active; 8]));
     c
 }
 
@@ -294,8 +294,9 @@
                 }
             }
             11 => {
-                let pool = [State::In, State::In, State::Draining, State::Gone];
-                let states: Vec<State> = (0..8).map(|k| pool[(pick >> (2 * k)) % 4]).collect();
+                let pool =
+                    [EngineState::Active, EngineState::Active, EngineState::Draining, EngineState::Removed];
+                let states: Vec<EngineState> = (0..8).map(|k| pool[(pick >> (2 * k)) % 4]).collect();
                 let revision = self.core.revision().unwrap() + 1;
                 self.core.update_endpoints(self.now, &list(revision, &states));
             }
@@ -477,8 +478,8 @@
 #[test]
 fn an_older_list_is_one_that_was_overtaken() {
     let mut c = core(2);
-    c.update_endpoints(1.0, &list(5, &[State::Gone; 8]));
-    c.update_endpoints(1.1, &list(4, &[State::In; 8]));
+    c.update_endpoints(1.0, &list(5, &[EngineState::Removed; 8]));
+    c.update_endpoints(1.1, &list(4, &[EngineState::Active; 8]));
     c.accept_request(1.2, &ask(0)).unwrap();
     let sends =
         c.poll_commands(1.3).commands.iter().filter(|d| matches!(d, Command::StartAttempt(_))).count();
--- a/crates/nickelgw-node/src/core/tests/between.rs
+++ b/crates/nickelgw-node/src/core/tests/between.rs
@@ -45,7 +45,7 @@
         let mut c = core(64);
         c.figures.started_at_unix_s = now;
         assert!(c.restore_state(&kept, trust));
-        c.update_endpoints(0.1, &list(2, &[State::In; 8]));
+        c.update_endpoints(0.1, &list(2, &[EngineState::Active; 8]));
         warm_state::read(&c.learned_state(0.2), now).unwrap()
     };
     let (whole, half, none) = (fresh(1.0), fresh(0.5), fresh(0.0));
@@ -56,18 +56,25 @@
     let mut c = core(4);
     assert!(!c.restore_state(b"junk", 1.0));
     assert!(c.restore_state(br#"{"figures":[1,2],"engines":[]}"#, 1.0));
-    c.update_endpoints(0.1, &list(2, &[State::In; 8]));
+    c.update_endpoints(0.1, &list(2, &[EngineState::Active; 8]));
 }
 
 #[test]
 fn when_there_is_not_enough_a_tenant_with_its_part_is_refused_and_another_is_not() {
     let mut c = core(100);
     let shares = FairShareConfig {
-        limits: fair::Figures { least: 4.0, window: 10, ..fair::Figures::default() },
+        limits: fair_share::FairShareLimits {
+            least: 4.0,
+            window: 10,
+            ..fair_share::FairShareLimits::default()
+        },
         weights: vec![1.0, 1.0],
     };
     c.figures.fair_share = Some(shares);
-    c.limit = fair::Limit::new(fair::Figures { least: 4.0, window: 10, ..fair::Figures::default() }, 100.0);
+    c.limit = fair_share::ConcurrencyLimit::new(
+        fair_share::FairShareLimits { least: 4.0, window: 10, ..fair_share::FairShareLimits::default() },
+        100.0,
+    );
     let of = |tenant| AdmittedRequest { tenant: Some(tenant), ..ask(0) };
     // One alone is never refused for fairness; what is given up late tells that there is too much.
     let mut open = Vec::new();
@@ -105,12 +112,12 @@
 
 #[test]
 fn a_write_carries_a_grant_by_the_key_whose_time_has_come() {
-    use nickelgw_chat::core::grant::Checker;
+    use nickelgw_chat::core::grant::GrantChecker;
     let key = |n| GrantKey::of(n, &format!("a long enough secret {n}")).unwrap();
     let mut c = core(4);
     c.figures.started_at_unix_s = 1000.0;
     c.figures.grants = Some(GrantConfig { keys: vec![(0.0, key(1)), (1002.0, key(2))], lifetime_s: 5.0 });
-    let mut reader = Checker::new([key(1), key(2)]);
+    let mut reader = GrantChecker::new([key(1), key(2)]);
     for (at, number) in [(1.0, "1."), (3.0, "2.")] {
         let t = c.accept_request(at, &ask(0)).unwrap();
         c.poll_commands(at);
@@ -121,8 +128,12 @@
             panic!("{write:?}")
         };
         assert!(g.starts_with(number), "{g}");
-        let granted =
-            Granted { state: &s.name, reader: &s.prefill_engine.id, writer: &write.engine.id, until: 0.0 };
+        let granted = GrantClaims {
+            reservation: &s.name,
+            prefill_engine: &s.prefill_engine.id,
+            decode_engine: &write.engine.id,
+            expires_at: 0.0,
+        };
         assert_eq!(reader.check(1000.0 + at + 0.2, g, &granted), Ok(()));
     }
 }
--- a/crates/nickelgw-node/src/core/zone_failover.rs
+++ b/crates/nickelgw-node/src/core/zone_failover.rs
@@ -4,9 +4,11 @@
 use nanorand::{Rng, WyRand};
 use nickelgw::decide::Router;
 use nickelgw::interface::EngineRole;
-use nickelgw_gossip::core::record::{self, short, MOST_SILENT};
-use nickelgw_gossip::core::Known;
-use nickelgw_zones::core::{Figures, Seen, State, There, Turn, Ways};
+use nickelgw_gossip::core::record::{self, name_hash, MAX_UNREACHABLE};
+use nickelgw_gossip::core::PeerRecord;
+use nickelgw_zones::core::{
+    ZoneCapacity, ZoneConfig, ZoneObservation, ZoneState, ZoneStates, ZoneTransition,
+};
 
 /// Engines of a zone asked by all nodes together in a round, where something there is silent: as many as prove it left.
 const KNOCKS_IN_DOUBT: f64 = 8.0;
@@ -14,8 +16,8 @@
 const KNOCKS: f64 = 1.0;
 
 pub struct ZoneFailover {
-    zone_weights: Ways,
-    figures: Figures,
+    zone_weights: ZoneStates,
+    figures: ZoneConfig,
     zones: Vec<String>,
     name: u64,
     chance: WyRand,
@@ -32,9 +34,9 @@
 /// What a round brought.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneRound {
-    pub transitions: Vec<Turn>,
+    pub transitions: Vec<ZoneTransition>,
     /// What others are to be told, and whether at once.
-    pub reports: Vec<record::Seen>,
+    pub reports: Vec<record::ZoneReport>,
     pub urgent: bool,
     /// No zone is left or returned to.
     pub all_zones_active: bool,
@@ -42,17 +44,17 @@
 
 fn engine(id: &str) -> u64 {
     // As it travels: half of the hash.
-    short(id) & u64::from(u32::MAX)
+    name_hash(id) & u64::from(u32::MAX)
 }
 
 impl ZoneFailover {
-    pub fn new(zones: Vec<String>, name: &str, figures: Figures, round_s: f64, seed: u64) -> ZoneFailover {
+    pub fn new(zones: Vec<String>, name: &str, figures: ZoneConfig, round_s: f64, seed: u64) -> ZoneFailover {
         let n = zones.len();
         ZoneFailover {
-            zone_weights: Ways::new(n, figures),
+            zone_weights: ZoneStates::new(n, figures),
             figures,
             zones,
-            name: short(name),
+            name: name_hash(name),
             chance: WyRand::new_seed(seed),
             knocked_at: f64::NEG_INFINITY,
             round_s,
@@ -64,60 +66,74 @@
 
     /// Each zone with the part of the traffic that it is given.
     pub fn ways(&self) -> Vec<(String, f64)> {
-        self.zones.iter().enumerate().map(|(z, name)| (name.clone(), self.zone_weights.part(z))).collect()
+        self.zones.iter().enumerate().map(|(z, name)| (name.clone(), self.zone_weights.weight(z))).collect()
     }
 
     /// A line for each turn.
-    pub fn log_transitions(&self, turns: &[Turn]) {
+    pub fn log_transitions(&self, turns: &[ZoneTransition]) {
         for t in turns {
-            let (zone, part, engines, nodes) =
-                (&self.zones[t.zone], self.zone_weights.own_part(t.zone), t.engines, t.nodes);
+            let (zone, part, engines, nodes) = (
+                &self.zones[t.zone],
+                self.zone_weights.own_weight(t.zone),
+                t.unreachable_engines,
+                t.reporting_nodes,
+            );
             match t.state {
-                State::Left(_, None) => tracing::warn!(%zone, engines, nodes, "a zone is left"),
-                State::Left(..) => tracing::info!(%zone, "a zone that was left is heard"),
-                State::Returning(..) => tracing::info!(%zone, part, engines, "a zone is returned to in part"),
-                State::In => tracing::info!(%zone, "a zone is in"),
-                State::Doubted(_) => tracing::info!(%zone, engines, nodes, "a zone is in doubt"),
+                ZoneState::Evacuated(_, None) => tracing::warn!(%zone, engines, nodes, "a zone is left"),
+                ZoneState::Evacuated(..) => tracing::info!(%zone, "a zone that was left is heard"),
+                ZoneState::Recovering(..) => {
+                    tracing::info!(%zone, part, engines, "a zone is returned to in part")
+                }
+                ZoneState::Active => tracing::info!(%zone, "a zone is in"),
+                ZoneState::Suspected(_) => tracing::info!(%zone, engines, nodes, "a zone is in doubt"),
             }
         }
     }
 
     /// Looks at what the module and the own zone's other nodes saw, and tells the module what follows. Ways are from a zone:
     /// what nodes of other zones reach is their own.
-    pub fn update(&mut self, now: f64, router: &mut Router, others: &[Known]) -> ZoneRound {
+    pub fn update(&mut self, now: f64, router: &mut Router, others: &[PeerRecord]) -> ZoneRound {
         let n = self.zones.len();
-        let mut there = vec![There::default(); n];
-        let own = |zone| Seen { node: self.name, zone, heard: None, silent: Vec::new(), part: 1.0 };
-        let mut seen: Vec<Seen> = (0..n).map(own).collect();
+        let mut there = vec![ZoneCapacity::default(); n];
+        let own = |zone| ZoneObservation {
+            node: self.name,
+            zone,
+            last_response_at: None,
+            unreachable: Vec::new(),
+            weight: 1.0,
+        };
+        let mut seen: Vec<ZoneObservation> = (0..n).map(own).collect();
         for e in router.engine_observations() {
             let Some(zone) = seen.get_mut(e.zone as usize) else { continue };
             let there = &mut there[e.zone as usize];
-            there.readers += usize::from(e.role != EngineRole::Decode);
-            there.writers += usize::from(e.role != EngineRole::Prefill);
-            if e.last_response_at > zone.heard.unwrap_or(0.0) {
-                zone.heard = Some(e.last_response_at);
+            there.prefill_engines += usize::from(e.role != EngineRole::Decode);
+            there.decode_engines += usize::from(e.role != EngineRole::Prefill);
+            if e.last_response_at > zone.last_response_at.unwrap_or(0.0) {
+                zone.last_response_at = Some(e.last_response_at);
             }
-            if e.unreachable_at > e.last_response_at && e.unreachable_at > now - self.figures.window_s {
-                zone.silent.push((engine(e.id), e.unreachable_at));
+            if e.unreachable_at > e.last_response_at
+                && e.unreachable_at > now - self.figures.evidence_window_s
+            {
+                zone.unreachable.push((engine(e.id), e.unreachable_at));
             }
         }
         for s in &mut seen {
-            s.silent.sort_by(|a, b| b.1.total_cmp(&a.1));
-            s.silent.truncate(MOST_SILENT);
+            s.unreachable.sort_by(|a, b| b.1.total_cmp(&a.1));
+            s.unreachable.truncate(MAX_UNREACHABLE);
         }
         seen.extend(others.iter().flat_map(|k| self.of(k)));
-        let turns = self.zone_weights.look(now, &seen, &there);
+        let turns = self.zone_weights.update(now, &seen, &there);
         let nodes = (others.len() + 1) as f64;
         for zone in 0..n {
-            router.set_zone_weight(zone as u32, self.zone_weights.part(zone));
+            router.set_zone_weight(zone as u32, self.zone_weights.weight(zone));
         }
         // News is looked at more often than by the round: what is asked goes by time.
         let rounds = ((now - self.knocked_at) / self.round_s).min(1.0);
         self.knocked_at = now;
-        let knocks: Vec<usize> = self.zone_weights.to_knock().collect();
+        let knocks: Vec<usize> = self.zone_weights.zones_to_probe().collect();
         for zone in knocks {
             let all = match self.zone_weights.state(zone) {
-                Some(State::Doubted(_)) => KNOCKS_IN_DOUBT,
+                Some(ZoneState::Suspected(_)) => KNOCKS_IN_DOUBT,
                 _ => KNOCKS,
             };
             // The fleet's sum stays the same however many nodes there are.
@@ -125,12 +141,12 @@
             (0..own).for_each(|_| router.probe_zone(now, zone as u32));
         }
         for s in seen.iter().filter(|s| s.node != self.name) {
-            let last = s.silent.iter().map(|x| x.1).fold(f64::NEG_INFINITY, f64::max);
+            let last = s.unreachable.iter().map(|x| x.1).fold(f64::NEG_INFINITY, f64::max);
             self.silence[s.zone] = self.silence[s.zone].max(last);
-            self.heard[s.zone] = self.heard[s.zone].max(s.heard.unwrap_or(f64::NEG_INFINITY));
+            self.heard[s.zone] = self.heard[s.zone].max(s.last_response_at.unwrap_or(f64::NEG_INFINITY));
         }
         let (tell, news) = self.tell(now, &seen[..n]);
-        let whole = (0..n).all(|z| self.zone_weights.part(z) == 1.0);
+        let whole = (0..n).all(|z| self.zone_weights.weight(z) == 1.0);
         ZoneRound { transitions: turns, reports: tell, urgent: news, all_zones_active: whole }
     }
 
@@ -139,15 +155,15 @@
     }
 
     /// Another node's record in this node's time.
-    fn of<'a>(&'a self, k: &'a Known) -> impl Iterator<Item = Seen> + 'a {
-        let at = move |age: u32| k.told_at - f64::from(age) / 1e3;
-        k.record.seen.iter().filter_map(move |s| {
-            Some(Seen {
-                node: short(&k.record.name),
+    fn of<'a>(&'a self, k: &'a PeerRecord) -> impl Iterator<Item = ZoneObservation> + 'a {
+        let at = move |age: u32| k.reported_at - f64::from(age) / 1e3;
+        k.record.zone_reports.iter().filter_map(move |s| {
+            Some(ZoneObservation {
+                node: name_hash(&k.record.name),
                 zone: self.zones.iter().position(|z| *z == s.zone)?,
-                heard: s.heard_ms.map(at),
-                silent: s.silent.iter().map(|x| (u64::from(x.0), at(x.1))).collect(),
-                part: f64::from(s.part) / 1e3,
+                last_response_at: s.last_response_age_ms.map(at),
+                unreachable: s.unreachable.iter().map(|x| (u64::from(x.0), at(x.1))).collect(),
+                weight: f64::from(s.weight_per_mille) / 1e3,
             })
         })
     }
@@ -155,33 +171,33 @@
     /// The own record's lines. Others hear at once of an engine newly silent, as long as that may turn anything, and of one
     /// heard after the silence that they met, if nobody has told it: it ends their doubt. All else comes with the next
     /// refresh, since what all tell at once nobody hears in time.
-    fn tell(&mut self, now: f64, own: &[Seen]) -> (Vec<record::Seen>, bool) {
+    fn tell(&mut self, now: f64, own: &[ZoneObservation]) -> (Vec<record::ZoneReport>, bool) {
         let mut news = false;
         let mut all = Vec::new();
         for s in own {
             let z = s.zone;
-            let own_part = self.zone_weights.own_part(z);
-            let newly = s.silent.iter().any(|x| !self.told[z].contains(&x.0)) && own_part > 0.0;
+            let own_part = self.zone_weights.own_weight(z);
+            let newly = s.unreachable.iter().any(|x| !self.told[z].contains(&x.0)) && own_part > 0.0;
             let contradicts =
-                s.heard.is_some_and(|h| h > self.silence[z]) && self.heard[z] <= self.silence[z];
+                s.last_response_at.is_some_and(|h| h > self.silence[z]) && self.heard[z] <= self.silence[z];
             if newly || contradicts {
                 news = true;
-                self.heard[z] = self.heard[z].max(s.heard.unwrap_or(f64::NEG_INFINITY));
+                self.heard[z] = self.heard[z].max(s.last_response_at.unwrap_or(f64::NEG_INFINITY));
             }
-            self.told[z].retain(|t| s.silent.iter().any(|x| x.0 == *t));
+            self.told[z].retain(|t| s.unreachable.iter().any(|x| x.0 == *t));
             if newly {
-                self.told[z] = s.silent.iter().map(|x| x.0).collect();
+                self.told[z] = s.unreachable.iter().map(|x| x.0).collect();
             }
             let ago = |t: f64| ((now - t).max(0.0) * 1e3) as u32;
-            all.push(record::Seen {
+            all.push(record::ZoneReport {
                 zone: self.zones[z].clone(),
-                heard_ms: s.heard.map(ago),
-                silent: s.silent.iter().map(|x| (x.0 as u32, ago(x.1))).collect(),
-                part: (own_part * 1e3) as u16,
+                last_response_age_ms: s.last_response_at.map(ago),
+                unreachable: s.unreachable.iter().map(|x| (x.0 as u32, ago(x.1))).collect(),
+                weight_per_mille: (own_part * 1e3) as u16,
             });
         }
         // Where all is well comes last: a record has room for so many.
-        all.sort_by_key(|s| s.silent.is_empty() && s.part == 1000);
+        all.sort_by_key(|s| s.unreachable.is_empty() && s.weight_per_mille == 1000);
         (all, news)
     }
 }
--- a/crates/nickelgw-node/src/parked.rs
+++ b/crates/nickelgw-node/src/deferred.rs
@@ -1,20 +1,22 @@
 //! Offline inferences on sockets and on disk: taken under a ticket, run in room that others leave, answered by the ticket.
 
 use crate::core::AdmittedRequest;
-use crate::driver::Reply;
-use crate::keep::Keeper;
+use crate::event_loop::Reply;
+use crate::persistence::StoreWriter;
 use crate::server::{json_answer, Answer, Asked, Server};
 use crate::{seconds, unix_now, within};
 use async_channel::{bounded, Receiver, Sender};
 use bytes::Bytes;
 use nickelgw::interface::{self as route, IdempotencyScope, ModelRoute};
-use nickelgw_gossip::core::record::short;
-use nickelgw_gossip::core::Accord;
-use nickelgw_deferred::core::record::{Answer as Kept, Record, State};
-use nickelgw_deferred::core::{Figures, Look, Parked, Refused, Repeat, Tally, Ticket, Write};
+use nickelgw_deferred::core::record::{DeferredAnswer as Kept, DeferredRecord, DeferredState};
+use nickelgw_deferred::core::{
+    DeferredCounters, DeferredQueue, DeferredRejection, DeferredStatus, Figures, RetryPolicy, Ticket, Write,
+};
+use nickelgw_gossip::core::record::name_hash;
+use nickelgw_gossip::core::Gossip;
 use nickelgw_protocol::chat::{ApiError, ChatRequest};
 use nickelgw_protocol::Malformed;
-use nickelgw_store::core::Kind;
+use nickelgw_store::core::RecordKind;
 use serde_json::json;
 use smol::Timer;
 use std::cell::{Cell, RefCell};
@@ -29,19 +31,19 @@
 pub const PATH: &str = "/v1/parked/";
 
 /// What a node needs to park.
-pub struct Lot {
+pub struct DeferredQueueConfig {
     pub file: PathBuf,
-    pub figures: Figures,
+    pub limits: Figures,
     /// Run at once, at most.
-    pub most_running: usize,
+    pub max_running: usize,
     /// For each tenant, its part.
     pub weights: Vec<f64>,
 }
 
-pub struct Parking {
-    core: RefCell<Parked>,
-    pub keeper: Rc<Keeper>,
-    repeats: Vec<Repeat>,
+pub struct DeferredRequests {
+    core: RefCell<DeferredQueue>,
+    pub keeper: Rc<StoreWriter>,
+    repeats: Vec<RetryPolicy>,
     weights: Vec<f64>,
     most_running: f64,
     running: Cell<usize>,
@@ -51,7 +53,7 @@
     turned_away: Cell<u32>,
     serial: Cell<u64>,
     bell: (Sender<()>, Receiver<()>),
-    accord: Option<Rc<RefCell<Accord>>>,
+    accord: Option<Rc<RefCell<Gossip>>>,
     /// Whether no zone is left or returned to: what is held back there has the room first.
     pub whole: Rc<Cell<bool>>,
 }
@@ -63,17 +65,17 @@
 /// A disk that cannot be written is tried again after so long.
 const DISK_S: f64 = 0.2;
 /// Runs of one that failed, where it may run again.
-pub const MOST_TRIES: u32 = 8;
+pub const MAX_ATTEMPTS: u32 = 8;
 
 /// Whether a parked one may run again, by its model route.
-pub fn repeat(r: &ModelRoute) -> Repeat {
+pub fn repeat(r: &ModelRoute) -> RetryPolicy {
     match r.idempotency {
-        route::Idempotency::Idempotent => Repeat::Retriable,
+        route::Idempotency::Idempotent => RetryPolicy::Retriable,
         route::Idempotency::Keyed { scope: IdempotencyScope::All, window_s: memory_s } => {
-            Repeat::Deduped(memory_s)
+            RetryPolicy::Deduped(memory_s)
         }
         // Which engines heard of it is not known to a later process.
-        _ => Repeat::Never,
+        _ => RetryPolicy::Never,
     }
 }
 
@@ -81,40 +83,40 @@
     t.to_be_bytes()
 }
 
-impl Parking {
+impl DeferredRequests {
     /// Reads what an earlier process left; blocking, before anything is served.
     pub fn open(
-        lot: Lot,
-        repeats: Vec<Repeat>,
+        lot: DeferredQueueConfig,
+        repeats: Vec<RetryPolicy>,
         clock: crate::Clock,
         door: &crate::core::Admission,
-        accord: Option<Rc<RefCell<Accord>>>,
+        accord: Option<Rc<RefCell<Gossip>>>,
         whole: Rc<Cell<bool>>,
-    ) -> Rc<Parking> {
-        let (keeper, found) = Keeper::open(Some(lot.file), clock);
-        let mut core = Parked::new(lot.figures);
-        let found = found.into_iter().filter(|f| f.kind == Kind::Parked);
+    ) -> Rc<DeferredRequests> {
+        let (keeper, found) = StoreWriter::open(Some(lot.file), clock);
+        let mut core = DeferredQueue::new(lot.limits);
+        let found = found.into_iter().filter(|f| f.kind == RecordKind::DeferredRequest);
         let found = found.filter_map(|f| Some((Ticket::from_be_bytes(f.key.try_into().ok()?), f.value)));
-        let known = |r: &Record| {
+        let known = |r: &DeferredRecord| {
             let tenant = door.tenants.is_empty() || door.tenants.iter().any(|t| t.name == r.tenant);
             let route = door.models.iter().position(|m| m.name == r.model)?;
             repeats.get(route).copied().filter(|_| tenant)
         };
         for w in core.restore(unix_now(), found, known) {
             match w.bytes {
-                Some(b) => keeper.put(Kind::Parked, &key(w.ticket), &b),
-                None => keeper.remove(Kind::Parked, &key(w.ticket)),
+                Some(b) => keeper.put(RecordKind::DeferredRequest, &key(w.ticket), &b),
+                None => keeper.remove(RecordKind::DeferredRequest, &key(w.ticket)),
             }
             // Told from now on: if this process dies before the write, the next comes to the same.
-            core.written(w.ticket, w.version, true);
+            core.write_finished(w.ticket, w.version, true);
         }
         tracing::info!(parked = core.len(), "offline inferences were read");
-        Rc::new(Parking {
+        Rc::new(DeferredRequests {
             core: RefCell::new(core),
             keeper,
             repeats,
             weights: lot.weights,
-            most_running: lot.most_running.max(1) as f64,
+            most_running: lot.max_running.max(1) as f64,
             running: Cell::new(0),
             room: Cell::new(1.0),
             not_before: Cell::new(0.0),
@@ -126,9 +128,9 @@
         })
     }
 
-    pub fn tally(&self) -> (usize, usize, Tally) {
+    pub fn tally(&self) -> (usize, usize, DeferredCounters) {
         let core = self.core.borrow();
-        (core.waiting().map(|w| w.1).sum(), self.running.get(), core.tally)
+        (core.waiting().map(|w| w.1).sum(), self.running.get(), core.counters)
     }
 
     fn ticket(&self) -> Ticket {
@@ -140,11 +142,11 @@
 
     /// On disk, tried until it is or another is to be there; what is taken out need not be waited for.
     async fn write(&self, w: Write) {
-        let Some(b) = w.bytes else { return self.keeper.remove(Kind::Parked, &key(w.ticket)) };
+        let Some(b) = w.bytes else { return self.keeper.remove(RecordKind::DeferredRequest, &key(w.ticket)) };
         // Asked before each try: while a disk fails, an older record would come back over a newer one.
         while self.core.borrow().is_latest(w.ticket, w.version) {
-            if self.keeper.put_and_wait(Kind::Parked, &key(w.ticket), &b).await {
-                return self.core.borrow_mut().written(w.ticket, w.version, true);
+            if self.keeper.put_and_wait(RecordKind::DeferredRequest, &key(w.ticket), &b).await {
+                return self.core.borrow_mut().write_finished(w.ticket, w.version, true);
             }
             Timer::after(seconds(DISK_S)).await;
         }
@@ -155,13 +157,18 @@
     fn part(&self, tenants: &[crate::core::admission::Tenant], name: &str) -> f64 {
         let weight = tenants.iter().position(|t| t.name == name).and_then(|t| self.weights.get(t));
         let own = self.core.borrow().waiting().find(|w| w.0 == name).map_or(0, |w| w.1);
-        let hash = short(name) as u32;
+        let hash = name_hash(name) as u32;
         let others = self.accord.as_ref().map_or(0, |a| {
             let a = a.borrow();
-            let of = |k: &nickelgw_gossip::core::Known| {
-                k.record.parked.iter().filter(|p| p.0 == hash).map(|p| u64::from(p.1)).sum::<u64>()
+            let of = |k: &nickelgw_gossip::core::PeerRecord| {
+                k.record
+                    .deferred_by_tenant
+                    .iter()
+                    .filter(|p| p.0 == hash)
+                    .map(|p| u64::from(p.1))
+                    .sum::<u64>()
             };
-            a.alive(self.keeper.now()).map(of).sum()
+            a.live_peers(self.keeper.now()).map(of).sum()
         });
         nickelgw_deferred::core::part(weight.copied().unwrap_or(1.0), own, others)
     }
@@ -198,7 +205,7 @@
         chat.fields.remove("stream_options");
         let body = serde_json::to_vec(&chat.fields).map_err(|_| field("cannot be kept"))?;
         let (now, ticket) = (unix_now(), p.ticket());
-        let record = Record {
+        let record = DeferredRecord {
             tenant: ask.tenant.map_or(String::new(), |t| self.door.tenants[t].name.clone()),
             model: chat.model.clone(),
             body,
@@ -206,9 +213,9 @@
             until: now + within,
             first_run: None,
             tries: 0,
-            state: State::Parked,
+            state: DeferredState::Parked,
         };
-        let come_back = self.limits.come_back_s;
+        let come_back = self.limits.retry_after_s;
         let full = || {
             let word = "no place to keep more offline requests";
             ApiError::new(503, "server_error", "parked_full", word).after(come_back)
@@ -216,25 +223,28 @@
         if p.keeper.is_released() {
             return Err(full());
         }
-        let taken = p.core.borrow_mut().take(now, ticket, record);
+        let taken = p.core.borrow_mut().enqueue(now, ticket, record);
         let write = taken.map_err(|why| match why {
-            Refused::Tenant => {
+            DeferredRejection::Tenant => {
                 let word = "this tenant has its part of what is kept";
                 ApiError::new(429, "server_error", "parked_tenant_full", word).after(come_back)
             }
-            Refused::Wait => field("is longer than any may wait"),
-            Refused::Records | Refused::Bytes => full(),
+            DeferredRejection::Wait => field("is longer than any may wait"),
+            DeferredRejection::Records | DeferredRejection::Bytes => full(),
         })?;
         // Its client may go meanwhile: what was begun is ended all the same.
         let (tell, told) = bounded(1);
         let of = p.clone();
         let keep = async move {
             let Write { ticket: t, version, bytes } = write;
-            let kept = of.keeper.put_and_wait(Kind::Parked, &key(t), &bytes.unwrap_or_default()).await;
-            of.core.borrow_mut().written(t, version, kept);
+            let kept = of
+                .keeper
+                .put_and_wait(RecordKind::DeferredRequest, &key(t), &bytes.unwrap_or_default())
+                .await;
+            of.core.borrow_mut().write_finished(t, version, kept);
             if !kept {
                 // It may yet get there, and must not be run by a later process.
-                of.keeper.remove(Kind::Parked, &key(t));
+                of.keeper.remove(RecordKind::DeferredRequest, &key(t));
             }
             let _ = of.bell.0.try_send(());
             let _ = tell.try_send(kept);
@@ -252,16 +262,16 @@
 
     /// What became of a ticket. One that is unknown, too old or another tenant's is told apart by nothing.
     pub fn parked(&self, bearer: Option<&str>, ticket: &str) -> Result<Answer, ApiError> {
-        let tenant = self.door.authenticate(bearer).map_err(|r| r.error(self.limits.come_back_s))?;
+        let tenant = self.door.authenticate(bearer).map_err(|r| r.error(self.limits.retry_after_s))?;
         let tenant = tenant.map_or("", |t| &self.door.tenants[t].name);
         let none = || ApiError::new(404, "invalid_request_error", "not_found", "there is no such ticket");
         let p = self.parked.as_ref().ok_or_else(none)?;
         let id = Some(ticket).filter(|t| t.len() == 32).and_then(|t| Ticket::from_str_radix(t, 16).ok());
         let core = p.core.borrow();
-        let status = match id.and_then(|t| core.look(t, tenant)).ok_or_else(none)? {
-            Look::Ended(a) => return Ok(json_answer(a.status, Bytes::from(a.body.clone()))),
-            Look::Parked => "parked",
-            Look::Running => "running",
+        let status = match id.and_then(|t| core.status(t, tenant)).ok_or_else(none)? {
+            DeferredStatus::Ended(a) => return Ok(json_answer(a.status, Bytes::from(a.body.clone()))),
+            DeferredStatus::Parked => "parked",
+            DeferredStatus::Running => "running",
         };
         let body = json!({"id": ticket, "object": "chat.parked", "status": status});
         Ok(json_answer(202, body.to_string().into()))
@@ -271,47 +281,49 @@
     pub async fn replay(self: Rc<Self>) {
         let Some(p) = self.parked.clone() else { return };
         loop {
-            let due = p.core.borrow_mut().due(unix_now());
+            let due = p.core.borrow_mut().poll_expired(unix_now());
             for w in due {
                 let of = p.clone();
                 self.ex.spawn(async move { of.write(w).await }).detach();
             }
             while self.has_room(&p) {
-                let repeat = |r: &Record| self.repeat(&p, r);
+                let repeat = |r: &DeferredRecord| self.repeat(&p, r);
                 let parts: HashMap<String, f64> = {
                     let waiting: Vec<String> = p.core.borrow().waiting().map(|w| w.0.to_string()).collect();
                     waiting.into_iter().map(|t| (t.clone(), p.part(&self.door.tenants, &t))).collect()
                 };
                 let part = |t: &str| parts.get(t).copied().unwrap_or(1.0);
-                let next = p.core.borrow_mut().next(unix_now(), part, repeat);
+                let next = p.core.borrow_mut().next_runnable(unix_now(), part, repeat);
                 let Some(write) = next else { break };
                 p.running.set(p.running.get() + 1);
                 self.ex.spawn(self.clone().run_parked(p.clone(), write)).detach();
             }
             if let Some(a) = &p.accord {
                 let core = p.core.borrow();
-                let waiting = core.waiting().map(|w| (short(w.0) as u32, w.1.min(u32::MAX as usize) as u32));
-                a.borrow_mut().tell_parked(waiting.collect());
+                let waiting =
+                    core.waiting().map(|w| (name_hash(w.0) as u32, w.1.min(u32::MAX as usize) as u32));
+                a.borrow_mut().publish_deferred(waiting.collect());
             }
             within(LOOK_S, p.bell.1.recv()).await;
         }
     }
 
-    fn has_room(&self, p: &Parking) -> bool {
+    fn has_room(&self, p: &DeferredRequests) -> bool {
         let room = p.running.get() < p.room.get() as usize;
-        let may = self.doors.healthy.get() && !self.doors.parting.get() && !p.keeper.is_released();
+        let may =
+            self.doors.healthy.get() && !self.doors.closing_connections.get() && !p.keeper.is_released();
         room && may && p.whole.get() && self.clock.now() >= p.not_before.get()
     }
 
-    fn repeat(&self, p: &Parking, r: &Record) -> Option<Repeat> {
+    fn repeat(&self, p: &DeferredRequests, r: &DeferredRecord) -> Option<RetryPolicy> {
         let route = self.door.models.iter().position(|m| m.name == r.model)?;
         p.repeats.get(route).copied()
     }
 
-    async fn run_parked(self: Rc<Self>, p: Rc<Parking>, write: Write) {
+    async fn run_parked(self: Rc<Self>, p: Rc<DeferredRequests>, write: Write) {
         let ticket = write.ticket;
         let record = p.core.borrow().record(ticket).cloned();
-        let running = record.filter(|r| r.state == State::Running);
+        let running = record.filter(|r| r.state == DeferredState::Running);
         let Some((record, repeat)) = running.and_then(|r| self.repeat(&p, &r).map(|x| (r, x))) else {
             // It ended without a run.
             p.write(write).await;
@@ -320,14 +332,14 @@
         };
         let after = match repeat {
             // An earlier process that ran it changes nothing.
-            Repeat::Retriable => {
-                p.core.borrow_mut().written(ticket, write.version, true);
+            RetryPolicy::Retriable => {
+                p.core.borrow_mut().write_finished(ticket, write.version, true);
                 Some(())
             }
             _ => {
                 let bytes = write.bytes.unwrap_or_default();
-                let kept = p.keeper.put_and_wait(Kind::Parked, &key(ticket), &bytes).await;
-                p.core.borrow_mut().written(ticket, write.version, kept);
+                let kept = p.keeper.put_and_wait(RecordKind::DeferredRequest, &key(ticket), &bytes).await;
+                p.core.borrow_mut().write_finished(ticket, write.version, kept);
                 kept.then_some(())
             }
         };
@@ -343,11 +355,11 @@
         let write = match ended {
             Ok(answer) => {
                 p.found_room();
-                p.core.borrow_mut().answered(now, ticket, answer)
+                p.core.borrow_mut().complete(now, ticket, answer)
             }
             Err(ran) => {
                 p.found_none(self.clock.now());
-                p.core.borrow_mut().back(now, ticket, ran, repeat)
+                p.core.borrow_mut().attempt_failed(now, ticket, ran, repeat)
             }
         };
         p.running.set(p.running.get() - 1);
@@ -356,7 +368,7 @@
     }
 
     /// Its answer; else whether it may have run.
-    async fn run_once(&self, ticket: Ticket, r: &Record, left_s: f64) -> Result<Kept, bool> {
+    async fn run_once(&self, ticket: Ticket, r: &DeferredRecord, left_s: f64) -> Result<Kept, bool> {
         let gone = |status, word: &str| Kept::error(status, "gone", word);
         let Ok(chat) = ChatRequest::parse(&r.body) else {
             return Ok(gone(400, "it cannot be read any more"));
@@ -374,7 +386,7 @@
         let asked = Asked { ask, id, chat: Rc::new(chat), since: Instant::now(), digest, marked: None };
         match self.run(asked).await {
             Err(_) => Err(false),
-            Ok((Reply::Whole(body), mut gone)) => {
+            Ok((Reply::Unary(body), mut gone)) => {
                 gone.ticket = None;
                 Ok(Kept { status: 200, body: body.to_vec() })
             }
--- a/crates/nickelgw-node/src/fleet.rs
+++ b/crates/nickelgw-node/src/discovery.rs
@@ -3,18 +3,18 @@
 
 use crate::client::Peer;
 use crate::core::Endpoint;
-use crate::driver::{Said, Word};
 use crate::engines::Engines;
+use crate::event_loop::{Event, TimedEvent};
 use crate::{within, Clock};
 use async_channel::Sender;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::header::{AUTHORIZATION, CONTENT_TYPE};
 use hyper::Method;
-use nickelgw_protocol::list::{Line, List};
-use nickelgw_registry::core::follow::{self, Follow, Worth};
-use nickelgw_registry::core::member::{self, Member, Part};
-use nickelgw_registry::core::view::View;
+use nickelgw_protocol::list::{EndpointEntry, EndpointList};
+use nickelgw_registry::core::follow::{self, ReadVerdict, RegistryWatch};
+use nickelgw_registry::core::member::{self, FleetPosition, Member};
+use nickelgw_registry::core::view::EndpointView;
 use nickelgw_registry::wire;
 use serde_json::{json, Value};
 use smol::{LocalExecutor, Timer};
@@ -23,10 +23,10 @@
 use std::rc::Rc;
 
 /// What is believed of the fleet, and who hears of it.
-pub struct Fleet {
-    pub view: RefCell<View>,
+pub struct EndpointDirectory {
+    pub view: RefCell<EndpointView>,
     pub engines: Rc<Engines>,
-    pub words: Sender<Word>,
+    pub words: Sender<TimedEvent>,
     pub clock: Clock,
     pub last: Option<PathBuf>,
     pub ex: Rc<LocalExecutor<'static>>,
@@ -36,9 +36,9 @@
     pub written: smol::lock::Mutex<u64>,
 }
 
-impl Fleet {
-    pub async fn full(self: &Rc<Self>, revision: u64, lines: Vec<Line>, rolled_back: bool) {
-        self.view.borrow_mut().full(self.clock.now(), revision, lines, rolled_back);
+impl EndpointDirectory {
+    pub async fn full(self: &Rc<Self>, revision: u64, lines: Vec<EndpointEntry>, rolled_back: bool) {
+        self.view.borrow_mut().replace_all(self.clock.now(), revision, lines, rolled_back);
         self.settle().await;
     }
 
@@ -65,14 +65,14 @@
 
     /// Passes on what is believed now, if that has changed.
     async fn tell(&self) {
-        let news = self.view.borrow_mut().news();
+        let news = self.view.borrow_mut().take_changes();
         let Some(engines) = news else { return };
         self.told.set(self.told.get() + 1);
-        let list = List { revision: self.told.get(), engines };
+        let list = EndpointList { revision: self.told.get(), engines };
         let bytes = serde_json::to_vec(&list).unwrap_or_default();
         let list_number = list.revision;
         let renewed = self.view.borrow_mut().renewed();
-        if self.words.send(Word::new(Said::List { list, renewed })).await.is_err() {
+        if self.words.send(TimedEvent::new(Event::EndpointsUpdated { list, renewed })).await.is_err() {
             return;
         }
         if let Some(path) = self.last.clone() {
@@ -81,7 +81,7 @@
                 return;
             }
             *written = list_number;
-            let kept = smol::unblock(move || crate::watch::write(&path, &bytes)).await;
+            let kept = smol::unblock(move || crate::endpoint_watch::write(&path, &bytes)).await;
             if let Err(e) = kept {
                 tracing::warn!(error = %e, "the list was not kept on disk");
             }
@@ -102,7 +102,7 @@
         loop {
             let read = path.clone();
             match smol::unblock(move || std::fs::read(read)).await {
-                Ok(bytes) if bytes != before => match List::parse(&bytes) {
+                Ok(bytes) if bytes != before => match EndpointList::parse(&bytes) {
                     Ok(list) => {
                         revision += 1;
                         before = bytes;
@@ -124,7 +124,7 @@
 
 /// An etcd-v3 registry, spoken to over its JSON gateway.
 #[derive(Clone, Debug)]
-pub struct Registry {
+pub struct RegistryOptions {
     /// host:port of each.
     pub endpoints: Vec<String>,
     /// In TLS: the name that their certificates stand for; trust is that of the engines.
@@ -136,10 +136,10 @@
     pub member: member::Figures,
 }
 
-pub struct Client {
-    pub registry: Registry,
+pub struct RegistryClient {
+    pub registry: RegistryOptions,
     pub name: String,
-    pub fleet: Rc<Fleet>,
+    pub fleet: Rc<EndpointDirectory>,
     pub token: RefCell<Option<String>>,
 }
 
@@ -147,7 +147,7 @@
 const CALL_S: f64 = 2.0;
 const LONGEST_LINE: usize = 16 << 20;
 
-impl Client {
+impl RegistryClient {
     fn peer(&self, endpoint: usize) -> Peer<'_> {
         let address = &self.registry.endpoints[endpoint % self.registry.endpoints.len()];
         Peer { name: self.registry.tls_name.as_deref(), ..Peer::plain(address) }
@@ -162,7 +162,7 @@
     }
 
     /// Signs in where a user is set; once, and again when the registry no longer takes the token.
-    async fn sign_in(&self, endpoint: usize) -> Result<(), wire::Wrong> {
+    async fn sign_in(&self, endpoint: usize) -> Result<(), wire::RegistryError> {
         let Some((name, password)) = self.registry.user.clone() else { return Ok(()) };
         if self.token.borrow().is_some() {
             return Ok(());
@@ -173,8 +173,8 @@
         Ok(())
     }
 
-    async fn raw(&self, endpoint: usize, path: &str, body: &Value) -> Result<Bytes, wire::Wrong> {
-        let wrong = |word: String| wire::Wrong::Said(word);
+    async fn raw(&self, endpoint: usize, path: &str, body: &Value) -> Result<Bytes, wire::RegistryError> {
+        let wrong = |word: String| wire::RegistryError::Said(word);
         let request = self.request(endpoint, path, body).ok_or_else(|| wrong("no such endpoint".into()))?;
         match within(CALL_S, self.fleet.engines.pool.fetch(self.peer(endpoint), &request)).await {
             None => Err(wrong("no answer in time".into())),
@@ -189,7 +189,7 @@
         }
     }
 
-    async fn call(&self, endpoint: usize, path: &str, body: &Value) -> Result<Bytes, wire::Wrong> {
+    async fn call(&self, endpoint: usize, path: &str, body: &Value) -> Result<Bytes, wire::RegistryError> {
         self.sign_in(endpoint).await?;
         self.raw(endpoint, path, body).await
     }
@@ -197,17 +197,19 @@
     /// Follows the engines until dropped.
     pub async fn follow(self: Rc<Self>, seed: u64) {
         let clock = self.fleet.clock;
-        let mut f = Follow::new(follow::Figures::default(), self.registry.endpoints.len(), seed);
+        let mut f = RegistryWatch::new(follow::Figures::default(), self.registry.endpoints.len(), seed);
         loop {
             let (todo, wake) = f.due(clock.now());
             // What is done takes its time, a watch hours: when to look again is asked anew after it.
             let idle = todo.is_empty();
             for d in todo {
                 match d {
-                    follow::Do::Read { endpoint } => self.read(&mut f, endpoint).await,
-                    follow::Do::Watch { endpoint, from } => self.watch(&mut f, endpoint, from).await,
+                    follow::WatchCommand::Read { endpoint } => self.read(&mut f, endpoint).await,
+                    follow::WatchCommand::Watch { endpoint, from } => {
+                        self.watch(&mut f, endpoint, from).await
+                    }
                     // What was out has been given up with its future.
-                    follow::Do::Drop => {}
+                    follow::WatchCommand::CloseWatch => {}
                 }
             }
             if idle {
@@ -216,7 +218,7 @@
         }
     }
 
-    async fn read(&self, f: &mut Follow, endpoint: usize) {
+    async fn read(&self, f: &mut RegistryWatch, endpoint: usize) {
         let clock = self.fleet.clock;
         let prefix = &self.registry.engines;
         let answer = self.call(endpoint, "/v3/kv/range", &wire::range(prefix)).await;
@@ -228,8 +230,8 @@
                 if bad > 0 {
                     tracing::warn!(bad, "lines in the registry that cannot be read are left out");
                 }
-                if worth != Worth::Stale {
-                    self.fleet.full(revision, lines, worth == Worth::RolledBack).await;
+                if worth != ReadVerdict::Stale {
+                    self.fleet.full(revision, lines, worth == ReadVerdict::RolledBack).await;
                 }
             }
             Err(error) => {
@@ -240,7 +242,7 @@
     }
 
     /// Watches until the watch breaks, is silent, or its revision was compacted away.
-    async fn watch(&self, f: &mut Follow, endpoint: usize, from: u64) {
+    async fn watch(&self, f: &mut RegistryWatch, endpoint: usize, from: u64) {
         let clock = self.fleet.clock;
         let silent_s = follow::Figures::default().silent_s;
         let body = wire::watch(&self.registry.engines, from);
@@ -287,7 +289,7 @@
                     continue;
                 }
                 let events = wire::events(&self.registry.engines, &w.events);
-                self.fleet.view.borrow_mut().changes(clock.now(), revision, events);
+                self.fleet.view.borrow_mut().apply_events(clock.now(), revision, events);
                 if !f.heard(clock.now(), revision) {
                     return;
                 }
@@ -302,7 +304,7 @@
         let (clock, figures) = (self.fleet.clock, self.registry.member);
         let mut m = Member::new(figures, &self.name);
         let (mut lease, mut endpoint, mut look_at) = (None::<i64>, seed as usize, 0.0);
-        let mut part = Part { number: None, of: None };
+        let mut part = FleetPosition { number: None, of: None };
         loop {
             if clock.now() >= look_at {
                 look_at = clock.now() + figures.look_s / 4.0;
@@ -317,7 +319,7 @@
             for d in todo {
                 let asked_at = clock.now();
                 match d {
-                    member::Do::KeepAlive => {
+                    member::MemberCommand::KeepAlive => {
                         let done = match lease {
                             None => self
                                 .call(endpoint, "/v3/lease/grant", &wire::grant(figures.lease_s))
@@ -341,18 +343,18 @@
                             Err(_) => endpoint += 1,
                         }
                     }
-                    member::Do::Claim(number) => {
+                    member::MemberCommand::Claim(number) => {
                         let key = format!("{prefix}{number}");
                         let body = wire::claim(&key, &self.name, lease.unwrap_or(0));
                         let answer = match lease {
-                            None => Err(wire::Wrong::Said("no lease yet".into())),
+                            None => Err(wire::RegistryError::Said("no lease yet".into())),
                             Some(_) => self.call(endpoint, "/v3/kv/txn", &body).await,
                         };
                         let tried = answer.and_then(|b| wire::plain::<wire::Tried>(&b));
                         m.claimed(clock.now(), number, tried.is_ok_and(|t| t.succeeded));
                         look_at = 0.0;
                     }
-                    member::Do::GiveUp(number) => {
+                    member::MemberCommand::GiveUp(number) => {
                         tracing::warn!(number, "another node has this number since earlier")
                     }
                 }
@@ -361,7 +363,7 @@
             if now_part != part {
                 part = now_part;
                 tracing::info!(number = ?part.number, of = ?part.of, "this node's part");
-                if self.fleet.words.send(Word::new(Said::Part(part))).await.is_err() {
+                if self.fleet.words.send(TimedEvent::new(Event::FleetPosition(part))).await.is_err() {
                     return;
                 }
             }
