--- a/crates/nickelgw-node/src/watch.rs
+++ b/crates/nickelgw-node/src/endpoint_watch.rs
@@ -1,14 +1,14 @@
 //! Follows the engine list by long polls, and reads the last one that was kept on disk.
 
 use crate::client::Peer;
-use crate::driver::{Said, Word};
+use crate::discovery::EndpointDirectory;
 use crate::engines::Engines;
-use crate::fleet::Fleet;
+use crate::event_loop::{Event, TimedEvent};
 use crate::{within, Clock};
 use async_channel::{Receiver, Sender};
 use http_body_util::Full;
 use hyper::Method;
-use nickelgw_protocol::list::List;
+use nickelgw_protocol::list::EndpointList;
 use std::path::Path;
 use std::rc::Rc;
 
@@ -20,16 +20,16 @@
 pub struct Watch {
     pub address: String,
     pub node: String,
-    pub fleet: Rc<Fleet>,
-    pub words: Sender<Word>,
+    pub fleet: Rc<EndpointDirectory>,
+    pub words: Sender<TimedEvent>,
     pub poked: Receiver<()>,
     pub clock: Clock,
 }
 
 /// The list as it was last written; a missing or damaged file is as none.
-pub fn last(path: Option<&Path>) -> Option<List> {
+pub fn last(path: Option<&Path>) -> Option<EndpointList> {
     let bytes = std::fs::read(path?).ok()?;
-    match List::parse(&bytes) {
+    match EndpointList::parse(&bytes) {
         Ok(list) => Some(list),
         Err(e) => {
             tracing::warn!(error = %e, "the last list on disk is not used");
@@ -60,7 +60,7 @@
             let Ok(request) = request else { return };
             let answer = within(POLL_S + 1.0, engines.pool.fetch(Peer::plain(&self.address), &request)).await;
             let list = match answer {
-                Some(Ok((200, _, body))) => List::parse(&body).map_err(|e| e.to_string()),
+                Some(Ok((200, _, body))) => EndpointList::parse(&body).map_err(|e| e.to_string()),
                 Some(Ok((204, _, _))) => {
                     fresh = false;
                     continue;
@@ -77,7 +77,7 @@
                 Err(error) => {
                     tracing::warn!(error, at = self.clock.now(), "the engine list was not had");
                     fresh = true;
-                    if self.words.send(Word::new(Said::ListFailed)).await.is_err() {
+                    if self.words.send(TimedEvent::new(Event::EndpointPollFailed)).await.is_err() {
                         return;
                     }
                     within(LONGEST_REST_S, self.poked.recv()).await;
--- a/crates/nickelgw-node/src/engines.rs
+++ b/crates/nickelgw-node/src/engines.rs
@@ -3,7 +3,7 @@
 use crate::client::{whole, Connection, Peer, Pool};
 use crate::core::ledger::ReservationId;
 use crate::core::{AttemptKind, AttemptOutcome, AttemptRequest, AttemptResult, Endpoint, Reservation};
-use crate::driver::{Sink, Word};
+use crate::event_loop::{ResponseSink, TimedEvent};
 use crate::{seconds, within, Limits};
 use async_channel::{bounded, Sender};
 use bytes::Bytes;
@@ -89,7 +89,7 @@
         order: AttemptRequest,
         id: Rc<str>,
         chat: Rc<ChatRequest>,
-        words: Sender<Word>,
+        words: Sender<TimedEvent>,
         out: Rc<Cell<bool>>,
     ) {
         let (ticket, send) = (order.request, order.attempt);
@@ -101,7 +101,9 @@
             }
         };
         // A full queue holds the task up; the event is never dropped.
-        let _ = words.send(Word::new(crate::driver::Said::Ended { ticket, send, end, sink })).await;
+        let _ = words
+            .send(TimedEvent::new(crate::event_loop::Event::AttemptEnded { ticket, send, result: end, sink }))
+            .await;
     }
 
     async fn read(
@@ -143,9 +145,9 @@
         id: &str,
         chat: &ChatRequest,
         kv: Option<KvTransfer>,
-        words: &Sender<Word>,
+        words: &Sender<TimedEvent>,
         out: &Cell<bool>,
-    ) -> (AttemptResult, Option<Sink>) {
+    ) -> (AttemptResult, Option<ResponseSink>) {
         let AttemptKind::Decode { idle_timeout_s: idle_s, .. } = order.kind else {
             return (AttemptResult::default(), None);
         };
@@ -165,13 +167,13 @@
         };
         let (grant, granted) = bounded(1);
         let (ticket, send) = (order.request, order.attempt);
-        let began = crate::driver::Said::Began { ticket, send, grant };
-        if words.send(Word::new(began)).await.is_err() {
+        let began = crate::event_loop::Event::ResponseStarted { request_id: ticket, attempt: send, grant };
+        if words.send(TimedEvent::new(began)).await.is_err() {
             return ended(AttemptOutcome::Cancelled, None);
         }
         // Too late: another has the client, or it has gone. The core knows this send as ended already.
         let Ok(mut sink) = granted.recv().await else { return ended(AttemptOutcome::Cancelled, None) };
-        let stall = self.limits.client_stall_s;
+        let stall = self.limits.client_stall_timeout_s;
         let (cause, load) = stream.pump(&mut sink, idle_s, stall).await;
         // With something left unread on it, the next answer would begin with that.
         if cause == AttemptOutcome::Completed && stream.at_end {
@@ -220,17 +222,19 @@
     ) -> Result<(u16, HeaderMap, Bytes), AttemptOutcome> {
         let built = self.request(method, &place.address, path).body(Full::default());
         let request = built.map_err(|_| AttemptOutcome::ConnectFailed)?;
-        let answer = within(self.limits.probe_s, self.pool.fetch(self.peer(place), &request)).await;
+        let answer = within(self.limits.probe_timeout_s, self.pool.fetch(self.peer(place), &request)).await;
         answer.unwrap_or(Err(AttemptOutcome::TimedOut))
     }
 
-    pub async fn probe(self: Rc<Self>, place: Rc<Endpoint>, words: Sender<Word>) {
+    pub async fn probe(self: Rc<Self>, place: Rc<Endpoint>, words: Sender<TimedEvent>) {
         let (cause, load) = match self.short(Method::GET, &place, "/health").await {
             Err(cause) => (cause, None),
             Ok((200, headers, _)) => (AttemptOutcome::Completed, report(&headers)),
             Ok((status, headers, body)) => (AttemptOutcome::from_status(status, &body), report(&headers)),
         };
-        let _ = words.send(Word::new(crate::driver::Said::Probed { place, cause, load })).await;
+        let _ = words
+            .send(TimedEvent::new(crate::event_loop::Event::ProbeFinished { endpoint: place, cause, load }))
+            .await;
     }
 
     /// Whether an engine answers its probe at all, however it does.
@@ -239,20 +243,24 @@
     }
 
     /// Whatever this node's earlier processes left at the reader is let go of; `boot`: what is this one's stays.
-    pub async fn sweep(self: Rc<Self>, place: Rc<Endpoint>, boot: String, words: Sender<Word>) {
+    pub async fn sweep(self: Rc<Self>, place: Rc<Endpoint>, boot: String, words: Sender<TimedEvent>) {
         let path = format!("/v1/states?except={boot}");
         let answer = self.short(Method::DELETE, &place, &path).await;
         // A reader that does not know the call will not learn it: its own limit frees them.
         let done = matches!(answer, Ok((200 | 204 | 404 | 405 | 501, _, _)));
-        let _ = words.send(Word::new(crate::driver::Said::Swept { place, done })).await;
+        let _ = words
+            .send(TimedEvent::new(crate::event_loop::Event::OrphanCleanupFinished { place, done }))
+            .await;
     }
 
-    pub async fn let_go(self: Rc<Self>, call: ReservationId, state: Reservation, words: Sender<Word>) {
+    pub async fn let_go(self: Rc<Self>, call: ReservationId, state: Reservation, words: Sender<TimedEvent>) {
         let path = format!("/v1/states/{}", state.name);
         let answer = self.short(Method::DELETE, &state.prefill_engine, &path).await;
         // Not found is let go too: fetched, or never there.
         let done = matches!(answer, Ok((200 | 204 | 404, _, _)));
-        let _ = words.send(Word::new(crate::driver::Said::LetGo { call, done })).await;
+        let _ = words
+            .send(TimedEvent::new(crate::event_loop::Event::ReleaseFinished { reservation_id: call, done }))
+            .await;
     }
 }
 
@@ -293,7 +301,7 @@
     }
 
     /// Passes events on until the stream ends, and says how it ended.
-    async fn pump(&mut self, sink: &mut Sink, idle_s: f64, stall_s: f64) -> Ended {
+    async fn pump(&mut self, sink: &mut ResponseSink, idle_s: f64, stall_s: f64) -> Ended {
         let mut idle = Timer::after(seconds(idle_s));
         loop {
             let event = match self.first.take() {
--- a/crates/nickelgw-node/src/driver.rs
+++ b/crates/nickelgw-node/src/event_loop.rs
@@ -10,17 +10,17 @@
     RejectReason, RequestId,
 };
 use crate::engines::Engines;
-use crate::keep::Keeper;
-use crate::meter::Meter;
+use crate::latency_metrics::LatencyMetrics;
+use crate::persistence::StoreWriter;
 use crate::{seconds, Clock};
 use async_channel::{Receiver, Sender};
 use bytes::Bytes;
-use nickelgw_gossip::core::Known;
+use nickelgw_gossip::core::PeerRecord;
 use nickelgw_protocol::chat::{ApiError, ChatRequest, Chunk, Whole};
-use nickelgw_protocol::list::List;
+use nickelgw_protocol::list::EndpointList;
 use nickelgw_protocol::load::LoadReport;
 use nickelgw_protocol::sse;
-use nickelgw_registry::core::member::Part;
+use nickelgw_registry::core::member::FleetPosition;
 use smol::{LocalExecutor, Task, Timer};
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -32,87 +32,87 @@
 const MOST_IN_A_ROUND: usize = 256;
 
 /// Something that happened, and when it was read off its socket.
-pub struct Word {
+pub struct TimedEvent {
     pub at: Instant,
-    pub said: Said,
+    pub event: Event,
 }
 
-impl Word {
-    pub fn new(said: Said) -> Word {
-        Word { at: Instant::now(), said }
+impl TimedEvent {
+    pub fn new(said: Event) -> TimedEvent {
+        TimedEvent { at: Instant::now(), event: said }
     }
 }
 
 /// What the process is told to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum ProcessSignal {
     /// To go: by stages, none of which loses what is open.
-    Leave,
+    Drain,
     /// To go, with the listening socket in another process's hands already.
-    HandOver,
+    DrainHandedOver,
     /// To let go of the store, which another process is about to open; or to take it back, as none did.
-    Release,
-    Resume,
+    ReleaseStore,
+    ResumeStore,
     /// To go on to the next stage at once.
-    Hasten,
+    SkipStage,
 }
 
-pub enum Said {
-    Order(Order),
-    Take {
-        ask: AdmittedRequest,
-        job: Job,
-        taken: Sender<RequestId>,
+pub enum Event {
+    Signal(ProcessSignal),
+    Accept {
+        request: AdmittedRequest,
+        client: ClientRequest,
+        accepted: Sender<RequestId>,
     },
-    Began {
-        ticket: RequestId,
-        send: u32,
-        grant: Sender<Sink>,
+    ResponseStarted {
+        request_id: RequestId,
+        attempt: u32,
+        grant: Sender<ResponseSink>,
     },
-    Ended {
+    AttemptEnded {
         ticket: RequestId,
         send: u32,
-        end: AttemptResult,
-        sink: Option<Sink>,
+        result: AttemptResult,
+        sink: Option<ResponseSink>,
     },
-    Probed {
-        place: Rc<Endpoint>,
+    ProbeFinished {
+        endpoint: Rc<Endpoint>,
         cause: AttemptOutcome,
         load: Option<LoadReport>,
     },
-    LetGo {
-        call: ReservationId,
+    ReleaseFinished {
+        reservation_id: ReservationId,
         done: bool,
     },
-    Swept {
+    OrphanCleanupFinished {
         place: Rc<Endpoint>,
         done: bool,
     },
-    Learnt {
-        to: Sender<Vec<u8>>,
+    SaveLearnedState {
+        reply_to: Sender<Vec<u8>>,
     },
-    Part(Part),
+    FleetPosition(FleetPosition),
     /// What the other nodes of the zone have told; what they are to be told goes back.
-    Round {
-        others: Vec<Known>,
+    ZoneRound {
+        others: Vec<PeerRecord>,
         to: Sender<ZoneRound>,
     },
-    Count {
+    CollectMetrics {
         to: Sender<Counted>,
     },
-    Why {
+    Explain {
         id: String,
         to: Sender<Option<String>>,
     },
-    List {
-        list: List,
+    EndpointsUpdated {
+        list: EndpointList,
         renewed: Vec<String>,
     },
-    ListFailed,
+    EndpointPollFailed,
 }
 
 /// The client's side of an inference.
-pub struct Job {
+pub struct ClientRequest {
     pub id: Rc<str>,
     pub chat: Rc<ChatRequest>,
     pub reply: Sender<Reply>,
@@ -123,23 +123,25 @@
 
 pub enum Reply {
     Stream(Receiver<Bytes>),
-    Whole(Bytes),
+    Unary(Bytes),
     Error(ApiError),
 }
 
 /// Where a stream's events go. Held by the one send that has the client.
-pub enum Sink {
-    Stream { to: Sender<Bytes>, usage: bool },
-    Whole(Box<Whole>),
+pub enum ResponseSink {
+    Stream { events: Sender<Bytes>, usage: bool },
+    Unary(Box<Whole>),
 }
 
-impl Sink {
+impl ResponseSink {
     pub async fn pass(&mut self, frame: Bytes, data: &[u8]) -> Result<(), AttemptOutcome> {
         match self {
             // Asked for by the node for its own count, not by this client.
-            Sink::Stream { usage: false, .. } if is_usage_only(data) => Ok(()),
-            Sink::Stream { to, .. } => to.send(frame).await.map_err(|_| AttemptOutcome::Cancelled),
-            Sink::Whole(whole) => {
+            ResponseSink::Stream { usage: false, .. } if is_usage_only(data) => Ok(()),
+            ResponseSink::Stream { events: to, .. } => {
+                to.send(frame).await.map_err(|_| AttemptOutcome::Cancelled)
+            }
+            ResponseSink::Unary(whole) => {
                 whole.add(Chunk::parse(data).map_err(|_| AttemptOutcome::Malformed)?);
                 Ok(())
             }
@@ -155,28 +157,28 @@
 /// Events that may wait for a slow client before its writer is slowed.
 const FRAMES_AHEAD: usize = 32;
 
-pub struct Driver {
+pub struct EventLoop {
     pub core: NodeCore,
     /// Something was found silent, that others may want to hear of.
     pub met: Sender<()>,
     pub clock: Clock,
     pub ex: Rc<LocalExecutor<'static>>,
     pub engines: Rc<Engines>,
-    pub to_core: Sender<Word>,
-    pub words: Receiver<Word>,
+    pub events: Sender<TimedEvent>,
+    pub incoming_events: Receiver<TimedEvent>,
     /// Clients gone. Not bounded by itself: each request open says it once at most.
-    pub left: Receiver<RequestId>,
-    pub poke: Sender<()>,
+    pub disconnected_clients: Receiver<RequestId>,
+    pub list_wakeup: Sender<()>,
     /// Requests that wait for the core.
     pub waiting: Rc<Cell<usize>>,
-    pub jobs: HashMap<RequestId, Job>,
+    pub clients: HashMap<RequestId, ClientRequest>,
     /// Sends out; dropped, a send is called off.
-    pub sends: HashMap<(RequestId, u32), Out>,
-    pub meter: Option<Arc<Mutex<Meter>>>,
-    pub life: ProcessLifecycle,
-    pub boot: String,
-    pub keepers: Vec<Rc<Keeper>>,
-    pub doors: Rc<Doors>,
+    pub attempts: HashMap<(RequestId, u32), Out>,
+    pub latency: Option<Arc<Mutex<LatencyMetrics>>>,
+    pub lifecycle: ProcessLifecycle,
+    pub incarnation: String,
+    pub store_writers: Vec<Rc<StoreWriter>>,
+    pub listener: Rc<ListenerState>,
     /// Called once, when it can serve.
     pub on_serving: Option<Box<dyn FnOnce() + Send>>,
     /// Where engine lines come from: connections there are kept too.
@@ -187,24 +189,24 @@
 type Out = (Task<()>, Rc<Cell<bool>>);
 
 /// What the sockets' side has to know of the node's life.
-pub struct Doors {
+pub struct ListenerState {
     pub healthy: Cell<bool>,
     /// Each answer is the last of its connection.
-    pub parting: Cell<bool>,
+    pub closing_connections: Cell<bool>,
     pub connections: Cell<usize>,
     /// Closed when nothing more is accepted, and when unused connections are closed.
-    pub listening: (Sender<()>, Receiver<()>),
-    pub idling: (Sender<()>, Receiver<()>),
+    pub accept_until: (Sender<()>, Receiver<()>),
+    pub keep_alive_until: (Sender<()>, Receiver<()>),
 }
 
-impl Doors {
-    pub fn new() -> Rc<Doors> {
-        Rc::new(Doors {
+impl ListenerState {
+    pub fn new() -> Rc<ListenerState> {
+        Rc::new(ListenerState {
             healthy: Cell::new(false),
-            parting: Cell::new(false),
+            closing_connections: Cell::new(false),
             connections: Cell::new(0),
-            listening: async_channel::bounded(1),
-            idling: async_channel::bounded(1),
+            accept_until: async_channel::bounded(1),
+            keep_alive_until: async_channel::bounded(1),
         })
     }
 }
@@ -223,15 +225,15 @@
     ApiError::new(status, "server_error", code, word)
 }
 
-impl Driver {
+impl EventLoop {
     /// Ends when the node's life does.
     pub async fn run(mut self) -> Exit {
         let mut wake = Timer::never();
         let mut stamps = Vec::new();
         loop {
             let heard = async {
-                futures_lite::future::or(async { self.words.recv().await.ok().map(Ok) }, async {
-                    self.left.recv().await.ok().map(Err)
+                futures_lite::future::or(async { self.incoming_events.recv().await.ok().map(Ok) }, async {
+                    self.disconnected_clients.recv().await.ok().map(Err)
                 })
                 .await
             };
@@ -248,10 +250,10 @@
                 None => {}
             }
             for _ in 0..MOST_IN_A_ROUND {
-                let Ok(word) = self.words.try_recv() else { break };
+                let Ok(word) = self.incoming_events.try_recv() else { break };
                 self.hear(now, word, &mut stamps);
             }
-            while let Ok(ticket) = self.left.try_recv() {
+            while let Ok(ticket) = self.disconnected_clients.try_recv() {
                 self.gone(now, ticket);
             }
             let wake_at = self.act(now);
@@ -264,11 +266,13 @@
                 Some(at) => wake.set_after(seconds((at - self.clock.now()).max(0.0))),
                 None => wake = Timer::never(),
             }
-            if let Some(meter) = &self.meter {
+            if let Some(meter) = &self.latency {
                 let mut m = meter.lock().unwrap_or_else(|e| e.into_inner());
                 m.words += stamps.len() as u64;
-                stamps.drain(..).for_each(|at: Instant| Meter::note(&mut m.to_decision, at.elapsed()));
-                Meter::note(&mut m.round, started.elapsed());
+                stamps
+                    .drain(..)
+                    .for_each(|at: Instant| LatencyMetrics::note(&mut m.to_decision, at.elapsed()));
+                LatencyMetrics::note(&mut m.round, started.elapsed());
             }
             stamps.clear();
         }
@@ -276,27 +280,27 @@
 
     /// What its stage of life asks for.
     fn live(&mut self, now: f64) -> (Option<Exit>, Option<f64>) {
-        let connections = self.doors.connections.get();
+        let connections = self.listener.connections.get();
         let left =
             Remaining { open_requests: self.core.open(), reservations: self.core.ledger.len(), connections };
-        let (todo, mut wake) = self.life.poll_commands(now, left);
+        let (todo, mut wake) = self.lifecycle.poll_commands(now, left);
         for d in todo {
-            tracing::info!(stage = ?self.life.stage(), open = left.open_requests, states = left.reservations, "{d:?}");
+            tracing::info!(stage = ?self.lifecycle.stage(), open = left.open_requests, states = left.reservations, "{d:?}");
             match d {
-                shutdown::Do::SayLeaving => {
-                    self.doors.healthy.set(false);
-                    self.doors.parting.set(true);
+                shutdown::ShutdownCommand::AnnounceShutdown => {
+                    self.listener.healthy.set(false);
+                    self.listener.closing_connections.set(true);
                 }
-                shutdown::Do::StopListening => drop(self.doors.listening.0.close()),
-                shutdown::Do::RefuseWork => {
+                shutdown::ShutdownCommand::StopListening => drop(self.listener.accept_until.0.close()),
+                shutdown::ShutdownCommand::StopAccepting => {
                     self.core.stop_accepting();
-                    self.doors.idling.0.close();
+                    self.listener.keep_alive_until.0.close();
                 }
-                shutdown::Do::EndAll => {
+                shutdown::ShutdownCommand::FailAllOpen => {
                     self.core.fail_all_open(now);
                     wake = Some(now);
                 }
-                shutdown::Do::Exit(exit) => return (Some(exit), None),
+                shutdown::ShutdownCommand::Exit(exit) => return (Some(exit), None),
             }
         }
         (None, wake)
@@ -318,26 +322,26 @@
     }
 
     fn serving(&mut self) {
-        self.life.endpoints_known();
-        if self.life.stage() == shutdown::Stage::Serving {
-            self.doors.healthy.set(true);
+        self.lifecycle.endpoints_known();
+        if self.lifecycle.stage() == shutdown::Stage::Serving {
+            self.listener.healthy.set(true);
             self.on_serving.take().into_iter().for_each(|say| say());
         }
     }
 
     fn gone(&mut self, now: f64, ticket: RequestId) {
         self.core.client_disconnected(now, ticket);
-        if let Some(job) = self.jobs.remove(&ticket) {
+        if let Some(job) = self.clients.remove(&ticket) {
             self.note(&job, "left");
         }
     }
 
-    fn hear(&mut self, now: f64, word: Word, stamps: &mut Vec<Instant>) {
-        if self.meter.is_some() {
+    fn hear(&mut self, now: f64, word: TimedEvent, stamps: &mut Vec<Instant>) {
+        if self.latency.is_some() {
             stamps.push(word.at);
         }
-        match word.said {
-            Said::Take { ask, job, taken } => {
+        match word.event {
+            Event::Accept { request: ask, client: job, accepted: taken } => {
                 self.waiting.set(self.waiting.get() - 1);
                 // The client may have gone while it waited for the core.
                 if taken.is_closed() {
@@ -351,33 +355,33 @@
                         let story =
                             RequestTrace::new(job.id.clone(), model, now, target_s, ask.prompt_tokens);
                         self.core.start_trace(ticket, story);
-                        self.jobs.insert(ticket, job);
+                        self.clients.insert(ticket, job);
                     }
                     Err(refusal) => drop(job.reply.try_send(Reply::Error(self.refused(refusal)))),
                 }
             }
-            Said::Order(Order::Hasten) => self.life.skip_stage(now),
-            Said::Order(order @ (Order::Release | Order::Resume)) => {
-                self.keepers.iter().for_each(|k| k.release(order == Order::Release));
+            Event::Signal(ProcessSignal::SkipStage) => self.lifecycle.skip_stage(now),
+            Event::Signal(order @ (ProcessSignal::ReleaseStore | ProcessSignal::ResumeStore)) => {
+                self.store_writers.iter().for_each(|k| k.release(order == ProcessSignal::ReleaseStore));
             }
-            Said::Order(order) => self.life.begin_drain(now, order == Order::HandOver),
-            Said::Began { ticket, send, grant } => {
+            Event::Signal(order) => self.lifecycle.begin_drain(now, order == ProcessSignal::DrainHandedOver),
+            Event::ResponseStarted { request_id: ticket, attempt: send, grant } => {
                 if self.core.response_started(now, ticket, send) {
-                    if let Some(job) = self.jobs.get_mut(&ticket) {
+                    if let Some(job) = self.clients.get_mut(&ticket) {
                         let _ = grant.try_send(sink(job));
                     }
                 }
             }
-            Said::Ended { ticket, send, end, sink } => {
-                self.sends.remove(&(ticket, send));
-                let job = self.jobs.get(&ticket);
+            Event::AttemptEnded { ticket, send, result: end, sink } => {
+                self.attempts.remove(&(ticket, send));
+                let job = self.clients.get(&ticket);
                 if let Some(job) = job
                     .filter(|_| !matches!(end.outcome, AttemptOutcome::Prefilled | AttemptOutcome::Completed))
                 {
                     tracing::debug!(request = %job.id, send, cause = ?end.outcome, "send ended");
                 }
                 // The client's own stream is closed by the answer that follows.
-                let begun = sink.and_then(|sink| Some((sink, self.jobs.remove(&ticket)?)));
+                let begun = sink.and_then(|sink| Some((sink, self.clients.remove(&ticket)?)));
                 if let Some((sink, job)) = begun {
                     let whole = end.outcome == AttemptOutcome::Completed;
                     self.finish(sink, &job, whole);
@@ -390,26 +394,30 @@
                 }
                 self.core.attempt_ended(now, ticket, send, end);
             }
-            Said::Probed { place, cause, load } => {
+            Event::ProbeFinished { endpoint: place, cause, load } => {
                 self.core.probe_finished(now, &place.id, cause, load);
                 if matches!(cause, AttemptOutcome::TimedOut | AttemptOutcome::ConnectFailed) {
                     let _ = self.met.try_send(());
                 }
             }
-            Said::LetGo { call, done } => self.core.release_finished(now, call, done),
-            Said::Swept { place, done } => self.core.orphan_cleanup_finished(now, &place.address, done),
-            Said::Part(p) => self.core.set_fleet_position(now, p.number.zip(p.of)),
-            Said::Round { others, to } => {
+            Event::ReleaseFinished { reservation_id: call, done } => {
+                self.core.release_finished(now, call, done)
+            }
+            Event::OrphanCleanupFinished { place, done } => {
+                self.core.orphan_cleanup_finished(now, &place.address, done)
+            }
+            Event::FleetPosition(p) => self.core.set_fleet_position(now, p.number.zip(p.of)),
+            Event::ZoneRound { others, to } => {
                 let Some(round) = self.core.zone_round(now, &others) else { return };
                 self.core.zone_failover.iter().for_each(|t| t.log_transitions(&round.transitions));
                 let _ = to.try_send(round);
             }
-            Said::Count { to } => drop(to.try_send(self.counted())),
-            Said::Why { id, to } => {
+            Event::CollectMetrics { to } => drop(to.try_send(self.counted())),
+            Event::Explain { id, to } => {
                 drop(to.try_send(self.core.request_trace(&id).map(RequestTrace::describe)))
             }
-            Said::Learnt { to } => drop(to.try_send(self.core.learned_state(now))),
-            Said::List { list, renewed } => {
+            Event::SaveLearnedState { reply_to: to } => drop(to.try_send(self.core.learned_state(now))),
+            Event::EndpointsUpdated { list, renewed } => {
                 self.core.engines_replaced(now, &renewed);
                 self.core.update_endpoints(now, &list);
                 self.serving();
@@ -418,31 +426,31 @@
                     |a: &str| sources.iter().any(|s| s == a) || list.engines.iter().any(|l| l.address == a);
                 self.engines.pool.forget_others(wanted);
             }
-            Said::ListFailed => self.core.endpoint_poll_failed(now),
+            Event::EndpointPollFailed => self.core.endpoint_poll_failed(now),
         }
     }
 
     fn refused(&self, refusal: RejectReason) -> ApiError {
-        refusal.error(self.engines.limits.come_back_s)
+        refusal.error(self.engines.limits.retry_after_s)
     }
 
     /// A stream's last event; it may have to wait for the client, so not here.
     fn last(&self, to: Sender<Bytes>, event: Bytes) {
-        let stall = self.engines.limits.client_stall_s;
+        let stall = self.engines.limits.client_stall_timeout_s;
         self.ex.spawn(async move { drop(crate::within(stall, to.send(event)).await) }).detach();
     }
 
     /// Ends a begun answer.
-    fn finish(&self, sink: Sink, job: &Job, whole: bool) {
+    fn finish(&self, sink: ResponseSink, job: &ClientRequest, whole: bool) {
         match sink {
-            Sink::Stream { to, .. } => {
+            ResponseSink::Stream { events: to, .. } => {
                 let last =
                     if whole { sse::done() } else { sse::frame(&failed(FailureReason::StreamBroken).body()) };
                 self.last(to, last);
             }
-            Sink::Whole(w) => {
+            ResponseSink::Unary(w) => {
                 let reply = match whole {
-                    true => Reply::Whole(w.body(&job.chat.model)),
+                    true => Reply::Unary(w.body(&job.chat.model)),
                     false => Reply::Error(failed(FailureReason::StreamBroken)),
                 };
                 let _ = job.reply.try_send(reply);
@@ -450,7 +458,7 @@
         }
     }
 
-    fn note(&self, job: &Job, answer: &str) {
+    fn note(&self, job: &ClientRequest, answer: &str) {
         let ms = job.since.elapsed().as_secs_f64() * 1e3;
         tracing::info!(request = %job.id, model = %job.chat.model, answer, ms, "answered");
     }
@@ -460,16 +468,16 @@
         loop {
             let begun = Instant::now();
             let actions = self.core.poll_commands(now);
-            if let Some(meter) = &self.meter {
+            if let Some(meter) = &self.latency {
                 let mut m = meter.lock().unwrap_or_else(|e| e.into_inner());
-                Meter::note(&mut m.act, begun.elapsed());
+                LatencyMetrics::note(&mut m.act, begun.elapsed());
             }
             let mut again = false;
             for d in actions.commands {
                 match d {
                     Command::StartAttempt(order) => {
                         let key = (order.request, order.attempt);
-                        let Some(job) = self.jobs.get(&order.request) else {
+                        let Some(job) = self.clients.get(&order.request) else {
                             self.core.attempt_ended(now, key.0, key.1, AttemptResult::default());
                             again = true;
                             continue;
@@ -478,15 +486,15 @@
                             read = order.kind == crate::core::AttemptKind::Prefill, "send");
                         let (id, chat) = (job.id.clone(), job.chat.clone());
                         let out = Rc::new(Cell::new(false));
-                        let words = self.to_core.clone();
+                        let words = self.events.clone();
                         let task = self.engines.clone().send(order, id, chat, words, out.clone());
-                        self.sends.insert(key, (self.ex.spawn(task), out));
+                        self.attempts.insert(key, (self.ex.spawn(task), out));
                     }
                     Command::CancelAttempt { request: ticket, attempt: send } => {
-                        let sent = self.sends.remove(&(ticket, send));
+                        let sent = self.attempts.remove(&(ticket, send));
                         // Given up while its connection was still being made: it is known not to have run, and may
                         // go elsewhere. Seen as a handshake that stalled until the probe beside it was given up.
-                        let out = sent.is_none_or(|s| s.1.get()) || !self.jobs.contains_key(&ticket);
+                        let out = sent.is_none_or(|s| s.1.get()) || !self.clients.contains_key(&ticket);
                         let cause =
                             if out { AttemptOutcome::Cancelled } else { AttemptOutcome::ConnectFailed };
                         let end = AttemptResult { outcome: cause, ..AttemptResult::default() };
@@ -495,19 +503,19 @@
                     }
                     Command::Answer { ticket, answer } => self.answer(ticket, answer),
                     Command::Release { reservation_id: call, reservation: state, .. } => {
-                        let task = self.engines.clone().let_go(call, state, self.to_core.clone());
+                        let task = self.engines.clone().let_go(call, state, self.events.clone());
                         self.ex.spawn(task).detach();
                     }
                     Command::Probe(place) => {
-                        let task = self.engines.clone().probe(place, self.to_core.clone());
+                        let task = self.engines.clone().probe(place, self.events.clone());
                         self.ex.spawn(task).detach();
                     }
                     Command::ReleaseOrphans(place) => {
-                        let boot = self.boot.clone();
-                        let task = self.engines.clone().sweep(place, boot, self.to_core.clone());
+                        let boot = self.incarnation.clone();
+                        let task = self.engines.clone().sweep(place, boot, self.events.clone());
                         self.ex.spawn(task).detach();
                     }
-                    Command::PollEndpoints => drop(self.poke.try_send(())),
+                    Command::PollEndpoints => drop(self.list_wakeup.try_send(())),
                 }
             }
             if !again {
@@ -518,7 +526,7 @@
 
     fn answer(&mut self, ticket: RequestId, answer: FinalAnswer) {
         // Begun streams were answered where their end was heard.
-        let Some(job) = self.jobs.remove(&ticket) else { return };
+        let Some(job) = self.clients.remove(&ticket) else { return };
         if let (Some(to), FinalAnswer::Failed(why)) = (job.stream.clone(), answer) {
             // Its send is called off with this, so that nothing comes after.
             self.last(to, sse::frame(&failed(why).body()));
@@ -540,12 +548,12 @@
 }
 
 /// The begun stream of this client, and its receiving end in the client's hands.
-fn sink(job: &mut Job) -> Sink {
+fn sink(job: &mut ClientRequest) -> ResponseSink {
     if !job.chat.stream {
-        return Sink::Whole(Box::default());
+        return ResponseSink::Unary(Box::default());
     }
     let (to, from) = async_channel::bounded(FRAMES_AHEAD);
     job.stream = Some(to.clone());
     let _ = job.reply.try_send(Reply::Stream(from));
-    Sink::Stream { to, usage: job.chat.include_usage }
+    ResponseSink::Stream { events: to, usage: job.chat.include_usage }
 }
--- a/crates/nickelgw-node/src/together.rs
+++ b/crates/nickelgw-node/src/gossip.rs
@@ -1,22 +1,22 @@
 //! Carries between the core and the other nodes of the fleet: their records in, this node's out, a round at a time.
 
-use crate::driver::{Said, Word};
+use crate::event_loop::{Event, TimedEvent};
 use crate::{seconds, Clock};
 use async_channel::{bounded, Receiver, Sender};
-use nickelgw_gossip::core::Accord;
+use nickelgw_gossip::core::Gossip;
 use smol::net::UdpSocket;
 use smol::Timer;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
 /// How a node is one of a fleet.
-pub struct Fleet {
-    pub accord: Accord,
-    pub zones: nickelgw_zones::core::Figures,
-    pub sockets: Sockets,
+pub struct GossipOptions {
+    pub gossip: Gossip,
+    pub zones: nickelgw_zones::core::ZoneConfig,
+    pub sockets: GossipSockets,
 }
 
-pub struct Sockets {
+pub struct GossipSockets {
     /// Bound already, or later: the process before may have it still.
     pub socket: Option<std::net::UdpSocket>,
     pub listen: String,
@@ -28,9 +28,9 @@
 /// Until dropped, or until the node listens no more: who takes over tells the others from then on. `new`: something was met,
 /// here or by another node, that is looked at without waiting for the round.
 pub async fn run(
-    sockets: Sockets,
-    accord: Rc<RefCell<Accord>>,
-    to_core: Sender<Word>,
+    sockets: GossipSockets,
+    accord: Rc<RefCell<Gossip>>,
+    to_core: Sender<TimedEvent>,
     clock: Clock,
     closing: Receiver<()>,
     (new, heard): (Sender<()>, Receiver<()>),
@@ -50,14 +50,14 @@
     let carry = nickelgw_gossip::run(socket, accord.clone(), clock.0, told, new);
     let rounds = async {
         loop {
-            let others = accord.borrow().near(clock.now());
+            let others = accord.borrow().zone_peers(clock.now());
             let (to, told) = bounded(1);
-            if to_core.send(Word::new(Said::Round { others, to })).await.is_err() {
+            if to_core.send(TimedEvent::new(Event::ZoneRound { others, to })).await.is_err() {
                 return;
             }
             if let Ok(round) = told.recv().await {
                 whole.set(round.all_zones_active);
-                accord.borrow_mut().tell(clock.now(), round.reports, round.urgent);
+                accord.borrow_mut().publish(clock.now(), round.reports, round.urgent);
                 if round.urgent {
                     let _ = tell.try_send(());
                 }
--- a/crates/nickelgw-node/src/repeat.rs
+++ b/crates/nickelgw-node/src/idempotency.rs
@@ -1,15 +1,17 @@
 //! Repeated requests on sockets: one run, heard by each client that came with its key.
 
-use crate::driver::Reply;
+use crate::event_loop::Reply;
 use crate::server::{json_answer, streamed, Answer, Asked, Server};
 use crate::within;
 use async_channel::{bounded, Receiver, Sender};
 use bytes::Bytes;
 use hyper::body::{Body, Frame};
-use nickelgw_chat::core::repeats::{Do, Ended, Enter, Figures, Key, Repeats, Serial};
+use nickelgw_chat::core::idempotency::{
+    Do, Ended, IdempotencyConfig, IdempotencyTable, Key, KeyLookup, Serial,
+};
 use nickelgw_protocol::chat::ApiError;
 use nickelgw_protocol::sse;
-use nickelgw_store::core::Kind;
+use nickelgw_store::core::RecordKind;
 use smol::Task;
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -74,16 +76,16 @@
 }
 
 /// The table, and the runs behind it.
-pub struct Relays {
-    table: RefCell<Repeats>,
+pub struct ResponseSharing {
+    table: RefCell<IdempotencyTable>,
     relays: RefCell<HashMap<Serial, Rc<Relay>>>,
     runs: RefCell<HashMap<Serial, Task<()>>>,
 }
 
-impl Relays {
-    pub fn new(figures: Figures) -> Relays {
-        let table = RefCell::new(Repeats::new(figures));
-        Relays { table, relays: RefCell::default(), runs: RefCell::default() }
+impl ResponseSharing {
+    pub fn new(figures: IdempotencyConfig) -> ResponseSharing {
+        let table = RefCell::new(IdempotencyTable::new(figures));
+        ResponseSharing { table, relays: RefCell::default(), runs: RefCell::default() }
     }
 
     /// One that an earlier process took, and that may not run again.
@@ -101,7 +103,7 @@
                     // Dropping the run tells the core that the client has gone.
                     let run = self.runs.borrow_mut().remove(&s);
                     drop(run);
-                    self.table.borrow_mut().ended(now, s, Ended::CalledOff);
+                    self.table.borrow_mut().response_ended(now, s, Ended::Cancelled);
                     self.relays.borrow_mut().remove(&s);
                 }
                 Do::Forget(s) => drop(self.relays.borrow_mut().remove(&s)),
@@ -165,7 +167,7 @@
     fn drop(&mut self) {
         self.relay.said.borrow_mut().hearers.remove(&self.n);
         let _ = self.relay.taken.0.try_send(());
-        self.server.repeats.table.borrow_mut().left(self.server.clock.now(), self.serial);
+        self.server.repeats.table.borrow_mut().listener_left(self.server.clock.now(), self.serial);
     }
 }
 
@@ -199,7 +201,7 @@
 
 impl Server {
     fn full(&self, word: &str) -> ApiError {
-        ApiError::new(503, "server_error", "node_full", word).after(self.limits.come_back_s)
+        ApiError::new(503, "server_error", "node_full", word).after(self.limits.retry_after_s)
     }
 
     /// A request that carries a key: it runs once, and each repeat hears that run.
@@ -208,20 +210,20 @@
         let key = Key::of(tenant, key);
         let may_repeat = self.door.models[a.ask.route].is_idempotent;
         let now = self.clock.now();
-        let entered = self.repeats.table.borrow_mut().enter(now, key, a.digest, may_repeat);
+        let entered = self.repeats.table.borrow_mut().look_up(now, key, a.digest, may_repeat);
         let serial = match entered {
-            Enter::Join(s) | Enter::Recorded(s) => s,
-            Enter::New(s) => {
+            KeyLookup::Join(s) | KeyLookup::Recorded(s) => s,
+            KeyLookup::New(s) => {
                 if let Err(e) = self.judge(&a) {
-                    self.repeats.table.borrow_mut().ended(now, s, Ended::Shed);
+                    self.repeats.table.borrow_mut().response_ended(now, s, Ended::Rejected);
                     return Err(e);
                 }
                 // Known to the next process before it can have an effect: a crash must not let a repeat run.
                 if !may_repeat {
                     let kept = !self.keeper.is_released()
-                        && self.keeper.put_and_wait(Kind::Repeat, &key.0, &a.digest).await;
+                        && self.keeper.put_and_wait(RecordKind::IdempotencyKey, &key.0, &a.digest).await;
                     if !kept {
-                        self.repeats.table.borrow_mut().ended(now, s, Ended::Shed);
+                        self.repeats.table.borrow_mut().response_ended(now, s, Ended::Rejected);
                         let word = "this request may not run twice, and cannot be remembered now";
                         return Err(self.full(word));
                     }
@@ -232,20 +234,20 @@
                 self.repeats.runs.borrow_mut().insert(s, run);
                 s
             }
-            Enter::Unrecorded => {
+            KeyLookup::Unrecorded => {
                 self.judge(&a)?;
                 let (reply, gone) = self.run(a).await?;
                 return crate::server::answer(reply, gone);
             }
-            Enter::Mismatch => {
+            KeyLookup::Mismatch => {
                 let word = "this idempotency key was used with another body";
                 return Err(refused(422, "idempotency_key_reused", word));
             }
-            Enter::NotKept => {
+            KeyLookup::NotKept => {
                 let word = "this request was taken before; its answer is not kept, and it does not run again";
                 return Err(refused(409, "already_taken", word));
             }
-            Enter::Full => {
+            KeyLookup::Full => {
                 let word = "no place to remember this request, which may not run twice";
                 return Err(self.full(word));
             }
@@ -269,12 +271,12 @@
                 let harmless = matches!(e.code, "shed" | "node_full" | "node_stopping");
                 relay.said.borrow_mut().head = Some(Head::Error(e));
                 if harmless {
-                    Ended::Shed
+                    Ended::Rejected
                 } else {
-                    Ended::Errored
+                    Ended::Failed
                 }
             }
-            Ok((Reply::Whole(body), mut gone)) => {
+            Ok((Reply::Unary(body), mut gone)) => {
                 gone.ticket = None;
                 self.repeats.table.borrow_mut().record(serial, body.len());
                 relay.said.borrow_mut().head = Some(Head::Whole(body));
@@ -295,16 +297,16 @@
                 if whole {
                     Ended::Completed
                 } else {
-                    Ended::Errored
+                    Ended::Failed
                 }
             }
         };
         relay.said.borrow_mut().done = true;
         relay.ring();
-        self.repeats.table.borrow_mut().ended(self.clock.now(), serial, how);
+        self.repeats.table.borrow_mut().response_ended(self.clock.now(), serial, how);
         // Nothing of it has run: its key is free again.
-        if let Some(key) = kept.filter(|_| how == Ended::Shed) {
-            self.keeper.remove(Kind::Repeat, &key.0);
+        if let Some(key) = kept.filter(|_| how == Ended::Rejected) {
+            self.keeper.remove(RecordKind::IdempotencyKey, &key.0);
         }
         // Its own task is at its end: dropping the handle here would cancel nothing.
         if let Some(run) = self.repeats.runs.borrow_mut().remove(&serial) {
@@ -327,7 +329,7 @@
             if fits(&relay.said.borrow()) {
                 return true;
             }
-            if within(self.limits.client_stall_s, relay.taken.1.recv()).await.is_none() {
+            if within(self.limits.client_stall_timeout_s, relay.taken.1.recv()).await.is_none() {
                 return false;
             }
         }
--- a/crates/nickelgw-node/src/meter.rs
+++ b/crates/nickelgw-node/src/latency_metrics.rs
@@ -3,7 +3,7 @@
 use hdrhistogram::Histogram;
 use std::time::Duration;
 
-pub struct Meter {
+pub struct LatencyMetrics {
     /// From the event's reading at its socket to the end of the core's decision on it.
     pub to_decision: Histogram<u64>,
     /// One call for decisions: the core's part and the module's.
@@ -13,14 +13,14 @@
     pub words: u64,
 }
 
-impl Default for Meter {
+impl Default for LatencyMetrics {
     fn default() -> Self {
         let h = Histogram::new_with_bounds(1, 100_000_000_000, 3).expect("a valid range");
-        Meter { to_decision: h.clone(), act: h.clone(), round: h, words: 0 }
+        LatencyMetrics { to_decision: h.clone(), act: h.clone(), round: h, words: 0 }
     }
 }
 
-impl Meter {
+impl LatencyMetrics {
     /// Quantiles in microseconds, as JSON.
     pub fn json(&self) -> serde_json::Value {
         let of = |h: &Histogram<u64>| {
--- a/crates/nickelgw-node/src/lib.rs
+++ b/crates/nickelgw-node/src/lib.rs
@@ -5,31 +5,32 @@
 mod background;
 pub mod client;
 pub mod core;
-mod driver;
+mod event_loop;
 pub use crate::core::shutdown::Exit;
-pub use driver::Order;
+pub use event_loop::ProcessSignal;
+mod deferred;
+pub mod discovery;
+mod endpoint_watch;
 mod engines;
-pub mod fleet;
-mod keep;
-mod meter;
-mod parked;
-mod repeat;
+mod gossip;
+mod idempotency;
+mod latency_metrics;
+mod persistence;
 mod server;
-mod together;
-mod watch;
 
-pub use meter::Meter;
-pub use parked::{Lot, MOST_TRIES};
-pub use together::{Fleet as Together, Sockets};
+pub use deferred::{DeferredQueueConfig, MAX_ATTEMPTS};
+pub use gossip::{GossipOptions, GossipSockets};
+pub use latency_metrics::LatencyMetrics;
 
 use crate::core::shutdown::ProcessLifecycle;
 use crate::core::{Admission, CoreConfig, NodeCore};
 use async_channel::{bounded, unbounded};
 use nickelgw::interface::Deployment;
-use nickelgw_background_tasks::core::{Class, Spec};
-use nickelgw_chat::core::{budget, repeats};
-use nickelgw_registry::core::view::View;
-use nickelgw_store::core::{belief, Kind};
+use nickelgw_background_tasks::core::{TaskClass, TaskSpec};
+use nickelgw_chat::core::idempotency::IdempotencyConfig;
+use nickelgw_chat::core::retry_budget;
+use nickelgw_registry::core::view::EndpointView;
+use nickelgw_store::core::{retention, RecordKind};
 use nickelgw_tls::core::pool;
 use smol::{LocalExecutor, Timer};
 use std::cell::RefCell;
@@ -42,82 +43,82 @@
 /// Limits of the shell; each is a setting, with its default in `node.proto`.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    pub most_connections: usize,
-    pub most_body_bytes: usize,
+    pub max_connections: usize,
+    pub max_body_bytes: usize,
     /// For a request's head, and for its body, to come in whole.
-    pub head_s: f64,
-    pub body_s: f64,
-    pub connect_s: f64,
-    pub probe_s: f64,
+    pub head_timeout_s: f64,
+    pub body_timeout_s: f64,
+    pub connect_timeout_s: f64,
+    pub probe_timeout_s: f64,
     /// Connections kept open to an engine while unused, how many and how long.
-    pub most_idle: usize,
-    pub idle_s: f64,
+    pub max_idle_connections: usize,
+    pub idle_timeout_s: f64,
     /// Requests that may wait for the core; one more is refused.
-    pub most_waiting: usize,
+    pub max_queued: usize,
     /// A client that takes nothing of its stream for so long has left.
-    pub client_stall_s: f64,
+    pub client_stall_timeout_s: f64,
     /// What a refused client is told.
-    pub come_back_s: f64,
+    pub retry_after_s: f64,
     /// What the system holds of an answer for a client that reads slowly, on each connection; 0: its own default.
     pub send_buffer: usize,
 }
 
 /// All that a node is started with.
-pub struct Start {
+pub struct NodeOptions {
     pub name: String,
     pub zone: String,
     pub deployment: Deployment,
-    pub figures: CoreConfig,
-    pub door: Admission,
+    pub core_config: CoreConfig,
+    pub admission: Admission,
     pub limits: Limits,
-    pub source: Source,
-    pub last_list: Option<PathBuf>,
+    pub endpoint_source: EndpointSource,
+    pub endpoint_cache: Option<PathBuf>,
     /// File that keeps what the next process is to know.
     pub store: Option<PathBuf>,
     /// The operators' port.
     pub admin: Option<TcpListener>,
     /// Or its address, to be had once the process before has gone.
-    pub admin_later: Option<String>,
-    pub meter: Option<Arc<Mutex<Meter>>>,
-    pub tls: TlsStart,
-    pub repeats: repeats::Figures,
-    pub retries: budget::Figures,
-    pub life: crate::core::shutdown::Figures,
+    pub admin_address: Option<String>,
+    pub latency: Option<Arc<Mutex<LatencyMetrics>>>,
+    pub tls: TlsOptions,
+    pub idempotency: IdempotencyConfig,
+    pub retry_budget: retry_budget::Figures,
+    pub shutdown: crate::core::shutdown::ShutdownConfig,
     /// What the process is told to do, in service.
-    pub orders: async_channel::Receiver<Order>,
+    pub signals: async_channel::Receiver<ProcessSignal>,
     /// What is doubted of the fleet.
-    pub view: nickelgw_registry::core::view::Figures,
+    pub view_config: nickelgw_registry::core::view::Figures,
     /// Called once, when it can serve.
     pub on_serving: Option<Box<dyn FnOnce() + Send>>,
     /// Where offline inferences are kept; none: they are not taken.
-    pub parked: Option<Lot>,
+    pub deferred: Option<DeferredQueueConfig>,
     /// What nodes tell each other; none: each goes by what it sees itself.
-    pub together: Option<Together>,
+    pub gossip: Option<GossipOptions>,
     /// Accepts nothing before it can serve: another process listens on the same socket meanwhile.
-    pub patient: bool,
+    pub accept_when_ready: bool,
 }
 
 /// Where engine lines come from.
 #[derive(Clone, Debug)]
-pub enum Source {
+pub enum EndpointSource {
     /// host:port of the engine list.
     List(String),
     /// A file of the same form, watched.
     File(PathBuf),
-    Registry(fleet::Registry),
+    Registry(discovery::RegistryOptions),
 }
 
 /// Keys and trust, looked at once already: what was not sound then keeps the node from starting.
 #[derive(Default)]
-pub struct TlsStart {
+pub struct TlsOptions {
     /// Towards engines; none: plain.
     pub engines: Option<nickelgw_tls::Client>,
     /// On the chat port; none: plain.
     pub chat: Option<nickelgw_tls::Server>,
     pub reload_s: f64,
     /// Handshakes under way at once: of the node, and towards one engine.
-    pub at_once: usize,
-    pub at_once_engine: usize,
+    pub max_handshakes: usize,
+    pub max_handshakes_per_engine: usize,
     pub retire_gap_s: f64,
 }
 
@@ -152,7 +153,7 @@
 }
 
 /// Serves until its life ends or the future is dropped. Everything it began ends with it.
-pub async fn run(listener: TcpListener, start: Start) -> std::io::Result<Exit> {
+pub async fn run(listener: TcpListener, start: NodeOptions) -> std::io::Result<Exit> {
     let clock = Clock(Instant::now());
     let listener = smol::Async::new(listener)?;
     let ex = Rc::new(LocalExecutor::new());
@@ -164,86 +165,88 @@
     let plain = tls.is_none();
     let figures = pool::Figures {
         // A connection without a handshake costs little; engines' own limits bound it.
-        at_once: if plain { 1024 } else { start.tls.at_once },
-        at_once_engine: if plain { 256 } else { start.tls.at_once_engine },
-        most_idle: limits.most_idle,
-        idle_s: limits.idle_s,
+        at_once: if plain { 1024 } else { start.tls.max_handshakes },
+        at_once_engine: if plain { 256 } else { start.tls.max_handshakes_per_engine },
+        most_idle: limits.max_idle_connections,
+        idle_s: limits.idle_timeout_s,
         retire_gap_s: start.tls.retire_gap_s,
         ..pool::Figures::default()
     };
-    let connections = client::Pool::new(ex.clone(), limits.connect_s, figures, tls);
+    let connections = client::Pool::new(ex.clone(), limits.connect_timeout_s, figures, tls);
     let reload_s = start.tls.reload_s;
     let tending = ex.spawn(connections.clone().tend());
     let looked = connections.clone();
     let engines = engines::Engines::new(connections, &start.name, &start.zone, limits.clone());
     let seed = start.deployment.seed ^ u64::from(start.deployment.node);
-    let boot = start.figures.incarnation.clone();
-    let (keeper, found) = keep::Keeper::open(start.store, clock);
-    let repeats = start.deployment.routes.iter().map(parked::repeat).collect();
-    let mut core = NodeCore::new(start.deployment, start.figures);
-    let doors = driver::Doors::new();
+    let boot = start.core_config.incarnation.clone();
+    let (keeper, found) = persistence::StoreWriter::open(start.store, clock);
+    let repeats = start.deployment.routes.iter().map(deferred::repeat).collect();
+    let mut core = NodeCore::new(start.deployment, start.core_config);
+    let doors = event_loop::ListenerState::new();
     let met = bounded(1);
     let whole = Rc::new(std::cell::Cell::new(true));
-    let fleet_of_nodes = start.together.map(|t| {
-        core.join_fleet(&t.accord.own().name, t.zones, t.accord.round_s(), seed);
-        let accord = Rc::new(RefCell::new(t.accord));
-        let (words, closing) = (to_core.clone(), doors.listening.1.clone());
+    let fleet_of_nodes = start.gossip.map(|t| {
+        core.join_fleet(&t.gossip.own().name, t.zones, t.gossip.round_s(), seed);
+        let accord = Rc::new(RefCell::new(t.gossip));
+        let (words, closing) = (to_core.clone(), doors.accept_until.1.clone());
         (
             accord.clone(),
-            ex.spawn(together::run(t.sockets, accord, words, clock, closing, met.clone(), whole.clone())),
+            ex.spawn(gossip::run(t.sockets, accord, words, clock, closing, met.clone(), whole.clone())),
         )
     });
     let accord = fleet_of_nodes.as_ref().map(|f| f.0.clone());
-    let parked = start
-        .parked
-        .map(|lot| parked::Parking::open(lot, repeats, clock, &start.door, accord.clone(), whole));
+    let parked = start.deferred.map(|lot| {
+        deferred::DeferredRequests::open(lot, repeats, clock, &start.admission, accord.clone(), whole)
+    });
     let keepers: Vec<_> = std::iter::once(&keeper).chain(parked.iter().map(|p| &p.keeper)).cloned().collect();
-    let relays = repeat::Relays::new(start.repeats);
+    let relays = idempotency::ResponseSharing::new(start.idempotency);
     for f in found {
         match f.kind {
-            Kind::Repeat => relays.restore(clock.now() - f.age_s.unwrap_or(0.0), &f.key, &f.value),
-            Kind::Learnt => {
-                let trust = belief::weight(f.age_s.unwrap_or(f64::INFINITY));
+            RecordKind::IdempotencyKey => {
+                relays.restore(clock.now() - f.age_s.unwrap_or(0.0), &f.key, &f.value)
+            }
+            RecordKind::LearnedState => {
+                let trust = retention::weight(f.age_s.unwrap_or(f64::INFINITY));
                 let read = core.restore_state(&f.value, trust);
                 tracing::info!(trust, read, "what the process before had learnt");
             }
-            Kind::List | Kind::Parked => {}
+            RecordKind::EndpointList | RecordKind::DeferredRequest => {}
         }
     }
-    let mut life = ProcessLifecycle::new(start.life);
+    let mut life = ProcessLifecycle::new(start.shutdown);
     let (gate, opened) = bounded::<()>(1);
-    let (say, patient) = (start.on_serving, start.patient);
+    let (say, patient) = (start.on_serving, start.accept_when_ready);
     let mut on_serving: Option<Box<dyn FnOnce() + Send>> = Some(Box::new(move || {
         gate.close();
         say.into_iter().for_each(|say| say());
     }));
-    let fleet = Rc::new(fleet::Fleet {
-        view: RefCell::new(View::new(start.view)),
+    let fleet = Rc::new(discovery::EndpointDirectory {
+        view: RefCell::new(EndpointView::new(start.view_config)),
         engines: engines.clone(),
         words: to_core.clone(),
         clock,
-        last: start.last_list.clone(),
+        last: start.endpoint_cache.clone(),
         ex: ex.clone(),
         told: std::cell::Cell::new(0),
         written: Default::default(),
     });
-    if let Some(list) = watch::last(start.last_list.as_deref()) {
+    if let Some(list) = endpoint_watch::last(start.endpoint_cache.as_deref()) {
         tracing::info!(engines = list.engines.len(), revision = list.revision, "served from the last list");
         core.restore_endpoints(clock.now(), &list);
         // What a source says next is reconciled with it: an empty first word is doubted too.
-        fleet.view.borrow_mut().full(clock.now(), 0, list.engines, false);
-        fleet.view.borrow_mut().news();
+        fleet.view.borrow_mut().replace_all(clock.now(), 0, list.engines, false);
+        fleet.view.borrow_mut().take_changes();
         life.endpoints_known();
         doors.healthy.set(true);
         on_serving.take().into_iter().for_each(|say| say());
     }
     let mut sources = Vec::new();
     let mut following = vec![ex.spawn(fleet.clone().tend())];
-    match start.source {
-        Source::List(address) => {
+    match start.endpoint_source {
+        EndpointSource::List(address) => {
             sources.push(address.clone());
             let name = start.name.clone();
-            let watch = watch::Watch {
+            let watch = endpoint_watch::Watch {
                 address,
                 node: name,
                 fleet: fleet.clone(),
@@ -253,45 +256,45 @@
             };
             following.push(ex.spawn(watch.run(engines.clone())));
         }
-        Source::File(path) => following.push(ex.spawn(fleet.clone().follow_file(path))),
-        Source::Registry(registry) => {
+        EndpointSource::File(path) => following.push(ex.spawn(fleet.clone().follow_file(path))),
+        EndpointSource::Registry(registry) => {
             sources = registry.endpoints.clone();
             if registry.nodes.is_some() {
                 // Until it has a place it uses nothing of what all share.
                 core.set_fleet_position(clock.now(), None);
             }
             let (name, token) = (start.name.clone(), RefCell::new(None));
-            let client = Rc::new(fleet::Client { registry, name, fleet: fleet.clone(), token });
+            let client = Rc::new(discovery::RegistryClient { registry, name, fleet: fleet.clone(), token });
             following.push(ex.spawn(client.clone().follow(seed)));
             following.push(ex.spawn(client.hold_place(seed)));
         }
     }
-    let names = Rc::new(start.door.models.iter().map(|m| m.name.clone()).collect::<Vec<_>>());
+    let names = Rc::new(start.admission.models.iter().map(|m| m.name.clone()).collect::<Vec<_>>());
     let waiting = Rc::new(std::cell::Cell::new(0));
-    let driver = driver::Driver {
+    let driver = event_loop::EventLoop {
         core,
         met: met.0,
         clock,
         ex: ex.clone(),
         engines,
-        to_core: to_core.clone(),
-        words,
-        left,
-        poke,
+        events: to_core.clone(),
+        incoming_events: words,
+        disconnected_clients: left,
+        list_wakeup: poke,
         waiting: waiting.clone(),
-        jobs: Default::default(),
-        sends: Default::default(),
-        meter: start.meter,
-        life,
-        boot,
-        keepers: keepers.clone(),
-        doors: doors.clone(),
+        clients: Default::default(),
+        attempts: Default::default(),
+        latency: start.latency,
+        lifecycle: life,
+        incarnation: boot,
+        store_writers: keepers.clone(),
+        listener: doors.clone(),
         on_serving,
         sources,
     };
     let driving = driver.run();
     let server = Rc::new(server::Server {
-        door: start.door,
+        door: start.admission,
         limits,
         to_core,
         gone,
@@ -303,7 +306,7 @@
         tls: start.tls.chat.map(|s| Arc::new(Mutex::new(s))),
         clock,
         ex: ex.clone(),
-        budget: RefCell::new(budget::Budget::new(start.retries, seed)),
+        budget: RefCell::new(retry_budget::RetryBudget::new(start.retry_budget, seed)),
         repeats: relays,
         keeper: keeper.clone(),
         parked: parked.clone(),
@@ -321,12 +324,12 @@
         parked,
         clock,
     });
-    let operators = ex.spawn(admin::run(start.admin, start.admin_later, admin, ex.clone()));
+    let operators = ex.spawn(admin::run(start.admin, start.admin_address, admin, ex.clone()));
     let chores = ex.spawn(behind.run());
-    let (orders, told) = (start.orders, server.to_core.clone());
+    let (orders, told) = (start.signals, server.to_core.clone());
     let ordering = ex.spawn(async move {
         while let Ok(order) = orders.recv().await {
-            let _ = told.send(driver::Word::new(driver::Said::Order(order))).await;
+            let _ = told.send(event_loop::TimedEvent::new(event_loop::Event::Signal(order))).await;
         }
     });
     let of = ex.clone();
@@ -356,7 +359,7 @@
     reload_s: f64,
 ) {
     use background::Done;
-    let spec = |class, every_s| Spec {
+    let spec = |class, every_s| TaskSpec {
         class,
         every_s: Some(every_s),
         deadline_s: every_s,
@@ -365,15 +368,15 @@
         bytes: 0.0,
     };
     let of = server.clone();
-    behind.add("repeats", spec(Class::Owed, 0.1), move || {
+    behind.add("repeats", spec(TaskClass::Required, 0.1), move || {
         let of = of.clone();
         async move {
-            repeat::tend(of).await;
+            idempotency::tend(of).await;
             Done { bytes: 0.0, done: true }
         }
     });
     let of = server.clone();
-    behind.add("certificates", spec(Class::Needed, reload_s.max(0.01)), move || {
+    behind.add("certificates", spec(TaskClass::Maintenance, reload_s.max(0.01)), move || {
         let (of, pool) = (of.clone(), pool.clone());
         async move {
             pool.look().await;
@@ -382,18 +385,21 @@
         }
     });
     let of = server.clone();
-    behind.add("learnt", spec(Class::Needed, LEARNT_S), move || {
+    behind.add("learnt", spec(TaskClass::Maintenance, LEARNT_S), move || {
         let of = of.clone();
         async move {
             let (to, learnt) = bounded(1);
-            let asked = of.to_core.send(driver::Word::new(driver::Said::Learnt { to })).await;
+            let asked = of
+                .to_core
+                .send(event_loop::TimedEvent::new(event_loop::Event::SaveLearnedState { reply_to: to }))
+                .await;
             let Ok(bytes) = learnt.recv().await else { return Done { bytes: 0.0, done: asked.is_ok() } };
-            of.keeper.put(Kind::Learnt, b"", &bytes);
+            of.keeper.put(RecordKind::LearnedState, b"", &bytes);
             Done { bytes: bytes.len() as f64, done: true }
         }
     });
     let of = server.clone();
-    behind.add("expire", spec(Class::Idle, EXPIRE_S), move || {
+    behind.add("expire", spec(TaskClass::Idle, EXPIRE_S), move || {
         let of = of.clone();
         async move {
             of.keeper.expire();
@@ -401,7 +407,7 @@
         }
     });
     let me = Rc::downgrade(behind);
-    behind.add("account", spec(Class::Idle, EXPIRE_S), move || {
+    behind.add("account", spec(TaskClass::Idle, EXPIRE_S), move || {
         let me = me.clone();
         async move {
             if let Some(me) = me.upgrade() {
--- a/crates/nickelgw-node/src/keep.rs
+++ b/crates/nickelgw-node/src/persistence.rs
@@ -2,8 +2,8 @@
 
 use crate::{unix_now, Clock};
 use async_channel::{bounded, Receiver, Sender};
-use nickelgw_store::core::shelf::{Figures, Found, Shelf, Waiter};
-use nickelgw_store::core::Kind;
+use nickelgw_store::core::write_buffer::{Figures, RestoredRecord, Waiter, WriteBuffer};
+use nickelgw_store::core::RecordKind;
 use nickelgw_store::{open_or_begin, Problem, Store};
 use smol::Timer;
 use std::cell::{Cell, RefCell};
@@ -13,8 +13,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-pub struct Keeper {
-    shelf: RefCell<Shelf>,
+pub struct StoreWriter {
+    shelf: RefCell<WriteBuffer>,
     store: RefCell<Option<Arc<Store>>>,
     path: Option<PathBuf>,
     waiters: RefCell<HashMap<Waiter, Sender<bool>>>,
@@ -28,10 +28,10 @@
 /// A process that hands over needs a moment to let go of the file.
 const LET_GO: Duration = Duration::from_secs(2);
 
-impl Keeper {
+impl StoreWriter {
     /// Opens the file; blocking, before anything is served.
-    pub fn open(path: Option<PathBuf>, clock: Clock) -> (Rc<Keeper>, Vec<Found>) {
-        let mut shelf = Shelf::new(Figures::default());
+    pub fn open(path: Option<PathBuf>, clock: Clock) -> (Rc<StoreWriter>, Vec<RestoredRecord>) {
+        let mut shelf = WriteBuffer::new(Figures::default());
         let (mut store, mut found) = (None, Vec::new());
         if let Some(path) = &path {
             let from = Instant::now();
@@ -51,9 +51,9 @@
             }
             found = shelf.restore(clock.now(), unix_now(), records);
             store = s.map(Arc::new);
-            tracing::info!(records = found.len(), unsound = shelf.account.unsound, "the store was read");
+            tracing::info!(records = found.len(), unsound = shelf.counters.damaged, "the store was read");
         }
-        let keeper = Keeper {
+        let keeper = StoreWriter {
             shelf: RefCell::new(shelf),
             store: RefCell::new(store),
             path,
@@ -75,19 +75,19 @@
         self.released.get()
     }
 
-    pub fn put(&self, kind: Kind, key: &[u8], value: &[u8]) {
+    pub fn put(&self, kind: RecordKind, key: &[u8], value: &[u8]) {
         if self.store.borrow().is_some() {
             self.shelf.borrow_mut().put(self.clock.now(), unix_now(), (kind, key), value, None);
             let _ = self.bell.0.try_send(());
         }
     }
 
-    pub fn remove(&self, kind: Kind, key: &[u8]) {
+    pub fn remove(&self, kind: RecordKind, key: &[u8]) {
         self.shelf.borrow_mut().remove(self.clock.now(), kind, key);
     }
 
     /// True once it is on disk, or where nothing is kept at all.
-    pub async fn put_and_wait(&self, kind: Kind, key: &[u8], value: &[u8]) -> bool {
+    pub async fn put_and_wait(&self, kind: RecordKind, key: &[u8], value: &[u8]) -> bool {
         if self.store.borrow().is_none() {
             return self.path.is_none();
         }
@@ -100,8 +100,8 @@
         done.recv().await.unwrap_or(false)
     }
 
-    pub fn account(&self) -> nickelgw_store::core::shelf::Account {
-        self.shelf.borrow().account
+    pub fn counters(&self) -> nickelgw_store::core::write_buffer::StoreCounters {
+        self.shelf.borrow().counters
     }
 
     pub fn expire(&self) {
@@ -140,7 +140,7 @@
 
     /// Makes the commit that is due, if one is; gives when the next will be.
     async fn commit(&self) -> Option<f64> {
-        let (batch, wake) = self.shelf.borrow_mut().due(self.clock.now());
+        let (batch, wake) = self.shelf.borrow_mut().poll_batch(self.clock.now());
         let Some(batch) = batch else { return wake };
         let store = self.store.borrow().clone();
         let number = batch.number;
@@ -154,7 +154,7 @@
                 written.is_ok()
             }
         };
-        let told = self.shelf.borrow_mut().committed(self.clock.now(), number, done);
+        let told = self.shelf.borrow_mut().commit_finished(self.clock.now(), number, done);
         for (w, done) in told {
             if let Some(to) = self.waiters.borrow_mut().remove(&w) {
                 let _ = to.try_send(done);
--- a/crates/nickelgw-node/src/server.rs
+++ b/crates/nickelgw-node/src/server.rs
@@ -2,9 +2,9 @@
 
 use crate::client::looked;
 use crate::core::{Admission, AdmittedRequest, RejectReason, RequestId};
-use crate::driver::{Doors, Job, Reply, Said, Word};
-use crate::keep::Keeper;
-use crate::repeat::Relays;
+use crate::event_loop::{ClientRequest, Event, ListenerState, Reply, TimedEvent};
+use crate::idempotency::ResponseSharing;
+use crate::persistence::StoreWriter;
 use crate::{seconds, within, Clock, Limits};
 use async_channel::{bounded, Receiver, Sender};
 use bytes::Bytes;
@@ -14,7 +14,7 @@
 use hyper::body::{Body, Frame, Incoming};
 use hyper::header::{HeaderValue, AUTHORIZATION, CONNECTION, CONTENT_TYPE, RETRY_AFTER};
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
-use nickelgw_chat::core::budget::{Budget, Verdict};
+use nickelgw_chat::core::retry_budget::{RetryBudget, RetryVerdict};
 use nickelgw_protocol::chat::{ApiError, ChatRequest};
 use nickelgw_protocol::{Malformed, REQUEST_ID};
 use serde_json::json;
@@ -33,20 +33,20 @@
 pub struct Server {
     pub door: Admission,
     pub limits: Rc<Limits>,
-    pub to_core: Sender<Word>,
+    pub to_core: Sender<TimedEvent>,
     pub gone: Sender<RequestId>,
     pub waiting: Rc<Cell<usize>>,
     pub name: String,
     pub serial: RefCell<u64>,
     pub models: Rc<Vec<String>>,
-    pub doors: Rc<Doors>,
+    pub doors: Rc<ListenerState>,
     pub tls: Option<Arc<Mutex<nickelgw_tls::Server>>>,
     pub clock: Clock,
     pub ex: Rc<LocalExecutor<'static>>,
-    pub budget: RefCell<Budget>,
-    pub repeats: Relays,
-    pub keeper: Rc<Keeper>,
-    pub parked: Option<Rc<crate::parked::Parking>>,
+    pub budget: RefCell<RetryBudget>,
+    pub repeats: ResponseSharing,
+    pub keeper: Rc<StoreWriter>,
+    pub parked: Option<Rc<crate::deferred::DeferredRequests>>,
 }
 
 pub type AnswerBody = Pin<Box<dyn Body<Data = Bytes, Error = Infallible>>>;
@@ -137,7 +137,7 @@
 /// Accepts until dropped, or nothing more is to be accepted. Beyond the limit a connection is told to come back and
 /// closed.
 pub async fn accept(listener: Async<TcpListener>, server: Rc<Server>, ex: Rc<LocalExecutor<'static>>) {
-    let closing = server.doors.listening.1.clone();
+    let closing = server.doors.accept_until.1.clone();
     loop {
         let next = async { Some(listener.accept().await) };
         let closed = async {
@@ -159,7 +159,7 @@
             // Else the system takes megabytes for a client that reads nothing, and nobody is slowed.
             let _ = socket2::SockRef::from(stream.get_ref()).set_send_buffer_size(server.limits.send_buffer);
         }
-        if server.doors.connections.get() >= server.limits.most_connections {
+        if server.doors.connections.get() >= server.limits.max_connections {
             let busy = b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\nconnection: close\r\n\
                          content-length: 0\r\n\r\n";
             use std::io::Write;
@@ -171,7 +171,7 @@
 }
 
 /// Counts a connection while it stands.
-struct Standing(Rc<Doors>);
+struct Standing(Rc<ListenerState>);
 
 impl Drop for Standing {
     fn drop(&mut self) {
@@ -183,14 +183,14 @@
     server.doors.connections.set(server.doors.connections.get() + 1);
     let _standing = Standing(server.doors.clone());
     let blocked = Rc::new(Cell::new(None));
-    let stall_s = server.limits.client_stall_s;
+    let stall_s = server.limits.client_stall_timeout_s;
     let stream = Watched { inner: stream, blocked: blocked.clone() };
     let serving = async {
         match server.accepted() {
             None => http(stream, server.clone()).await,
             Some(config) => {
                 let hands = TlsAcceptor::from(config).accept(stream);
-                match within(server.limits.head_s, hands).await {
+                match within(server.limits.head_timeout_s, hands).await {
                     Some(Ok(stream)) => http(stream, server.clone()).await,
                     other => {
                         let why = other.and_then(|o| o.err()).map(|e| e.to_string());
@@ -215,10 +215,10 @@
         async move { Ok::<_, Infallible>(server.serve(r).await) }
     });
     let mut http = hyper::server::conn::http1::Builder::new();
-    http.timer(SmolTimer::new()).header_read_timeout(seconds(server.limits.head_s));
+    http.timer(SmolTimer::new()).header_read_timeout(seconds(server.limits.head_timeout_s));
     http.max_buf_size(64 * 1024);
     let mut conn = std::pin::pin!(http.serve_connection(FuturesIo::new(stream), service));
-    let idling = server.doors.idling.1.clone();
+    let idling = server.doors.keep_alive_until.1.clone();
     let told = async {
         let _ = idling.recv().await;
         None
@@ -296,7 +296,7 @@
 pub fn answer(reply: Reply, mut gone: Gone) -> Result<Answer, ApiError> {
     match reply {
         Reply::Stream(from) => Ok(streamed(Box::pin(Streamed { from: Box::pin(from), gone }))),
-        Reply::Whole(body) => {
+        Reply::Unary(body) => {
             gone.ticket = None;
             Ok(json_answer(200, body))
         }
@@ -352,13 +352,13 @@
                     }
                 }
             }
-            (&Method::GET, path) if path.starts_with(crate::parked::PATH) => {
-                let ticket = &path[crate::parked::PATH.len()..];
+            (&Method::GET, path) if path.starts_with(crate::deferred::PATH) => {
+                let ticket = &path[crate::deferred::PATH.len()..];
                 self.parked(bearer(request.headers()), ticket).unwrap_or_else(|e| error(&e))
             }
             // Before a list is heard there is no engine to send to: a front layer does better to wait.
             (&Method::GET, "/healthz") if !self.doors.healthy.get() => {
-                let why = if self.doors.parting.get() { "leaving" } else { "no list yet" };
+                let why = if self.doors.closing_connections.get() { "leaving" } else { "no list yet" };
                 json_answer(503, json!({ "status": why }).to_string().into())
             }
             (&Method::GET, "/healthz") => {
@@ -371,7 +371,7 @@
             }
         };
         answer.headers_mut().extend(HeaderValue::from_str(&id).ok().map(|v| (ID, v)));
-        if self.doors.parting.get() {
+        if self.doors.closing_connections.get() {
             answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         answer
@@ -385,8 +385,8 @@
         let timeout = header(TIMEOUT).and_then(|v| v.parse::<f64>().ok()).map(|ms| ms / 1e3);
         let body = self.body(body).await?;
         let chat = ChatRequest::parse(&body).map_err(|m| ApiError::invalid(&m))?;
-        let ask = self.door.admit(&chat, bearer, timeout).map_err(|r| r.error(self.limits.come_back_s))?;
-        if chat.fields.contains_key(crate::parked::FIELD) {
+        let ask = self.door.admit(&chat, bearer, timeout).map_err(|r| r.error(self.limits.retry_after_s))?;
+        if chat.fields.contains_key(crate::deferred::FIELD) {
             return self.park(chat, &ask).await;
         }
         let digest = *blake3::hash(&body).as_bytes();
@@ -416,8 +416,8 @@
         let tenant = a.ask.tenant.unwrap_or(usize::MAX);
         let verdict = self.budget.borrow_mut().judge(self.clock.now(), tenant, a.ask.route, a.marked, body);
         match verdict {
-            Verdict::FirstTry | Verdict::Retry => Ok(()),
-            Verdict::Refused { come_back_s } => {
+            RetryVerdict::FirstAttempt | RetryVerdict::Retry => Ok(()),
+            RetryVerdict::Rejected { come_back_s } => {
                 let word = "too many retries of late; come back later";
                 Err(ApiError::new(429, "rate_limit_error", "retry_budget", word).after(come_back_s))
             }
@@ -426,16 +426,16 @@
 
     /// Has it taken, and waits for its answer or the beginning of it.
     pub async fn run(&self, a: Asked) -> Result<(Reply, Gone), ApiError> {
-        let behind = || RejectReason::QueueFull.error(self.limits.come_back_s);
-        if self.waiting.get() >= self.limits.most_waiting {
+        let behind = || RejectReason::QueueFull.error(self.limits.retry_after_s);
+        if self.waiting.get() >= self.limits.max_queued {
             return Err(behind());
         }
         let (tenant, route) = (a.ask.tenant.unwrap_or(usize::MAX), a.ask.route);
         let (reply, replied) = bounded(1);
         let (taken, ticket) = bounded(1);
-        let job = Job { id: a.id, chat: a.chat, reply, since: a.since, stream: None };
+        let job = ClientRequest { id: a.id, chat: a.chat, reply, since: a.since, stream: None };
         self.waiting.set(self.waiting.get() + 1);
-        let word = Word::new(Said::Take { ask: a.ask, job, taken });
+        let word = TimedEvent::new(Event::Accept { request: a.ask, client: job, accepted: taken });
         if self.to_core.try_send(word).is_err() {
             self.waiting.set(self.waiting.get() - 1);
             return Err(behind());
@@ -452,12 +452,12 @@
     }
 
     async fn body(&self, body: Incoming) -> Result<Bytes, ApiError> {
-        let most = self.limits.most_body_bytes;
+        let most = self.limits.max_body_bytes;
         let wrong = |status, code, word: String| ApiError::new(status, "invalid_request_error", code, word);
         if body.size_hint().lower() > most as u64 {
             return Err(wrong(413, "body_too_large", format!("the body is over {most} bytes")));
         }
-        match within(self.limits.body_s, Limited::new(body, most).collect()).await {
+        match within(self.limits.body_timeout_s, Limited::new(body, most).collect()).await {
             None => Err(wrong(408, "body_too_slow", "the body did not come in time".into())),
             Some(Ok(b)) => Ok(b.to_bytes()),
             Some(Err(e)) if e.is::<LengthLimitError>() => {
--- a/crates/nickelgw-node/tests/bad_input.rs
+++ b/crates/nickelgw-node/tests/bad_input.rs
@@ -59,7 +59,7 @@
 #[test]
 fn what_does_not_fit_is_refused_with_a_time_to_come_back() {
     let slow = nickelgw_test_servers::model::Figures { read_s: 0.5, ..figures("r0a") };
-    let w = World::with(vec![slow, figures("w0a")], |s| s.figures.max_open_requests = 2);
+    let w = World::with(vec![slow, figures("w0a")], |s| s.core_config.max_open_requests = 2);
     let first: Vec<_> = (0..2).map(|n| w.later(w.ask(&format!("q{n}"), "chat"))).collect();
     w.wait("both are taken", |l| l.iter().filter(|l| l["ev"] == "send").count() >= 2);
     let third = w.play(w.ask("q2", "chat"));
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_full_queue_to_the_core_refuses_and_loses_no_engine_event() {
-    let w = World::with(vec![figures("r0a"), figures("w0a")], |s| s.limits.most_waiting = 1);
+    let w = World::with(vec![figures("r0a"), figures("w0a")], |s| s.limits.max_queued = 1);
     let asks: Vec<_> = (0..60).map(|n| w.later(w.ask(&format!("q{n}"), "chat"))).collect();
     let mut completed = 0;
     for a in asks {
--- a/crates/nickelgw-node/tests/common/mod.rs
+++ b/crates/nickelgw-node/tests/common/mod.rs
@@ -5,8 +5,8 @@
 use nickelgw_audit::{judge, Line, Verdict};
 use nickelgw_node::core::admission::{Model, Tenant};
 use nickelgw_node::core::{Admission, CoreConfig};
-use nickelgw_node::{Limits, Start, TlsStart};
-use nickelgw_protocol::list::{self, State};
+use nickelgw_node::{Limits, NodeOptions, TlsOptions};
+use nickelgw_protocol::list::{self, EngineState};
 use nickelgw_test_servers::client::{self, Ask, Seen};
 use nickelgw_test_servers::model::{self, Role};
 use nickelgw_test_servers::record::unix_now;
@@ -41,7 +41,7 @@
     pub engines: BTreeMap<String, String>,
     pub record: Record,
     /// Orders to the node, and how it ends.
-    pub tell: Option<async_channel::Sender<nickelgw_node::Order>>,
+    pub tell: Option<async_channel::Sender<nickelgw_node::ProcessSignal>>,
     pub exit: Option<thread::JoinHandle<nickelgw_node::Exit>>,
 }
 
@@ -52,21 +52,21 @@
     model::Figures { id: id.into(), role, zone, out_tokens: 10, ..model::Figures::default() }
 }
 
-pub fn line(f: &model::Figures, address: &str) -> list::Line {
-    list::Line {
+pub fn line(f: &model::Figures, address: &str) -> list::EndpointEntry {
+    list::EndpointEntry {
         id: f.id.clone(),
         address: address.into(),
         zone: f.zone.clone(),
         cell: f.cell,
-        role: if f.role == Role::Read { list::Role::Read } else { list::Role::Write },
+        role: if f.role == Role::Read { list::EngineRole::Prefill } else { list::EngineRole::Decode },
         memory_tokens: f.memory_tokens,
-        state: State::In,
+        state: EngineState::Active,
         started_at: None,
         tls_name: f.tls.as_ref().map(|t| t.name.clone()),
     }
 }
 
-pub fn start(list: &str) -> Start {
+pub fn start(list: &str) -> NodeOptions {
     let route = |repeat| ModelRoute {
         ttft_objective_s: 1.0,
         ttft_objective_per_token_s: 0.0,
@@ -109,11 +109,11 @@
         unary_timeout_s: 8.0,
         is_idempotent: name == "chat",
     };
-    Start {
+    NodeOptions {
         name: "node0".into(),
         zone: "a".into(),
         deployment,
-        figures: CoreConfig {
+        core_config: CoreConfig {
             incarnation: format!("node0-{}", (unix_now() * 1e6) as u64),
             started_at_unix_s: unix_now(),
             zones: vec!["a".into(), "b".into()],
@@ -126,50 +126,59 @@
             fair_share: None,
             tenant_max_open: vec![None],
         },
-        door: Admission {
+        admission: Admission {
             models: ["chat", "review", "booking", "marked"].map(model).to_vec(),
             tenants: vec![Tenant { name: "t".into(), key: KEY.into() }],
             max_prompt_tokens: 50_000.0,
         },
         limits: Limits {
-            most_connections: 1000,
-            most_body_bytes: 100_000,
-            head_s: 0.5,
-            body_s: 0.5,
-            connect_s: 0.25,
-            probe_s: 0.25,
-            most_idle: 16,
-            idle_s: 5.0,
-            most_waiting: 256,
-            client_stall_s: 5.0,
-            come_back_s: 1.0,
+            max_connections: 1000,
+            max_body_bytes: 100_000,
+            head_timeout_s: 0.5,
+            body_timeout_s: 0.5,
+            connect_timeout_s: 0.25,
+            probe_timeout_s: 0.25,
+            max_idle_connections: 16,
+            idle_timeout_s: 5.0,
+            max_queued: 256,
+            client_stall_timeout_s: 5.0,
+            retry_after_s: 1.0,
             send_buffer: 65_536,
         },
-        source: nickelgw_node::Source::List(list.into()),
-        view: Default::default(),
-        last_list: None,
+        endpoint_source: nickelgw_node::EndpointSource::List(list.into()),
+        view_config: Default::default(),
+        endpoint_cache: None,
         store: None,
         admin: None,
-        admin_later: None,
-        meter: None,
-        tls: TlsStart { reload_s: 0.05, at_once: 16, at_once_engine: 2, ..TlsStart::default() },
-        repeats: Default::default(),
-        retries: Default::default(),
-        life: nickelgw_node::core::shutdown::Figures { notice_s: 0.1, grace_s: 5.0, end_s: 1.0 },
-        orders: async_channel::bounded(1).1,
-        together: None,
-        parked: None,
+        admin_address: None,
+        latency: None,
+        tls: TlsOptions {
+            reload_s: 0.05,
+            max_handshakes: 16,
+            max_handshakes_per_engine: 2,
+            ..TlsOptions::default()
+        },
+        idempotency: Default::default(),
+        retry_budget: Default::default(),
+        shutdown: nickelgw_node::core::shutdown::ShutdownConfig {
+            announce_s: 0.1,
+            drain_timeout_s: 5.0,
+            exit_timeout_s: 1.0,
+        },
+        signals: async_channel::bounded(1).1,
+        gossip: None,
+        deferred: None,
         on_serving: None,
-        patient: false,
+        accept_when_ready: false,
     }
 }
 
-pub fn serve(start: Start) -> String {
+pub fn serve(start: NodeOptions) -> String {
     serve_until(start).0
 }
 
 /// With how it will have ended.
-pub fn serve_until(start: Start) -> (String, thread::JoinHandle<nickelgw_node::Exit>) {
+pub fn serve_until(start: NodeOptions) -> (String, thread::JoinHandle<nickelgw_node::Exit>) {
     let (l, address) = listener();
     (address, thread::spawn(move || smol::block_on(nickelgw_node::run(l, start)).unwrap()))
 }
@@ -179,7 +188,7 @@
         World::with(engines, |_| {})
     }
 
-    pub fn with(engines: Vec<model::Figures>, tweak: impl FnOnce(&mut Start)) -> World {
+    pub fn with(engines: Vec<model::Figures>, tweak: impl FnOnce(&mut NodeOptions)) -> World {
         let record = Record::memory("driver");
         record.note(
             "rules",
@@ -197,11 +206,13 @@
             tell: None,
             exit: None,
         };
-        let lines: Vec<list::Line> = engines.into_iter().map(|f| world.engine(f)).collect();
-        thread::spawn(move || smol::block_on(nickelgw_test_servers::list::run(l, lines, 0.0, record.of("list"))));
+        let lines: Vec<list::EndpointEntry> = engines.into_iter().map(|f| world.engine(f)).collect();
+        thread::spawn(move || {
+            smol::block_on(nickelgw_test_servers::list::run(l, lines, 0.0, record.of("list")))
+        });
         let mut s = start(&world.list);
         let (tell, orders) = async_channel::bounded(4);
-        s.orders = orders;
+        s.signals = orders;
         tweak(&mut s);
         let (node, exit) = serve_until(s);
         (world.node, world.tell, world.exit) = (node, Some(tell), Some(exit));
@@ -210,7 +221,7 @@
     }
 
     /// Starts an engine; it is not listed by that.
-    pub fn engine(&mut self, f: model::Figures) -> list::Line {
+    pub fn engine(&mut self, f: model::Figures) -> list::EndpointEntry {
         let (l, address) = listener();
         self.engines.insert(f.id.clone(), address.clone());
         let (line, record) = (line(&f, &address), self.record.of(&f.id));
--- a/crates/nickelgw-node/tests/failures.rs
+++ b/crates/nickelgw-node/tests/failures.rs
@@ -122,7 +122,7 @@
     let mut w = World::new(engines(&["r0a", "w0a", "w1a"]));
     let address = w.engines["w0a"].clone();
     let mut line = common::line(&figures("w0a"), &address);
-    line.state = nickelgw_protocol::list::State::Draining;
+    line.state = nickelgw_protocol::list::EngineState::Draining;
     w.control("list", json!({"line": line}));
     w.wait("the drain is told", |l| l.iter().any(|l| l["ev"] == "told" && l["draining"] == json!(["w0a"])));
     thread::sleep(Duration::from_millis(600));
@@ -170,7 +170,7 @@
     let dir = std::env::temp_dir().join(format!("nickelgw-last-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let path = dir.join("node0.list");
-    let mut w = World::with(engines(&["r0a", "w0a"]), |s| s.last_list = Some(path.clone()));
+    let mut w = World::with(engines(&["r0a", "w0a"]), |s| s.endpoint_cache = Some(path.clone()));
     let from = std::time::Instant::now();
     while !path.exists() {
         assert!(from.elapsed() < Duration::from_secs(10));
@@ -180,12 +180,12 @@
     let (gone, nowhere) = common::listener();
     drop(gone);
     let mut s = common::start(&nowhere);
-    s.last_list = Some(path.clone());
+    s.endpoint_cache = Some(path.clone());
     w.node = common::serve(s);
     assert_eq!(w.play(w.ask("q", "chat")).how, "completed");
     std::fs::write(&path, "{\"revision\":1,\"engi").unwrap();
     let mut s = common::start(&nowhere);
-    s.last_list = Some(path);
+    s.endpoint_cache = Some(path);
     w.node = common::serve(s);
     let mut hasty = w.ask("cold", "chat");
     hasty.leave = Leave::Waiting(0.3);
--- a/crates/nickelgw-node/tests/leaving.rs
+++ b/crates/nickelgw-node/tests/leaving.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{figures, post, World};
-use nickelgw_node::{Exit, Order};
+use nickelgw_node::{Exit, ProcessSignal};
 use nickelgw_test_servers::client::{self, status, Ask};
 use nickelgw_test_servers::model;
 use serde_json::json;
@@ -14,10 +14,10 @@
 
 fn world(grace_s: f64) -> World {
     let slow = model::Figures { step_s: 0.05, ..figures("w0a") };
-    World::with(vec![figures("r0a"), slow], |s| s.life.grace_s = grace_s)
+    World::with(vec![figures("r0a"), slow], |s| s.shutdown.drain_timeout_s = grace_s)
 }
 
-fn tell(w: &World, order: Order) {
+fn tell(w: &World, order: ProcessSignal) {
     w.tell.as_ref().unwrap().send_blocking(order).unwrap();
 }
 
@@ -38,7 +38,7 @@
     let mut idle = TcpStream::connect(&w.node).unwrap();
     let stream = w.later(w.ask("stream", "booking"));
     w.wait_for("first", "stream");
-    tell(&w, Order::Leave);
+    tell(&w, ProcessSignal::Drain);
     let from = Instant::now();
     while healthy(&w) == 200 {
         assert!(from.elapsed() < Duration::from_secs(2));
@@ -70,7 +70,7 @@
     w.control("w0a", json!({"fault": "silence", "for_s": 0.9}));
     let held = w.later(w.ask("held", "chat"));
     w.wait_for("read", "held");
-    tell(&w, Order::Leave);
+    tell(&w, ProcessSignal::Drain);
     let (stream, whole, held) = (stream.join().unwrap(), whole.join().unwrap(), held.join().unwrap());
     assert_eq!((stream.how.as_str(), stream.code.as_deref()), ("errored", Some("node_stopping")));
     assert_eq!((whole.status, whole.code.as_deref()), (503, Some("node_stopping")));
@@ -90,7 +90,7 @@
     let stream = w.later(ask);
     w.wait_for("first", "stream");
     let from = Instant::now();
-    for o in [Order::Leave, Order::Hasten, Order::Hasten] {
+    for o in [ProcessSignal::Drain, ProcessSignal::SkipStage, ProcessSignal::SkipStage] {
         tell(&w, o);
     }
     assert_eq!(stream.join().unwrap().code.as_deref(), Some("node_stopping"));
--- a/crates/nickelgw-node/tests/path.rs
+++ b/crates/nickelgw-node/tests/path.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{figures, post, start, World};
-use nickelgw_chat::core::grant::{grant, GrantKey, Granted};
+use nickelgw_chat::core::grant::{grant, GrantClaims, GrantKey};
 use nickelgw_node::core::GrantConfig;
 use nickelgw_test_servers::client::{self, status, Ask, Leave};
 use nickelgw_test_servers::model;
@@ -17,7 +17,7 @@
 
 const SECRET: &str = "a secret that is long enough";
 
-fn world(ids: &[&str], tweak: impl FnOnce(&mut nickelgw_node::Start)) -> World {
+fn world(ids: &[&str], tweak: impl FnOnce(&mut nickelgw_node::NodeOptions)) -> World {
     World::with(ids.iter().map(|id| figures(id)).collect(), tweak)
 }
 
@@ -124,8 +124,9 @@
 #[test]
 fn bodies_of_eight_megabytes_and_prompts_of_one_token() {
     let big = |id| model::Figures { memory_tokens: 1e7, read_tokens_per_s: 1e8, ..figures(id) };
-    let large = |s: &mut nickelgw_node::Start| {
-        (s.limits.most_body_bytes, s.limits.body_s, s.door.max_prompt_tokens) = (9_000_000, 5.0, 4e6);
+    let large = |s: &mut nickelgw_node::NodeOptions| {
+        (s.limits.max_body_bytes, s.limits.body_timeout_s, s.admission.max_prompt_tokens) =
+            (9_000_000, 5.0, 4e6);
     };
     let w = World::with(vec![big("r0a"), big("w0a")], large);
     let mut ask = w.ask("big", "chat");
@@ -188,7 +189,7 @@
 
 #[test]
 fn a_tenant_has_its_own_limit_of_open_requests() {
-    let w = world(&["r0a", "w0a"], |s| s.figures.tenant_max_open = vec![Some(2)]);
+    let w = world(&["r0a", "w0a"], |s| s.core_config.tenant_max_open = vec![Some(2)]);
     w.control("w0a", json!({"fault": "silence", "for_s": 0.6}));
     let first = [w.later(w.ask("a", "chat")), w.later(w.ask("b", "chat"))];
     w.wait("both are taken", |l| l.iter().filter(|l| l["ev"] == "read").count() == 2);
@@ -204,7 +205,7 @@
     let known = |id| model::Figures { grant_keys: vec![(7, SECRET.into())], ..figures(id) };
     let key = || GrantKey::of(7, SECRET).unwrap();
     let grants = GrantConfig { keys: vec![(0.0, key())], lifetime_s: 5.0 };
-    let w = World::with(vec![known("r0a"), figures("w0a")], |s| s.figures.grants = Some(grants));
+    let w = World::with(vec![known("r0a"), figures("w0a")], |s| s.core_config.grants = Some(grants));
     assert_eq!(w.play(w.ask("fine", "chat")).how, "completed");
     assert_eq!((w.count("fetched", ""), w.count("not_granted", "")), (1, 0));
     w.control("w0a", json!({"fault": "silence", "for_s": 1.0}));
@@ -217,11 +218,16 @@
         );
         status(&smol::block_on(client::raw(&w.engines["r0a"], &[text.as_bytes()], 0.0, 1.0)))
     };
-    let g = Granted { state: &state, reader: "r0a", writer: "w9a", until: unix_now() + 5.0 };
+    let g = GrantClaims {
+        reservation: &state,
+        prefill_engine: "r0a",
+        decode_engine: "w9a",
+        expires_at: unix_now() + 5.0,
+    };
     let good = grant(&key(), &g);
     let forged = grant(&GrantKey::of(7, "another secret of some length").unwrap(), &g);
     let unknown = grant(&GrantKey::of(8, SECRET).unwrap(), &g);
-    let expired = grant(&key(), &Granted { until: unix_now() - 0.5, ..g });
+    let expired = grant(&key(), &GrantClaims { expires_at: unix_now() - 0.5, ..g });
     let altered = good.replace(&good[2..6], "9999");
     for (bad, writer) in [
         ("", "w9a"),
@@ -250,7 +256,7 @@
     let w = world(&["r0a", "w0a"], |_| {});
     let mut second = start(&w.list);
     second.name = "node1".into();
-    second.figures.incarnation = "node1".into();
+    second.core_config.incarnation = "node1".into();
     (second.deployment.node, second.deployment.node_count) = (1, 2);
     let other = common::serve(second);
     w.wait("the other hears the list", |l| l.iter().any(|l| l["ev"] == "told" && l["node"] == "node1"));
--- a/crates/nickelgw-node/tests/registry.rs
+++ b/crates/nickelgw-node/tests/registry.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{figures, listener, World};
-use nickelgw_node::fleet::Registry;
-use nickelgw_node::Source;
-use nickelgw_protocol::list::{Line, State};
+use nickelgw_node::discovery::RegistryOptions;
+use nickelgw_node::EndpointSource;
+use nickelgw_protocol::list::{EndpointEntry, EngineState};
 use nickelgw_registry::core::member;
 use nickelgw_test_servers::client;
 use serde_json::{json, Value};
@@ -16,14 +16,14 @@
 const ENGINES: &str = "nickelgw/engines/";
 const LEASE_S: f64 = 3.0;
 
-fn source(endpoints: &[&str]) -> Source {
+fn source(endpoints: &[&str]) -> EndpointSource {
     source_of(endpoints, None)
 }
 
-fn source_of(endpoints: &[&str], user: Option<(String, String)>) -> Source {
+fn source_of(endpoints: &[&str], user: Option<(String, String)>) -> EndpointSource {
     let member =
         member::Figures { lease_s: LEASE_S, margin_s: 0.5, look_s: 1.0, ..member::Figures::default() };
-    Source::Registry(Registry {
+    EndpointSource::Registry(RegistryOptions {
         endpoints: endpoints.iter().map(|e| e.to_string()).collect(),
         tls_name: None,
         engines: ENGINES.into(),
@@ -37,7 +37,7 @@
 /// sees what it believes.
 struct Site {
     w: World,
-    lines: Vec<Line>,
+    lines: Vec<EndpointEntry>,
     kept: PathBuf,
 }
 
@@ -58,19 +58,19 @@
     smol::block_on(client::control(address, &v)).expect("the registry is there")
 }
 
-fn put(address: &str, l: &Line) {
+fn put(address: &str, l: &EndpointEntry) {
     order(address, json!({"order": "put", "key": format!("{ENGINES}{}", l.id), "value": l}));
 }
 
 impl Site {
     fn new(name: &str, ids: &[&str]) -> Site {
         let mut w = World::new(Vec::new());
-        let lines: Vec<Line> = ids.iter().map(|id| w.engine(figures(id))).collect();
+        let lines: Vec<EndpointEntry> = ids.iter().map(|id| w.engine(figures(id))).collect();
         w.list = registry(&w);
         lines.iter().for_each(|l| put(&w.list, l));
         let kept = std::env::temp_dir().join(format!("nickelgw-registry-{name}-{}", std::process::id()));
         let mut s = common::start(&w.list);
-        (s.source, s.last_list) = (source(&[&w.list]), Some(kept.clone()));
+        (s.endpoint_source, s.endpoint_cache) = (source(&[&w.list]), Some(kept.clone()));
         w.node = common::serve(s);
         let site = Site { w, lines, kept };
         site.sees(ids, 5.0);
@@ -105,7 +105,7 @@
         assert_eq!(seen.how, "completed", "{seen:?}");
     }
 
-    fn line(&self, id: &str) -> Line {
+    fn line(&self, id: &str) -> EndpointEntry {
         self.lines.iter().find(|l| l.id == id).unwrap().clone()
     }
 }
@@ -114,7 +114,7 @@
 fn changes_are_seen_at_once_and_through_breaks() {
     let s = Site::new("breaks", &["r0a", "r1a", "w0a", "w1a"]);
     s.serves("first");
-    put(&s.w.list, &Line { state: State::Draining, ..s.line("w1a") });
+    put(&s.w.list, &EndpointEntry { state: EngineState::Draining, ..s.line("w1a") });
     assert!(s.sees(&["r0a", "r1a", "w0a"], 5.0) < 1.0);
     // Back, and replaced in one batch.
     put(&s.w.list, &s.line("w1a"));
@@ -153,7 +153,7 @@
         s.serves(&format!("q{n}"));
     }
     // A drain in the meantime acts at once.
-    put(&s.w.list, &Line { state: State::Draining, ..s.line("r1a") });
+    put(&s.w.list, &EndpointEntry { state: EngineState::Draining, ..s.line("r1a") });
     s.sees(&["r0a", "w0a"], 5.0);
     ["r0a", "w0a"].iter().for_each(|id| put(&s.w.list, &s.line(id)));
     s.serves("again");
@@ -185,7 +185,7 @@
         client::status(&smol::block_on(client::raw(node, &[call], 0.0, 1.0)))
     };
     let mut with = common::start(&nobody);
-    (with.source, with.last_list) = (source(&[&nobody]), Some(s.kept.clone()));
+    (with.endpoint_source, with.endpoint_cache) = (source(&[&nobody]), Some(s.kept.clone()));
     let from = Instant::now();
     let node = common::serve(with);
     while health(&node) != 200 {
@@ -195,7 +195,7 @@
     ask.address = node;
     assert_eq!(s.w.play(ask).how, "completed");
     let mut without = common::start(&nobody);
-    without.source = source(&[&nobody, &s.w.list]);
+    without.endpoint_source = source(&[&nobody, &s.w.list]);
     // Its second endpoint is there: it is found.
     let node = common::serve(without);
     let from = Instant::now();
@@ -203,7 +203,7 @@
         assert!(from.elapsed() < Duration::from_secs(5));
     }
     let mut none = common::start(&nobody);
-    none.source = source(&[&nobody]);
+    none.endpoint_source = source(&[&nobody]);
     let node = common::serve(none);
     thread::sleep(Duration::from_millis(300));
     assert_eq!(health(&node), 503);
@@ -224,13 +224,13 @@
     until(3, 5.0);
     let mut second = common::start(&s.w.list);
     second.name = "node1".into();
-    second.source = source(&[&s.w.list]);
+    second.endpoint_source = source(&[&s.w.list]);
     let (tell, orders) = async_channel::bounded(4);
-    second.orders = orders;
-    second.life.notice_s = 0.0;
+    second.signals = orders;
+    second.shutdown.announce_s = 0.0;
     let (_, exit) = common::serve_until(second);
     until(4, 5.0);
-    tell.send_blocking(nickelgw_node::Order::Leave).unwrap();
+    tell.send_blocking(nickelgw_node::ProcessSignal::Drain).unwrap();
     exit.join().unwrap();
     // Its place goes with its lease, not before.
     until(3, LEASE_S + 3.0);
@@ -239,13 +239,14 @@
 #[test]
 fn a_file_of_engines_is_followed_and_a_half_written_one_changes_nothing() {
     let mut w = World::new(Vec::new());
-    let lines: Vec<Line> = ["r0a", "w0a", "w1a"].iter().map(|id| w.engine(figures(id))).collect();
+    let lines: Vec<EndpointEntry> = ["r0a", "w0a", "w1a"].iter().map(|id| w.engine(figures(id))).collect();
     let path = std::env::temp_dir().join(format!("nickelgw-file-{}", std::process::id()));
-    let text = |lines: &[Line]| serde_json::to_string(&json!({"revision": 1, "engines": lines})).unwrap();
+    let text =
+        |lines: &[EndpointEntry]| serde_json::to_string(&json!({"revision": 1, "engines": lines})).unwrap();
     std::fs::write(&path, text(&lines)).unwrap();
     let kept = path.with_extension("kept");
     let mut s = common::start("");
-    (s.source, s.last_list) = (Source::File(path.clone()), Some(kept.clone()));
+    (s.endpoint_source, s.endpoint_cache) = (EndpointSource::File(path.clone()), Some(kept.clone()));
     w.node = common::serve(s);
     let site = Site { w, lines: lines.clone(), kept };
     site.sees(&["r0a", "w0a", "w1a"], 5.0);
@@ -265,13 +266,13 @@
     s.order(json!({"order": "auth", "user": "gw", "password": "secret"}));
     let kept = s.kept.with_extension("user");
     let mut with = common::start(&s.w.list);
-    with.source = source_of(&[&s.w.list], Some(("gw".into(), "secret".into())));
-    with.last_list = Some(kept.clone());
+    with.endpoint_source = source_of(&[&s.w.list], Some(("gw".into(), "secret".into())));
+    with.endpoint_cache = Some(kept.clone());
     common::serve(with);
     let with = Site { w: World::new(Vec::new()), lines: Vec::new(), kept };
     with.sees(&["r0a", "w0a"], 5.0);
     s.order(json!({"order": "auth", "user": "gw", "password": "secret"}));
-    put(&s.w.list, &Line { state: State::Draining, ..s.line("w0a") });
+    put(&s.w.list, &EndpointEntry { state: EngineState::Draining, ..s.line("w0a") });
     with.sees(&["r0a"], 5.0);
     // One that gives no name hears nothing more, and serves on from what it knows.
     s.sees(&["r0a", "w0a"], 0.5);
--- a/crates/nickelgw-node/tests/repeats.rs
+++ b/crates/nickelgw-node/tests/repeats.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-fn world(tweak: impl FnOnce(&mut nickelgw_node::Start)) -> World {
+fn world(tweak: impl FnOnce(&mut nickelgw_node::NodeOptions)) -> World {
     let slow = Figures { step_s: 0.04, ..figures("w0a") };
     World::with(vec![figures("r0a"), slow], tweak)
 }
@@ -75,7 +75,7 @@
 
 #[test]
 fn one_that_nobody_takes_over_is_called_off_and_never_runs_again_where_that_may_harm() {
-    let w = world(|s| s.repeats.takeover_s = 0.2);
+    let w = world(|s| s.idempotency.takeover_s = 0.2);
     let slow = serde_json::json!({"fault": "slow", "for_s": 5.0, "factor": 8.0});
     w.control("w0a", slow);
     let (key, b) = (idem("off"), body("booking", "book it once", true));
@@ -117,7 +117,7 @@
 
 #[test]
 fn an_answer_too_long_to_keep_streams_on_but_is_not_repeated() {
-    let w = world(|s| s.repeats.most_bytes_each = 300);
+    let w = world(|s| s.idempotency.most_bytes_each = 300);
     let (key, b) = (idem("long"), body("booking", "tell all", true));
     let first = ask(&w, "a", &key, &b, 2.0);
     assert!(first.contains("[DONE]"), "{first}");
@@ -127,7 +127,7 @@
 
 #[test]
 fn a_storm_of_retries_is_sent_away_with_times_to_come_back() {
-    let w = world(|s| (s.retries.burst, s.retries.share) = (3.0, 0.2));
+    let w = world(|s| (s.retry_budget.burst, s.retry_budget.share) = (3.0, 0.2));
     let mut refused = 0;
     for n in 0..12 {
         let marked = format!("x-stainless-retry-count: {}\r\n", 1 + n % 3);
--- a/crates/nickelgw-node/tests/stalled.rs
+++ b/crates/nickelgw-node/tests/stalled.rs
@@ -42,10 +42,11 @@
         ..figures(id)
     };
     let w = World::with(vec![wide("r0a"), wide("r1a"), wide("w0a"), wide("w1a")], |s| {
-        (s.limits.most_connections, s.figures.max_open_requests, s.limits.client_stall_s) = (3000, 3000, 4.0);
-        s.limits.most_waiting = 1024;
+        (s.limits.max_connections, s.core_config.max_open_requests, s.limits.client_stall_timeout_s) =
+            (3000, 3000, 4.0);
+        s.limits.max_queued = 1024;
         s.deployment.routes[0].ttft_objective_s = 8.0;
-        s.door.models[0].timeout_s = 20.0;
+        s.admission.models[0].timeout_s = 20.0;
     });
     // A stream is longer than what the machine keeps of it for a client that takes nothing.
     for e in ["w0a", "w1a"] {
--- a/crates/nickelgw-node/tests/tls.rs
+++ b/crates/nickelgw-node/tests/tls.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{figures, World};
-use nickelgw_node::TlsStart;
+use nickelgw_node::TlsOptions;
 use nickelgw_test_servers::authority::{put, Authority, Fault};
 use nickelgw_test_servers::client::{self, Seen};
 use nickelgw_test_servers::model::{Figures, TlsFiles};
@@ -58,13 +58,13 @@
         c
     }
 
-    fn start(&self, own: bool) -> TlsStart {
-        TlsStart {
+    fn start(&self, own: bool) -> TlsOptions {
+        TlsOptions {
             engines: Some(self.client(own)),
             chat: None,
             reload_s: 0.05,
-            at_once: 8,
-            at_once_engine: 2,
+            max_handshakes: 8,
+            max_handshakes_per_engine: 2,
             retire_gap_s: 0.05,
         }
     }
@@ -282,7 +282,7 @@
     // The probe beside it is given up before the handshake is: what is called off then has not run either.
     let w = World::with(vec![c.engine("r0a", false), c.engine("w0a", false)], |s| {
         s.tls = c.start(false);
-        (s.limits.connect_s, s.limits.probe_s) = (0.6, 0.15);
+        (s.limits.connect_timeout_s, s.limits.probe_timeout_s) = (0.6, 0.15);
     });
     let mut line = common::line(&c.engine("w1a", false), &peer(then));
     line.tls_name = Some("w1a.example.org".into());
@@ -302,7 +302,7 @@
 fn a_connection_opened_again_resumes_where_keys_and_trust_stand() {
     let c = Certs::new("resume");
     let w = World::with(vec![c.engine("r0a", true), c.engine("w0a", true)], |s| {
-        (s.tls, s.limits.idle_s) = (c.start(true), 0.1);
+        (s.tls, s.limits.idle_timeout_s) = (c.start(true), 0.1);
     });
     assert_eq!(w.play(w.ask("first", "chat")).how, "completed");
     thread::sleep(Duration::from_millis(700));
--- a/crates/nickelgw-platform-config/src/fields.rs
+++ b/crates/nickelgw-platform-config/src/fields.rs
@@ -4,45 +4,45 @@
 
 /// Input that cannot be understood, in one sentence.
 #[derive(Debug)]
-pub struct Bad(pub String);
+pub struct ConfigError(pub String);
 
-impl Bad {
-    pub fn field(line: &Value, field: &str, wanted: &str) -> Bad {
+impl ConfigError {
+    pub fn field(line: &Value, field: &str, wanted: &str) -> ConfigError {
         let kind = line.get("kind").and_then(Value::as_str).unwrap_or("entry");
-        Bad(format!("{kind}: field {field} is not {wanted}"))
+        ConfigError(format!("{kind}: field {field} is not {wanted}"))
     }
 }
 
-pub fn num(line: &Value, field: &str) -> Result<f64, Bad> {
-    line.get(field).and_then(Value::as_f64).ok_or_else(|| Bad::field(line, field, "a number"))
+pub fn number(line: &Value, field: &str) -> Result<f64, ConfigError> {
+    line.get(field).and_then(Value::as_f64).ok_or_else(|| ConfigError::field(line, field, "a number"))
 }
 
-pub fn num_or(line: &Value, field: &str, absent: f64) -> Result<f64, Bad> {
-    line.get(field).map_or(Ok(absent), |_| num(line, field))
+pub fn number_or(line: &Value, field: &str, absent: f64) -> Result<f64, ConfigError> {
+    line.get(field).map_or(Ok(absent), |_| number(line, field))
 }
 
-pub fn index(line: &Value, field: &str) -> Result<u64, Bad> {
-    line.get(field).and_then(Value::as_u64).ok_or_else(|| Bad::field(line, field, "a whole number"))
+pub fn integer(line: &Value, field: &str) -> Result<u64, ConfigError> {
+    line.get(field).and_then(Value::as_u64).ok_or_else(|| ConfigError::field(line, field, "a whole number"))
 }
 
-pub fn text<'a>(line: &'a Value, field: &str) -> Result<&'a str, Bad> {
-    line.get(field).and_then(Value::as_str).ok_or_else(|| Bad::field(line, field, "text"))
+pub fn text<'a>(line: &'a Value, field: &str) -> Result<&'a str, ConfigError> {
+    line.get(field).and_then(Value::as_str).ok_or_else(|| ConfigError::field(line, field, "text"))
 }
 
-pub fn flag(line: &Value, field: &str) -> Result<bool, Bad> {
-    let wrong = || Bad::field(line, field, "true or false");
+pub fn flag(line: &Value, field: &str) -> Result<bool, ConfigError> {
+    let wrong = || ConfigError::field(line, field, "true or false");
     line.get(field).map_or(Ok(false), |v| v.as_bool().ok_or_else(wrong))
 }
 
-pub fn list<'a>(line: &'a Value, field: &str) -> Result<&'a [Value], Bad> {
+pub fn list<'a>(line: &'a Value, field: &str) -> Result<&'a [Value], ConfigError> {
     match line.get(field) {
         None => Ok(&[]),
-        Some(v) => v.as_array().map(Vec::as_slice).ok_or_else(|| Bad::field(line, field, "a list")),
+        Some(v) => v.as_array().map(Vec::as_slice).ok_or_else(|| ConfigError::field(line, field, "a list")),
     }
 }
 
-pub fn names(line: &Value, field: &str) -> Result<Vec<String>, Bad> {
+pub fn names(line: &Value, field: &str) -> Result<Vec<String>, ConfigError> {
     let name = |v: &Value| v.as_str().map(str::to_string);
     let all = list(line, field)?.iter().map(name).collect::<Option<Vec<_>>>();
-    all.ok_or_else(|| Bad::field(line, field, "a list of names"))
+    all.ok_or_else(|| ConfigError::field(line, field, "a list of names"))
 }
--- a/crates/nickelgw-platform-config/tests/settings.rs
+++ b/crates/nickelgw-platform-config/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use nickelgw::decide::Router;
 use nickelgw::interface::{EngineRole, Idempotency, IdempotencyScope, IncomingRequest};
-use nickelgw_platform_config::{load, Told};
+use nickelgw_platform_config::{load, PlatformConfig};
 use serde_json::{json, Value};
 use test_case::test_case;
 
@@ -15,8 +15,8 @@
         "rules": {"cold_from": 0.3, "fall_s": 2.0, "tip_multiple": 3.0, "warm_within_s": 9.0}})
 }
 
-fn read(v: &Value) -> Result<Told, String> {
-    Told::read(v, 7).map_err(|e| e.0)
+fn read(v: &Value) -> Result<PlatformConfig, String> {
+    PlatformConfig::parse(v, 7).map_err(|e| e.0)
 }
 
 #[test]
@@ -30,7 +30,7 @@
         (false, false, false, false)
     );
     assert_eq!(d.routes[0].idempotency, Idempotency::Idempotent);
-    let kinds: Vec<_> = told.kinds.iter().map(|k| (&*k.0, k.1)).collect();
+    let kinds: Vec<_> = told.machine_kinds.iter().map(|k| (&*k.0, k.1)).collect();
     assert_eq!(kinds, [("k1", EngineRole::Prefill), ("k2", EngineRole::Decode)]);
 }
 
--- a/crates/nickelgw-platform/src/core/list.rs
+++ b/crates/nickelgw-platform/src/core/list.rs
@@ -1,7 +1,7 @@
 //! The list of engines as discovery tells it: whole, or what has changed of it.
 
 use nickelgw::interface::EngineRole;
-use nickelgw_protocol::list::{self, Line, List, State, MOST_LINES};
+use nickelgw_protocol::list::{self, EndpointEntry, EndpointList, EngineState, MAX_ENTRIES};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
@@ -51,7 +51,7 @@
 /// The engines as last told.
 pub struct Roll {
     kinds: Vec<(String, EngineRole, f64)>,
-    by_id: BTreeMap<String, Line>,
+    by_id: BTreeMap<String, EndpointEntry>,
     told: u64,
 }
 
@@ -61,16 +61,16 @@
     }
 
     /// An entry of a kind that the settings do not name cannot be used: it is as one that is not there.
-    fn line(&self, i: Instance) -> Option<Line> {
+    fn line(&self, i: Instance) -> Option<EndpointEntry> {
         let (_, role, memory_tokens) = self.kinds.iter().find(|k| k.0 == i.machine_type)?;
-        Some(Line {
+        Some(EndpointEntry {
             role: match role {
-                EngineRole::Prefill => list::Role::Read,
-                EngineRole::Decode => list::Role::Write,
-                EngineRole::Unified => list::Role::Both,
+                EngineRole::Prefill => list::EngineRole::Prefill,
+                EngineRole::Decode => list::EngineRole::Decode,
+                EngineRole::Unified => list::EngineRole::Unified,
             },
             memory_tokens: memory_tokens.max(1.0),
-            state: if i.lifecycle == "up" { State::In } else { State::Draining },
+            state: if i.lifecycle == "up" { EngineState::Active } else { EngineState::Draining },
             started_at: i.started_at_ms.filter(|ms| *ms > 0.0).map(|ms| ms / 1e3),
             id: i.instance_id,
             address: i.host_port,
@@ -88,7 +88,7 @@
             let id = i.instance_id.clone();
             let line = if i.lifecycle == "removed" { None } else { self.line(i) };
             match line {
-                Some(line) if self.by_id.len() < MOST_LINES || self.by_id.contains_key(&id) => {
+                Some(line) if self.by_id.len() < MAX_ENTRIES || self.by_id.contains_key(&id) => {
                     self.by_id.insert(id, line);
                 }
                 _ => drop(self.by_id.remove(&id)),
@@ -99,11 +99,11 @@
 
     /// Whether something new may be sent to it, as last told.
     pub fn is_in(&self, id: &str) -> bool {
-        self.by_id.get(id).is_some_and(|l| l.state == State::In)
+        self.by_id.get(id).is_some_and(|l| l.state == EngineState::Active)
     }
 
     /// The whole list as it is now. Its revision counts what was heard: another agent may count otherwise.
-    pub fn list(&self) -> List {
-        List { revision: self.told, engines: self.by_id.values().cloned().collect() }
+    pub fn list(&self) -> EndpointList {
+        EndpointList { revision: self.told, engines: self.by_id.values().cloned().collect() }
     }
 }
--- a/crates/nickelgw-platform/src/core/tests.rs
+++ b/crates/nickelgw-platform/src/core/tests.rs
@@ -236,7 +236,7 @@
     let list = roll.list();
     assert_eq!(list.revision, 2);
     let told: Vec<_> = list.engines.iter().map(|l| (&*l.id, l.state, l.started_at)).collect();
-    assert_eq!(told, [("bb", nickelgw_protocol::list::State::Draining, None)]);
+    assert_eq!(told, [("bb", nickelgw_protocol::list::EngineState::Draining, None)]);
 }
 
 proptest! {
--- a/crates/nickelgw-platform/src/lib.rs
+++ b/crates/nickelgw-platform/src/lib.rs
@@ -90,7 +90,7 @@
     let pool = Pool::new(start.connect_s, idle_s, for_engines, kept_back);
     let towards_discovery = Pool::new(start.connect_s, idle_s, discovery::CONNECTIONS, 0);
     let probe = if start.reports { "/load" } else { "/healthz" };
-    let roll = Roll::new(start.told.kinds);
+    let roll = Roll::new(start.told.machine_kinds);
     let node = Node::new(core, roll, ex.clone(), pool.clone(), began, start.connect_s, probe);
     if let Some(known) = start.known {
         node.hear(known);
--- a/crates/nickelgw-platform/src/start.rs
+++ b/crates/nickelgw-platform/src/start.rs
@@ -1,8 +1,8 @@
 //! What a node is told at its start: the environment and the configuration, which must agree.
 
 use crate::core::list::News;
-use nickelgw_platform_config::fields::{list, num_or, text, Bad};
-use nickelgw_platform_config::{inner, Told};
+use nickelgw_platform_config::fields::{list, number_or, text, ConfigError};
+use nickelgw_platform_config::{object, PlatformConfig};
 use serde_json::Value;
 use std::path::Path;
 
@@ -10,7 +10,7 @@
 pub struct Start {
     pub listen: String,
     pub discovery: String,
-    pub told: Told,
+    pub told: PlatformConfig,
     pub known: Option<News>,
     pub sockets: usize,
     pub memory_mb: f64,
@@ -44,38 +44,40 @@
 /// Only where discovery is now: a new configuration while the node serves.
 pub fn discovery(path: &Path) -> Result<String, String> {
     let v = file(path)?;
-    text(&v, "discovery").map(str::to_string).map_err(|Bad(why)| format!("{}: {why}", path.display()))
+    text(&v, "discovery").map(str::to_string).map_err(|ConfigError(why)| format!("{}: {why}", path.display()))
 }
 
 impl Start {
     pub fn read(path: &Path, env: impl Fn(&str) -> Option<String>) -> Result<Start, String> {
         let v = file(path)?;
-        Start::parse(&v, env).map_err(|Bad(why)| format!("{}: {why}", path.display()))
+        Start::parse(&v, env).map_err(|ConfigError(why)| format!("{}: {why}", path.display()))
     }
 
-    pub fn parse(v: &Value, env: impl Fn(&str) -> Option<String>) -> Result<Start, Bad> {
+    pub fn parse(v: &Value, env: impl Fn(&str) -> Option<String>) -> Result<Start, ConfigError> {
         for (variable, field) in SAME {
             if env(variable).is_some_and(|told| v.get(field).and_then(Value::as_str) != Some(&told)) {
-                return Err(Bad(format!("field {field} is not what {variable} says")));
+                return Err(ConfigError(format!("field {field} is not what {variable} says")));
             }
         }
         let seed = u64::from_str_radix(text(v, "seed")?, 16);
-        let seed = seed.map_err(|_| Bad("field seed is not a number in hexadecimal".into()))?;
-        let settings = inner(v, "settings")?;
-        let allowed = inner(settings, "limits")?;
-        let own = inner(v, "limits")?;
-        let rules = inner(settings, "rules")?;
+        let seed = seed.map_err(|_| ConfigError("field seed is not a number in hexadecimal".into()))?;
+        let settings = object(v, "settings")?;
+        let allowed = object(settings, "limits")?;
+        let own = object(v, "limits")?;
+        let rules = object(settings, "rules")?;
         let known = match v.get("known") {
             None | Some(Value::Null) => None,
-            Some(k) => Some(serde_json::from_value(k.clone()).map_err(|e| Bad(format!("field known: {e}")))?),
+            Some(k) => Some(
+                serde_json::from_value(k.clone()).map_err(|e| ConfigError(format!("field known: {e}")))?,
+            ),
         };
-        let connect_s = num_or(allowed, "connect_timeout_s", 0.25)?.clamp(0.01, 10.0);
-        let deadline = |class| num_or(class, "deadline_s", LONGEST_DEADLINE_S);
+        let connect_s = number_or(allowed, "connect_timeout_s", 0.25)?.clamp(0.01, 10.0);
+        let deadline = |class| number_or(class, "deadline_s", LONGEST_DEADLINE_S);
         let deadlines: Vec<f64> =
             list(settings, "classes")?.iter().map(deadline).collect::<Result<_, _>>()?;
         let longest_s = deadlines.into_iter().reduce(f64::max).unwrap_or(LONGEST_DEADLINE_S);
         let longest_s = longest_s.clamp(0.0, LONGEST_DEADLINE_S);
-        let mut told = Told::read(settings, seed)?;
+        let mut told = PlatformConfig::parse(settings, seed)?;
         told.deployment.reservation_limit_s += HELD_MORE_S;
         told.deployment.connect_timeout_s = connect_s;
         Ok(Start {
@@ -83,12 +85,12 @@
             discovery: text(v, "discovery")?.to_string(),
             told,
             known,
-            sockets: num_or(own, "sockets", 1024.0)?.max(64.0) as usize,
-            stop_within_s: num_or(rules, "stop_sending_within_s", 1.0)?.clamp(0.05, 600.0),
-            memory_mb: num_or(own, "memory_mb", 128.0)?.clamp(16.0, 1e6),
-            most_open: num_or(allowed, "max_open", 20_000.0)?.max(1.0) as usize,
+            sockets: number_or(own, "sockets", 1024.0)?.max(64.0) as usize,
+            stop_within_s: number_or(rules, "stop_sending_within_s", 1.0)?.clamp(0.05, 600.0),
+            memory_mb: number_or(own, "memory_mb", 128.0)?.clamp(16.0, 1e6),
+            most_open: number_or(allowed, "max_open", 20_000.0)?.max(1.0) as usize,
             connect_s,
-            idle_s: num_or(allowed, "idle_close_s", 15.0)?.clamp(0.1, 3600.0),
+            idle_s: number_or(allowed, "idle_close_s", 15.0)?.clamp(0.1, 3600.0),
             kill_after_s: longest_s + KILL_MORE_S,
             reports: settings.pointer("/reporting/how").and_then(Value::as_str) != Some("silent"),
         })
--- a/crates/nickelgw-protocol/src/fuzz.rs
+++ b/crates/nickelgw-protocol/src/fuzz.rs
@@ -2,7 +2,7 @@
 
 use crate::chat::{error_code, ApiError, ChatRequest, Chunk, Whole};
 use crate::engine::{read_body, write_body, KvTransfer, ReadAnswer};
-use crate::list::List;
+use crate::list::EndpointList;
 use crate::load::LoadReport;
 use crate::sse::{done, frame, Event, Events};
 use proptest::prelude::*;
@@ -86,7 +86,7 @@
             let _ = ChatRequest::parse(bytes);
             let _ = Chunk::parse(bytes).map(|c| Whole::default().add(c));
             let _ = ReadAnswer::parse(bytes);
-            let _ = List::parse(bytes);
+            let _ = EndpointList::parse(bytes);
             error_code(bytes);
             let mut e = Events::default();
             e.push(bytes);
--- a/crates/nickelgw-protocol/src/list.rs
+++ b/crates/nickelgw-protocol/src/list.rs
@@ -5,22 +5,27 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Role {
-    Read,
-    Write,
-    Both,
+pub enum EngineRole {
+    #[serde(rename = "read")]
+    Prefill,
+    #[serde(rename = "write")]
+    Decode,
+    #[serde(rename = "both")]
+    Unified,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
-    In,
+pub enum EngineState {
+    #[serde(rename = "in")]
+    Active,
     Draining,
-    Gone,
+    #[serde(rename = "gone")]
+    Removed,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct EndpointEntry {
     pub id: String,
     /// host:port.
     pub address: String,
@@ -30,9 +35,9 @@
     pub zone: String,
     #[serde(default)]
     pub cell: u32,
-    pub role: Role,
+    pub role: EngineRole,
     pub memory_tokens: f64,
-    pub state: State,
+    pub state: EngineState,
     /// Seconds since 1970; left out: long ago.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_at: Option<f64>,
@@ -40,26 +45,27 @@
 
 /// Always the whole list; one that leaves an engine out says that it is gone.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct List {
+pub struct EndpointList {
     pub revision: u64,
-    pub engines: Vec<Line>,
+    pub engines: Vec<EndpointEntry>,
 }
 
 /// Lists longer than this are refused: the tables behind them are bounded.
-pub const MOST_LINES: usize = 16_384;
+pub const MAX_ENTRIES: usize = 16_384;
 
-impl List {
-    pub fn parse(bytes: &[u8]) -> Result<List, Malformed> {
-        let list: List = serde_json::from_slice(bytes).map_err(|e| Malformed::Json(e.to_string()))?;
-        if list.engines.len() > MOST_LINES {
-            return Err(Malformed::field("engines", format!("over {MOST_LINES} lines")));
+impl EndpointList {
+    pub fn parse(bytes: &[u8]) -> Result<EndpointList, Malformed> {
+        let list: EndpointList = serde_json::from_slice(bytes).map_err(|e| Malformed::Json(e.to_string()))?;
+        if list.engines.len() > MAX_ENTRIES {
+            return Err(Malformed::field("engines", format!("over {MAX_ENTRIES} lines")));
         }
         let mut ids: Vec<&str> = list.engines.iter().map(|l| l.id.as_str()).collect();
         ids.sort_unstable();
         if ids.windows(2).any(|w| w[0] == w[1]) {
             return Err(Malformed::field("engines", "an id stands twice"));
         }
-        let sound = |l: &Line| l.memory_tokens.is_finite() && l.started_at.is_none_or(f64::is_finite);
+        let sound =
+            |l: &EndpointEntry| l.memory_tokens.is_finite() && l.started_at.is_none_or(f64::is_finite);
         if !list.engines.iter().all(|l| sound(l) && l.memory_tokens > 0.0 && !l.id.is_empty()) {
             return Err(Malformed::field("engines", "an id is empty or a number is not usable"));
         }
--- a/crates/nickelgw-registry/src/core/follow.rs
+++ b/crates/nickelgw-registry/src/core/follow.rs
@@ -20,18 +20,18 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Do {
+pub enum WatchCommand {
     /// Read everything at this endpoint.
     Read { endpoint: usize },
     /// Watch from this revision on.
     Watch { endpoint: usize, from: u64 },
     /// What is out is called off.
-    Drop,
+    CloseWatch,
 }
 
 /// What a full read is worth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Worth {
+pub enum ReadVerdict {
     /// As new as what is known, or newer.
     Good,
     /// The registry has gone back: believed.
@@ -52,7 +52,7 @@
     },
 }
 
-pub struct Follow {
+pub struct RegistryWatch {
     figures: Figures,
     endpoints: usize,
     endpoint: usize,
@@ -71,13 +71,13 @@
     pub compacted: u64,
 }
 
-impl Follow {
-    pub fn new(figures: Figures, endpoints: usize, seed: u64) -> Follow {
+impl RegistryWatch {
+    pub fn new(figures: Figures, endpoints: usize, seed: u64) -> RegistryWatch {
         let mut chance = WyRand::new_seed(seed);
         let endpoints = endpoints.max(1);
         // Nodes begin at different endpoints.
         let endpoint = chance.generate_range(0..endpoints);
-        Follow {
+        RegistryWatch {
             figures,
             endpoints,
             endpoint,
@@ -109,7 +109,7 @@
     }
 
     /// A full read has come.
-    pub fn read(&mut self, now: f64, revision: u64, cluster: &str) -> Worth {
+    pub fn read(&mut self, now: f64, revision: u64, cluster: &str) -> ReadVerdict {
         let other = !cluster.is_empty() && !self.cluster.is_empty() && self.cluster != cluster;
         if !cluster.is_empty() {
             self.cluster = cluster.into();
@@ -118,7 +118,7 @@
             self.revision = revision;
             (self.lower, self.read_first, self.failures) = (None, false, 0);
             self.stage = Stage::Rest { until: now };
-            return Worth::RolledBack;
+            return ReadVerdict::RolledBack;
         }
         if revision < self.revision {
             let sure = self.lower.is_some_and(|(at, since)| {
@@ -129,18 +129,18 @@
                 // Another one may know better.
                 self.rest(now);
                 self.read_first = true;
-                return Worth::Stale;
+                return ReadVerdict::Stale;
             }
             self.revision = revision;
             (self.lower, self.read_first) = (None, false);
             self.stage = Stage::Rest { until: now };
             self.failures = 0;
-            return Worth::RolledBack;
+            return ReadVerdict::RolledBack;
         }
         self.revision = revision;
         (self.lower, self.read_first, self.failures) = (None, false, 0);
         self.stage = Stage::Rest { until: now };
-        Worth::Good
+        ReadVerdict::Good
     }
 
     /// Events or progress up to a revision came over the watch. False: it is lower than what is known, so the endpoint
@@ -183,13 +183,13 @@
         self.stage = Stage::Rest { until: now + gap * (0.5 + 0.5 * dice) };
     }
 
-    pub fn due(&mut self, now: f64) -> (Vec<Do>, f64) {
+    pub fn due(&mut self, now: f64) -> (Vec<WatchCommand>, f64) {
         let mut todo = Vec::new();
         if let Stage::Watching { heard } = self.stage {
             if now >= heard + self.figures.silent_s {
                 self.breaks += 1;
                 self.rest(now);
-                todo.push(Do::Drop);
+                todo.push(WatchCommand::CloseWatch);
             }
         }
         match self.stage {
@@ -197,10 +197,10 @@
                 let endpoint = self.endpoint;
                 if self.read_first {
                     self.stage = Stage::Reading;
-                    todo.push(Do::Read { endpoint });
+                    todo.push(WatchCommand::Read { endpoint });
                 } else {
                     self.stage = Stage::Watching { heard: now };
-                    todo.push(Do::Watch { endpoint, from: self.revision + 1 });
+                    todo.push(WatchCommand::Watch { endpoint, from: self.revision + 1 });
                 }
                 (todo, now + self.figures.silent_s)
             }
@@ -215,7 +215,7 @@
 mod tests {
     use super::*;
 
-    fn next(f: &mut Follow, now: &mut f64) -> Vec<Do> {
+    fn next(f: &mut RegistryWatch, now: &mut f64) -> Vec<WatchCommand> {
         loop {
             let (todo, wake) = f.due(*now);
             if !todo.is_empty() {
@@ -225,12 +225,12 @@
         }
     }
 
-    fn watching(endpoints: usize) -> (Follow, f64) {
-        let (mut f, mut now) = (Follow::new(Figures::default(), endpoints, 1), 0.0);
-        assert!(matches!(next(&mut f, &mut now)[..], [Do::Read { .. }]));
-        assert_eq!(f.read(0.1, 50, "c"), Worth::Good);
+    fn watching(endpoints: usize) -> (RegistryWatch, f64) {
+        let (mut f, mut now) = (RegistryWatch::new(Figures::default(), endpoints, 1), 0.0);
+        assert!(matches!(next(&mut f, &mut now)[..], [WatchCommand::Read { .. }]));
+        assert_eq!(f.read(0.1, 50, "c"), ReadVerdict::Good);
         now = 0.1;
-        assert!(matches!(next(&mut f, &mut now)[..], [Do::Watch { from: 51, .. }]));
+        assert!(matches!(next(&mut f, &mut now)[..], [WatchCommand::Watch { from: 51, .. }]));
         (f, now)
     }
 
@@ -242,7 +242,7 @@
         f.failed(now);
         let broke = now;
         match next(&mut f, &mut now)[..] {
-            [Do::Watch { endpoint, from: 61 }] => assert_ne!(endpoint, first),
+            [WatchCommand::Watch { endpoint, from: 61 }] => assert_ne!(endpoint, first),
             ref other => panic!("{other:?}"),
         }
         assert!(now < broke + 0.02, "another endpoint is tried at once");
@@ -263,29 +263,29 @@
         assert!(f.heard(now + 1.0, 50));
         assert_eq!(f.due(now + 4.5).0, vec![]);
         let todo = f.due(now + 5.1).0;
-        assert_eq!(todo, vec![Do::Drop]);
+        assert_eq!(todo, vec![WatchCommand::CloseWatch]);
         now += 5.1;
-        assert!(matches!(next(&mut f, &mut now)[..], [Do::Watch { from: 51, .. }]));
+        assert!(matches!(next(&mut f, &mut now)[..], [WatchCommand::Watch { from: 51, .. }]));
         f.was_compacted(now);
-        assert!(matches!(next(&mut f, &mut now)[..], [Do::Read { .. }]));
-        assert_eq!(f.read(now, 90, "c"), Worth::Good);
-        assert!(matches!(next(&mut f, &mut now)[..], [Do::Watch { from: 91, .. }]));
+        assert!(matches!(next(&mut f, &mut now)[..], [WatchCommand::Read { .. }]));
+        assert_eq!(f.read(now, 90, "c"), ReadVerdict::Good);
+        assert!(matches!(next(&mut f, &mut now)[..], [WatchCommand::Watch { from: 91, .. }]));
     }
 
     #[test]
     fn a_watch_that_speaks_of_an_older_revision_is_left_for_a_read() {
         let (mut f, mut now) = watching(2);
         assert!(!f.heard(now, 20));
-        assert!(matches!(next(&mut f, &mut now)[..], [Do::Read { .. }]));
+        assert!(matches!(next(&mut f, &mut now)[..], [WatchCommand::Read { .. }]));
     }
 
     #[test]
     fn a_restored_registry_is_known_by_its_cluster_whatever_its_revision() {
         let (mut f, mut now) = watching(1);
         assert!(f.is_same(now, "c") && f.is_same(now, "") && !f.is_same(now, "restored"));
-        assert!(matches!(next(&mut f, &mut now)[..], [Do::Read { .. }]));
-        assert_eq!(f.read(now, 70, "restored"), Worth::RolledBack);
-        assert!(matches!(next(&mut f, &mut now)[..], [Do::Watch { from: 71, .. }]));
+        assert!(matches!(next(&mut f, &mut now)[..], [WatchCommand::Read { .. }]));
+        assert_eq!(f.read(now, 70, "restored"), ReadVerdict::RolledBack);
+        assert!(matches!(next(&mut f, &mut now)[..], [WatchCommand::Watch { from: 71, .. }]));
     }
 
     #[test]
@@ -294,21 +294,21 @@
         f.was_compacted(now);
         next(&mut f, &mut now);
         let lagging = f.endpoint;
-        assert_eq!(f.read(now, 40, "c"), Worth::Stale);
+        assert_eq!(f.read(now, 40, "c"), ReadVerdict::Stale);
         next(&mut f, &mut now);
         assert_ne!(f.endpoint, lagging);
-        assert_eq!(f.read(now, 55, "c"), Worth::Good);
+        assert_eq!(f.read(now, 55, "c"), ReadVerdict::Good);
         f.was_compacted(now);
         next(&mut f, &mut now);
-        assert_eq!(f.read(now, 12, "c"), Worth::Stale);
+        assert_eq!(f.read(now, 12, "c"), ReadVerdict::Stale);
         next(&mut f, &mut now);
-        assert_eq!((f.read(now, 12, "c"), f.revision()), (Worth::RolledBack, 12));
+        assert_eq!((f.read(now, 12, "c"), f.revision()), (ReadVerdict::RolledBack, 12));
         // A lone endpoint must say it twice over a time.
         let (mut f, mut now) = watching(1);
         f.was_compacted(now);
         next(&mut f, &mut now);
         let from = now;
-        while f.read(now, 12, "c") == Worth::Stale {
+        while f.read(now, 12, "c") == ReadVerdict::Stale {
             next(&mut f, &mut now);
         }
         assert!(now >= from + 1.0 && f.revision() == 12);
--- a/crates/nickelgw-registry/src/core/member.rs
+++ b/crates/nickelgw-registry/src/core/member.rs
@@ -26,7 +26,7 @@
 
 /// What a node may use of what all share.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Part {
+pub struct FleetPosition {
     /// Its own number, for turns; none: it takes no turn.
     pub number: Option<u32>,
     /// One part in so many; none: nothing.
@@ -35,14 +35,14 @@
 
 /// Another's place, or one's own, as the registry has it: number, name, and the revision at which it was taken.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
+pub struct NodePlace {
     pub number: u32,
     pub name: String,
     pub since: u64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Do {
+pub enum MemberCommand {
     /// Take this number under the lease, if nobody has it.
     Claim(u32),
     /// Another has the number since earlier: this one is given up.
@@ -61,7 +61,7 @@
     kept_at: f64,
     /// The nodes as last seen, and when.
     seen: Option<f64>,
-    places: BTreeMap<u32, Place>,
+    places: BTreeMap<u32, NodePlace>,
     /// Counts seen of late, which still may be in use: until when each counts.
     counts: VecDeque<(f64, u32)>,
 }
@@ -98,7 +98,7 @@
     }
 
     /// All places, as read at the registry; `asked_at`: when it was asked, which is how old the answer may be.
-    pub fn nodes(&mut self, asked_at: f64, places: Vec<Place>) {
+    pub fn nodes(&mut self, asked_at: f64, places: Vec<NodePlace>) {
         self.seen = Some(self.seen.map_or(asked_at, |s| s.max(asked_at)));
         self.places.clear();
         for p in places {
@@ -131,9 +131,9 @@
     }
 
     /// What it may use now.
-    pub fn part(&mut self, now: f64) -> Part {
+    pub fn part(&mut self, now: f64) -> FleetPosition {
         let f = self.figures;
-        let nothing = Part { number: None, of: None };
+        let nothing = FleetPosition { number: None, of: None };
         let Some((number, since)) = self.holds(now) else { return nothing };
         let fresh = self.seen.is_some_and(|s| now < s + f.look_s);
         // Its own place must be in what was seen, and all others must have seen it since.
@@ -145,21 +145,21 @@
             self.counts.pop_front();
         }
         let most = self.counts.iter().map(|c| c.1).max().unwrap_or(f.most_nodes);
-        Part { number: Some(number), of: Some(most.max(1)) }
+        FleetPosition { number: Some(number), of: Some(most.max(1)) }
     }
 
     /// What to do for the place, and when to look again.
-    pub fn due(&mut self, now: f64) -> (Vec<Do>, f64) {
+    pub fn due(&mut self, now: f64) -> (Vec<MemberCommand>, f64) {
         let f = self.figures;
         let mut todo = Vec::new();
         if now >= self.kept_at + f.lease_s / 3.0 {
             self.kept_at = now;
-            todo.push(Do::KeepAlive);
+            todo.push(MemberCommand::KeepAlive);
         }
         if let Some((number, since)) = self.mine {
             if self.places.get(&number).is_some_and(|p| p.name != self.name) {
                 self.mine = None;
-                todo.push(Do::GiveUp(number));
+                todo.push(MemberCommand::GiveUp(number));
             } else if !self.places.contains_key(&number) && self.seen.is_some_and(|s| s > since) {
                 // A registry that went back has forgotten it: it is taken anew.
                 self.mine = None;
@@ -172,7 +172,7 @@
             let free = || (0..f.most_nodes).find(|n| !self.places.contains_key(n));
             if let Some(n) = own.or_else(free) {
                 self.claiming = Some((n, now));
-                todo.push(Do::Claim(n));
+                todo.push(MemberCommand::Claim(n));
             }
         }
         (todo, now + f.lease_s / 10.0)
@@ -200,9 +200,9 @@
             self.places.retain(|_, p| now < p.2);
         }
 
-        fn list(&self) -> Vec<Place> {
+        fn list(&self) -> Vec<NodePlace> {
             let place =
-                |(n, p): (&u32, &(String, u64, f64))| Place { number: *n, name: p.0.clone(), since: p.1 };
+                |(n, p): (&u32, &(String, u64, f64))| NodePlace { number: *n, name: p.0.clone(), since: p.1 };
             self.places.iter().map(place).collect()
         }
     }
@@ -257,8 +257,8 @@
                 let (todo, _) = n.member.due(now);
                 for d in todo {
                     match d {
-                        Do::KeepAlive if lost => {}
-                        Do::KeepAlive => {
+                        MemberCommand::KeepAlive if lost => {}
+                        MemberCommand::KeepAlive => {
                             let alive = n.lease.is_some_and(|l| now < l);
                             if n.lease.is_some() && !alive {
                                 n.member.lease_lost();
@@ -271,7 +271,7 @@
                                 .filter(|p| p.0 == n.name)
                                 .for_each(|p| p.2 = now + F.lease_s);
                         }
-                        Do::Claim(number) => {
+                        MemberCommand::Claim(number) => {
                             let free =
                                 !model.places.contains_key(&number) && n.lease.is_some_and(|l| now < l);
                             let own = model.places.get(&number).is_some_and(|p| p.0 == n.name);
@@ -282,7 +282,7 @@
                             }
                             n.member.claimed(now, number, free || own);
                         }
-                        Do::GiveUp(_) => {}
+                        MemberCommand::GiveUp(_) => {}
                     }
                 }
             }
@@ -319,9 +319,9 @@
         m.due(0.0);
         m.claimed(0.1, 0, true);
         m.nodes(1.0, vec![place(0, "a", 3)]);
-        assert!(!m.due(1.0).0.iter().any(|d| matches!(d, Do::Claim(_))));
+        assert!(!m.due(1.0).0.iter().any(|d| matches!(d, MemberCommand::Claim(_))));
         m.nodes(2.0, vec![place(1, "b", 2)]);
-        assert!(m.due(2.0).0.contains(&Do::Claim(0)));
+        assert!(m.due(2.0).0.contains(&MemberCommand::Claim(0)));
     }
 
     #[test]
@@ -329,8 +329,8 @@
         assert!(play(3, 0.002, 300.0) > 0.9);
     }
 
-    fn place(number: u32, name: &str, since: u64) -> Place {
-        Place { number, name: name.into(), since }
+    fn place(number: u32, name: &str, since: u64) -> NodePlace {
+        NodePlace { number, name: name.into(), since }
     }
 
     #[test]
@@ -338,7 +338,7 @@
         let mut m = Member::new(F, "a");
         m.kept(0.0, F.lease_s);
         m.nodes(0.0, vec![]);
-        assert!(m.due(0.0).0.contains(&Do::Claim(0)));
+        assert!(m.due(0.0).0.contains(&MemberCommand::Claim(0)));
         m.claimed(0.1, 0, true);
         let see = |m: &mut Member, at: f64, n: u32| {
             m.kept(at, F.lease_s);
@@ -354,7 +354,7 @@
             (Some(5), Some(5), Some(2))
         );
         // A view that is too old is none; so is a lease that may have ended.
-        assert_eq!(m.part(13.2), Part { number: None, of: None });
+        assert_eq!(m.part(13.2), FleetPosition { number: None, of: None });
         m.nodes(20.0, vec![place(0, "a", 1)]);
         assert_eq!(m.part(20.0).of, None);
     }
@@ -369,6 +369,9 @@
         m.nodes(5.0, vec![place(0, "a", 7), place(0, "b", 3)]);
         assert_eq!(m.part(5.0).number, None);
         let (todo, _) = m.due(5.0);
-        assert!(todo.contains(&Do::GiveUp(0)) && todo.contains(&Do::Claim(1)), "{todo:?}");
+        assert!(
+            todo.contains(&MemberCommand::GiveUp(0)) && todo.contains(&MemberCommand::Claim(1)),
+            "{todo:?}"
+        );
     }
 }
--- a/crates/nickelgw-registry/src/core/view.rs
+++ b/crates/nickelgw-registry/src/core/view.rs
@@ -5,7 +5,7 @@
 //! An engine that comes and goes is held out, longer each time. A process under an old id is a new one when it started
 //! later, or lives at another address, or has another role, zone or cell.
 
-use nickelgw_protocol::list::{Line, State};
+use nickelgw_protocol::list::{EndpointEntry, EngineState};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, Debug)]
@@ -48,7 +48,7 @@
 }
 
 struct Known {
-    line: Line,
+    line: EndpointEntry,
     stand: Stand,
     /// Comings and goings of late, when last reckoned.
     penalty: f64,
@@ -58,7 +58,7 @@
 
 /// What a change did, for the log and the metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Account {
+pub struct ViewCounters {
     pub changes: u64,
     pub doubted: u64,
     pub cleared: u64,
@@ -72,11 +72,11 @@
 /// One event of the registry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    Put(Line),
+    Put(EndpointEntry),
     Gone(String),
 }
 
-pub struct View {
+pub struct EndpointView {
     figures: Figures,
     known: BTreeMap<String, Known>,
     /// Which id lives at an address.
@@ -87,17 +87,17 @@
     changed: bool,
     probes: BTreeSet<String>,
     /// Ids under which another process lives than was last told of.
-    renewed: BTreeSet<String>,
-    pub account: Account,
+    take_replaced: BTreeSet<String>,
+    pub counters: ViewCounters,
 }
 
 fn faded(penalty: f64, at: f64, now: f64, half_s: f64) -> f64 {
     penalty * 0.5f64.powf((now - at).max(0.0) / half_s.max(1e-3))
 }
 
-impl View {
-    pub fn new(figures: Figures) -> View {
-        View {
+impl EndpointView {
+    pub fn new(figures: Figures) -> EndpointView {
+        EndpointView {
             figures,
             known: BTreeMap::new(),
             at: BTreeMap::new(),
@@ -105,8 +105,8 @@
             revision: 0,
             changed: false,
             probes: BTreeSet::new(),
-            renewed: BTreeSet::new(),
-            account: Account::default(),
+            take_replaced: BTreeSet::new(),
+            counters: ViewCounters::default(),
         }
     }
 
@@ -128,11 +128,11 @@
 
     /// All that the registry holds, at a revision. Reconciled: nothing is lost, doubled or brought back to life.
     /// `rolled_back`: the registry itself has gone back, which the follower has made sure of.
-    pub fn full(&mut self, now: f64, revision: u64, lines: Vec<Line>, rolled_back: bool) {
+    pub fn replace_all(&mut self, now: f64, revision: u64, lines: Vec<EndpointEntry>, rolled_back: bool) {
         if revision < self.revision && !rolled_back {
             return;
         }
-        self.account.rolled_back += u64::from(revision < self.revision);
+        self.counters.rolled_back += u64::from(revision < self.revision);
         self.revision = revision;
         let listed: BTreeSet<String> = lines.iter().map(|l| l.id.clone()).collect();
         for l in lines {
@@ -143,7 +143,7 @@
     }
 
     /// Events of one revision, in their order: of one key the last counts.
-    pub fn changes(&mut self, now: f64, revision: u64, events: Vec<Event>) {
+    pub fn apply_events(&mut self, now: f64, revision: u64, events: Vec<Event>) {
         if revision <= self.revision {
             // Heard before, over another connection.
             return;
@@ -167,7 +167,7 @@
                 Event::Put(l) => {
                     // Deleted and put in one batch: another process, whatever its line says.
                     if deleted.contains(&id) && self.known.contains_key(&id) {
-                        self.renewed.insert(id);
+                        self.take_replaced.insert(id);
                         self.changed = true;
                     }
                     self.put(now, l);
@@ -183,28 +183,28 @@
         self.revision = self.revision.max(revision);
     }
 
-    fn put(&mut self, now: f64, line: Line) {
+    fn put(&mut self, now: f64, line: EndpointEntry) {
         let f = self.figures;
         // Two records of one address: the one heard last is the process that lives there.
         let double = self.at.get(&line.address).filter(|id| **id != line.id).cloned();
         if let Some(old) = double {
-            self.account.doubles += 1;
+            self.counters.doubles += 1;
             self.forget(now, &old);
         }
         let full = self.known.len() >= f.most_engines;
         match self.known.get_mut(&line.id) {
-            None if full => self.account.refused += 1,
+            None if full => self.counters.refused += 1,
             None => {
                 self.at.insert(line.address.clone(), line.id.clone());
                 let past = self.past.remove(&line.id);
                 // One that was gone and is back is another process; of one never seen nobody knows.
                 if past.is_some() {
-                    self.renewed.insert(line.id.clone());
+                    self.take_replaced.insert(line.id.clone());
                 }
                 let (past, at) = past.unwrap_or((0.0, now));
                 let penalty = faded(past, at, now, f.flap_half_s);
                 let held_out = penalty > f.flap_out;
-                self.account.flapping += u64::from(held_out);
+                self.counters.flapping += u64::from(held_out);
                 let known = Known { line, stand: Stand::Listed, penalty, at: now, held_out };
                 self.known.insert(known.line.id.clone(), known);
                 self.changed = true;
@@ -216,21 +216,21 @@
                     || old.zone != new.zone
                     || old.cell != new.cell
                     || new.started_at > old.started_at;
-                let back = old.state != State::In && new.state == State::In;
+                let back = old.state != EngineState::Active && new.state == EngineState::Active;
                 if other || back {
-                    self.renewed.insert(line.id.clone());
+                    self.take_replaced.insert(line.id.clone());
                 }
                 if back {
                     k.penalty = faded(k.penalty, k.at, now, f.flap_half_s) + 1.0;
                     k.at = now;
                     if k.penalty > f.flap_out && !k.held_out {
                         k.held_out = true;
-                        self.account.flapping += 1;
+                        self.counters.flapping += 1;
                     }
                 }
                 self.changed |= *old != line || k.stand != Stand::Listed;
                 if k.stand != Stand::Listed {
-                    self.account.cleared += 1;
+                    self.counters.cleared += 1;
                     self.probes.remove(&line.id);
                 }
                 if k.line.address != line.address {
@@ -240,7 +240,7 @@
                 (k.line, k.stand) = (line, Stand::Listed);
             }
         }
-        self.account.changes += 1;
+        self.counters.changes += 1;
     }
 
     fn forget(&mut self, now: f64, id: &str) {
@@ -265,7 +265,7 @@
     /// The registry no longer has these.
     fn take_away(&mut self, now: f64, gone: Vec<String>) {
         let f = self.figures;
-        let inside = |k: &Known| k.line.state == State::In;
+        let inside = |k: &Known| k.line.state == EngineState::Active;
         let total = self.known.values().filter(|k| inside(k)).count();
         let fresh = |id: &&String| self.known.get(*id).is_some_and(|k| inside(k) && k.stand == Stand::Listed);
         // Those doubted already count too: a list emptied piece by piece is emptied all the same.
@@ -273,14 +273,14 @@
         let doubt = wanted > f.doubt_least && wanted as f64 > f.doubt_share * total as f64;
         for id in gone {
             let Some(k) = self.known.get_mut(&id) else { continue };
-            self.account.changes += 1;
+            self.counters.changes += 1;
             match k.stand {
                 // A draining one was on its way out.
                 _ if !inside(k) => self.forget(now, &id),
                 Stand::Doubted { .. } => {}
                 Stand::Listed if doubt => {
                     k.stand = Stand::Doubted { since: now };
-                    self.account.doubted += 1;
+                    self.counters.doubted += 1;
                     self.probes.insert(id);
                 }
                 Stand::Listed => self.forget(now, &id),
@@ -292,13 +292,13 @@
     pub fn probed(&mut self, now: f64, id: &str, answers: bool) {
         let doubted = self.known.get(id).is_some_and(|k| k.stand != Stand::Listed);
         if doubted && !answers {
-            self.account.confirmed += 1;
+            self.counters.confirmed += 1;
             self.forget(now, id);
         }
     }
 
     /// Engines to probe, once each.
-    pub fn to_probe(&mut self) -> Vec<Line> {
+    pub fn to_probe(&mut self) -> Vec<EndpointEntry> {
         let ids = std::mem::take(&mut self.probes);
         ids.iter().filter_map(|id| Some(self.known.get(id)?.line.clone())).collect()
     }
@@ -310,7 +310,7 @@
         let stale: Vec<String> =
             self.known.iter().filter(|(_, k)| over(k)).map(|(id, _)| id.clone()).collect();
         for id in stale {
-            self.account.confirmed += 1;
+            self.counters.confirmed += 1;
             self.forget(now, &id);
         }
         let mut wake: Option<f64> = None;
@@ -336,23 +336,23 @@
 
     /// Ids under which another process lives now than when last asked: what was known of the old one is void.
     pub fn renewed(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.renewed).into_iter().collect()
+        std::mem::take(&mut self.take_replaced).into_iter().collect()
     }
 
     /// The engines as they are believed in, if that has changed since last asked.
-    pub fn news(&mut self) -> Option<Vec<Line>> {
+    pub fn take_changes(&mut self) -> Option<Vec<EndpointEntry>> {
         if !std::mem::take(&mut self.changed) {
             return None;
         }
         Some(self.lines())
     }
 
-    pub fn lines(&self) -> Vec<Line> {
+    pub fn lines(&self) -> Vec<EndpointEntry> {
         let believed = |k: &Known| {
             let mut l = k.line.clone();
             // One that flaps is not sent to; it drains, so that what is there ends.
-            if k.held_out && l.state == State::In {
-                l.state = State::Draining;
+            if k.held_out && l.state == EngineState::Active {
+                l.state = EngineState::Draining;
             }
             l
         };
--- a/crates/nickelgw-registry/src/wire.rs
+++ b/crates/nickelgw-registry/src/wire.rs
@@ -1,14 +1,14 @@
 //! Messages of etcd's JSON gateway, v3, as published: whole numbers of 64 bits as text, keys and values in base64.
 
-use crate::core::member::Place;
+use crate::core::member::NodePlace;
 use crate::core::view::Event;
 use base64::prelude::{Engine, BASE64_STANDARD};
-use nickelgw_protocol::list::Line;
+use nickelgw_protocol::list::EndpointEntry;
 use serde::Deserialize;
 use serde_json::{json, Value};
 
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Wrong {
+pub enum RegistryError {
     #[error("not the JSON that is published: {0}")]
     Json(String),
     #[error("{0}")]
@@ -114,29 +114,29 @@
     error: Option<Value>,
 }
 
-fn said(v: &Value) -> Wrong {
+fn said(v: &Value) -> RegistryError {
     let text = v["message"].as_str().or_else(|| v.as_str()).unwrap_or("an error without words");
-    Wrong::Said(text.chars().take(200).collect())
+    RegistryError::Said(text.chars().take(200).collect())
 }
 
-pub fn plain<T: for<'a> Deserialize<'a>>(body: &[u8]) -> Result<T, Wrong> {
-    serde_json::from_slice(body).map_err(|e| Wrong::Json(e.to_string()))
+pub fn plain<T: for<'a> Deserialize<'a>>(body: &[u8]) -> Result<T, RegistryError> {
+    serde_json::from_slice(body).map_err(|e| RegistryError::Json(e.to_string()))
 }
 
-pub fn streamed<T: for<'a> Deserialize<'a>>(line: &[u8]) -> Result<T, Wrong> {
+pub fn streamed<T: for<'a> Deserialize<'a>>(line: &[u8]) -> Result<T, RegistryError> {
     let s: Streamed<T> = plain(line)?;
     match (s.result, s.error) {
         (Some(r), _) => Ok(r),
         (None, Some(e)) => Err(said(&e)),
-        (None, None) => Err(Wrong::Json("neither a result nor an error".into())),
+        (None, None) => Err(RegistryError::Json("neither a result nor an error".into())),
     }
 }
 
 /// The words of a call that failed.
-pub fn failure(body: &[u8]) -> Wrong {
+pub fn failure(body: &[u8]) -> RegistryError {
     match serde_json::from_slice::<Value>(body) {
         Ok(v) => said(if v["error"].is_object() { &v["error"] } else { &v }),
-        Err(_) => Wrong::Said("no words that can be read".into()),
+        Err(_) => RegistryError::Said("no words that can be read".into()),
     }
 }
 
@@ -181,16 +181,16 @@
 }
 
 /// Engines are JSON lines, as in the list; a value that is none is passed over and counted.
-pub fn engines(prefix: &str, kvs: &[Pair]) -> (Vec<Line>, usize) {
-    let all: Vec<Option<Line>> = kvs.iter().map(|p| engine(prefix, p)).collect();
+pub fn engines(prefix: &str, kvs: &[Pair]) -> (Vec<EndpointEntry>, usize) {
+    let all: Vec<Option<EndpointEntry>> = kvs.iter().map(|p| engine(prefix, p)).collect();
     let sound = all.iter().flatten().count();
     (all.iter().flatten().cloned().collect(), all.len() - sound)
 }
 
 /// The key's name is the engine's: a value cannot speak for another.
-fn engine(prefix: &str, p: &Pair) -> Option<Line> {
+fn engine(prefix: &str, p: &Pair) -> Option<EndpointEntry> {
     let id = std::str::from_utf8(p.key.strip_prefix(prefix.as_bytes())?).ok()?;
-    let line: Line = serde_json::from_slice(&p.value).ok()?;
+    let line: EndpointEntry = serde_json::from_slice(&p.value).ok()?;
     let sound = line.memory_tokens.is_finite() && line.memory_tokens > 0.0 && !line.address.is_empty();
     (line.id == id && sound).then_some(line)
 }
@@ -206,11 +206,11 @@
     changes.iter().filter_map(event).collect()
 }
 
-pub fn places(prefix: &str, kvs: &[Pair]) -> Vec<Place> {
+pub fn places(prefix: &str, kvs: &[Pair]) -> Vec<NodePlace> {
     let place = |p: &Pair| {
         let number = std::str::from_utf8(p.key.strip_prefix(prefix.as_bytes())?).ok()?.parse().ok()?;
         let name = String::from_utf8(p.value.clone()).ok()?;
-        Some(Place { number, name, since: p.create_revision.max(0) as u64 })
+        Some(NodePlace { number, name, since: p.create_revision.max(0) as u64 })
     };
     kvs.iter().filter_map(place).collect()
 }
@@ -238,7 +238,7 @@
             br#"{"error":{"grpc_code":5,"http_code":404,"message":"etcdserver: requested lease not found"}}"#;
         assert_eq!(
             streamed::<Leased>(wrong).unwrap_err(),
-            Wrong::Said("etcdserver: requested lease not found".into())
+            RegistryError::Said("etcdserver: requested lease not found".into())
         );
         assert_eq!(
             (after(b"eng/"), after(b"a\xff"), after(b"\xff")),
--- a/crates/nickelgw-simulator-adapter/src/main.rs
+++ b/crates/nickelgw-simulator-adapter/src/main.rs
@@ -2,32 +2,33 @@
 
 mod node;
 
-use nickelgw_platform_config::fields::{index, num, text, Bad};
+use nickelgw_platform_config::fields::{integer, number, text, ConfigError};
 use node::Node;
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, BufRead, Write};
 
-fn run(input: impl BufRead, mut output: impl Write) -> Result<(), Bad> {
+fn run(input: impl BufRead, mut output: impl Write) -> Result<(), ConfigError> {
     let mut nodes: BTreeMap<u64, Node> = BTreeMap::new();
     let mut pages: HashMap<u64, Vec<Value>> = HashMap::new();
     let mut touched: Vec<u64> = Vec::new();
     let mut now = 0.0;
     let mut reply = String::new();
     for line in input.lines() {
-        let line = line.map_err(|e| Bad(format!("input: cannot be read: {e}")))?;
+        let line = line.map_err(|e| ConfigError(format!("input: cannot be read: {e}")))?;
         if line.trim().is_empty() {
             continue;
         }
-        let event: Value = serde_json::from_str(&line).map_err(|_| Bad("a line is not JSON".into()))?;
+        let event: Value =
+            serde_json::from_str(&line).map_err(|_| ConfigError("a line is not JSON".into()))?;
         let kind = event.get("kind").and_then(Value::as_str);
-        let kind = kind.ok_or_else(|| Bad("a line has no field kind that is text".into()))?;
+        let kind = kind.ok_or_else(|| ConfigError("a line has no field kind that is text".into()))?;
         match kind {
-            "CLOCK" => now = num(&event, "time_s")?,
+            "CLOCK" => now = number(&event, "time_s")?,
             "PAGE" => {
                 let items = event.get("items").and_then(Value::as_array);
-                let items = items.ok_or_else(|| Bad::field(&event, "items", "a list"))?;
-                pages.insert(index(&event, "list")?, items.clone());
+                let items = items.ok_or_else(|| ConfigError::field(&event, "items", "a list"))?;
+                pages.insert(integer(&event, "list")?, items.clone());
             }
             "OVER_TO_YOU" => {
                 reply.clear();
@@ -38,13 +39,13 @@
                 }
                 reply.push_str("{\"kind\":\"DONE\"}\n");
                 let sent = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
-                sent.map_err(|e| Bad(format!("output: cannot be written: {e}")))?;
+                sent.map_err(|e| ConfigError(format!("output: cannot be written: {e}")))?;
             }
             _ => {
                 if event.get("i").is_none() {
                     continue;
                 }
-                let i = index(&event, "i")?;
+                let i = integer(&event, "i")?;
                 match kind {
                     "PROVISION" => {
                         nodes.insert(i, Node::new(&event)?);
@@ -55,10 +56,10 @@
                     _ => {
                         let Some(node) = nodes.get_mut(&i) else { continue };
                         if kind == "MEMBERSHIP" && text(&event, "how")? != "failed" {
-                            let list = index(&event, "list")?;
+                            let list = integer(&event, "list")?;
                             let page = pages.get(&list);
-                            let page =
-                                page.ok_or_else(|| Bad::field(&event, "list", "a known list's number"))?;
+                            let page = page
+                                .ok_or_else(|| ConfigError::field(&event, "list", "a known list's number"))?;
                             node.membership(now, &event, page)?;
                         } else {
                             node.event(now, kind, &event)?;
@@ -75,7 +76,7 @@
 }
 
 fn main() {
-    if let Err(Bad(why)) = run(io::stdin().lock(), io::stdout().lock()) {
+    if let Err(ConfigError(why)) = run(io::stdin().lock(), io::stdout().lock()) {
         eprintln!("nickelgw-simulator-adapter: {why}");
         std::process::exit(1);
     }
--- a/crates/nickelgw-simulator-adapter/src/node.rs
+++ b/crates/nickelgw-simulator-adapter/src/node.rs
@@ -2,8 +2,8 @@
 
 use nickelgw::decide::Router;
 use nickelgw::interface::*;
-use nickelgw_platform_config::fields::{flag, index, num, num_or, text, Bad};
-use nickelgw_platform_config::{inner, position, Told};
+use nickelgw_platform_config::fields::{flag, integer, number, number_or, text, ConfigError};
+use nickelgw_platform_config::{object, position_of, PlatformConfig};
 use serde_json::{json, Value};
 use std::collections::HashMap;
 
@@ -19,16 +19,16 @@
     wake_at: f64,
 }
 
-fn load(event: &Value) -> Result<Option<EngineLoad>, Bad> {
+fn load(event: &Value) -> Result<Option<EngineLoad>, ConfigError> {
     let Some(report) = event.get("telemetry") else { return Ok(None) };
     if !report.is_object() {
-        return Err(Bad::field(event, "telemetry", "an object"));
+        return Err(ConfigError::field(event, "telemetry", "an object"));
     }
-    let value = |name: &str| report.get(name).map(|_| num(report, name)).transpose();
+    let value = |name: &str| report.get(name).map(|_| number(report, name)).transpose();
     nickelgw_platform_config::load(value).map(Some)
 }
 
-fn outcome(event: &Value) -> Result<Outcome, Bad> {
+fn outcome(event: &Value) -> Result<Outcome, ConfigError> {
     Ok(match text(event, "how")? {
         "served" => Outcome::Completed,
         "prefilled" => Outcome::Prefilled,
@@ -39,48 +39,49 @@
         "connection_lost" => Outcome::ConnectionLost,
         "called_off" => Outcome::Cancelled,
         "not_sent" => Outcome::NotDelivered,
-        _ => return Err(Bad::field(event, "how", "a known outcome")),
+        _ => return Err(ConfigError::field(event, "how", "a known outcome")),
     })
 }
 
 impl Node {
-    pub fn new(event: &Value) -> Result<Node, Bad> {
-        let told = Told::read(inner(event, "options")?, index(event, "prng")?)?;
+    pub fn new(event: &Value) -> Result<Node, ConfigError> {
+        let told = PlatformConfig::parse(object(event, "options")?, integer(event, "prng")?)?;
         Ok(Node {
             router: Router::new(told.deployment),
             routes: told.routes,
             tenants: told.tenants,
             zones: told.zones,
-            kinds: told.kinds,
+            kinds: told.machine_kinds,
             by_request: HashMap::new(),
             taken: Vec::new(),
             wake_at: f64::INFINITY,
         })
     }
 
-    pub fn membership(&mut self, now: f64, event: &Value, page: &[Value]) -> Result<(), Bad> {
+    pub fn membership(&mut self, now: f64, event: &Value, page: &[Value]) -> Result<(), ConfigError> {
         let full = match text(event, "how")? {
             "full" | "cached" => true,
             "delta" => false,
-            _ => return Err(Bad::field(event, "how", "delta, full, cached or failed")),
+            _ => return Err(ConfigError::field(event, "how", "delta, full, cached or failed")),
         };
         let mut lines = Vec::new();
         for entry in page {
             let kind = text(entry, "family_type")?;
             let kind = self.kinds.iter().find(|k| k.0 == kind);
-            let kind = kind.ok_or_else(|| Bad::field(entry, "family_type", "a kind from the settings"))?;
-            let started = num_or(entry, "up_since_s", 0.0)?;
+            let kind =
+                kind.ok_or_else(|| ConfigError::field(entry, "family_type", "a kind from the settings"))?;
+            let started = number_or(entry, "up_since_s", 0.0)?;
             lines.push(EngineEntry {
                 id: text(entry, "engine")?.to_string(),
-                zone: position(&self.zones, entry, "campus")? as u32,
-                cell: num_or(entry, "unit_group", 0.0)? as u32,
+                zone: position_of(&self.zones, entry, "campus")? as u32,
+                cell: number_or(entry, "unit_group", 0.0)? as u32,
                 role: kind.1,
                 memory_tokens: kind.2,
                 lifecycle: match text(entry, "state")? {
                     "IN" => Lifecycle::Active,
                     "LAME" => Lifecycle::Draining,
                     "OUT" => Lifecycle::Removed,
-                    _ => return Err(Bad::field(entry, "state", "IN, LAME or OUT")),
+                    _ => return Err(ConfigError::field(entry, "state", "IN, LAME or OUT")),
                 },
                 started_at: (started > 0.0).then_some(started),
             });
@@ -89,27 +90,27 @@
         Ok(())
     }
 
-    pub fn event(&mut self, now: f64, kind: &str, event: &Value) -> Result<(), Bad> {
+    pub fn event(&mut self, now: f64, kind: &str, event: &Value) -> Result<(), ConfigError> {
         match kind {
             "MEMBERSHIP" => self.router.endpoint_poll_failed(now),
             "REQUEST" => {
                 let org = event.get("org").filter(|v| v.is_string());
                 let tenant = match org {
-                    Some(_) if !self.tenants.is_empty() => Some(position(&self.tenants, event, "org")?),
+                    Some(_) if !self.tenants.is_empty() => Some(position_of(&self.tenants, event, "org")?),
                     _ => None,
                 };
                 let prefix = event.get("prefix").map(|_| text(event, "prefix")).transpose()?;
                 let arrival = IncomingRequest {
-                    route: position(&self.routes, event, "cls")?,
+                    route: position_of(&self.routes, event, "cls")?,
                     tenant,
-                    deadline: num(event, "due_s")?,
-                    prompt_tokens: num_or(event, "prompt_len", 0.0)?,
-                    prefix_tokens: num_or(event, "n_prefix", 0.0)?,
+                    deadline: number(event, "due_s")?,
+                    prompt_tokens: number_or(event, "prompt_len", 0.0)?,
+                    prefix_tokens: number_or(event, "n_prefix", 0.0)?,
                     session: event.get("session").map_or(Ok(""), |_| text(event, "session"))?.to_string(),
                     prefix: prefix.map(str::to_string),
                     is_background: false,
                 };
-                let request = index(event, "req")?;
+                let request = integer(event, "req")?;
                 let inf = self.router.admit_request(now, &arrival);
                 let k = inf.0 as usize;
                 self.taken.resize(self.taken.len().max(k + 1), (0, 0));
@@ -120,9 +121,9 @@
                 let outcome = outcome(event)?;
                 let ending = AttemptEnd {
                     outcome,
-                    elapsed_s: num_or(event, "delay_seen_s", 0.0)?,
+                    elapsed_s: number_or(event, "delay_seen_s", 0.0)?,
                     request_finished: flag(event, "over")?,
-                    note: num_or(event, "remark", 0.0)?,
+                    note: number_or(event, "remark", 0.0)?,
                 };
                 let load = load(event)?;
                 if let Some((inf, send)) = self.send_of(event)? {
@@ -135,7 +136,7 @@
                 }
             }
             "HANGUP" => {
-                if let Some(&inf) = self.by_request.get(&index(event, "req")?) {
+                if let Some(&inf) = self.by_request.get(&integer(event, "req")?) {
                     self.router.client_disconnected(inf);
                 }
             }
@@ -149,11 +150,11 @@
     }
 
     /// The handle and send that an event speaks of; none where the inference is long over.
-    fn send_of(&self, event: &Value) -> Result<Option<(RequestHandle, u32)>, Bad> {
-        let (request, n) = (index(event, "req")?, index(event, "n")?);
+    fn send_of(&self, event: &Value) -> Result<Option<(RequestHandle, u32)>, ConfigError> {
+        let (request, n) = (integer(event, "req")?, integer(event, "n")?);
         let Some(&inf) = self.by_request.get(&request) else { return Ok(None) };
         if n >= self.taken[inf.0 as usize].1 {
-            return Err(Bad::field(event, "n", "the number of a send"));
+            return Err(ConfigError::field(event, "n", "the number of a send"));
         }
         Ok(Some((inf, n as u32)))
     }
--- a/crates/nickelgw-simulator-adapter/src/tests.rs
+++ b/crates/nickelgw-simulator-adapter/src/tests.rs
@@ -20,7 +20,7 @@
 }
 
 /// Plays batches, each after a clock of its own; gives what was written.
-fn play(batches: &[&[&str]]) -> Result<String, Bad> {
+fn play(batches: &[&[&str]]) -> Result<String, ConfigError> {
     let mut input = String::new();
     for (k, batch) in batches.iter().enumerate() {
         input += &format!("{{\"kind\":\"CLOCK\",\"time_s\":{}}}\n", 1.0 + 0.1 * k as f64);
@@ -79,7 +79,8 @@
 
 #[test]
 fn an_outcome_of_a_send_never_made_is_named() {
-    let Bad(why) = play(&[START, &[REQUEST], NEWS, &[&settled(4, "a:1", "prefilled", false)]]).unwrap_err();
+    let ConfigError(why) =
+        play(&[START, &[REQUEST], NEWS, &[&settled(4, "a:1", "prefilled", false)]]).unwrap_err();
     assert!(why.contains("SETTLED: field n"), "{why}");
 }
 
@@ -94,6 +95,6 @@
 #[test_case(r#"{"kind":"REQUEST","i":1,"req":5,"cls":"ask"}"#, "REQUEST: field due_s"; "no due time")]
 #[test_case(r#"{"kind":"SETTLED","i":1,"req":5,"n":0,"how":"vanished"}"#, "SETTLED: field how"; "unknown outcome")]
 fn bad_input_is_named(line: &str, said: &str) {
-    let Bad(why) = play(&[START, &[line]]).unwrap_err();
+    let ConfigError(why) = play(&[START, &[line]]).unwrap_err();
     assert!(why.contains(said), "{why}");
 }
--- a/crates/nickelgw-store/src/core/record.rs
+++ b/crates/nickelgw-store/src/core/record.rs
@@ -5,7 +5,7 @@
 const HEAD: usize = 1 + 8 + 16;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unsound {
+pub enum RecordError {
     #[error("too short to be a record")]
     Short,
     #[error("of a form that this program does not know: {0}")]
@@ -32,15 +32,15 @@
 }
 
 /// When it was written, in milliseconds since 1970, and the value.
-pub fn unseal<'a>(key: &[u8], bytes: &'a [u8]) -> Result<(u64, &'a [u8]), Unsound> {
-    let Some((head, value)) = bytes.split_at_checked(HEAD) else { return Err(Unsound::Short) };
+pub fn unseal<'a>(key: &[u8], bytes: &'a [u8]) -> Result<(u64, &'a [u8]), RecordError> {
+    let Some((head, value)) = bytes.split_at_checked(HEAD) else { return Err(RecordError::Short) };
     if head[0] != FORM {
-        return Err(Unsound::Form(head[0]));
+        return Err(RecordError::Form(head[0]));
     }
     let written_ms = head[1..9].iter().rev().fold(0u64, |n, b| n << 8 | u64::from(*b));
     match head[9..] == code(key, written_ms, value) {
         true => Ok((written_ms, value)),
-        false => Err(Unsound::Altered),
+        false => Err(RecordError::Altered),
     }
 }
 
--- a/crates/nickelgw-store/src/core/belief.rs
+++ b/crates/nickelgw-store/src/core/retention.rs
@@ -1,18 +1,18 @@
 //! How far what an earlier process wrote is believed, by its age.
 
-use super::Kind;
+use super::RecordKind;
 
 /// Oldest that a record of a kind is used at, in seconds.
-pub fn limit_s(kind: Kind) -> f64 {
+pub fn limit_s(kind: RecordKind) -> f64 {
     match kind {
         // Engines and loads change; after ten minutes nothing of it holds.
-        Kind::Learnt => 600.0,
+        RecordKind::LearnedState => 600.0,
         // Clients do not repeat a request for longer; also the longest that the table keeps an answer.
-        Kind::Repeat => 600.0,
+        RecordKind::IdempotencyKey => 600.0,
         // An old list is better than none: engines that are gone are found out at once.
-        Kind::List => 86_400.0,
+        RecordKind::EndpointList => 86_400.0,
         // It has a time of its own, which no clock may cut short; this only frees what was forgotten.
-        Kind::Parked => 30.0 * 86_400.0,
+        RecordKind::DeferredRequest => 30.0 * 86_400.0,
     }
 }
 
@@ -29,7 +29,7 @@
 
 /// Weight of what was learnt, from 1 to 0.
 pub fn weight(age_s: f64) -> f64 {
-    match age_s > limit_s(Kind::Learnt) {
+    match age_s > limit_s(RecordKind::LearnedState) {
         true => 0.0,
         false => 0.5f64.powf(age_s / HALF_S),
     }
@@ -37,10 +37,10 @@
 
 /// Whether a record is used. One of no known age may bind but never inform: a repeat that may not run stays known for
 /// its whole time, a learnt figure is dropped.
-pub fn used(kind: Kind, age: Option<f64>) -> bool {
+pub fn used(kind: RecordKind, age: Option<f64>) -> bool {
     match age {
         Some(age) => age <= limit_s(kind),
-        None => matches!(kind, Kind::Repeat | Kind::Parked),
+        None => matches!(kind, RecordKind::IdempotencyKey | RecordKind::DeferredRequest),
     }
 }
 
@@ -54,7 +54,13 @@
         assert_eq!(age_s(71_000, 70.0), Some(0.0));
         assert_eq!(age_s(100_000, 70.0), None);
         assert!((weight(60.0) - 0.5).abs() < 1e-9 && weight(0.0) == 1.0 && weight(601.0) == 0.0);
-        assert!(used(Kind::Repeat, None) && !used(Kind::Learnt, None) && !used(Kind::List, None));
-        assert!(used(Kind::List, Some(7200.0)) && !used(Kind::Learnt, Some(7200.0)));
+        assert!(
+            used(RecordKind::IdempotencyKey, None)
+                && !used(RecordKind::LearnedState, None)
+                && !used(RecordKind::EndpointList, None)
+        );
+        assert!(
+            used(RecordKind::EndpointList, Some(7200.0)) && !used(RecordKind::LearnedState, Some(7200.0))
+        );
     }
 }
--- a/crates/nickelgw-store/src/core/shelf.rs
+++ b/crates/nickelgw-store/src/core/write_buffer.rs
@@ -2,7 +2,7 @@
 //! goes soon, the rest when its time has come. One commit at a time; one that fails is tried again after a while.
 
 use super::record::{seal, unseal};
-use super::{belief, Kind};
+use super::{retention, RecordKind};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, Debug)]
@@ -56,22 +56,22 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Account {
+pub struct StoreCounters {
     pub commits: u64,
     pub failed: u64,
     pub written_bytes: u64,
     /// Dropped for want of room, and as too old.
-    pub crowded_out: u64,
-    pub aged_out: u64,
+    pub evicted: u64,
+    pub expired: u64,
     /// Found on disk and not believed.
-    pub unsound: u64,
+    pub damaged: u64,
 }
 
-pub struct Shelf {
+pub struct WriteBuffer {
     figures: Figures,
     kept: BTreeMap<Key, Kept>,
     /// By kind and time: what goes first when there is no room.
-    order: BTreeSet<(Kind, u64, Key)>,
+    order: BTreeSet<(RecordKind, u64, Key)>,
     bytes: usize,
     /// Not on disk yet, the newest word on each.
     dirty: BTreeMap<Key, Option<Vec<u8>>>,
@@ -84,26 +84,26 @@
     number: u64,
     failures: u32,
     not_before: f64,
-    pub account: Account,
+    pub counters: StoreCounters,
 }
 
 /// A record as an earlier process left it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Found {
-    pub kind: Kind,
+pub struct RestoredRecord {
+    pub kind: RecordKind,
     pub key: Vec<u8>,
     pub value: Vec<u8>,
     /// None: of no known age, as the clock was set back.
     pub age_s: Option<f64>,
 }
 
-fn whole_key(kind: Kind, key: &[u8]) -> Key {
+fn whole_key(kind: RecordKind, key: &[u8]) -> Key {
     [&[kind as u8], key].concat()
 }
 
-impl Shelf {
-    pub fn new(figures: Figures) -> Shelf {
-        Shelf {
+impl WriteBuffer {
+    pub fn new(figures: Figures) -> WriteBuffer {
+        WriteBuffer {
             figures,
             kept: BTreeMap::new(),
             order: BTreeSet::new(),
@@ -117,7 +117,7 @@
             number: 0,
             failures: 0,
             not_before: 0.0,
-            account: Account::default(),
+            counters: StoreCounters::default(),
         }
     }
 
@@ -139,39 +139,39 @@
     }
 
     /// What the file held when it was opened. What is not believed is taken out of it.
-    pub fn restore(&mut self, now: f64, now_unix_s: f64, found: Vec<(Key, Vec<u8>)>) -> Vec<Found> {
+    pub fn restore(&mut self, now: f64, now_unix_s: f64, found: Vec<(Key, Vec<u8>)>) -> Vec<RestoredRecord> {
         let mut out = Vec::new();
         for (key, bytes) in found {
-            let kind = key.first().and_then(|n| Kind::of(*n));
+            let kind = key.first().and_then(|n| RecordKind::of(*n));
             let sound = unseal(&key, &bytes).ok();
             let Some((kind, (written_ms, value))) = kind.zip(sound) else {
-                self.account.unsound += 1;
+                self.counters.damaged += 1;
                 self.change(now, key, None);
                 continue;
             };
-            let age_s = belief::age_s(written_ms, now_unix_s);
-            if !belief::used(kind, age_s) {
-                self.account.aged_out += 1;
+            let age_s = retention::age_s(written_ms, now_unix_s);
+            if !retention::used(kind, age_s) {
+                self.counters.expired += 1;
                 self.change(now, key, None);
                 continue;
             }
             // One of no known age counts from now on.
             let written_ms = if age_s.is_some() { written_ms } else { (now_unix_s * 1e3) as u64 };
             self.note(kind, &key, written_ms, bytes.len());
-            out.push(Found { kind, key: key[1..].to_vec(), value: value.to_vec(), age_s });
+            out.push(RestoredRecord { kind, key: key[1..].to_vec(), value: value.to_vec(), age_s });
         }
         self.make_room(now);
         out
     }
 
-    fn note(&mut self, kind: Kind, key: &Key, written_ms: u64, bytes: usize) {
+    fn note(&mut self, kind: RecordKind, key: &Key, written_ms: u64, bytes: usize) {
         self.forget(kind, key);
         self.kept.insert(key.clone(), Kept { written_ms, bytes });
         self.order.insert((kind, written_ms, key.clone()));
         self.bytes += bytes;
     }
 
-    fn forget(&mut self, kind: Kind, key: &Key) -> bool {
+    fn forget(&mut self, kind: RecordKind, key: &Key) -> bool {
         let Some(old) = self.kept.remove(key) else { return false };
         self.order.remove(&(kind, old.written_ms, key.clone()));
         self.bytes -= old.bytes;
@@ -188,7 +188,7 @@
         &mut self,
         now: f64,
         now_unix_s: f64,
-        (kind, key): (Kind, &[u8]),
+        (kind, key): (RecordKind, &[u8]),
         value: &[u8],
         waiter: Option<Waiter>,
     ) {
@@ -203,7 +203,7 @@
         self.make_room(now);
     }
 
-    pub fn remove(&mut self, now: f64, kind: Kind, key: &[u8]) {
+    pub fn remove(&mut self, now: f64, kind: RecordKind, key: &[u8]) {
         let key = whole_key(kind, key);
         if self.forget(kind, &key) {
             self.change(now, key, None);
@@ -212,15 +212,15 @@
 
     /// Drops what is too old.
     pub fn expire(&mut self, now: f64, now_unix_s: f64) {
-        for kind in Kind::ALL {
-            let before = ((now_unix_s - belief::limit_s(kind)).max(0.0) * 1e3) as u64;
+        for kind in RecordKind::ALL {
+            let before = ((now_unix_s - retention::limit_s(kind)).max(0.0) * 1e3) as u64;
             let old: Vec<Key> = self
                 .order
                 .range((kind, 0, Vec::new())..(kind, before, Vec::new()))
                 .map(|o| o.2.clone())
                 .collect();
             for key in old {
-                self.account.aged_out += 1;
+                self.counters.expired += 1;
                 self.forget(kind, &key);
                 self.change(now, key, None);
             }
@@ -229,15 +229,15 @@
 
     /// Too many of a kind: its oldest go. Too many bytes: the oldest repeats go, which are the only ones in number.
     fn make_room(&mut self, now: f64) {
-        for kind in Kind::ALL {
+        for kind in RecordKind::ALL {
             let all = || (kind, 0, Vec::new())..=(kind, u64::MAX, Vec::new());
             // Counting is cheap only where it is rarely needed.
             while self.kept.len() > self.figures.most_records || self.bytes > self.figures.most_bytes {
                 let Some(oldest) = self.order.range(all()).next().cloned() else { break };
-                if kind != Kind::Repeat {
+                if kind != RecordKind::IdempotencyKey {
                     break;
                 }
-                self.account.crowded_out += 1;
+                self.counters.evicted += 1;
                 self.forget(kind, &oldest.2);
                 self.change(now, oldest.2, None);
             }
@@ -245,7 +245,7 @@
     }
 
     /// The next commit, if its time has come, and when to look again.
-    pub fn due(&mut self, now: f64) -> (Option<Batch>, Option<f64>) {
+    pub fn poll_batch(&mut self, now: f64) -> (Option<Batch>, Option<f64>) {
         if self.in_flight.is_some() || self.dirty.is_empty() {
             return (None, None);
         }
@@ -275,15 +275,15 @@
     }
 
     /// How the commit went: who need wait no longer, and whether what they put is on disk.
-    pub fn committed(&mut self, now: f64, number: u64, done: bool) -> Vec<(Waiter, bool)> {
+    pub fn commit_finished(&mut self, now: f64, number: u64, done: bool) -> Vec<(Waiter, bool)> {
         let Some(batch) = self.in_flight.take_if(|b| b.number == number) else { return Vec::new() };
         if done {
             self.failures = 0;
-            self.account.commits += 1;
-            self.account.written_bytes += batch.bytes as u64;
+            self.counters.commits += 1;
+            self.counters.written_bytes += batch.bytes as u64;
             return std::mem::take(&mut self.waiters).into_iter().map(|w| (w.0, true)).collect();
         }
-        self.account.failed += 1;
+        self.counters.failed += 1;
         self.failures += 1;
         let gap = self.figures.first_gap_s * f64::from(1u32 << (self.failures - 1).min(10));
         self.not_before = now + gap.min(self.figures.longest_gap_s);
@@ -306,5 +306,5 @@
 }
 
 #[cfg(test)]
-#[path = "shelf_tests.rs"]
+#[path = "write_buffer_tests.rs"]
 mod tests;
--- a/crates/nickelgw-store/src/lib.rs
+++ b/crates/nickelgw-store/src/lib.rs
@@ -3,7 +3,7 @@
 
 pub mod core;
 
-use crate::core::shelf::{Batch, Key};
+use crate::core::write_buffer::{Batch, Key};
 use redb::{
     Database, DatabaseError, ReadableDatabase, ReadableTable, StorageBackend, StorageError, TableDefinition,
 };
--- a/crates/nickelgw-store/tests/crash.rs
+++ b/crates/nickelgw-store/tests/crash.rs
@@ -1,7 +1,7 @@
 //! The file under a disk that cuts, tears, reorders and runs full: what was acknowledged is there, nothing else.
 
 use nanorand::{Rng, WyRand};
-use nickelgw_store::core::shelf::Batch;
+use nickelgw_store::core::write_buffer::Batch;
 use nickelgw_store::{open_or_begin, Problem, Store};
 use redb::StorageBackend;
 use std::collections::BTreeMap;
--- a/crates/nickelgw-tenants/src/core/fair.rs
+++ b/crates/nickelgw-tenants/src/core/fair_share.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug)]
-pub struct Figures {
+pub struct FairShareLimits {
     pub least: f64,
     pub most: f64,
     /// Part of first tokens late in a window, above which the limit falls.
@@ -20,9 +20,9 @@
     pub reserve: f64,
 }
 
-impl Default for Figures {
+impl Default for FairShareLimits {
     fn default() -> Self {
-        Figures {
+        FairShareLimits {
             least: 16.0,
             most: 20_000.0,
             late_share: 0.02,
@@ -36,18 +36,18 @@
 
 /// Additive increase, multiplicative decrease, by whether first tokens come in time.
 #[derive(Clone, Debug)]
-pub struct Limit {
-    figures: Figures,
+pub struct ConcurrencyLimit {
+    figures: FairShareLimits,
     limit: f64,
     answers: u32,
     late: u32,
     fell_at: f64,
 }
 
-impl Limit {
-    pub fn new(figures: Figures, first: f64) -> Limit {
+impl ConcurrencyLimit {
+    pub fn new(figures: FairShareLimits, first: f64) -> ConcurrencyLimit {
         let limit = first.clamp(figures.least, figures.most);
-        Limit { figures, limit, answers: 0, late: 0, fell_at: f64::NEG_INFINITY }
+        ConcurrencyLimit { figures, limit, answers: 0, late: 0, fell_at: f64::NEG_INFINITY }
     }
 
     pub fn get(&self) -> f64 {
@@ -57,7 +57,7 @@
     /// An inference has begun to be answered, in good time or late; or was given up, which is late too. Late is best said
     /// of what comes near its target: a limit that waits for misses has had them. `open`: how many
     /// are open: a limit that is not used says nothing about itself.
-    pub fn answered(&mut self, now: f64, open: usize, late: bool) {
+    pub fn record_answer(&mut self, now: f64, open: usize, late: bool) {
         let f = self.figures;
         self.answers += 1;
         self.late += u32::from(late);
@@ -78,14 +78,14 @@
 
 /// Open work by tenant.
 #[derive(Default)]
-pub struct Fair {
+pub struct FairShare {
     /// Open, and weight; only of those with something open or of late.
     of: BTreeMap<usize, (usize, f64)>,
     open: usize,
     weights: f64,
 }
 
-impl Fair {
+impl FairShare {
     pub fn open(&self) -> usize {
         self.open
     }
@@ -105,14 +105,14 @@
         mine + 1.0 <= part && (self.open as f64) < limit * (1.0 + reserve)
     }
 
-    pub fn opened(&mut self, tenant: usize, weight: f64) {
+    pub fn request_opened(&mut self, tenant: usize, weight: f64) {
         let e = self.of.entry(tenant).or_insert((0, 0.0));
         self.weights += weight - e.1;
         *e = (e.0 + 1, weight);
         self.open += 1;
     }
 
-    pub fn closed(&mut self, tenant: usize) {
+    pub fn request_closed(&mut self, tenant: usize) {
         let Some(e) = self.of.get_mut(&tenant) else { return };
         e.0 -= 1;
         self.open -= 1;
@@ -142,8 +142,8 @@
         let quiet = 0.2 * capacity;
         let mut chance = WyRand::new_seed(11);
         let mut dice = move || (chance.generate::<u32>() as f64 / u32::MAX as f64).max(1e-9);
-        let mut limit = Limit::new(Figures::default(), 400.0);
-        let mut f = Fair::default();
+        let mut limit = ConcurrencyLimit::new(FairShareLimits::default(), 400.0);
+        let mut f = FairShare::default();
         // Arrivals, then ends, by time in microseconds: least first.
         let mut next = [-dice().ln() / quiet, -dice().ln() / (quiet * noise)];
         let mut running: BinaryHeap<std::cmp::Reverse<(u64, usize)>> = BinaryHeap::new();
@@ -158,7 +158,7 @@
             }
             if end <= now {
                 let Some(std::cmp::Reverse((_, t))) = running.pop() else { unreachable!() };
-                f.closed(t);
+                f.request_closed(t);
             } else {
                 let t = usize::from(next[1] < next[0]);
                 let rate = if t == 0 { quiet } else { quiet * noise };
@@ -173,7 +173,7 @@
                 };
                 if admitted {
                     left[t] -= 1.0;
-                    f.opened(t, 1.0);
+                    f.request_opened(t, 1.0);
                     queue.push_back((now, t));
                 }
             }
@@ -182,9 +182,9 @@
                 let waited = now - since;
                 // What has waited too long is given up.
                 let late = waited > target;
-                limit.answered(now, f.open(), waited > 0.4 * target);
+                limit.record_answer(now, f.open(), waited > 0.4 * target);
                 if late {
-                    f.closed(t);
+                    f.request_closed(t);
                     continue;
                 }
                 if t == 0 && since > 10.0 {
@@ -211,34 +211,34 @@
 
     #[test]
     fn the_limit_finds_what_is_served_and_is_not_moved_by_what_is_not_used() {
-        let mut l = Limit::new(Figures::default(), 100.0);
-        (0..1000).for_each(|n| l.answered(f64::from(n), 10, false));
+        let mut l = ConcurrencyLimit::new(FairShareLimits::default(), 100.0);
+        (0..1000).for_each(|n| l.record_answer(f64::from(n), 10, false));
         assert_eq!(l.get(), 100.0);
-        (0..1000).for_each(|n| l.answered(f64::from(n), 100, false));
+        (0..1000).for_each(|n| l.record_answer(f64::from(n), 100, false));
         assert!(l.get() > 105.0);
         let before = l.get();
         // One overload counts once.
-        (0..200).for_each(|_| l.answered(2000.0, 110, true));
+        (0..200).for_each(|_| l.record_answer(2000.0, 110, true));
         assert!(l.get() < 0.9 * before && l.get() > 0.7 * before, "{}", l.get());
-        (0..20_000).for_each(|n| l.answered(3000.0 + f64::from(n), 20, true));
+        (0..20_000).for_each(|n| l.record_answer(3000.0 + f64::from(n), 20, true));
         assert_eq!(l.get(), 16.0);
     }
 
     #[test]
     fn parts_go_by_weight_among_those_who_want_something() {
-        let mut f = Fair::default();
-        (0..80).for_each(|_| f.opened(1, 1.0));
+        let mut f = FairShare::default();
+        (0..80).for_each(|_| f.request_opened(1, 1.0));
         assert!(f.admits(100.0, 0.25, 1, 1.0), "below the limit all come in");
-        (0..20).for_each(|_| f.opened(1, 1.0));
+        (0..20).for_each(|_| f.request_opened(1, 1.0));
         // At it, another has room up to its part, and no further than the reserve.
         let mut n = 0;
         while f.admits(100.0, 0.25, 2, 3.0) {
-            f.opened(2, 3.0);
+            f.request_opened(2, 3.0);
             n += 1;
         }
         assert!(n == 25 && !f.admits(100.0, 0.25, 1, 1.0));
-        (0..100).for_each(|_| f.closed(1));
-        (0..25).for_each(|_| f.closed(2));
+        (0..100).for_each(|_| f.request_closed(1));
+        (0..25).for_each(|_| f.request_closed(2));
         assert_eq!((f.open(), f.of.len()), (0, 0));
     }
 }
--- a/crates/nickelgw-tenants/src/core/mod.rs
+++ b/crates/nickelgw-tenants/src/core/mod.rs
@@ -1,6 +1,6 @@
 //! Rights and limits of tenants. No I/O.
 
-pub mod buckets;
-pub mod fair;
-pub mod parts;
-pub mod rights;
+pub mod fair_share;
+pub mod permissions;
+pub mod token_buckets;
+pub mod weights;
--- a/crates/nickelgw-tenants/src/core/buckets.rs
+++ b/crates/nickelgw-tenants/src/core/token_buckets.rs
@@ -1,7 +1,7 @@
 //! Token buckets of tenant, group and route, each of inferences and of prompt tokens: a request is let in only if every
 //! bucket on its way has room, and then takes from all of them. What a bucket holds is this node's part of the whole.
 
-use super::rights::Quota;
+use super::permissions::Quota;
 use std::collections::BTreeMap;
 
 /// Seconds' worth that may come at once, and a number that chance alone may bring together.
--- a/crates/nickelgw-test-servers/src/engine.rs
+++ b/crates/nickelgw-test-servers/src/engine.rs
@@ -12,7 +12,7 @@
 use hyper::body::{Frame, Incoming};
 use hyper::{HeaderMap, Method, Request, Response};
 use nanorand::{Rng, WyRand};
-use nickelgw_chat::core::grant::{Checker, GrantKey, Granted};
+use nickelgw_chat::core::grant::{GrantChecker, GrantClaims, GrantKey};
 use nickelgw_protocol::chat::ChatRequest;
 use nickelgw_protocol::engine::{KvTransfer, DRAINING, FULL, NO_STATE};
 use nickelgw_protocol::load::{self, LoadReport};
@@ -59,7 +59,7 @@
     die: Sender<()>,
     ex: smol::LocalExecutor<'static>,
     streams: Cell<u64>,
-    grants: Option<RefCell<Checker>>,
+    grants: Option<RefCell<GrantChecker>>,
     tls: Option<Rc<Tls>>,
 }
 
@@ -106,7 +106,7 @@
     );
     let tls = figures.tls.clone().map(|f| Rc::new(Tls::new(f, record.clone())));
     let keys = figures.grant_keys.iter().filter_map(|(n, secret)| GrantKey::of(*n, secret));
-    let grants = (!figures.grant_keys.is_empty()).then(|| RefCell::new(Checker::new(keys)));
+    let grants = (!figures.grant_keys.is_empty()).then(|| RefCell::new(GrantChecker::new(keys)));
     let engine = Rc::new(Engine {
         grants,
         tls: tls.clone(),
@@ -284,8 +284,12 @@
     async fn fetched(self: Rc<Self>, name: &str, headers: &HeaderMap) -> Result<Answer, Cut> {
         if let Some(checker) = &self.grants {
             let m = self.model.borrow();
-            let g =
-                Granted { state: name, reader: &m.figures.id, writer: header(headers, ENGINE), until: 0.0 };
+            let g = GrantClaims {
+                reservation: name,
+                prefill_engine: &m.figures.id,
+                decode_engine: header(headers, ENGINE),
+                expires_at: 0.0,
+            };
             if let Err(why) = checker.borrow_mut().check(unix_now(), header(headers, GRANT), &g) {
                 self.record.note("not_granted", json!({"state": name, "why": format!("{why:?}")}));
                 return Ok(error(403, "not_granted"));
--- a/crates/nickelgw-test-servers/src/list.rs
+++ b/crates/nickelgw-test-servers/src/list.rs
@@ -4,7 +4,7 @@
 use crate::serve::{answer, body, error, json, serve, Answer, Cut};
 use hyper::body::Incoming;
 use hyper::{Method, Request};
-use nickelgw_protocol::list::{Line, List, State};
+use nickelgw_protocol::list::{EndpointEntry, EndpointList, EngineState};
 use serde_json::{json, Value};
 use smol::Timer;
 use std::cell::RefCell;
@@ -15,9 +15,9 @@
 
 struct Lines {
     revision: u64,
-    shown: BTreeMap<String, Line>,
+    shown: BTreeMap<String, EndpointEntry>,
     /// Changes not visible yet: from when, and the line, or its id where it is taken out.
-    coming: Vec<(f64, Result<Line, String>)>,
+    coming: Vec<(f64, Result<EndpointEntry, String>)>,
     stalled_until: f64,
 }
 
@@ -46,7 +46,7 @@
 /// Serves until dropped. `lag_s`: how late a change is seen.
 pub async fn run(
     listener: TcpListener,
-    engines: Vec<Line>,
+    engines: Vec<EndpointEntry>,
     lag_s: f64,
     record: Record,
 ) -> std::io::Result<()> {
@@ -78,14 +78,18 @@
                     // A stalled list answers nothing at all.
                     let stalled = now < l.stalled_until;
                     let fresh = l.revision as f64 > after || wait == 0.0;
-                    let list = || List { revision: l.revision, engines: l.shown.values().cloned().collect() };
+                    let list = || EndpointList {
+                        revision: l.revision,
+                        engines: l.shown.values().cloned().collect(),
+                    };
                     (!stalled && fresh).then(list)
                 };
                 if let Some(list) = news {
-                    let of =
-                        |s: State| list.engines.iter().filter(move |l| l.state == s).map(|l| l.id.as_str());
+                    let of = |s: EngineState| {
+                        list.engines.iter().filter(move |l| l.state == s).map(|l| l.id.as_str())
+                    };
                     let (inside, draining): (Vec<_>, Vec<_>) =
-                        (of(State::In).collect(), of(State::Draining).collect());
+                        (of(EngineState::Active).collect(), of(EngineState::Draining).collect());
                     let told =
                         json!({"node": node, "revision": list.revision, "in": inside, "draining": draining});
                     record.note("told", told);
@@ -108,7 +112,7 @@
                 l.stalled_until = now + s;
             }
             let late = v["lag_s"].as_f64().unwrap_or(lag_s);
-            if let Ok(line) = serde_json::from_value::<Line>(v["line"].clone()) {
+            if let Ok(line) = serde_json::from_value::<EndpointEntry>(v["line"].clone()) {
                 l.coming.push((now + late, Ok(line)));
             }
             if let Some(id) = v["remove"].as_str() {
