--- a/crates/nickelgw-tls/src/core/generation.rs
+++ b/crates/nickelgw-tls/src/core/generation.rs
@@ -21,7 +21,7 @@
 
 /// What was read from the files, all of it from one reading.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Material {
+pub struct KeyMaterial {
     /// Leaf first; empty where no certificate of one's own is used.
     pub chain: Vec<Cert>,
     /// Whether the key fits the leaf; `None` without a key.
@@ -34,7 +34,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Refused {
+pub enum KeyMaterialError {
     /// A chain without its key, or a key without its chain.
     Half,
     KeyDoesNotFit,
@@ -59,20 +59,28 @@
     NoTrust,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for KeyMaterialError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Refused::Half => write!(f, "a key and a chain belong together, one of them is missing"),
-            Refused::KeyDoesNotFit => write!(f, "the key does not fit the certificate: rotated by half?"),
-            Refused::KeyOpenToOthers => write!(f, "the key's file can be read by others; wanted: mode 0600"),
-            Refused::Expired { subject, since_s } => write!(f, "{subject} ended {since_s:.0} s ago"),
-            Refused::NotYetValid { subject, in_s } => write!(f, "{subject} begins in {in_s:.0} s only"),
-            Refused::BrokenChain { subject } => write!(f, "{subject} is not signed by what follows it"),
-            Refused::NoNames { subject } => write!(f, "{subject} stands for no name"),
-            Refused::NotAnAuthority { subject } => {
+            KeyMaterialError::Half => write!(f, "a key and a chain belong together, one of them is missing"),
+            KeyMaterialError::KeyDoesNotFit => {
+                write!(f, "the key does not fit the certificate: rotated by half?")
+            }
+            KeyMaterialError::KeyOpenToOthers => {
+                write!(f, "the key's file can be read by others; wanted: mode 0600")
+            }
+            KeyMaterialError::Expired { subject, since_s } => write!(f, "{subject} ended {since_s:.0} s ago"),
+            KeyMaterialError::NotYetValid { subject, in_s } => {
+                write!(f, "{subject} begins in {in_s:.0} s only")
+            }
+            KeyMaterialError::BrokenChain { subject } => {
+                write!(f, "{subject} is not signed by what follows it")
+            }
+            KeyMaterialError::NoNames { subject } => write!(f, "{subject} stands for no name"),
+            KeyMaterialError::NotAnAuthority { subject } => {
                 write!(f, "{subject} is trusted or signs, but is no authority")
             }
-            Refused::NoTrust => write!(f, "the trust bundle holds no certificate"),
+            KeyMaterialError::NoTrust => write!(f, "the trust bundle holds no certificate"),
         }
     }
 }
@@ -123,9 +131,9 @@
 
 /// The generation in force.
 #[derive(Clone, Debug)]
-pub struct Generation {
+pub struct KeyGeneration {
     pub number: u64,
-    pub material: Material,
+    pub material: KeyMaterial,
     /// Roots of earlier bundles, and until when they are trusted too.
     pub old_roots: Vec<(Cert, f64)>,
     /// Steps of expiry already told.
@@ -135,11 +143,11 @@
 
 /// Keys and trust of one side: what is in force, what was refused, what is to be said.
 pub struct Keyring {
-    now: Option<Generation>,
+    now: Option<KeyGeneration>,
     overlap_s: f64,
     needs_trust: bool,
     numbers: u64,
-    refused: Option<Refused>,
+    refused: Option<KeyMaterialError>,
 }
 
 impl Keyring {
@@ -148,17 +156,17 @@
         Keyring { now: None, overlap_s, needs_trust, numbers: 0, refused: None }
     }
 
-    pub fn current(&self) -> Option<&Generation> {
+    pub fn current(&self) -> Option<&KeyGeneration> {
         self.now.as_ref()
     }
 
     /// Why the newest files are not in force, if they are not.
-    pub fn refusal(&self) -> Option<&Refused> {
+    pub fn refusal(&self) -> Option<&KeyMaterialError> {
         self.refused.as_ref()
     }
 
     /// Takes new material into force, or refuses it and leaves all as it is. `Ok(false)`: nothing is new.
-    pub fn offer(&mut self, now: f64, m: Material) -> Result<bool, Refused> {
+    pub fn offer(&mut self, now: f64, m: KeyMaterial) -> Result<bool, KeyMaterialError> {
         if self.now.as_ref().is_some_and(|g| g.material.digest == m.digest) {
             self.refused = None;
             return Ok(false);
@@ -181,48 +189,49 @@
             old_roots.truncate(MOST_ROOTS.saturating_sub(m.roots.len()));
         }
         let told = m.chain.first().map_or(0, |c| Self::steps(now, c));
-        self.now = Some(Generation { number: self.numbers, material: m, old_roots, told, ended_told: false });
+        self.now =
+            Some(KeyGeneration { number: self.numbers, material: m, old_roots, told, ended_told: false });
         Ok(true)
     }
 
-    fn check(&self, now: f64, m: &Material) -> Result<(), Refused> {
+    fn check(&self, now: f64, m: &KeyMaterial) -> Result<(), KeyMaterialError> {
         match (m.chain.first(), m.key_fits) {
             (None, None) => {}
             (Some(_), Some(true)) => {}
-            (Some(_), Some(false)) => return Err(Refused::KeyDoesNotFit),
-            _ => return Err(Refused::Half),
+            (Some(_), Some(false)) => return Err(KeyMaterialError::KeyDoesNotFit),
+            _ => return Err(KeyMaterialError::Half),
         }
         if m.key_open_to_others {
-            return Err(Refused::KeyOpenToOthers);
+            return Err(KeyMaterialError::KeyOpenToOthers);
         }
         for (n, c) in m.chain.iter().enumerate() {
             let subject = c.subject.clone();
             if now > c.not_after {
-                return Err(Refused::Expired { subject, since_s: now - c.not_after });
+                return Err(KeyMaterialError::Expired { subject, since_s: now - c.not_after });
             }
             if now + SKEW_S < c.not_before {
-                return Err(Refused::NotYetValid { subject, in_s: c.not_before - now });
+                return Err(KeyMaterialError::NotYetValid { subject, in_s: c.not_before - now });
             }
             if n > 0 && !c.is_ca {
-                return Err(Refused::NotAnAuthority { subject });
+                return Err(KeyMaterialError::NotAnAuthority { subject });
             }
             if c.signed == Some(false) || (c.signed.is_none() && n + 1 < m.chain.len()) {
-                return Err(Refused::BrokenChain { subject });
+                return Err(KeyMaterialError::BrokenChain { subject });
             }
         }
         if let Some(leaf) = m.chain.first().filter(|c| c.names.is_empty()) {
-            return Err(Refused::NoNames { subject: leaf.subject.clone() });
+            return Err(KeyMaterialError::NoNames { subject: leaf.subject.clone() });
         }
         if self.needs_trust && m.roots.is_empty() {
-            return Err(Refused::NoTrust);
+            return Err(KeyMaterialError::NoTrust);
         }
         // A bundle may hold ended roots beside good ones, as real bundles do; not only those.
         if let Some(r) = m.roots.iter().find(|r| !r.is_ca) {
-            return Err(Refused::NotAnAuthority { subject: r.subject.clone() });
+            return Err(KeyMaterialError::NotAnAuthority { subject: r.subject.clone() });
         }
         match m.roots.iter().map(|r| r.not_after).reduce(f64::max) {
             Some(last) if last < now => {
-                Err(Refused::Expired { subject: m.roots[0].subject.clone(), since_s: now - last })
+                Err(KeyMaterialError::Expired { subject: m.roots[0].subject.clone(), since_s: now - last })
             }
             _ => Ok(()),
         }
--- a/crates/nickelgw-tls/src/core/generation_tests.rs
+++ b/crates/nickelgw-tls/src/core/generation_tests.rs
@@ -18,8 +18,8 @@
     }
 }
 
-fn material(id: u8) -> Material {
-    Material {
+fn material(id: u8) -> KeyMaterial {
+    KeyMaterial {
         chain: vec![cert(id, 0.0, 100.0 * DAY), cert(100, 0.0, 900.0 * DAY)],
         key_fits: Some(true),
         key_open_to_others: false,
@@ -28,18 +28,18 @@
     }
 }
 
-#[test_case(|m| m.key_fits = Some(false), Refused::KeyDoesNotFit; "a key of another")]
-#[test_case(|m| m.key_fits = None, Refused::Half; "chain written, key not yet")]
-#[test_case(|m| m.chain.clear(), Refused::Half; "key written, chain not yet")]
-#[test_case(|m| m.key_open_to_others = true, Refused::KeyOpenToOthers; "mode")]
-#[test_case(|m| m.chain[0].not_after = 9.0 * DAY, Refused::Expired { subject: "CN=2".into(), since_s: DAY }; "expired")]
-#[test_case(|m| m.chain[0].not_before = 11.0 * DAY, Refused::NotYetValid { subject: "CN=2".into(), in_s: DAY }; "not yet valid")]
-#[test_case(|m| m.chain[0].signed = Some(false), Refused::BrokenChain { subject: "CN=2".into() }; "not signed by the next")]
-#[test_case(|m| m.chain[0].names.clear(), Refused::NoNames { subject: "CN=2".into() }; "no names")]
-#[test_case(|m| m.chain[1].is_ca = false, Refused::NotAnAuthority { subject: "CN=100".into() }; "an intermediate that may not sign")]
-#[test_case(|m| m.roots.clear(), Refused::NoTrust; "empty bundle")]
-#[test_case(|m| m.roots[0].not_after = 9.0 * DAY, Refused::Expired { subject: "CN=200".into(), since_s: DAY }; "only ended roots")]
-fn what_is_not_sound_is_refused_and_the_old_stays(spoil: fn(&mut Material), why: Refused) {
+#[test_case(|m| m.key_fits = Some(false), KeyMaterialError::KeyDoesNotFit; "a key of another")]
+#[test_case(|m| m.key_fits = None, KeyMaterialError::Half; "chain written, key not yet")]
+#[test_case(|m| m.chain.clear(), KeyMaterialError::Half; "key written, chain not yet")]
+#[test_case(|m| m.key_open_to_others = true, KeyMaterialError::KeyOpenToOthers; "mode")]
+#[test_case(|m| m.chain[0].not_after = 9.0 * DAY, KeyMaterialError::Expired { subject: "CN=2".into(), since_s: DAY }; "expired")]
+#[test_case(|m| m.chain[0].not_before = 11.0 * DAY, KeyMaterialError::NotYetValid { subject: "CN=2".into(), in_s: DAY }; "not yet valid")]
+#[test_case(|m| m.chain[0].signed = Some(false), KeyMaterialError::BrokenChain { subject: "CN=2".into() }; "not signed by the next")]
+#[test_case(|m| m.chain[0].names.clear(), KeyMaterialError::NoNames { subject: "CN=2".into() }; "no names")]
+#[test_case(|m| m.chain[1].is_ca = false, KeyMaterialError::NotAnAuthority { subject: "CN=100".into() }; "an intermediate that may not sign")]
+#[test_case(|m| m.roots.clear(), KeyMaterialError::NoTrust; "empty bundle")]
+#[test_case(|m| m.roots[0].not_after = 9.0 * DAY, KeyMaterialError::Expired { subject: "CN=200".into(), since_s: DAY }; "only ended roots")]
+fn what_is_not_sound_is_refused_and_the_old_stays(spoil: fn(&mut KeyMaterial), why: KeyMaterialError) {
     let mut k = Keyring::new(600.0, true);
     assert_eq!(k.offer(10.0 * DAY, material(1)), Ok(true));
     let mut bad = material(2);
--- a/crates/nickelgw-tls/src/core/pool.rs
+++ b/crates/nickelgw-tls/src/core/pool.rs
@@ -38,40 +38,40 @@
 
 /// A connection that stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Conn(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// Somebody who wants one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Asker(pub u64);
+pub struct WaiterId(pub u64);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
-    Reuse(Conn),
+pub enum Checkout {
+    Reuse(ConnectionId),
     /// Make a handshake, and tell how it went.
     Open,
     /// An answer comes by [`Pool::due`].
     Wait,
     /// The engine is left alone after failures, or too many wait.
-    Refused,
+    Rejected,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Do {
-    Tell(Asker, Answer),
-    Close(Conn),
+pub enum PoolCommand {
+    Notify(WaiterId, Checkout),
+    Close(ConnectionId),
 }
 
 /// Why a handshake failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum ConnectFailure {
     /// Not reached, or not in time: the module judges silence by itself, a short rest is enough.
-    Unreached,
+    Unreachable,
     /// Its certificate is not accepted: that does not mend within moments.
     Untrusted,
 }
 
 struct Idle {
-    conn: Conn,
+    conn: ConnectionId,
     generation: u64,
     since: f64,
 }
@@ -81,7 +81,7 @@
     /// Most lately used last.
     idle: Vec<Idle>,
     /// Handed out, and of which generation.
-    busy: BTreeMap<Conn, u64>,
+    busy: BTreeMap<ConnectionId, u64>,
     opening: usize,
     failures: u32,
     rest_until: f64,
@@ -95,9 +95,9 @@
     lanes: BTreeMap<String, Lane>,
     opening: usize,
     /// First come first served, but for engines that are at their own limit.
-    waiting: VecDeque<(Asker, String)>,
-    openers: BTreeMap<Asker, String>,
-    ready: Vec<Do>,
+    waiting: VecDeque<(WaiterId, String)>,
+    openers: BTreeMap<WaiterId, String>,
+    ready: Vec<PoolCommand>,
     next: u64,
     pub refused: u64,
     pub handshakes: u64,
@@ -134,30 +134,30 @@
     }
 
     /// A connection is wanted. Work that an open connection can take waits for no handshake.
-    pub fn want(&mut self, now: f64, engine: &str, asker: Asker) -> Answer {
+    pub fn want(&mut self, now: f64, engine: &str, asker: WaiterId) -> Checkout {
         if let Some(conn) = self.reuse(now, engine) {
-            return Answer::Reuse(conn);
+            return Checkout::Reuse(conn);
         }
         let lane = self.lanes.entry(engine.to_string()).or_default();
         if now < lane.rest_until {
             self.refused += 1;
-            return Answer::Refused;
+            return Checkout::Rejected;
         }
         let ahead = self.waiting.iter().any(|w| w.1 == engine);
         if !ahead && self.may_open(now, engine) {
             self.open(engine, asker);
-            return Answer::Open;
+            return Checkout::Open;
         }
         if self.waiting.len() >= self.figures.most_waiting {
             self.refused += 1;
-            return Answer::Refused;
+            return Checkout::Rejected;
         }
         self.waiting.push_back((asker, engine.to_string()));
-        Answer::Wait
+        Checkout::Wait
     }
 
     /// The most lately used unused connection, one of the generation in force before older ones.
-    fn reuse(&mut self, now: f64, engine: &str) -> Option<Conn> {
+    fn reuse(&mut self, now: f64, engine: &str) -> Option<ConnectionId> {
         let (generation, idle_s) = (self.generation, self.figures.idle_s);
         let lane = self.lanes.get_mut(engine)?;
         let fresh = |i: &Idle| now - i.since < idle_s;
@@ -177,14 +177,14 @@
         now >= rest && opening < most && self.opening < self.figures.at_once
     }
 
-    fn open(&mut self, engine: &str, asker: Asker) {
+    fn open(&mut self, engine: &str, asker: WaiterId) {
         self.opening += 1;
         self.handshakes += 1;
         self.openers.insert(asker, engine.to_string());
         self.lanes.entry(engine.to_string()).or_default().opening += 1;
     }
 
-    fn close_opening(&mut self, asker: Asker) -> Option<String> {
+    fn close_opening(&mut self, asker: WaiterId) -> Option<String> {
         let engine = self.openers.remove(&asker)?;
         self.opening -= 1;
         if let Some(lane) = self.lanes.get_mut(&engine) {
@@ -194,10 +194,10 @@
     }
 
     /// The handshake that the asker was told to make stands; the connection is its own from now on.
-    pub fn opened(&mut self, now: f64, asker: Asker, generation: u64) -> Option<Conn> {
+    pub fn opened(&mut self, now: f64, asker: WaiterId, generation: u64) -> Option<ConnectionId> {
         let engine = self.close_opening(asker)?;
         self.next += 1;
-        let conn = Conn(self.next);
+        let conn = ConnectionId(self.next);
         if let Some(lane) = self.lanes.get_mut(&engine) {
             (lane.failures, lane.rest_until) = (0, 0.0);
             lane.busy.insert(conn, generation);
@@ -207,33 +207,33 @@
     }
 
     /// It failed. Who waits for that engine waits for nothing better.
-    pub fn failed(&mut self, now: f64, asker: Asker, why: Failure) {
+    pub fn failed(&mut self, now: f64, asker: WaiterId, why: ConnectFailure) {
         let Some(engine) = self.close_opening(asker) else { return };
         self.rest(now, &engine, why);
         let (gone, rest): (VecDeque<_>, VecDeque<_>) = self.waiting.drain(..).partition(|w| w.1 == engine);
         self.waiting = rest;
         self.refused += gone.len() as u64;
-        self.ready.extend(gone.into_iter().map(|w| Do::Tell(w.0, Answer::Refused)));
+        self.ready.extend(gone.into_iter().map(|w| PoolCommand::Notify(w.0, Checkout::Rejected)));
         self.serve(now);
     }
 
     /// A connection of the engine was refused after it stood: TLS 1.3 lets the far side verify us last.
-    pub fn broke(&mut self, now: f64, engine: &str, why: Failure) {
+    pub fn broke(&mut self, now: f64, engine: &str, why: ConnectFailure) {
         self.rest(now, engine, why);
     }
 
-    fn rest(&mut self, now: f64, engine: &str, why: Failure) {
+    fn rest(&mut self, now: f64, engine: &str, why: ConnectFailure) {
         let f = &self.figures;
         if let Some(lane) = self.lanes.get_mut(engine) {
             lane.failures = (lane.failures + 1).min(16);
             let rest = f.first_rest_s * f64::from(1u32 << (lane.failures - 1));
-            let rest = if why == Failure::Untrusted { 4.0 * rest } else { rest };
+            let rest = if why == ConnectFailure::Untrusted { 4.0 * rest } else { rest };
             lane.rest_until = lane.rest_until.max(now + rest.min(f.longest_rest_s));
         }
     }
 
     /// The asker no longer wants one: it waited, or was opening one.
-    pub fn gave_up(&mut self, now: f64, asker: Asker) {
+    pub fn gave_up(&mut self, now: f64, asker: WaiterId) {
         self.waiting.retain(|w| w.0 != asker);
         if self.close_opening(asker).is_some() {
             self.serve(now);
@@ -241,17 +241,17 @@
     }
 
     /// A connection whose last answer was read to its end comes back.
-    pub fn returned(&mut self, now: f64, engine: &str, conn: Conn) {
+    pub fn returned(&mut self, now: f64, engine: &str, conn: ConnectionId) {
         let (generation, most) = (self.generation, self.figures.most_idle);
         let Some(lane) = self.lanes.get_mut(engine) else {
-            self.ready.push(Do::Close(conn));
+            self.ready.push(PoolCommand::Close(conn));
             return;
         };
         let Some(g) = lane.busy.remove(&conn) else { return };
         // Of an older generation it is not kept, unless somebody waits who would need a handshake otherwise.
         let wanted = self.waiting.iter().any(|w| w.1 == engine);
         if (g != generation && !wanted) || lane.idle.len() >= most {
-            self.ready.push(Do::Close(conn));
+            self.ready.push(PoolCommand::Close(conn));
         } else {
             lane.idle.push(Idle { conn, generation: g, since: now });
         }
@@ -259,7 +259,7 @@
     }
 
     /// A connection is no more, handed out or not.
-    pub fn closed(&mut self, now: f64, engine: &str, conn: Conn) {
+    pub fn closed(&mut self, now: f64, engine: &str, conn: ConnectionId) {
         if let Some(lane) = self.lanes.get_mut(engine) {
             lane.busy.remove(&conn);
             lane.idle.retain(|i| i.conn != conn);
@@ -284,7 +284,7 @@
         for engine in gone {
             let lane = self.lanes.get_mut(&engine);
             let idle = lane.map(|l| std::mem::take(&mut l.idle)).unwrap_or_default();
-            self.ready.extend(idle.into_iter().map(|i| Do::Close(i.conn)));
+            self.ready.extend(idle.into_iter().map(|i| PoolCommand::Close(i.conn)));
             // One still in use or being opened is forgotten when that ends.
             let empty = |l: &Lane| l.busy.is_empty() && l.opening == 0;
             let awaited = self.waiting.iter().any(|w| w.1 == engine);
@@ -300,10 +300,10 @@
         while n < self.waiting.len() {
             let (asker, engine) = self.waiting[n].clone();
             let answer = match self.reuse(now, &engine) {
-                Some(conn) => Answer::Reuse(conn),
+                Some(conn) => Checkout::Reuse(conn),
                 None if self.may_open(now, &engine) => {
                     self.open(&engine, asker);
-                    Answer::Open
+                    Checkout::Open
                 }
                 None if self.opening >= self.figures.at_once
                     && self.lanes.values().all(|l| l.idle.is_empty()) =>
@@ -316,24 +316,24 @@
                 }
             };
             self.waiting.remove(n);
-            self.ready.push(Do::Tell(asker, answer));
+            self.ready.push(PoolCommand::Notify(asker, answer));
         }
     }
 
     /// What earlier calls brought, without a look at the clock's own matters.
-    pub fn ready(&mut self) -> Vec<Do> {
+    pub fn ready(&mut self) -> Vec<PoolCommand> {
         std::mem::take(&mut self.ready)
     }
 
     /// What to do now, and when to look again.
-    pub fn due(&mut self, now: f64) -> (Vec<Do>, Option<f64>) {
+    pub fn due(&mut self, now: f64) -> (Vec<PoolCommand>, Option<f64>) {
         let f = self.figures.clone();
         let mut wake: Option<f64> = None;
         let mut sooner = |at: f64| wake = Some(wake.map_or(at, |w| w.min(at)));
         for lane in self.lanes.values_mut() {
             let (old, keep): (Vec<_>, Vec<_>) = lane.idle.drain(..).partition(|i| now - i.since >= f.idle_s);
             lane.idle = keep;
-            self.ready.extend(old.into_iter().map(|i| Do::Close(i.conn)));
+            self.ready.extend(old.into_iter().map(|i| PoolCommand::Close(i.conn)));
             let generation = self.generation;
             while let Some(n) = lane.idle.iter().position(|i| i.generation != generation) {
                 if now < lane.retire_at {
@@ -341,7 +341,7 @@
                     break;
                 }
                 lane.retire_at = now + f.retire_gap_s;
-                self.ready.push(Do::Close(lane.idle.remove(n).conn));
+                self.ready.push(PoolCommand::Close(lane.idle.remove(n).conn));
             }
             lane.idle.iter().for_each(|i| sooner(i.since + f.idle_s));
         }
--- a/crates/nickelgw-tls/src/core/pool_tests.rs
+++ b/crates/nickelgw-tls/src/core/pool_tests.rs
@@ -7,9 +7,9 @@
     Figures { at_once: 4, at_once_engine: 2, most_waiting: 8, most_idle: 3, ..Figures::default() }
 }
 
-fn opened(p: &mut Pool, now: f64, engine: &str, asker: u64) -> Conn {
-    assert_eq!(p.want(now, engine, Asker(asker)), Answer::Open);
-    p.opened(now, Asker(asker), 0).unwrap()
+fn opened(p: &mut Pool, now: f64, engine: &str, asker: u64) -> ConnectionId {
+    assert_eq!(p.want(now, engine, WaiterId(asker)), Checkout::Open);
+    p.opened(now, WaiterId(asker), 0).unwrap()
 }
 
 #[test]
@@ -18,28 +18,28 @@
     let (a, b) = (opened(&mut p, 0.0, "e", 1), opened(&mut p, 0.0, "e", 2));
     p.returned(1.0, "e", a);
     p.returned(2.0, "e", b);
-    assert_eq!(p.want(2.0, "e", Asker(3)), Answer::Reuse(b));
-    assert_eq!(p.want(2.0, "e", Asker(4)), Answer::Reuse(a));
-    assert_eq!(p.want(2.0, "e", Asker(5)), Answer::Open);
+    assert_eq!(p.want(2.0, "e", WaiterId(3)), Checkout::Reuse(b));
+    assert_eq!(p.want(2.0, "e", WaiterId(4)), Checkout::Reuse(a));
+    assert_eq!(p.want(2.0, "e", WaiterId(5)), Checkout::Open);
 }
 
 #[test]
 fn handshakes_keep_to_the_engines_and_the_nodes_budget() {
     let mut p = Pool::new(figures());
-    let answers: Vec<_> = (0..3).map(|n| p.want(0.0, "a", Asker(n))).collect();
-    assert_eq!(answers, [Answer::Open, Answer::Open, Answer::Wait]);
-    assert_eq!(p.want(0.0, "b", Asker(10)), Answer::Open);
-    assert_eq!(p.want(0.0, "c", Asker(20)), Answer::Open);
-    assert_eq!(p.want(0.0, "d", Asker(30)), Answer::Wait);
+    let answers: Vec<_> = (0..3).map(|n| p.want(0.0, "a", WaiterId(n))).collect();
+    assert_eq!(answers, [Checkout::Open, Checkout::Open, Checkout::Wait]);
+    assert_eq!(p.want(0.0, "b", WaiterId(10)), Checkout::Open);
+    assert_eq!(p.want(0.0, "c", WaiterId(20)), Checkout::Open);
+    assert_eq!(p.want(0.0, "d", WaiterId(30)), Checkout::Wait);
     // Room for the node goes to the first who may use it.
-    p.opened(0.1, Asker(10), 0);
-    assert_eq!(p.due(0.1).0, [Do::Tell(Asker(30), Answer::Open)]);
-    let conn = p.opened(0.2, Asker(0), 0).unwrap();
-    assert_eq!(p.due(0.2).0, [Do::Tell(Asker(2), Answer::Open)]);
+    p.opened(0.1, WaiterId(10), 0);
+    assert_eq!(p.due(0.1).0, [PoolCommand::Notify(WaiterId(30), Checkout::Open)]);
+    let conn = p.opened(0.2, WaiterId(0), 0).unwrap();
+    assert_eq!(p.due(0.2).0, [PoolCommand::Notify(WaiterId(2), Checkout::Open)]);
     // A connection that comes back is better than a handshake.
-    assert_eq!(p.want(0.3, "a", Asker(4)), Answer::Wait);
+    assert_eq!(p.want(0.3, "a", WaiterId(4)), Checkout::Wait);
     p.returned(0.3, "a", conn);
-    assert_eq!(p.due(0.3).0, [Do::Tell(Asker(4), Answer::Reuse(conn))]);
+    assert_eq!(p.due(0.3).0, [PoolCommand::Notify(WaiterId(4), Checkout::Reuse(conn))]);
 }
 
 #[test]
@@ -50,38 +50,38 @@
     // Asked for a hundred times a second, for ten seconds.
     for n in 0..1000 {
         now += 0.01;
-        if p.want(now, "bad", Asker(n)) == Answer::Open {
+        if p.want(now, "bad", WaiterId(n)) == Checkout::Open {
             tries += 1;
-            p.failed(now, Asker(n), Failure::Untrusted);
+            p.failed(now, WaiterId(n), ConnectFailure::Untrusted);
         }
         assert_eq!(p.opening(), 0);
     }
     assert!((3..=8).contains(&tries), "{tries}");
     // Put right by a rotation it is tried at once.
     p.rotate(now, 1);
-    assert_eq!(p.want(now, "bad", Asker(5000)), Answer::Open);
+    assert_eq!(p.want(now, "bad", WaiterId(5000)), Checkout::Open);
 }
 
 #[test]
 fn a_failure_is_told_to_all_who_wait_for_that_engine_only() {
     let mut p = Pool::new(figures());
-    (0..2).map(|n| p.want(0.0, "a", Asker(n))).for_each(|_| {});
-    (2..4).map(|n| p.want(0.0, "b", Asker(n))).for_each(|_| {});
-    assert_eq!(p.want(0.0, "a", Asker(4)), Answer::Wait);
-    assert_eq!(p.want(0.0, "b", Asker(5)), Answer::Wait);
-    p.failed(0.1, Asker(0), Failure::Unreached);
-    assert_eq!(p.due(0.1).0, [Do::Tell(Asker(4), Answer::Refused)]);
+    (0..2).map(|n| p.want(0.0, "a", WaiterId(n))).for_each(|_| {});
+    (2..4).map(|n| p.want(0.0, "b", WaiterId(n))).for_each(|_| {});
+    assert_eq!(p.want(0.0, "a", WaiterId(4)), Checkout::Wait);
+    assert_eq!(p.want(0.0, "b", WaiterId(5)), Checkout::Wait);
+    p.failed(0.1, WaiterId(0), ConnectFailure::Unreachable);
+    assert_eq!(p.due(0.1).0, [PoolCommand::Notify(WaiterId(4), Checkout::Rejected)]);
     assert_eq!(p.waiting(), 1);
 }
 
 #[test]
 fn a_rotation_lets_unused_connections_go_step_by_step() {
     let mut p = Pool::new(figures());
-    let all: Vec<Conn> = (0..3).map(|n| opened(&mut p, 0.0, "e", n)).collect();
+    let all: Vec<ConnectionId> = (0..3).map(|n| opened(&mut p, 0.0, "e", n)).collect();
     all.iter().for_each(|&c| p.returned(0.0, "e", c));
     p.rotate(1.0, 1);
     // Still good for work at once.
-    assert!(matches!(p.want(1.0, "e", Asker(9)), Answer::Reuse(_)));
+    assert!(matches!(p.want(1.0, "e", WaiterId(9)), Checkout::Reuse(_)));
     let (mut now, mut closed) = (1.0, Vec::new());
     while closed.len() < 2 {
         let (todo, wake) = p.due(now);
@@ -93,19 +93,19 @@
     // The one in use is closed when it comes back.
     let used = all[2];
     p.returned(now, "e", used);
-    assert_eq!(p.due(now).0, [Do::Close(used)]);
+    assert_eq!(p.due(now).0, [PoolCommand::Close(used)]);
 }
 
 #[test]
 fn too_many_who_wait_are_refused_and_those_who_go_free_their_place() {
     let mut p = Pool::new(figures());
-    (0..10).map(|n| p.want(0.0, "a", Asker(n))).for_each(|_| {});
-    assert_eq!((p.waiting(), p.want(0.0, "a", Asker(10))), (8, Answer::Refused));
-    p.gave_up(0.1, Asker(5));
-    assert_eq!((p.waiting(), p.want(0.1, "a", Asker(11))), (7, Answer::Wait));
+    (0..10).map(|n| p.want(0.0, "a", WaiterId(n))).for_each(|_| {});
+    assert_eq!((p.waiting(), p.want(0.0, "a", WaiterId(10))), (8, Checkout::Rejected));
+    p.gave_up(0.1, WaiterId(5));
+    assert_eq!((p.waiting(), p.want(0.1, "a", WaiterId(11))), (7, Checkout::Wait));
     // An opener that goes gives its handshake to the next.
-    p.gave_up(0.2, Asker(0));
-    assert_eq!(p.due(0.2).0, [Do::Tell(Asker(2), Answer::Open)]);
+    p.gave_up(0.2, WaiterId(0));
+    assert_eq!(p.due(0.2).0, [PoolCommand::Notify(WaiterId(2), Checkout::Open)]);
 }
 
 proptest! {
@@ -117,25 +117,25 @@
         let f = figures();
         let mut p = Pool::new(f.clone());
         let (mut now, mut next, mut generation) = (0.0, 0u64, 0u64);
-        let mut opening: Vec<(Asker, usize)> = Vec::new();
-        let mut waiting: Vec<(Asker, usize)> = Vec::new();
-        let mut busy: Vec<(Conn, usize)> = Vec::new();
-        let mut known: BTreeSet<Conn> = BTreeSet::new();
+        let mut opening: Vec<(WaiterId, usize)> = Vec::new();
+        let mut waiting: Vec<(WaiterId, usize)> = Vec::new();
+        let mut busy: Vec<(ConnectionId, usize)> = Vec::new();
+        let mut known: BTreeSet<ConnectionId> = BTreeSet::new();
         let name = |e: usize| format!("e{e}");
-        let settle = |p: &mut Pool, now: f64, opening: &mut Vec<(Asker, usize)>,
-                      waiting: &mut Vec<(Asker, usize)>, busy: &mut Vec<(Conn, usize)>| {
+        let settle = |p: &mut Pool, now: f64, opening: &mut Vec<(WaiterId, usize)>,
+                      waiting: &mut Vec<(WaiterId, usize)>, busy: &mut Vec<(ConnectionId, usize)>| {
             for d in p.due(now).0 {
-                if let Do::Tell(a, answer) = d {
+                if let PoolCommand::Notify(a, answer) = d {
                     let n = waiting.iter().position(|w| w.0 == a).expect("only who waits is told");
                     let (_, e) = waiting.remove(n);
                     match answer {
-                        Answer::Open => opening.push((a, e)),
-                        Answer::Reuse(c) => {
+                        Checkout::Open => opening.push((a, e)),
+                        Checkout::Reuse(c) => {
                             assert!(!busy.iter().any(|b| b.0 == c), "handed out twice");
                             busy.push((c, e));
                         }
-                        Answer::Refused => {}
-                        Answer::Wait => panic!("told to wait"),
+                        Checkout::Rejected => {}
+                        Checkout::Wait => panic!("told to wait"),
                     }
                 }
             }
@@ -146,14 +146,14 @@
                 0..=3 => {
                     next += 1;
                     let e = pick % 5;
-                    match p.want(now, &name(e), Asker(next)) {
-                        Answer::Open => opening.push((Asker(next), e)),
-                        Answer::Wait => waiting.push((Asker(next), e)),
-                        Answer::Reuse(c) => {
+                    match p.want(now, &name(e), WaiterId(next)) {
+                        Checkout::Open => opening.push((WaiterId(next), e)),
+                        Checkout::Wait => waiting.push((WaiterId(next), e)),
+                        Checkout::Reuse(c) => {
                             prop_assert!(!busy.iter().any(|b| b.0 == c));
                             busy.push((c, e));
                         }
-                        Answer::Refused => {}
+                        Checkout::Rejected => {}
                     }
                 }
                 4 if !opening.is_empty() => {
@@ -164,7 +164,7 @@
                 }
                 5 if !opening.is_empty() => {
                     let (a, _) = opening.remove(pick % opening.len());
-                    p.failed(now, a, if pick % 2 == 0 { Failure::Untrusted } else { Failure::Unreached });
+                    p.failed(now, a, if pick % 2 == 0 { ConnectFailure::Untrusted } else { ConnectFailure::Unreachable });
                 }
                 6 if !busy.is_empty() => {
                     let (c, e) = busy.remove(pick % busy.len());
--- a/crates/nickelgw-tls/src/failure.rs
+++ b/crates/nickelgw-tls/src/failure.rs
@@ -1,10 +1,10 @@
 //! What a failed handshake, or a broken connection, says of the other side.
 
-use crate::core::pool::Failure;
+use crate::core::pool::ConnectFailure;
 use rustls::{AlertDescription as A, Error};
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Why {
+pub enum TlsFailure {
     /// Its certificate is not accepted here: expired, wrong name, unknown authority, not yet valid, self-signed.
     Certificate(String),
     /// It does not accept ours, or has none of ours: it ends the handshake with a certificate alert.
@@ -15,18 +15,20 @@
     Connection(String),
 }
 
-impl Why {
+impl TlsFailure {
     /// How the pool takes it: what is a matter of certificates does not mend within moments.
-    pub fn failure(&self) -> Failure {
+    pub fn failure(&self) -> ConnectFailure {
         match self {
-            Why::Certificate(_) | Why::OursRefused(_) | Why::Protocol(_) => Failure::Untrusted,
-            Why::Connection(_) => Failure::Unreached,
+            TlsFailure::Certificate(_) | TlsFailure::OursRefused(_) | TlsFailure::Protocol(_) => {
+                ConnectFailure::Untrusted
+            }
+            TlsFailure::Connection(_) => ConnectFailure::Unreachable,
         }
     }
 }
 
 /// Finds what TLS said in a chain of errors.
-pub fn why(e: &(dyn std::error::Error + 'static)) -> Why {
+pub fn why(e: &(dyn std::error::Error + 'static)) -> TlsFailure {
     let mut at = Some(e);
     while let Some(e) = at {
         let inner = e.downcast_ref::<std::io::Error>().and_then(|io| io.get_ref());
@@ -39,13 +41,13 @@
             None => e.source(),
         };
     }
-    Why::Connection(e.to_string())
+    TlsFailure::Connection(e.to_string())
 }
 
-fn of(e: &Error) -> Why {
+fn of(e: &Error) -> TlsFailure {
     let said = e.to_string();
     match e {
-        Error::InvalidCertificate(_) | Error::NoCertificatesPresented => Why::Certificate(said),
+        Error::InvalidCertificate(_) | Error::NoCertificatesPresented => TlsFailure::Certificate(said),
         Error::AlertReceived(
             A::BadCertificate
             | A::UnsupportedCertificate
@@ -55,7 +57,7 @@
             | A::UnknownCA
             | A::AccessDenied
             | A::CertificateRequired,
-        ) => Why::OursRefused(said),
-        _ => Why::Protocol(said),
+        ) => TlsFailure::OursRefused(said),
+        _ => TlsFailure::Protocol(said),
     }
 }
--- a/crates/nickelgw-tls/src/material.rs
+++ b/crates/nickelgw-tls/src/key_material.rs
@@ -1,6 +1,6 @@
 //! Files of keys, chains and trust: read at one time, understood whole, or refused with file and reason.
 
-use crate::core::generation::{Cert, Material};
+use crate::core::generation::{Cert, KeyMaterial};
 use rustls::crypto::ring::sign::any_supported_type;
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
@@ -27,7 +27,7 @@
 
 /// What the files hold: facts for the decision, and what rustls needs if it is taken.
 pub struct Read {
-    pub material: Material,
+    pub material: KeyMaterial,
     pub own: Option<Arc<CertifiedKey>>,
     pub roots: Vec<CertificateDer<'static>>,
 }
@@ -152,7 +152,7 @@
         !ders.is_empty() && own.keys_match().is_ok()
     };
     let key_fits = signing.as_ref().map(fits);
-    let material = Material {
+    let material = KeyMaterial {
         chain: facts(&ders, &roots).map_err(|e| (0, e))?,
         key_fits,
         key_open_to_others: false,
--- a/crates/nickelgw-tls/src/lib.rs
+++ b/crates/nickelgw-tls/src/lib.rs
@@ -3,9 +3,9 @@
 
 pub mod core;
 mod failure;
-mod material;
-mod side;
+mod key_material;
+mod peer_config;
 
-pub use failure::{why, Why};
-pub use material::{parse, Files, Problem, Read};
-pub use side::{Client, Said, Server, Versions};
+pub use failure::{why, TlsFailure};
+pub use key_material::{parse, Files, Problem, Read};
+pub use peer_config::{Client, Server, TlsEvent, Versions};
--- a/crates/nickelgw-tls/src/side.rs
+++ b/crates/nickelgw-tls/src/peer_config.rs
@@ -1,8 +1,8 @@
 //! The two sides of TLS, each with its files, its generation in force, and rustls made from it.
 
-use crate::core::generation::{Keyring, Notice, Refused, Term};
+use crate::core::generation::{KeyMaterialError, Keyring, Notice, Term};
 use crate::core::tickets::Tickets;
-use crate::material::{Files, Problem, Read};
+use crate::key_material::{Files, Problem, Read};
 use rustls::client::{ClientSessionStore, Resumption, Tls12ClientSessionValue, Tls13ClientSessionValue};
 use rustls::crypto::ring;
 use rustls::pki_types::{CertificateDer, ServerName};
@@ -33,10 +33,10 @@
 
 /// What a look at the files brought.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum TlsEvent {
     InForce { generation: u64 },
     Unreadable(Problem),
-    Refused(Refused),
+    Refused(KeyMaterialError),
     Notice(Notice),
 }
 
@@ -58,10 +58,10 @@
     }
 
     /// Reads the files and watches the terms; true: what rustls was made from has changed.
-    fn look(&mut self, now: f64, said: &mut Vec<Said>) -> bool {
+    fn look(&mut self, now: f64, said: &mut Vec<TlsEvent>) -> bool {
         let mut changed = false;
         match self.files.read() {
-            Err(p) => said.push(Said::Unreadable(p)),
+            Err(p) => said.push(TlsEvent::Unreadable(p)),
             Ok(Read { material, own, roots }) => {
                 let ids: Vec<[u8; 32]> = material.roots.iter().map(|r| r.id).collect();
                 let before = self.keyring.refusal().cloned();
@@ -71,12 +71,12 @@
                         self.roots.extend(ids.into_iter().zip(roots));
                         (changed, self.watch_at) = (true, now);
                         let generation = self.keyring.current().map_or(0, |g| g.number);
-                        said.push(Said::InForce { generation });
+                        said.push(TlsEvent::InForce { generation });
                     }
                     Ok(false) => {}
                     // Told once, not at each look.
                     Err(why) if before.as_ref() == Some(&why) => {}
-                    Err(why) => said.push(Said::Refused(why)),
+                    Err(why) => said.push(TlsEvent::Refused(why)),
                 }
             }
         }
@@ -84,7 +84,7 @@
             let (notices, again) = self.keyring.watch(now);
             self.watch_at = again;
             changed |= notices.iter().any(|n| matches!(n, Notice::OverlapEnded { .. }));
-            said.extend(notices.into_iter().map(Said::Notice));
+            said.extend(notices.into_iter().map(TlsEvent::Notice));
         }
         if changed {
             let wanted = self.keyring.roots(now);
@@ -172,7 +172,7 @@
     }
 
     /// Looks at the files; `now` in seconds since 1970.
-    pub fn look(&mut self, now: f64) -> Vec<Said> {
+    pub fn look(&mut self, now: f64) -> Vec<TlsEvent> {
         let mut said = Vec::new();
         if self.held.look(now, &mut said) {
             self.numbers += 1;
@@ -213,7 +213,7 @@
         self.held.keyring.term(now)
     }
 
-    pub fn refusal(&self) -> Option<&Refused> {
+    pub fn refusal(&self) -> Option<&KeyMaterialError> {
         self.held.keyring.refusal()
     }
 
@@ -236,7 +236,7 @@
         Server { held: Held::new(files, overlap_s, mutual), versions, mutual, config: None }
     }
 
-    pub fn look(&mut self, now: f64) -> Vec<Said> {
+    pub fn look(&mut self, now: f64) -> Vec<TlsEvent> {
         let mut said = Vec::new();
         if self.held.look(now, &mut said) {
             self.config = self.make();
--- a/crates/nickelgw-tls/tests/files.rs
+++ b/crates/nickelgw-tls/tests/files.rs
@@ -1,7 +1,7 @@
 //! Files of keys and trust: good ones, bad ones, and bytes of any kind.
 
-use nickelgw_tls::core::generation::Refused;
-use nickelgw_tls::{parse, Client, Files, Said, Versions};
+use nickelgw_tls::core::generation::KeyMaterialError;
+use nickelgw_tls::{parse, Client, Files, TlsEvent, Versions};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
@@ -56,8 +56,8 @@
     }
 }
 
-fn refused(said: &[Said]) -> Option<&Refused> {
-    said.iter().find_map(|s| if let Said::Refused(r) = s { Some(r) } else { None })
+fn refused(said: &[TlsEvent]) -> Option<&KeyMaterialError> {
+    said.iter().find_map(|s| if let TlsEvent::Refused(r) = s { Some(r) } else { None })
 }
 
 #[test]
@@ -66,17 +66,17 @@
     let (a, b) = (made("a.example.org"), made("b.example.org"));
     d.put(&a);
     let mut c = Client::new(d.files(), Versions::Only13, 0.0);
-    assert_eq!(c.look(now()), vec![Said::InForce { generation: 1 }]);
+    assert_eq!(c.look(now()), vec![TlsEvent::InForce { generation: 1 }]);
     fs::write(d.0.join("own.key"), &b[2]).unwrap();
-    assert_eq!(refused(&c.look(now())), Some(&Refused::KeyDoesNotFit));
+    assert_eq!(refused(&c.look(now())), Some(&KeyMaterialError::KeyDoesNotFit));
     // Said once, not at each look.
-    assert_eq!((c.look(now()), c.refusal()), (vec![], Some(&Refused::KeyDoesNotFit)));
+    assert_eq!((c.look(now()), c.refusal()), (vec![], Some(&KeyMaterialError::KeyDoesNotFit)));
     assert_eq!(c.config().unwrap().1, 1);
     d.put(&b);
     fs::set_permissions(d.0.join("own.key"), fs::Permissions::from_mode(0o644)).unwrap();
-    assert_eq!(refused(&c.look(now())), Some(&Refused::KeyOpenToOthers));
+    assert_eq!(refused(&c.look(now())), Some(&KeyMaterialError::KeyOpenToOthers));
     d.put(&b);
-    assert_eq!(c.look(now()), vec![Said::InForce { generation: 2 }]);
+    assert_eq!(c.look(now()), vec![TlsEvent::InForce { generation: 2 }]);
     assert_eq!((c.config().unwrap().1, c.refusal()), (2, None));
 }
 
@@ -105,11 +105,11 @@
         d.put(&a);
         fs::write(d.0.join(file), text).unwrap();
         let said = c.look(now());
-        let Some(Said::Unreadable(p)) = said.first() else { panic!("{file}: {said:?}") };
+        let Some(TlsEvent::Unreadable(p)) = said.first() else { panic!("{file}: {said:?}") };
         assert!(p.file.ends_with(file) && p.why.contains(word) && !p.why.contains(secret), "{p}");
     }
     fs::remove_file(d.0.join("own.pem")).unwrap();
-    assert!(matches!(&c.look(now())[0], Said::Unreadable(p) if p.file.ends_with("own.pem")));
+    assert!(matches!(&c.look(now())[0], TlsEvent::Unreadable(p) if p.file.ends_with("own.pem")));
     assert_eq!(c.config().unwrap().1, 1);
 }
 
--- a/crates/nickelgw-zones/src/core/tests.rs
+++ b/crates/nickelgw-zones/src/core/tests.rs
@@ -2,25 +2,41 @@
 use proptest::prelude::*;
 use test_case::test_case;
 
-const SIX: There = There { readers: 3, writers: 3 };
+const SIX: ZoneCapacity = ZoneCapacity { prefill_engines: 3, decode_engines: 3 };
 
 /// What a node saw of zone 1, and that it hears the others.
-fn seen(node: u64, heard: f64, silent: &[(u64, f64)], part: f64) -> Vec<Seen> {
-    let other = |zone| Seen { node, zone, heard: Some(heard + 100.0), silent: vec![], part: 1.0 };
-    vec![other(0), Seen { node, zone: 1, heard: Some(heard), silent: silent.to_vec(), part }, other(2)]
+fn seen(node: u64, heard: f64, silent: &[(u64, f64)], part: f64) -> Vec<ZoneObservation> {
+    let other = |zone| ZoneObservation {
+        node,
+        zone,
+        last_response_at: Some(heard + 100.0),
+        unreachable: vec![],
+        weight: 1.0,
+    };
+    vec![
+        other(0),
+        ZoneObservation {
+            node,
+            zone: 1,
+            last_response_at: Some(heard),
+            unreachable: silent.to_vec(),
+            weight: part,
+        },
+        other(2),
+    ]
 }
 
 /// So many nodes that found so many engines of zone 1 silent at that time.
-fn lost(nodes: u64, engines: u64, at: f64) -> Vec<Seen> {
+fn lost(nodes: u64, engines: u64, at: f64) -> Vec<ZoneObservation> {
     let silent = |n: u64| (0..engines).filter(|e| e % nodes == n).map(|e| (e, at)).collect::<Vec<_>>();
     (0..nodes).flat_map(|n| seen(n, 1.0, &silent(n), 1.0)).collect()
 }
 
-fn left() -> Ways {
-    let mut w = Ways::new(3, Figures::default());
-    w.look(10.0, &lost(3, 6, 10.0), &[SIX; 3]);
-    w.look(10.3, &lost(3, 6, 10.0), &[SIX; 3]);
-    assert_eq!(w.part(1), 0.0);
+fn left() -> ZoneStates {
+    let mut w = ZoneStates::new(3, ZoneConfig::default());
+    w.update(10.0, &lost(3, 6, 10.0), &[SIX; 3]);
+    w.update(10.3, &lost(3, 6, 10.0), &[SIX; 3]);
+    assert_eq!(w.weight(1), 0.0);
     w
 }
 
@@ -30,44 +46,44 @@
 #[test_case(3, 1, false; "one dead engine is no zone")]
 #[test_case(3, 2, false; "nor are two of six")]
 fn a_zone_is_left_when_enough_engines_are_silent(nodes: u64, engines: u64, leaves: bool) {
-    let mut w = Ways::new(3, Figures::default());
-    w.look(10.0, &lost(nodes, engines, 10.0), &[SIX; 3]);
-    assert_eq!(w.part(1), 1.0, "a doubt stands for a while first");
-    w.look(10.3, &lost(nodes, engines, 10.0), &[SIX; 3]);
-    assert_eq!((w.part(1) == 0.0, w.part(0), w.part(2)), (leaves, 1.0, 1.0));
+    let mut w = ZoneStates::new(3, ZoneConfig::default());
+    w.update(10.0, &lost(nodes, engines, 10.0), &[SIX; 3]);
+    assert_eq!(w.weight(1), 1.0, "a doubt stands for a while first");
+    w.update(10.3, &lost(nodes, engines, 10.0), &[SIX; 3]);
+    assert_eq!((w.weight(1) == 0.0, w.weight(0), w.weight(2)), (leaves, 1.0, 1.0));
 }
 
 /// One node that meets silence everywhere may be cut off itself, or lie.
 #[test]
 fn what_one_node_of_several_saw_is_no_zone() {
-    let mut w = Ways::new(3, Figures::default());
+    let mut w = ZoneStates::new(3, ZoneConfig::default());
     let mut all = lost(1, 6, 10.0);
     all.extend((1..3).flat_map(|n| seen(n, 1.0, &[], 1.0)));
     for t in 0..20 {
-        w.look(10.0 + 0.1 * f64::from(t), &all, &[SIX; 3]);
+        w.update(10.0 + 0.1 * f64::from(t), &all, &[SIX; 3]);
     }
-    assert_eq!(w.part(1), 1.0);
+    assert_eq!(w.weight(1), 1.0);
 }
 
 #[test]
 fn an_engine_heard_by_anybody_ends_the_doubt() {
-    let mut w = Ways::new(3, Figures::default());
+    let mut w = ZoneStates::new(3, ZoneConfig::default());
     let mut all = lost(3, 6, 10.0);
-    w.look(10.0, &all, &[SIX; 3]);
+    w.update(10.0, &all, &[SIX; 3]);
     all.extend(seen(7, 9.9, &[], 1.0));
-    w.look(10.4, &all, &[SIX; 3]);
-    assert_eq!(w.state(1), Some(State::In));
+    w.update(10.4, &all, &[SIX; 3]);
+    assert_eq!(w.state(1), Some(ZoneState::Active));
 }
 
 #[test]
 fn the_last_zone_with_readers_and_writers_is_not_left() {
-    let (readers, none) = (There { readers: 6, writers: 0 }, There::default());
+    let (readers, none) = (ZoneCapacity { prefill_engines: 6, decode_engines: 0 }, ZoneCapacity::default());
     for there in [[none, SIX, none], [readers, SIX, readers]] {
-        let mut w = Ways::new(3, Figures::default());
+        let mut w = ZoneStates::new(3, ZoneConfig::default());
         for t in [10.0, 10.3, 10.6] {
-            w.look(t, &lost(3, 6, 10.0), &there);
+            w.update(t, &lost(3, 6, 10.0), &there);
         }
-        assert_eq!(w.part(1), 1.0, "{there:?}");
+        assert_eq!(w.weight(1), 1.0, "{there:?}");
     }
 }
 
@@ -75,44 +91,44 @@
 fn a_return_goes_in_steps_and_a_step_back_at_once() {
     let mut w = left();
     let back = |at: f64| (0..3).flat_map(|n| seen(n, at, &[], 0.0)).collect::<Vec<_>>();
-    w.look(12.0, &back(11.9), &[SIX; 3]);
-    assert_eq!(w.own_part(1), 0.0, "heard again it still waits");
+    w.update(12.0, &back(11.9), &[SIX; 3]);
+    assert_eq!(w.own_weight(1), 0.0, "heard again it still waits");
     let mut parts = Vec::new();
     for t in 0..70 {
         let now = 12.5 + 0.1 * f64::from(t);
-        w.look(now, &back(now), &[SIX; 3]);
-        if parts.last() != Some(&w.own_part(1)) {
-            parts.push(w.own_part(1));
+        w.update(now, &back(now), &[SIX; 3]);
+        if parts.last() != Some(&w.own_weight(1)) {
+            parts.push(w.own_weight(1));
         }
     }
-    assert_eq!(parts, STEPS);
+    assert_eq!(parts, RECOVERY_WEIGHTS);
     // Again, and this time it fails in the second step.
     let mut w = left();
     for t in 0..20 {
         let now = 12.0 + 0.1 * f64::from(t);
-        w.look(now, &back(now), &[SIX; 3]);
+        w.update(now, &back(now), &[SIX; 3]);
     }
-    assert_eq!(w.own_part(1), STEPS[1]);
-    let failing: Vec<Seen> = (0..2).flat_map(|n| seen(n, 13.9, &[(n, 14.2)], 0.15)).collect();
-    w.look(14.2, &failing, &[SIX; 3]);
-    assert_eq!(w.own_part(1), STEPS[0]);
+    assert_eq!(w.own_weight(1), RECOVERY_WEIGHTS[1]);
+    let failing: Vec<ZoneObservation> = (0..2).flat_map(|n| seen(n, 13.9, &[(n, 14.2)], 0.15)).collect();
+    w.update(14.2, &failing, &[SIX; 3]);
+    assert_eq!(w.own_weight(1), RECOVERY_WEIGHTS[0]);
 }
 
 #[test]
 fn a_zone_that_flaps_waits_longer_each_time_up_to_a_bound() {
-    let f = Figures { longest_wait_s: 4.0, ..Figures::default() };
-    let mut w = Ways::new(3, f);
+    let f = ZoneConfig { max_failback_delay_s: 4.0, ..ZoneConfig::default() };
+    let mut w = ZoneStates::new(3, f);
     let (mut now, mut waits) = (10.0, Vec::new());
     for _ in 0..6 {
-        w.look(now, &lost(3, 6, now), &[SIX; 3]);
-        w.look(now + 0.4, &lost(3, 6, now), &[SIX; 3]);
-        assert_eq!(w.own_part(1), 0.0);
+        w.update(now, &lost(3, 6, now), &[SIX; 3]);
+        w.update(now + 0.4, &lost(3, 6, now), &[SIX; 3]);
+        assert_eq!(w.own_weight(1), 0.0);
         let from = now + 1.0;
         now = from;
-        while w.own_part(1) == 0.0 {
+        while w.own_weight(1) == 0.0 {
             now += 0.05;
-            let all: Vec<Seen> = (0..3).flat_map(|n| seen(n, now, &[], 0.0)).collect();
-            w.look(now, &all, &[SIX; 3]);
+            let all: Vec<ZoneObservation> = (0..3).flat_map(|n| seen(n, now, &[], 0.0)).collect();
+            w.update(now, &all, &[SIX; 3]);
         }
         waits.push(((now - from) * 2.0).round() / 2.0);
         now += 1.0;
@@ -124,11 +140,11 @@
 #[test_case(2, 0.05; "two")]
 #[test_case(1, 1.0; "one, who may lie")]
 fn a_node_that_joins_follows_what_two_others_agree_in(others: u64, part: f64) {
-    let mut w = Ways::new(3, Figures::default());
+    let mut w = ZoneStates::new(3, ZoneConfig::default());
     let mut all = seen(9, 10.0, &[], 1.0);
     all.extend((0..others).flat_map(|n| seen(n, 10.0, &[], 0.05)));
-    w.look(10.1, &all, &[SIX; 3]);
-    assert_eq!((w.part(1), w.own_part(1)), (part, 1.0));
+    w.update(10.1, &all, &[SIX; 3]);
+    assert_eq!((w.weight(1), w.own_weight(1)), (part, 1.0));
 }
 
 proptest! {
@@ -140,23 +156,23 @@
             1..40,
         ),
     ) {
-        let (mut a, mut b) = (Ways::new(3, Figures::default()), Ways::new(3, Figures::default()));
+        let (mut a, mut b) = (ZoneStates::new(3, ZoneConfig::default()), ZoneStates::new(3, ZoneConfig::default()));
         for (n, round) in rounds.iter().enumerate() {
             let now = 10.0 + 0.2 * n as f64;
             let ago = |x: u32| now - f64::from(x) / 20.0;
-            let all: Vec<Seen> = round
+            let all: Vec<ZoneObservation> = round
                 .iter()
-                .map(|(node, zone, heard, silent, part)| Seen {
+                .map(|(node, zone, heard, silent, part)| ZoneObservation {
                     node: *node,
                     zone: *zone,
-                    heard: Some(ago(*heard)),
-                    silent: silent.iter().map(|s| (s.0, ago(s.1))).collect(),
-                    part: f64::from(*part) / 2.0,
+                    last_response_at: Some(ago(*heard)),
+                    unreachable: silent.iter().map(|s| (s.0, ago(s.1))).collect(),
+                    weight: f64::from(*part) / 2.0,
                 })
                 .collect();
-            prop_assert_eq!(a.look(now, &all, &[SIX; 3]), b.look(now, &all, &[SIX; 3]));
-            prop_assert!((0..3).any(|z| a.part(z) > 0.0));
-            prop_assert!((0..3).all(|z| a.part(z) == b.part(z) && (0.0..=1.0).contains(&a.part(z))));
+            prop_assert_eq!(a.update(now, &all, &[SIX; 3]), b.update(now, &all, &[SIX; 3]));
+            prop_assert!((0..3).any(|z| a.weight(z) > 0.0));
+            prop_assert!((0..3).all(|z| a.weight(z) == b.weight(z) && (0.0..=1.0).contains(&a.weight(z))));
         }
     }
 
@@ -168,9 +184,9 @@
         lag in proptest::collection::vec(0..4usize, 30),
         cut in proptest::collection::vec(0..5usize, 0..2),
     ) {
-        let f = Figures::default();
-        let mut fleet: Vec<Ways> = (0..nodes).map(|_| Ways::new(3, f)).collect();
-        let mut told: Vec<Vec<Vec<Seen>>> = vec![Vec::new(); nodes];
+        let f = ZoneConfig::default();
+        let mut fleet: Vec<ZoneStates> = (0..nodes).map(|_| ZoneStates::new(3, f)).collect();
+        let mut told: Vec<Vec<Vec<ZoneObservation>>> = vec![Vec::new(); nodes];
         let (mut left_at, back) = (None, 14.0);
         for round in 0..60 {
             let now = 10.0 + 0.1 * round as f64;
@@ -178,7 +194,7 @@
             for n in 0..nodes {
                 let silent: Vec<(u64, f64)> = if dead { (0..6).map(|e| (e, now)).collect() } else { vec![] };
                 let heard = if dead { 9.5 } else { now };
-                let own = seen(n as u64, heard, &silent, fleet[n].own_part(1));
+                let own = seen(n as u64, heard, &silent, fleet[n].own_weight(1));
                 told[n].push(own.clone());
                 let mut all = own;
                 for o in (0..nodes).filter(|&o| o != n && !cut.contains(&o) && !cut.contains(&n)) {
@@ -186,15 +202,15 @@
                     let last = told[o].len().checked_sub(1 + late);
                     all.extend(last.map(|l| told[o][l].clone()).unwrap_or_default());
                 }
-                fleet[n].look(now, &all, &[SIX; 3]);
+                fleet[n].update(now, &all, &[SIX; 3]);
             }
-            let sent = fleet.iter().map(|w| w.part(1)).sum::<f64>() / nodes as f64;
+            let sent = fleet.iter().map(|w| w.weight(1)).sum::<f64>() / nodes as f64;
             if left_at.is_none() && sent == 0.0 {
                 left_at = Some(now);
             }
             if left_at.is_some() && now >= back {
-                let step = ((now - back - f.wait_s) / f.step_s).floor();
-                let allowed = if step < 0.0 { 0.0 } else { STEPS[(step as usize).min(3)] };
+                let step = ((now - back - f.failback_delay_s) / f.recovery_step_s).floor();
+                let allowed = if step < 0.0 { 0.0 } else { RECOVERY_WEIGHTS[(step as usize).min(3)] };
                 prop_assert!(sent <= allowed + 1e-9, "{sent} at {now}, {allowed} allowed");
             }
         }
