--- a/crates/nickelgw-cli/src/start.rs
+++ b/crates/nickelgw-cli/src/start.rs
@@ -7,13 +7,13 @@
 use nickelgw_deferred::core::Figures as ParkedFigures;
 use nickelgw_gossip::core::record::{NodeRecord, SharedKey};
 use nickelgw_gossip::core::{Gossip, GossipConfig as AccordFigures};
-use nickelgw_node::core::admission::{Model, Tenant};
-use nickelgw_node::core::{Admission, CoreConfig, FairShareConfig, GrantConfig};
 use nickelgw_node::discovery::RegistryOptions;
 use nickelgw_node::{
     DeferredQueueConfig, EndpointSource, GossipOptions, GossipSockets, LatencyMetrics, Limits, NodeOptions,
     TlsOptions,
 };
+use nickelgw_node_core::admission::{Model, Tenant};
+use nickelgw_node_core::{Admission, CoreConfig, FairShareConfig, GrantConfig};
 use nickelgw_registry::core::member::Figures as MemberFigures;
 use nickelgw_registry::core::view::Figures as ViewFigures;
 use nickelgw_settings::{check, Node, Problem};
@@ -250,7 +250,7 @@
         store: n.store.as_ref().map(Into::into),
         admin: None,
         admin_address: None,
-        shutdown: nickelgw_node::core::shutdown::ShutdownConfig {
+        shutdown: nickelgw_node_core::shutdown::ShutdownConfig {
             announce_s: leaving.notice_ms() / 1e3,
             drain_timeout_s: leaving.grace_ms() / 1e3,
             exit_timeout_s: leaving.end_ms() / 1e3,
--- a/crates/nickelgw-node/src/core/ledger_tests.rs
+++ b/crates/nickelgw-node-core/src/ledger_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::core::Endpoint;
+use crate::Endpoint;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::rc::Rc;
--- a/crates/nickelgw-node/src/core/trace.rs
+++ b/crates/nickelgw-node-core/src/trace.rs
@@ -219,7 +219,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::core::FailureReason;
+    use crate::FailureReason;
 
     fn eng(id: &str) -> Rc<Endpoint> {
         Rc::new(Endpoint { id: id.into(), address: "a".into(), tls_name: None })
--- a/crates/nickelgw-node/examples/fleet.rs
+++ b/crates/nickelgw-node/examples/fleet.rs
@@ -8,7 +8,7 @@
 use nickelgw::interface::*;
 use nickelgw_gossip::core::record::{NodeRecord, SharedKey};
 use nickelgw_gossip::core::{Gossip, GossipConfig as AccordFigures};
-use nickelgw_node::core::zone_failover::ZoneFailover;
+use nickelgw_node_core::zone_failover::ZoneFailover;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
--- a/crates/nickelgw-node/src/admin.rs
+++ b/crates/nickelgw-node/src/admin.rs
@@ -26,8 +26,8 @@
 /// What the core has counted, at the moment of asking.
 #[derive(Clone, Debug, Default)]
 pub struct Counted {
-    pub tally: crate::core::RequestCounters,
-    pub account: crate::core::ledger::ReservationCounters,
+    pub tally: nickelgw_node_core::RequestCounters,
+    pub account: nickelgw_node_core::ledger::ReservationCounters,
     /// Broken rules, by name.
     pub violations: Vec<(&'static str, u64)>,
     pub open: usize,
--- a/crates/nickelgw-node/src/client.rs
+++ b/crates/nickelgw-node/src/client.rs
@@ -1,7 +1,6 @@
 //! HTTP/1.1 towards engines and the list: connections as the pool's core grants them, in TLS where set, and what a
 //! failure proves.
 
-use crate::core::AttemptOutcome;
 use crate::{seconds, unix_now, within};
 use async_channel::{Receiver, Sender};
 use bytes::Bytes;
@@ -12,6 +11,7 @@
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{Builder, SendRequest};
 use hyper::{Request, Response};
+use nickelgw_node_core::AttemptOutcome;
 use nickelgw_tls::core::pool::{
     self, Checkout, ConnectFailure, ConnectionId, Figures, PoolCommand, WaiterId,
 };
--- a/crates/nickelgw-node/src/deferred.rs
+++ b/crates/nickelgw-node/src/deferred.rs
@@ -1,6 +1,5 @@
 //! Offline inferences on sockets and on disk: taken under a ticket, run in room that others leave, answered by the ticket.
 
-use crate::core::AdmittedRequest;
 use crate::event_loop::Reply;
 use crate::persistence::StoreWriter;
 use crate::server::{json_answer, Answer, Asked, Server};
@@ -14,6 +13,7 @@
 };
 use nickelgw_gossip::core::record::name_hash;
 use nickelgw_gossip::core::Gossip;
+use nickelgw_node_core::AdmittedRequest;
 use nickelgw_protocol::chat::{ApiError, ChatRequest};
 use nickelgw_protocol::Malformed;
 use nickelgw_store::core::RecordKind;
@@ -89,7 +89,7 @@
         lot: DeferredQueueConfig,
         repeats: Vec<RetryPolicy>,
         clock: crate::Clock,
-        door: &crate::core::Admission,
+        door: &nickelgw_node_core::Admission,
         accord: Option<Rc<RefCell<Gossip>>>,
         whole: Rc<Cell<bool>>,
     ) -> Rc<DeferredRequests> {
@@ -154,7 +154,7 @@
 
     /// Of what is run here, by its weight, and by how much of what waits in the whole fleet waits here: a tenant parked at
     /// one node has as much in all as one parked at five.
-    fn part(&self, tenants: &[crate::core::admission::Tenant], name: &str) -> f64 {
+    fn part(&self, tenants: &[nickelgw_node_core::admission::Tenant], name: &str) -> f64 {
         let weight = tenants.iter().position(|t| t.name == name).and_then(|t| self.weights.get(t));
         let own = self.core.borrow().waiting().find(|w| w.0 == name).map_or(0, |w| w.1);
         let hash = name_hash(name) as u32;
--- a/crates/nickelgw-node/src/discovery.rs
+++ b/crates/nickelgw-node/src/discovery.rs
@@ -2,7 +2,6 @@
 //! the core and to disk.
 
 use crate::client::Peer;
-use crate::core::Endpoint;
 use crate::engines::Engines;
 use crate::event_loop::{Event, TimedEvent};
 use crate::{within, Clock};
@@ -11,6 +10,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::header::{AUTHORIZATION, CONTENT_TYPE};
 use hyper::Method;
+use nickelgw_node_core::Endpoint;
 use nickelgw_protocol::list::{EndpointEntry, EndpointList};
 use nickelgw_registry::core::follow::{self, ReadVerdict, RegistryWatch};
 use nickelgw_registry::core::member::{self, FleetPosition, Member};
--- a/crates/nickelgw-node/src/engines.rs
+++ b/crates/nickelgw-node/src/engines.rs
@@ -1,8 +1,6 @@
 //! Sends to engines: what the core orders is put on the wire, and how it ended is read off it.
 
 use crate::client::{whole, Connection, Peer, Pool};
-use crate::core::ledger::ReservationId;
-use crate::core::{AttemptKind, AttemptOutcome, AttemptRequest, AttemptResult, Endpoint, Reservation};
 use crate::event_loop::{ResponseSink, TimedEvent};
 use crate::{seconds, within, Limits};
 use async_channel::{bounded, Sender};
@@ -11,6 +9,8 @@
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, CONTENT_TYPE, HOST, TE};
 use hyper::{Method, Request};
+use nickelgw_node_core::ledger::ReservationId;
+use nickelgw_node_core::{AttemptKind, AttemptOutcome, AttemptRequest, AttemptResult, Endpoint, Reservation};
 use nickelgw_protocol::chat::ChatRequest;
 use nickelgw_protocol::engine::{read_body, write_body, KvTransfer, ReadAnswer};
 use nickelgw_protocol::load::LoadReport;
--- a/crates/nickelgw-node/src/event_loop.rs
+++ b/crates/nickelgw-node/src/event_loop.rs
@@ -1,14 +1,6 @@
 //! The one task that owns the core: tells it what happened, does what it says, waits on no peer.
 
 use crate::admin::Counted;
-use crate::core::ledger::ReservationId;
-use crate::core::shutdown::{self, Exit, ProcessLifecycle, Remaining};
-use crate::core::trace::RequestTrace;
-use crate::core::zone_failover::ZoneRound;
-use crate::core::{
-    AdmittedRequest, AttemptOutcome, AttemptResult, Command, Endpoint, FailureReason, FinalAnswer, NodeCore,
-    RejectReason, RequestId,
-};
 use crate::engines::Engines;
 use crate::latency_metrics::LatencyMetrics;
 use crate::persistence::StoreWriter;
@@ -16,6 +8,14 @@
 use async_channel::{Receiver, Sender};
 use bytes::Bytes;
 use nickelgw_gossip::core::PeerRecord;
+use nickelgw_node_core::ledger::ReservationId;
+use nickelgw_node_core::shutdown::{self, Exit, ProcessLifecycle, Remaining};
+use nickelgw_node_core::trace::RequestTrace;
+use nickelgw_node_core::zone_failover::ZoneRound;
+use nickelgw_node_core::{
+    AdmittedRequest, AttemptOutcome, AttemptResult, Command, Endpoint, FailureReason, FinalAnswer, NodeCore,
+    RejectReason, RequestId,
+};
 use nickelgw_protocol::chat::{ApiError, ChatRequest, Chunk, Whole};
 use nickelgw_protocol::list::EndpointList;
 use nickelgw_protocol::load::LoadReport;
@@ -483,7 +483,7 @@
                             continue;
                         };
                         tracing::debug!(request = %job.id, send = order.attempt, engine = %order.engine.id,
-                            read = order.kind == crate::core::AttemptKind::Prefill, "send");
+                            read = order.kind == nickelgw_node_core::AttemptKind::Prefill, "send");
                         let (id, chat) = (job.id.clone(), job.chat.clone());
                         let out = Rc::new(Cell::new(false));
                         let words = self.events.clone();
--- a/crates/nickelgw-node/src/lib.rs
+++ b/crates/nickelgw-node/src/lib.rs
@@ -4,10 +4,9 @@
 mod admin;
 mod background;
 pub mod client;
-pub mod core;
 mod event_loop;
-pub use crate::core::shutdown::Exit;
 pub use event_loop::ProcessSignal;
+pub use nickelgw_node_core::shutdown::Exit;
 mod deferred;
 pub mod discovery;
 mod endpoint_watch;
@@ -22,13 +21,13 @@
 pub use gossip::{GossipOptions, GossipSockets};
 pub use latency_metrics::LatencyMetrics;
 
-use crate::core::shutdown::ProcessLifecycle;
-use crate::core::{Admission, CoreConfig, NodeCore};
 use async_channel::{bounded, unbounded};
 use nickelgw::interface::Deployment;
 use nickelgw_background_tasks::core::{TaskClass, TaskSpec};
 use nickelgw_chat::core::idempotency::IdempotencyConfig;
 use nickelgw_chat::core::retry_budget;
+use nickelgw_node_core::shutdown::ProcessLifecycle;
+use nickelgw_node_core::{Admission, CoreConfig, NodeCore};
 use nickelgw_registry::core::view::EndpointView;
 use nickelgw_store::core::{retention, RecordKind};
 use nickelgw_tls::core::pool;
@@ -83,7 +82,7 @@
     pub tls: TlsOptions,
     pub idempotency: IdempotencyConfig,
     pub retry_budget: retry_budget::Figures,
-    pub shutdown: crate::core::shutdown::ShutdownConfig,
+    pub shutdown: nickelgw_node_core::shutdown::ShutdownConfig,
     /// What the process is told to do, in service.
     pub signals: async_channel::Receiver<ProcessSignal>,
     /// What is doubted of the fleet.
--- a/crates/nickelgw-node/src/server.rs
+++ b/crates/nickelgw-node/src/server.rs
@@ -1,7 +1,6 @@
 //! The chat API's sockets: requests are read within limits and handed to the core, answers written as they come.
 
 use crate::client::looked;
-use crate::core::{Admission, AdmittedRequest, RejectReason, RequestId};
 use crate::event_loop::{ClientRequest, Event, ListenerState, Reply, TimedEvent};
 use crate::idempotency::ResponseSharing;
 use crate::persistence::StoreWriter;
@@ -15,6 +14,7 @@
 use hyper::header::{HeaderValue, AUTHORIZATION, CONNECTION, CONTENT_TYPE, RETRY_AFTER};
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use nickelgw_chat::core::retry_budget::{RetryBudget, RetryVerdict};
+use nickelgw_node_core::{Admission, AdmittedRequest, RejectReason, RequestId};
 use nickelgw_protocol::chat::{ApiError, ChatRequest};
 use nickelgw_protocol::{Malformed, REQUEST_ID};
 use serde_json::json;
--- a/crates/nickelgw-node/tests/common/mod.rs
+++ b/crates/nickelgw-node/tests/common/mod.rs
@@ -3,9 +3,9 @@
 
 use nickelgw::interface::{Deployment, Idempotency, IdempotencyScope, ModelRoute};
 use nickelgw_audit::{judge, Line, Verdict};
-use nickelgw_node::core::admission::{Model, Tenant};
-use nickelgw_node::core::{Admission, CoreConfig};
 use nickelgw_node::{Limits, NodeOptions, TlsOptions};
+use nickelgw_node_core::admission::{Model, Tenant};
+use nickelgw_node_core::{Admission, CoreConfig};
 use nickelgw_protocol::list::{self, EngineState};
 use nickelgw_test_servers::client::{self, Ask, Seen};
 use nickelgw_test_servers::model::{self, Role};
@@ -160,7 +160,7 @@
         },
         idempotency: Default::default(),
         retry_budget: Default::default(),
-        shutdown: nickelgw_node::core::shutdown::ShutdownConfig {
+        shutdown: nickelgw_node_core::shutdown::ShutdownConfig {
             announce_s: 0.1,
             drain_timeout_s: 5.0,
             exit_timeout_s: 1.0,
--- a/crates/nickelgw-node/tests/leaving.rs
+++ b/crates/nickelgw-node/tests/leaving.rs
@@ -112,7 +112,7 @@
     };
     let told = get("/why/lost-one");
     for wanted in
-        ["model booking", "to be read at r0a", "written at w0a", "it may have run", "errored: SendsFailed"]
+        ["model booking", "to be read at r0a", "written at w0a", "it may have run", "errored: AttemptsFailed"]
     {
         assert!(told.contains(wanted), "{wanted}: {told}");
     }
--- a/crates/nickelgw-node/tests/path.rs
+++ b/crates/nickelgw-node/tests/path.rs
@@ -4,7 +4,7 @@
 
 use common::{figures, post, start, World};
 use nickelgw_chat::core::grant::{grant, GrantClaims, GrantKey};
-use nickelgw_node::core::GrantConfig;
+use nickelgw_node_core::GrantConfig;
 use nickelgw_test_servers::client::{self, status, Ask, Leave};
 use nickelgw_test_servers::model;
 use nickelgw_test_servers::record::unix_now;
--- a/crates/nickelgw-platform/src/core/engine.rs
+++ b/crates/nickelgw-platform/src/core/engine.rs
@@ -3,7 +3,7 @@
 use super::request::Head;
 use super::{closes, framing, head_length, names, Framing, Spoilt, MOST_HEADERS};
 use bytes::Bytes;
-use nickelgw_node::core::AttemptOutcome;
+use nickelgw_node_core::AttemptOutcome;
 use nickelgw_platform_config::load;
 use nickelgw_protocol::load::{LoadReport, PRESENT, UNREAD, WAITING};
 use std::collections::BTreeMap;
--- a/crates/nickelgw-platform/src/core/request.rs
+++ b/crates/nickelgw-platform/src/core/request.rs
@@ -1,7 +1,7 @@
 //! A client's request: what its head asks for, and what is refused at the door.
 
 use super::{closes, framing, head_length, names, Framing, Spoilt, MOST_HEADERS};
-use nickelgw_node::core::AdmittedRequest;
+use nickelgw_node_core::AdmittedRequest;
 
 pub const CHAT: &str = "/v1/chat/completions";
 pub const READY: &str = "/healthz";
--- a/crates/nickelgw-platform/src/core/tests.rs
+++ b/crates/nickelgw-platform/src/core/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 use bytes::{Bytes, BytesMut};
 use nickelgw::interface::EngineRole;
-use nickelgw_node::core::AttemptOutcome;
+use nickelgw_node_core::AttemptOutcome;
 use nickelgw_protocol::load::UNREAD;
 use proptest::prelude::*;
 use test_case::test_case;
@@ -19,7 +19,7 @@
     Names { routes: vec!["doc".into(), "chat".into()], tenants: vec!["acme".into()] }
 }
 
-fn asked(text: &str) -> Result<nickelgw_node::core::AdmittedRequest, String> {
+fn asked(text: &str) -> Result<nickelgw_node_core::AdmittedRequest, String> {
     let (h, _) = head(text.as_bytes()).map_err(|e| e.to_string())?.ok_or("not whole")?;
     h.ask(&names(), br#"{"model":"chat","x":"0123456789"}"#).map_err(str::to_string)
 }
--- a/crates/nickelgw-platform/src/node.rs
+++ b/crates/nickelgw-platform/src/node.rs
@@ -9,11 +9,11 @@
 use crate::wire::{Closer, Pool, Use, Within};
 use async_channel::{Receiver, Sender};
 use bytes::Bytes;
-use nickelgw_node::core::{
+use nickelgw_node::{seconds, within};
+use nickelgw_node_core::{
     AdmittedRequest, AttemptKind, AttemptOutcome, AttemptRequest, AttemptResult, Command, Endpoint,
     FinalAnswer, NodeCore, RejectReason, RequestId,
 };
-use nickelgw_node::{seconds, within};
 use nickelgw_protocol::load::LoadReport;
 use smol::{LocalExecutor, Task, Timer};
 use std::cell::{Cell, RefCell};
