--- a/crates/nickelgw-node-core/src/zone_failover.rs
+++ b/crates/nickelgw-node-core/src/zone_failover.rs
@@ -79,13 +79,15 @@
                 t.reporting_nodes,
             );
             match t.state {
-                ZoneState::Evacuated(_, None) => tracing::warn!(%zone, engines, nodes, "a zone is left"),
-                ZoneState::Evacuated(..) => tracing::info!(%zone, "a zone that was left is heard"),
-                ZoneState::Recovering(..) => {
+                ZoneState::Evacuated { responding_since: None, .. } => {
+                    tracing::warn!(%zone, engines, nodes, "a zone is left")
+                }
+                ZoneState::Evacuated { .. } => tracing::info!(%zone, "a zone that was left is heard"),
+                ZoneState::Recovering { .. } => {
                     tracing::info!(%zone, part, engines, "a zone is returned to in part")
                 }
                 ZoneState::Active => tracing::info!(%zone, "a zone is in"),
-                ZoneState::Suspected(_) => tracing::info!(%zone, engines, nodes, "a zone is in doubt"),
+                ZoneState::Suspected { .. } => tracing::info!(%zone, engines, nodes, "a zone is in doubt"),
             }
         }
     }
@@ -133,7 +135,7 @@
         let knocks: Vec<usize> = self.zone_weights.zones_to_probe().collect();
         for zone in knocks {
             let all = match self.zone_weights.state(zone) {
-                Some(ZoneState::Suspected(_)) => KNOCKS_IN_DOUBT,
+                Some(ZoneState::Suspected { .. }) => KNOCKS_IN_DOUBT,
                 _ => KNOCKS,
             };
             // The fleet's sum stays the same however many nodes there are.
--- a/crates/nickelgw-zones/src/lib.rs
+++ b/crates/nickelgw-zones/src/lib.rs
@@ -1,4 +1,5 @@
-//! Zones left and returned to by a fleet of nodes that no leader directs. Only a [`core`]: the node that has it tells it
-//! what it and others saw, and passes on the part of the traffic that each zone is to get.
+//! Zone failover for a fleet of nodes without a leader: when a node stops sending to a zone, and in what steps it
+//! returns. Only a [`core`] without I/O: the node passes in what it and its peers observed, and applies the weights
+//! that come out.
 
 pub mod core;
