--- a/crates/nickelgw-cli/tests/fleet/main.rs
+++ b/crates/nickelgw-cli/tests/fleet/main.rs
@@ -3,7 +3,7 @@
 mod parked;
 mod site;
 
-use nickelgw_gossip::core::record::{Datagram, Message, NodeRecord, SharedKey, ZoneReport};
+use nickelgw_gossip::core::record::{AgedRecord, Datagram, Message, NodeRecord, SharedKey, ZoneReport};
 use nickelgw_test_servers::model::Figures;
 use nickelgw_test_servers::record::unix_now;
 use nickelgw_test_servers::relay::Mode;
@@ -177,7 +177,7 @@
             }],
         };
         let at_ms = (unix_now() * 1e3) as u64;
-        let word = Message::Records(vec![(0, record)]);
+        let word = Message::Records(vec![AgedRecord { age_ms: 0, record }]);
         SharedKey::from_secret(key).seal(&Datagram { from: "liar".into(), at_ms, message: word }).unwrap()
     };
     for seq in 0..20 {
--- a/crates/nickelgw-gossip/src/core/record.rs
+++ b/crates/nickelgw-gossip/src/core/record.rs
@@ -1,167 +1,151 @@
-//! What a node tells of itself, and how records travel: sealed with the fleet's key, each datagram whole by itself.
+//! Records of nodes and the messages that carry them.
 
 use serde::{Deserialize, Serialize};
 
-/// What fits a datagram on any path; longer ones are refused.
-pub const MAX_DATAGRAM_BYTES: usize = 1200;
+pub use super::datagram::{Datagram, DatagramError, SharedKey, MAX_DATAGRAM_BYTES};
+
+/// Zones that a node reports on, at most.
 pub const MAX_ZONES: usize = 16;
+/// Unreachable engines reported of a zone, at most.
 pub const MAX_UNREACHABLE: usize = 8;
-/// Tenants told of: those with the most parked.
+/// Tenants reported, at most: those with the most deferred requests.
 pub const MAX_TENANTS: usize = 24;
-const MOST_NAME: usize = 64;
-const VERSION: u8 = 1;
-const SEAL: usize = blake3::OUT_LEN;
-
-/// What a node saw of a zone. Times are ages, so that no two clocks have to agree.
+/// Bytes of a name or an address, at most.
+const MAX_NAME_BYTES: usize = 64;
+/// The whole weight of a zone.
+const MAX_WEIGHT_PER_MILLE: u16 = 1000;
+
+/// Encoded bytes of a record beside its names and lists, at most.
+const RECORD_OVERHEAD_BYTES: usize = 32;
+/// Encoded bytes of a zone report beside its name and list, at most.
+const ZONE_REPORT_OVERHEAD_BYTES: usize = 12;
+/// Encoded bytes of a pair of `u32`, at most.
+const PAIR_BYTES: usize = 10;
+
+/// What a node observed of a zone. Times are ages, so that no two clocks have to agree.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZoneReport {
+    /// Name of the zone.
     pub zone: String,
-    /// Since any engine of it was last heard.
+    /// Since any engine of it last responded.
     pub last_response_age_ms: Option<u32>,
-    /// Engines not reached since they were heard, by the hash of their ids, and since when.
+    /// Engines unreachable since their last response: the hash of the id, and the age of the latest failure.
     pub unreachable: Vec<(u32, u32)>,
-    /// The part of the traffic that it gives the zone, in thousandths.
+    /// Share of its usual traffic that the node sends to the zone, in thousandths.
     pub weight_per_mille: u16,
 }
 
+impl ZoneReport {
+    fn is_valid(&self) -> bool {
+        is_valid_name(&self.zone)
+            && self.unreachable.len() <= MAX_UNREACHABLE
+            && self.weight_per_mille <= MAX_WEIGHT_PER_MILLE
+    }
+
+    fn max_encoded_len(&self) -> usize {
+        self.zone.len() + ZONE_REPORT_OVERHEAD_BYTES + PAIR_BYTES * self.unreachable.len()
+    }
+}
+
+/// Orders the records of one node: a process that started later has the newer record, then the later sequence number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct RecordVersion {
+    /// When the node's process started.
+    pub incarnation: u64,
+    /// Number of the record within the process.
+    pub seq: u64,
+}
+
+/// What a node publishes of itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeRecord {
+    /// Name of the node, unique in the fleet.
     pub name: String,
-    /// When its process began; with the sequence it says which of two records is newer.
+    /// When its process started; see [`RecordVersion`].
     pub incarnation: u64,
+    /// Number of the record within the process.
     pub seq: u64,
-    /// Where datagrams reach it.
+    /// Where datagrams reach it, as host:port.
     pub address: String,
+    /// Name of the zone that it is in.
     pub zone: String,
+    /// What it observed of the zones, the most important first.
     pub zone_reports: Vec<ZoneReport>,
-    /// Offline inferences that wait here, by the hash of the tenant's name.
+    /// Deferred requests that wait at the node, by the hash of the tenant's name.
     pub deferred_by_tenant: Vec<(u32, u32)>,
 }
 
 impl NodeRecord {
-    pub fn version(&self) -> (u64, u64) {
-        (self.incarnation, self.seq)
+    /// Which of two records of the node is newer.
+    pub fn version(&self) -> RecordVersion {
+        RecordVersion { incarnation: self.incarnation, seq: self.seq }
     }
 
-    fn is_sound(&self) -> bool {
-        let short = |s: &str| !s.is_empty() && s.len() <= MOST_NAME;
-        let seen = |s: &ZoneReport| {
-            short(&s.zone) && s.unreachable.len() <= MAX_UNREACHABLE && s.weight_per_mille <= 1000
-        };
-        short(&self.name)
-            && short(&self.address)
-            && short(&self.zone)
+    /// Whether it keeps to the bounds that every sender keeps to.
+    pub(super) fn is_valid(&self) -> bool {
+        is_valid_name(&self.name)
+            && is_valid_name(&self.address)
+            && is_valid_name(&self.zone)
             && self.zone_reports.len() <= MAX_ZONES
             && self.deferred_by_tenant.len() <= MAX_TENANTS
-            && self.zone_reports.iter().all(seen)
+            && self.zone_reports.iter().all(ZoneReport::is_valid)
     }
-}
 
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Message {
-    /// Records, each with the time that it has travelled and lain elsewhere, in milliseconds.
-    Records(Vec<(u32, NodeRecord)>),
-    /// What the sender has: names by their hash, with versions.
-    Digest(Vec<(u64, u64, u64)>),
-    /// What it wants, by the hash of names; none: all there is.
-    Want(Vec<u64>),
+    /// Bytes that it takes in a datagram, at most.
+    pub(super) fn max_encoded_len(&self) -> usize {
+        self.name.len()
+            + self.address.len()
+            + self.zone.len()
+            + RECORD_OVERHEAD_BYTES
+            + PAIR_BYTES * self.deferred_by_tenant.len()
+            + self.zone_reports.iter().map(ZoneReport::max_encoded_len).sum::<usize>()
+    }
 }
 
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Datagram {
-    pub from: String,
-    /// Unix time at which it was made: an old one that is played again is known by it.
-    pub at_ms: u64,
-    pub message: Message,
+fn is_valid_name(name: &str) -> bool {
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES
 }
 
-/// Why a datagram is not heard.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
-pub enum DatagramError {
-    #[error("longer or shorter than any datagram of ours")]
-    Length,
-    #[error("of another version")]
-    Version,
-    #[error("not sealed with this fleet's key")]
-    Key,
-    #[error("sealed, but it cannot be read")]
-    Unreadable,
-    #[error("made too long ago, or in the future")]
-    Time,
+/// A record on its way, with its age.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct AgedRecord {
+    /// Time since it was published, as far as it was spent at nodes that passed it on.
+    pub age_ms: u32,
+    /// The record itself.
+    pub record: NodeRecord,
 }
 
-impl DatagramError {
-    pub const ALL: [DatagramError; 5] = [
-        DatagramError::Length,
-        DatagramError::Version,
-        DatagramError::Key,
-        DatagramError::Unreadable,
-        DatagramError::Time,
-    ];
-
-    pub fn name(self) -> &'static str {
-        ["length", "version", "key", "unreadable", "time"][self as usize]
-    }
+/// A record that the sender of a digest has.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct DigestEntry {
+    /// Hash of the node's name.
+    pub name_hash: u64,
+    /// Version of its record.
+    pub version: RecordVersion,
 }
 
-/// The fleet's key. It is not shown.
-#[derive(Clone)]
-pub struct SharedKey([u8; 32]);
-
-impl std::fmt::Debug for SharedKey {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        f.write_str("Key")
-    }
+/// What a datagram says.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub enum Message {
+    /// Records, as an update or as an answer.
+    Records(Vec<AgedRecord>),
+    /// Which records the sender has.
+    Digest(Vec<DigestEntry>),
+    /// Which records the sender wants, by the hash of names; none: all there are.
+    Want(Vec<u64>),
 }
 
-impl SharedKey {
-    pub fn from_secret(secret: &str) -> SharedKey {
-        SharedKey(blake3::derive_key("nickelgw accord: datagrams between nodes", secret.as_bytes()))
-    }
-
-    /// None: too long for one datagram.
-    pub fn seal(&self, d: &Datagram) -> Option<Vec<u8>> {
-        self.seal_raw(&postcard::to_allocvec(d).ok()?)
-    }
-
-    pub(super) fn seal_raw(&self, body: &[u8]) -> Option<Vec<u8>> {
-        let mut out = Vec::with_capacity(1 + SEAL + body.len());
-        out.push(VERSION);
-        out.extend_from_slice(blake3::keyed_hash(&self.0, body).as_bytes());
-        out.extend_from_slice(body);
-        (out.len() <= MAX_DATAGRAM_BYTES).then_some(out)
-    }
-
-    pub fn open(&self, bytes: &[u8], unix_ms: u64, slack_ms: u64) -> Result<Datagram, DatagramError> {
-        if bytes.len() > MAX_DATAGRAM_BYTES {
-            return Err(DatagramError::Length);
-        }
-        let (version, rest) = bytes.split_first().ok_or(DatagramError::Length)?;
-        if *version != VERSION {
-            return Err(DatagramError::Version);
-        }
-        let (seal, body) = rest.split_at_checked(SEAL).ok_or(DatagramError::Length)?;
-        let seal = <[u8; SEAL]>::try_from(seal).map_err(|_| DatagramError::Length)?;
-        // Compared in constant time.
-        if blake3::keyed_hash(&self.0, body) != seal {
-            return Err(DatagramError::Key);
-        }
-        let d: Datagram = postcard::from_bytes(body).map_err(|_| DatagramError::Unreadable)?;
-        let sound = match &d.message {
-            Message::Records(r) => r.iter().all(|r| r.1.is_sound()),
+impl Message {
+    /// Whether all records in it keep to their bounds.
+    pub(super) fn is_valid(&self) -> bool {
+        match self {
+            Message::Records(records) => records.iter().all(|aged| aged.record.is_valid()),
             Message::Digest(_) | Message::Want(_) => true,
-        };
-        if !sound {
-            return Err(DatagramError::Unreadable);
-        }
-        if d.at_ms.abs_diff(unix_ms) > slack_ms {
-            return Err(DatagramError::Time);
         }
-        Ok(d)
     }
 }
 
-/// What stands for a name, or an engine's id, where the whole would be too long.
+/// Stands for a name, or an engine's id, where the whole would be too long.
 pub fn name_hash(name: &str) -> u64 {
     let hash = blake3::hash(name.as_bytes());
     let first = hash.as_bytes().first_chunk::<8>().copied().unwrap_or_default();
--- a/crates/nickelgw-gossip/src/core/tests.rs
+++ b/crates/nickelgw-gossip/src/core/tests.rs
@@ -1,7 +1,9 @@
+use super::record::{name_hash, AgedRecord, DigestEntry, RecordVersion};
 use super::*;
 use proptest::prelude::*;
 
-const UNIX: u64 = 1_700_000_000_000;
+const UNIX_MS: u64 = 1_700_000_000_000;
+const SECRET: &str = "a secret of the fleet";
 
 fn record(name: &str, seq: u64) -> NodeRecord {
     NodeRecord {
@@ -21,147 +23,177 @@
 }
 
 fn node(name: &str, peers: &[&str]) -> Gossip {
-    let peers = peers.iter().map(|p| format!("{p}:1")).collect();
+    let peers = peers.iter().map(|peer| format!("{peer}:1")).collect();
     Gossip::new(
         GossipConfig::default(),
-        SharedKey::from_secret("a secret of the fleet"),
+        SharedKey::from_secret(SECRET),
         record(name, 1),
         peers,
         name_hash(name),
     )
 }
 
-fn sealed(key: &str, at_ms: u64, word: Message) -> Vec<u8> {
-    SharedKey::from_secret(key).seal(&Datagram { from: "b".into(), at_ms, message: word }).unwrap()
+fn sealed(secret: &str, at_ms: u64, message: Message) -> Vec<u8> {
+    SharedKey::from_secret(secret).seal(&Datagram { from: "b".into(), at_ms, message }).unwrap()
 }
 
 fn records(seq: u64) -> Message {
-    Message::Records(vec![(0, record("b", seq))])
-}
-
-/// Lets so much time pass between nodes that all hear each other, but where `lost` says no.
-fn pass(fleet: &mut [Gossip], from: f64, rounds: u32, lost: impl Fn(usize, usize, u32) -> bool) {
-    for r in 0..rounds {
-        let now = from + 0.1 * f64::from(r);
-        let unix = UNIX + (now * 1e3) as u64;
-        for n in 0..fleet.len() {
-            let seen = fleet[n].own().zone_reports.clone();
-            fleet[n].publish(now, seen, false);
-            let mut queue: Vec<(usize, String, Vec<u8>)> =
-                fleet[n].poll_datagrams(now, unix).0.into_iter().map(|(a, b)| (n, a, b)).collect();
-            while let Some((from, address, bytes)) = queue.pop() {
-                let Some(to) = fleet.iter().position(|f| f.own().address == address) else { continue };
-                if lost(from, to, r) {
+    message_of(record("b", seq))
+}
+
+fn message_of(record: NodeRecord) -> Message {
+    Message::Records(vec![AgedRecord { age_ms: 0, record }])
+}
+
+/// Runs so many rounds of all nodes. `is_lost`: whether a datagram of a node to another is lost in this round.
+fn run_rounds(fleet: &mut [Gossip], from: f64, rounds: u32, is_lost: impl Fn(usize, usize, u32) -> bool) {
+    for round in 0..rounds {
+        let now = from + 0.1 * f64::from(round);
+        let unix_ms = UNIX_MS + (now * 1e3) as u64;
+        for node in 0..fleet.len() {
+            let zone_reports = fleet[node].own().zone_reports.clone();
+            fleet[node].publish(now, zone_reports, false);
+            let datagrams = fleet[node].poll_datagrams(now, unix_ms).0;
+            let mut queue: Vec<(usize, OutgoingDatagram)> =
+                datagrams.into_iter().map(|datagram| (node, datagram)).collect();
+            while let Some((from, OutgoingDatagram { to, bytes })) = queue.pop() {
+                let Some(receiver) = fleet.iter().position(|peer| peer.own().address == to) else { continue };
+                if is_lost(from, receiver, round) {
                     continue;
                 }
-                fleet[to].receive(now, unix, &bytes).unwrap();
-                let answers = std::mem::take(&mut fleet[to].out);
-                queue.extend(answers.into_iter().map(|(a, b)| (to, a, b)));
+                fleet[receiver].receive(now, unix_ms, &bytes).unwrap();
+                let answers = std::mem::take(&mut fleet[receiver].outbox);
+                queue.extend(answers.into_iter().map(|answer| (receiver, answer)));
             }
         }
     }
 }
 
 #[test]
-fn what_is_not_sealed_by_the_fleet_is_refused_and_counted() {
-    let good = sealed("a secret of the fleet", UNIX, records(2));
-    let mut other = good.clone();
-    other[0] = 9;
-    let mut touched = good.clone();
-    *touched.last_mut().unwrap() ^= 1;
-    let mut n = node("a", &[]);
-    for (bytes, why) in [
-        (good[..20].to_vec(), DatagramError::Length),
+fn datagram_not_sealed_by_the_fleet_is_rejected_and_counted() {
+    let valid = sealed(SECRET, UNIX_MS, records(2));
+    let mut other_version = valid.clone();
+    other_version[0] = 9;
+    let mut altered = valid.clone();
+    *altered.last_mut().unwrap() ^= 1;
+    let mut gossip = node("a", &[]);
+    for (bytes, error) in [
+        (valid[..20].to_vec(), DatagramError::Length),
         (Vec::new(), DatagramError::Length),
-        ([good.clone(), vec![0; 1200]].concat(), DatagramError::Length),
-        (other, DatagramError::Version),
-        (touched, DatagramError::Key),
-        (sealed("another secret", UNIX, records(2)), DatagramError::Key),
-        (sealed("a secret of the fleet", UNIX - 60_000, records(2)), DatagramError::Time),
+        ([valid.clone(), vec![0; 1200]].concat(), DatagramError::Length),
+        (other_version, DatagramError::Version),
+        (altered, DatagramError::Key),
+        (sealed("another secret", UNIX_MS, records(2)), DatagramError::Key),
+        (sealed(SECRET, UNIX_MS - 60_000, records(2)), DatagramError::Time),
     ] {
-        let before = n.counters.rejected[why as usize];
-        assert_eq!(n.receive(1.0, UNIX, &bytes), Err(why));
-        assert_eq!(n.counters.rejected[why as usize], before + 1);
+        let before = gossip.counters.rejected[error as usize];
+        assert_eq!(gossip.receive(1.0, UNIX_MS, &bytes), Err(error));
+        assert_eq!(gossip.counters.rejected[error as usize], before + 1);
     }
-    assert_eq!(n.node_count(1.0), 1);
-    assert_eq!(n.receive(1.0, UNIX, &good), Ok(true));
-    assert_eq!(n.node_count(1.0), 2);
+    assert_eq!(gossip.node_count(1.0), 1);
+    assert_eq!(gossip.receive(1.0, UNIX_MS, &valid), Ok(true));
+    assert_eq!(gossip.node_count(1.0), 2);
 }
 
 #[test]
-fn a_record_beyond_its_bounds_cannot_be_read() {
-    let mut r = record("b", 2);
-    r.zone_reports = vec![ZoneReport { unreachable: vec![], ..r.zone_reports[0].clone() }; MOST_SEEN];
-    let bytes = sealed("a secret of the fleet", UNIX, Message::Records(vec![(0, r)]));
-    assert_eq!(node("a", &[]).receive(1.0, UNIX, &bytes), Err(DatagramError::Unreadable));
+fn record_beyond_its_bounds_is_rejected() {
+    let mut oversized = record("b", 2);
+    let report = ZoneReport { unreachable: vec![], ..oversized.zone_reports[0].clone() };
+    oversized.zone_reports = vec![report; MAX_ZONES + 1];
+    let bytes = sealed(SECRET, UNIX_MS, message_of(oversized));
+    assert_eq!(node("a", &[]).receive(1.0, UNIX_MS, &bytes), Err(DatagramError::Unreadable));
 }
-const MOST_SEEN: usize = record::MAX_ZONES + 1;
 
 #[test]
-fn the_newest_record_wins_and_one_played_again_changes_nothing() {
-    let key = "a secret of the fleet";
-    let mut n = node("a", &[]);
-    let old = sealed(key, UNIX, records(2));
-    assert_eq!(n.receive(1.0, UNIX, &old), Ok(true));
-    assert_eq!(n.receive(1.1, UNIX, &sealed(key, UNIX, records(3))), Ok(true));
-    assert_eq!(n.receive(1.2, UNIX, &old), Ok(false));
-    assert_eq!(n.live_peers(1.2).next().unwrap().record.seq, 3);
-    // Nor does it wake up a node that has gone.
-    assert_eq!(n.receive(20.0, UNIX, &sealed(key, UNIX, records(3))), Ok(false));
-    assert_eq!(n.node_count(20.0), 1);
+fn newest_record_wins_and_a_replayed_one_changes_nothing() {
+    let mut gossip = node("a", &[]);
+    let older = sealed(SECRET, UNIX_MS, records(2));
+    assert_eq!(gossip.receive(1.0, UNIX_MS, &older), Ok(true));
+    assert_eq!(gossip.receive(1.1, UNIX_MS, &sealed(SECRET, UNIX_MS, records(3))), Ok(true));
+    assert_eq!(gossip.receive(1.2, UNIX_MS, &older), Ok(false));
+    assert_eq!(gossip.live_peers(1.2).next().unwrap().record.seq, 3);
+    // Nor does it make a peer live again that has gone.
+    assert_eq!(gossip.receive(20.0, UNIX_MS, &sealed(SECRET, UNIX_MS, records(3))), Ok(false));
+    assert_eq!(gossip.node_count(20.0), 1);
 }
 
 #[test]
-fn a_full_table_makes_room_by_the_silent_alone() {
-    let mut n = node("a", &[]);
-    n.config.max_nodes = 2;
-    let key = "a secret of the fleet";
-    let of = |name: &str| sealed(key, UNIX, Message::Records(vec![(0, record(name, 1))]));
+fn full_table_evicts_only_peers_that_are_not_live() {
+    let mut gossip = node("a", &[]);
+    gossip.config.max_nodes = 2;
+    let sealed_record = |name: &str| sealed(SECRET, UNIX_MS, message_of(record(name, 1)));
     for name in ["b", "c", "d"] {
-        n.receive(1.0, UNIX, &of(name)).unwrap();
+        gossip.receive(1.0, UNIX_MS, &sealed_record(name)).unwrap();
     }
-    assert_eq!((n.node_count(1.0), n.counters.dropped_table_full), (3, 1));
-    n.receive(30.0, UNIX, &of("e")).unwrap();
-    assert_eq!(n.live_peers(30.0).map(|k| k.record.name.as_str()).collect::<Vec<_>>(), ["e"]);
+    assert_eq!((gossip.node_count(1.0), gossip.counters.dropped_table_full), (3, 1));
+    gossip.receive(30.0, UNIX_MS, &sealed_record("e")).unwrap();
+    assert_eq!(gossip.live_peers(30.0).map(|peer| peer.record.name.as_str()).collect::<Vec<_>>(), ["e"]);
 }
 
-/// After a restart with a clock set back its records would be older than those of the process before.
+/// After a restart with a clock set back its records would be older than those of the earlier process.
 #[test]
-fn a_node_started_anew_tells_newer_records_than_its_earlier_process() {
-    let mut n = node("a", &[]);
+fn restarted_node_publishes_newer_records_than_its_earlier_process() {
+    let mut gossip = node("a", &[]);
     let earlier = NodeRecord { incarnation: 99, ..record("a", 7) };
-    let word = Message::Records(vec![(0, earlier)]);
-    n.receive(1.0, UNIX, &sealed("a secret of the fleet", UNIX, word)).unwrap();
-    assert!(n.own().version() > (99, 7));
+    gossip.receive(1.0, UNIX_MS, &sealed(SECRET, UNIX_MS, message_of(earlier))).unwrap();
+    assert!(gossip.own().version() > RecordVersion { incarnation: 99, seq: 7 });
 }
 
 #[test]
-fn all_know_all_soon_from_one_peer_named_and_with_a_third_lost() {
+fn all_nodes_know_each_other_from_one_seed_peer_with_a_third_of_datagrams_lost() {
     let names: Vec<String> = (0..40).map(|n| format!("n{n}")).collect();
-    let mut fleet: Vec<Gossip> = names.iter().map(|n| node(n, &["n0"])).collect();
-    pass(&mut fleet, 0.0, 40, |from, to, r| (from * 7 + to * 3 + r as usize).is_multiple_of(3));
-    let least = fleet.iter().map(|f| f.node_count(4.0)).min();
-    assert_eq!(least, Some(40));
+    let mut fleet: Vec<Gossip> = names.iter().map(|name| node(name, &["n0"])).collect();
+    run_rounds(&mut fleet, 0.0, 40, |from, to, round| (from * 7 + to * 3 + round as usize).is_multiple_of(3));
+    let fewest_known = fleet.iter().map(|gossip| gossip.node_count(4.0)).min();
+    assert_eq!(fewest_known, Some(40));
 }
 
 #[test]
-fn halves_that_were_cut_apart_forget_and_find_each_other_again() {
+fn partitioned_halves_forget_each_other_and_rejoin() {
     let names: Vec<String> = (0..12).map(|n| format!("n{n}")).collect();
-    let mut fleet: Vec<Gossip> = names.iter().map(|n| node(n, &["n0", "n6"])).collect();
-    pass(&mut fleet, 0.0, 20, |_, _, _| false);
-    pass(&mut fleet, 2.0, 60, |from, to, _| (from < 6) != (to < 6));
-    assert!(fleet.iter().all(|f| f.node_count(8.0) == 6), "each half stands alone");
-    pass(&mut fleet, 8.0, 20, |_, _, _| false);
-    assert!(fleet.iter().all(|f| f.node_count(10.0) == 12));
+    let mut fleet: Vec<Gossip> = names.iter().map(|name| node(name, &["n0", "n6"])).collect();
+    run_rounds(&mut fleet, 0.0, 20, |_, _, _| false);
+    run_rounds(&mut fleet, 2.0, 60, |from, to, _| (from < 6) != (to < 6));
+    assert!(fleet.iter().all(|gossip| gossip.node_count(8.0) == 6), "each half knows only its own");
+    run_rounds(&mut fleet, 8.0, 20, |_, _, _| false);
+    assert!(fleet.iter().all(|gossip| gossip.node_count(10.0) == 12));
 }
 
 proptest! {
     #[test]
-    fn no_bytes_bring_it_down(bytes in proptest::collection::vec(any::<u8>(), 0..1300)) {
-        let mut n = node("a", &[]);
-        prop_assert!(n.receive(1.0, UNIX, &bytes).is_err());
-        // Nor do those that only the key stands before.
-        let key = SharedKey::from_secret("a secret of the fleet");
-        prop_assert!(key.seal_raw(&bytes).map(|b| n.receive(1.0, UNIX, &b)).is_none_or(|r| r.is_err() || n.node_count(1.0) <= 2));
+    fn arbitrary_bytes_are_rejected_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..1300)) {
+        let mut gossip = node("a", &[]);
+        prop_assert!(gossip.receive(1.0, UNIX_MS, &bytes).is_err());
+        // Nor do bytes that are sealed with the key bring it down.
+        let key = SharedKey::from_secret(SECRET);
+        let received = key.seal_raw(&bytes).map(|sealed| gossip.receive(1.0, UNIX_MS, &sealed));
+        prop_assert!(received.is_none_or(|result| result.is_err() || gossip.node_count(1.0) <= 2));
     }
 }
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// Nodes of two releases gossip with each other while a fleet is upgraded.
+#[test]
+fn datagrams_are_encoded_as_by_earlier_releases() {
+    let digest_entry =
+        |name_hash, incarnation, seq| DigestEntry { name_hash, version: RecordVersion { incarnation, seq } };
+    let records_hex = concat!(
+        "01d5405669c61ce00c9e29713adeebd266bc559efe2533be280005f471a926e8e0016280d095ffbc3100010001620503",
+        "03623a31016101016201140807ac0207ac0207ac0207ac0207ac0207ac0207ac0207ac02e807010105"
+    );
+    let digest_hex = concat!(
+        "0116a6a0064fe30a798e571d79d636f4454d9731f8334a8df81586422a37088f21016280d095ffbc3101020102ac02ff",
+        "ffffffffffffffff010500"
+    );
+    let want_hex = concat!(
+        "01428b5e202a8096be252a9a0140e983bdce66e45a7ecfa378d86354976e30003a016280d095ffbc3102020780808080",
+        "8020"
+    );
+    let digest = Message::Digest(vec![digest_entry(1, 2, 300), digest_entry(u64::MAX, 5, 0)]);
+    assert_eq!(hex(&sealed(SECRET, UNIX_MS, records(3))), records_hex);
+    assert_eq!(hex(&sealed(SECRET, UNIX_MS, digest)), digest_hex);
+    assert_eq!(hex(&sealed(SECRET, UNIX_MS, Message::Want(vec![7, 1 << 40]))), want_hex);
+}
--- a/crates/nickelgw-node/examples/fleet.rs
+++ b/crates/nickelgw-node/examples/fleet.rs
@@ -7,7 +7,7 @@
 use nickelgw::decide::Router;
 use nickelgw::interface::*;
 use nickelgw_gossip::core::record::{NodeRecord, SharedKey};
-use nickelgw_gossip::core::{Gossip, GossipConfig as AccordFigures};
+use nickelgw_gossip::core::{Gossip, GossipConfig as AccordFigures, OutgoingDatagram};
 use nickelgw_node_core::zone_failover::ZoneFailover;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -133,8 +133,8 @@
         }
     }
 
-    fn send(&mut self, now: f64, datagrams: Vec<(String, Vec<u8>)>) {
-        for (to, bytes) in datagrams {
+    fn send(&mut self, now: f64, datagrams: Vec<OutgoingDatagram>) {
+        for OutgoingDatagram { to, bytes } in datagrams {
             let lost = self.dice() < LOSS;
             let late = 0.001 + 0.004 * self.dice();
             if let Some(&to) = self.by_address.get(&to).filter(|_| !lost) {
