--- a/crates/nickelgw-cli/src/start.rs
+++ b/crates/nickelgw-cli/src/start.rs
@@ -4,7 +4,7 @@
 use nickelgw_chat::core::grant::GrantKey;
 use nickelgw_chat::core::idempotency::IdempotencyConfig as RepeatFigures;
 use nickelgw_chat::core::retry_budget::Figures as RetryFigures;
-use nickelgw_deferred::core::Figures as ParkedFigures;
+use nickelgw_deferred::core::DeferredLimits;
 use nickelgw_gossip::core::record::{NodeRecord, SharedKey};
 use nickelgw_gossip::core::{Gossip, GossipConfig as AccordFigures};
 use nickelgw_node::discovery::RegistryOptions;
@@ -166,14 +166,14 @@
     let p = n.parked.as_ref()?;
     Some(DeferredQueueConfig {
         file: (&p.file).into(),
-        limits: ParkedFigures {
-            most_records: p.most_records() as usize,
-            most_bytes: p.most_bytes() as usize,
-            most_each: p.most_records_tenant() as usize,
-            longest_wait_s: p.longest_wait_ms() / 1e3,
-            keep_s: p.keep_ms() / 1e3,
-            most_answer: p.most_answer_bytes() as usize,
-            most_tries: nickelgw_node::MAX_ATTEMPTS,
+        limits: DeferredLimits {
+            max_records: p.most_records() as usize,
+            max_bytes: p.most_bytes() as usize,
+            max_records_per_tenant: p.most_records_tenant() as usize,
+            max_wait_s: p.longest_wait_ms() / 1e3,
+            retention_s: p.keep_ms() / 1e3,
+            max_answer_bytes: p.most_answer_bytes() as usize,
+            max_attempts: nickelgw_node::MAX_ATTEMPTS,
         },
         max_running: p.most_running() as usize,
         weights: n.tenant.iter().map(|t| t.weight()).collect(),
--- a/crates/nickelgw-deferred/src/core/mod.rs
+++ b/crates/nickelgw-deferred/src/core/mod.rs
@@ -1,413 +1,380 @@
-//! Parked, running, ended: which inference is run next, what is on disk before it may run, and what is left of it after a crash.
-//! No I/O; times are Unix seconds, since they outlive a process.
+//! The queue of deferred requests: which one runs next, what must be on disk before it may run, and what becomes of each
+//! after a crash. No I/O; times are Unix seconds, since they outlive a process.
 
+mod limits;
 pub mod record;
+mod restore;
+mod retry;
+mod tenant_queues;
+
+pub use limits::DeferredLimits;
+pub use retry::RetryPolicy;
+pub use tenant_queues::local_weight;
 
 use record::{DeferredAnswer, DeferredRecord, DeferredState};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
+use tenant_queues::TenantQueues;
 
-/// Names one; given out only when its record is on disk.
+/// Identifies a deferred request; its client gets it once the record is on disk.
 pub type Ticket = u128;
 
-#[derive(Clone, Copy, Debug)]
-pub struct Figures {
-    pub most_records: usize,
-    pub most_bytes: usize,
-    /// Of one tenant: records, and so its part of the disk.
-    pub most_each: usize,
-    pub longest_wait_s: f64,
-    /// An answer is kept so long, and no longer one than this.
-    pub keep_s: f64,
-    pub most_answer: usize,
-    /// Runs that failed, where it may run again.
-    pub most_tries: u32,
-}
-
-/// Whether it may run again.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RetryPolicy {
-    Retriable,
-    /// Repeats are dropped by all engines for so long.
-    Deduped(f64),
-    Never,
-}
-
-/// Why one is not taken; nothing of it is kept.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a request is not queued; nothing of it is kept.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DeferredRejection {
-    Records,
-    Bytes,
-    Tenant,
-    /// It would wait longer than any may.
-    Wait,
+    /// There are [`DeferredLimits::max_records`] records.
+    #[error("too many records")]
+    TooManyRecords,
+    /// It does not fit into [`DeferredLimits::max_bytes`].
+    #[error("too many bytes")]
+    TooManyBytes,
+    /// Its tenant has [`DeferredLimits::max_records_per_tenant`] records.
+    #[error("too many records of the tenant")]
+    TenantLimit,
+    /// It would wait longer than [`DeferredLimits::max_wait_s`].
+    #[error("its deadline is too far away")]
+    WaitTooLong,
 }
 
 /// What is to be on disk under the ticket.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Write {
+pub struct RecordWrite {
+    /// Key of the record.
     pub ticket: Ticket,
-    /// Rising: of two writes under a ticket the later holds.
+    /// Of two writes under a ticket the one with the higher version is valid.
     pub version: u64,
-    /// None: it goes.
+    /// The record; none: it is removed.
     pub bytes: Option<Vec<u8>>,
 }
 
 struct Entry {
     record: DeferredRecord,
-    bytes: usize,
-    /// Of the write that holds its record as it stands.
+    /// Bytes of the record as it was last encoded.
+    encoded_len: usize,
+    /// Of the write that holds the record in its present state.
     version: u64,
-    /// Its record as it stands is on disk: before, nobody is told of it and nothing follows from it.
+    /// The record is on disk in its present state. Before, nothing is reported of the state and nothing follows from it.
     on_disk: bool,
 }
 
-/// What a client that asks by its ticket is told.
+/// What the owner of a ticket is told.
 #[derive(Debug, PartialEq)]
 pub enum DeferredStatus<'a> {
-    Parked,
+    /// It waits to run.
+    Queued,
+    /// It runs, or its answer is not on disk yet.
     Running,
-    Ended(&'a DeferredAnswer),
+    /// It has its answer.
+    Finished(&'a DeferredAnswer),
 }
 
+/// Deferred requests counted since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DeferredCounters {
-    pub parked: u64,
-    pub refused: u64,
-    pub answered: u64,
-    /// Their time passed before they ran.
-    pub given_up: u64,
-    pub errored: u64,
+    /// Queued, with their records on disk.
+    pub accepted: u64,
+    /// Rejected by a limit.
+    pub rejected: u64,
+    /// Finished with an answer.
+    pub completed: u64,
+    /// Finished at their deadline, before they ran.
+    pub expired: u64,
+    /// Finished since they may have run and may not run again.
+    pub failed: u64,
 }
 
+/// All deferred requests of a node.
 pub struct DeferredQueue {
-    figures: Figures,
-    all: BTreeMap<Ticket, Entry>,
+    limits: DeferredLimits,
+    entries: BTreeMap<Ticket, Entry>,
+    /// Bytes of all records.
     bytes: usize,
-    /// By tenant: those to be run, oldest first, as bits of when they were parked.
-    queues: BTreeMap<String, BTreeSet<(u64, Ticket)>>,
-    /// How far each tenant has been served, by its weight; the least goes next.
-    served: BTreeMap<String, f64>,
-    /// Nothing has had its time before.
-    due_at: f64,
+    queues: TenantQueues,
+    /// No deadline or end of retention is earlier than this.
+    next_expiry_at: f64,
     /// Of the last write.
     version: u64,
+    /// Counted since the process started.
     pub counters: DeferredCounters,
 }
 
-/// A tenant's part of what is run at a node: its weight, by how much of all that waits for it waits here. Parked at five nodes it
-/// has no more than parked at one.
-pub fn part(weight: f64, here: usize, elsewhere: u64) -> f64 {
-    let here = here.max(1) as f64;
-    weight * here / (here + elsewhere as f64)
-}
-
 impl DeferredQueue {
-    pub fn new(figures: Figures) -> DeferredQueue {
+    /// An empty queue.
+    pub fn new(limits: DeferredLimits) -> DeferredQueue {
         DeferredQueue {
-            figures,
-            all: BTreeMap::new(),
+            limits,
+            entries: BTreeMap::new(),
             bytes: 0,
-            queues: BTreeMap::new(),
-            served: BTreeMap::new(),
-            due_at: f64::INFINITY,
+            queues: TenantQueues::default(),
+            next_expiry_at: f64::INFINITY,
             version: 0,
             counters: DeferredCounters::default(),
         }
     }
 
+    /// Records kept, finished ones included.
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.entries.len()
     }
 
+    /// Whether no record is kept.
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Those that wait to be run, by tenant.
+    /// Tenants that have requests waiting to run, with their number.
     pub fn waiting(&self) -> impl Iterator<Item = (&str, usize)> {
-        self.queues.iter().map(|(t, q)| (t.as_str(), q.len())).filter(|w| w.1 > 0)
-    }
-
-    /// What an earlier process left. What may have run and may not again ends here, before anybody asks.
-    pub fn restore(
-        &mut self,
-        now: f64,
-        found: impl Iterator<Item = (Ticket, Vec<u8>)>,
-        repeat: impl Fn(&DeferredRecord) -> Option<RetryPolicy>,
-    ) -> Vec<Write> {
-        let mut writes = Vec::new();
-        for (ticket, bytes) in found {
-            let Some(record) = DeferredRecord::read(&bytes) else {
-                writes.push(self.remove(ticket));
-                continue;
-            };
-            self.bytes += bytes.len();
-            let (running, repeat) = (record.state == DeferredState::Running, repeat(&record));
-            let waits = !matches!(record.state, DeferredState::Ended { .. });
-            // Looked over once; from then on it is known when the next is due.
-            self.due_at = now;
-            self.all.insert(ticket, Entry { record, bytes: bytes.len(), version: 0, on_disk: true });
-            match repeat {
-                // Its tenant or model is no more: nobody may ask for it.
-                None if waits => writes.push(self.end(
-                    now,
-                    ticket,
-                    DeferredAnswer::error(410, "gone", "its tenant or model is no more"),
-                )),
-                Some(r) if running && !self.may_run(now, ticket, r) => writes.push(self.lost(now, ticket)),
-                _ if running => writes.push(self.put_back(ticket)),
-                _ if waits => self.queue(ticket),
-                _ => {}
-            }
-        }
-        writes
+        self.queues.waiting()
     }
 
-    fn lost(&mut self, now: f64, ticket: Ticket) -> Write {
-        self.counters.errored += 1;
-        self.end(
-            now,
-            ticket,
-            DeferredAnswer::error(502, "may_have_run", "it may have run, and does not run again"),
-        )
+    /// The record of a ticket.
+    pub fn record(&self, ticket: Ticket) -> Option<&DeferredRecord> {
+        self.entries.get(&ticket).map(|entry| &entry.record)
     }
 
-    fn may_run(&self, now: f64, ticket: Ticket, repeat: RetryPolicy) -> bool {
-        let Some(e) = self.all.get(&ticket) else { return false };
-        match (repeat, e.record.first_run) {
-            (RetryPolicy::Retriable, _) | (_, None) => true,
-            (RetryPolicy::Never, Some(_)) => false,
-            // Half of the span is left for the run itself.
-            (RetryPolicy::Deduped(memory_s), Some(first)) => now < first + memory_s / 2.0 && now >= first,
-        }
+    /// What this tenant is told of a ticket. None: there is no such ticket of the tenant.
+    pub fn status(&self, ticket: Ticket, tenant: &str) -> Option<DeferredStatus<'_>> {
+        let entry = self.entries.get(&ticket).filter(|entry| entry.record.tenant == tenant)?;
+        Some(match &entry.record.state {
+            DeferredState::Finished { answer, .. } if entry.on_disk => DeferredStatus::Finished(answer),
+            DeferredState::Queued => DeferredStatus::Queued,
+            DeferredState::Running | DeferredState::Finished { .. } => DeferredStatus::Running,
+        })
     }
 
-    /// Takes one in; the record is to be on disk before its client hears of it.
+    /// Accepts a request; the record is to be on disk before its client gets the ticket.
     pub fn enqueue(
         &mut self,
         now: f64,
         ticket: Ticket,
-        r: DeferredRecord,
-    ) -> Result<Write, DeferredRejection> {
-        let bytes = r.bytes();
-        let of_tenant = self.all.values().filter(|e| e.record.tenant == r.tenant).count();
-        let why = if r.until - now > self.figures.longest_wait_s {
-            Some(DeferredRejection::Wait)
-        } else if self.all.len() >= self.figures.most_records {
-            Some(DeferredRejection::Records)
-        } else if self.bytes + bytes.len() > self.figures.most_bytes {
-            Some(DeferredRejection::Bytes)
-        } else if of_tenant >= self.figures.most_each {
-            Some(DeferredRejection::Tenant)
-        } else {
-            None
-        };
-        if let Some(why) = why {
-            self.counters.refused += 1;
-            return Err(why);
+        record: DeferredRecord,
+    ) -> Result<RecordWrite, DeferredRejection> {
+        let bytes = record.encode();
+        if let Err(rejection) = self.check_limits(now, &record, bytes.len()) {
+            self.counters.rejected += 1;
+            return Err(rejection);
         }
-        self.bytes += bytes.len();
+        let encoded_len = bytes.len();
+        self.bytes += encoded_len;
         self.version += 1;
         let version = self.version;
-        self.all.insert(ticket, Entry { record: r, bytes: bytes.len(), version, on_disk: false });
-        Ok(Write { ticket, version, bytes: Some(bytes) })
+        self.entries.insert(ticket, Entry { record, encoded_len, version, on_disk: false });
+        Ok(RecordWrite { ticket, version, bytes: Some(bytes) })
+    }
+
+    fn check_limits(
+        &self,
+        now: f64,
+        record: &DeferredRecord,
+        encoded_len: usize,
+    ) -> Result<(), DeferredRejection> {
+        let of_tenant = || self.entries.values().filter(|entry| entry.record.tenant == record.tenant);
+        if record.deadline - now > self.limits.max_wait_s {
+            Err(DeferredRejection::WaitTooLong)
+        } else if self.entries.len() >= self.limits.max_records {
+            Err(DeferredRejection::TooManyRecords)
+        } else if self.bytes + encoded_len > self.limits.max_bytes {
+            Err(DeferredRejection::TooManyBytes)
+        } else if of_tenant().count() >= self.limits.max_records_per_tenant {
+            Err(DeferredRejection::TenantLimit)
+        } else {
+            Ok(())
+        }
     }
 
-    /// Whether nothing newer is to be on disk under its ticket: one that failed is tried again only then, or it would take the
-    /// place of a newer.
+    /// Whether this is the latest write of its ticket. A write that failed may be tried again only then, or it would replace
+    /// a newer one.
     pub fn is_latest(&self, ticket: Ticket, version: u64) -> bool {
-        self.all.get(&ticket).is_some_and(|e| e.version == version)
+        self.entries.get(&ticket).is_some_and(|entry| entry.version == version)
     }
 
-    /// The write is on disk, or could not be: what was being taken in is then as if it never came. One that has been overtaken
-    /// says nothing of the record as it stands.
-    pub fn write_finished(&mut self, ticket: Ticket, version: u64, done: bool) {
-        let Some(e) = self.all.get_mut(&ticket).filter(|e| e.version == version) else { return };
-        if done {
-            let new = !e.on_disk && e.record.state == DeferredState::Parked;
-            e.on_disk = true;
-            if new {
-                self.counters.parked += 1;
-                self.queue(ticket);
+    /// A write has succeeded or failed. A request whose first write fails was never accepted. A write that is not the latest
+    /// changes nothing.
+    pub fn write_finished(&mut self, ticket: Ticket, version: u64, succeeded: bool) {
+        let latest = self.entries.get_mut(&ticket).filter(|entry| entry.version == version);
+        let Some(entry) = latest else { return };
+        let is_queued = entry.record.state == DeferredState::Queued;
+        if succeeded {
+            let is_new = !entry.on_disk && is_queued;
+            entry.on_disk = true;
+            if is_new {
+                self.counters.accepted += 1;
+                self.push_to_queue(ticket);
             }
-        } else if e.record.state == DeferredState::Parked {
+        } else if is_queued {
             self.forget(ticket);
         }
     }
 
-    fn queue(&mut self, ticket: Ticket) {
-        let Some(e) = self.all.get(&ticket) else { return };
-        let (tenant, at) = (e.record.tenant.clone(), e.record.parked_at.max(0.0).to_bits());
-        self.due_at = self.due_at.min(e.record.until);
-        if self.queues.get(&tenant).is_none_or(|q| q.is_empty()) {
-            // One that comes new, or again, begins where the others are.
-            let others = self.queues.iter().filter(|q| !q.1.is_empty()).filter_map(|q| self.served.get(q.0));
-            let least = others.copied().reduce(f64::min).unwrap_or(0.0);
-            let own = self.served.entry(tenant.clone()).or_insert(least);
-            *own = own.max(least);
+    /// The next request to run: the oldest of the tenant that has been served least for its weight. Where the request may
+    /// not run twice, the write is to be on disk before it is sent. A request that may not run any more finishes instead.
+    pub fn next_runnable(
+        &mut self,
+        now: f64,
+        weight: impl Fn(&str) -> f64,
+        retry_policy: impl Fn(&DeferredRecord) -> Option<RetryPolicy>,
+    ) -> Option<RecordWrite> {
+        loop {
+            let (tenant, ticket) = self.queues.pop()?;
+            let policy = self.record(ticket).and_then(&retry_policy);
+            if !policy.is_some_and(|policy| self.may_run(now, ticket, policy)) {
+                return Some(self.finish_lost(now, ticket));
+            }
+            let entry = self.entries.get_mut(&ticket)?;
+            if now >= entry.record.deadline {
+                continue;
+            }
+            self.queues.charge(tenant.clone(), weight(&tenant));
+            entry.record.state = DeferredState::Running;
+            entry.record.first_attempt_at = entry.record.first_attempt_at.or(Some(now));
+            return Some(self.rewrite(ticket));
         }
-        self.queues.entry(tenant).or_default().insert((at, ticket));
     }
 
-    fn unqueue(&mut self, ticket: Ticket) {
-        let Some(e) = self.all.get(&ticket) else { return };
-        if let Some(q) = self.queues.get_mut(&e.record.tenant) {
-            q.remove(&(e.record.parked_at.max(0.0).to_bits(), ticket));
+    /// An attempt ended without an answer; `ran`: it may have run, and was not rejected before. It is queued again, or
+    /// finishes.
+    pub fn attempt_failed(
+        &mut self,
+        now: f64,
+        ticket: Ticket,
+        ran: bool,
+        retry_policy: RetryPolicy,
+    ) -> RecordWrite {
+        let max_attempts = self.limits.max_attempts;
+        let Some(entry) = self.entries.get_mut(&ticket) else { return self.remove(ticket) };
+        if !ran && retry_policy == RetryPolicy::Never {
+            entry.record.first_attempt_at = None;
+        }
+        entry.record.failed_attempts += u32::from(ran);
+        let exhausted = entry.record.failed_attempts >= max_attempts;
+        if ran && (exhausted || !self.may_run(now, ticket, retry_policy)) {
+            return self.finish_lost(now, ticket);
         }
+        self.requeue(ticket)
     }
 
-    fn forget(&mut self, ticket: Ticket) {
-        self.unqueue(ticket);
-        if let Some(e) = self.all.remove(&ticket) {
-            self.bytes -= e.bytes;
+    /// A request has its answer, which is to be on disk before its client gets it.
+    pub fn complete(&mut self, now: f64, ticket: Ticket, answer: DeferredAnswer) -> RecordWrite {
+        self.counters.completed += 1;
+        let is_too_long = answer.body.len() > self.limits.max_answer_bytes;
+        let kept = if is_too_long { DeferredAnswer::too_long() } else { answer };
+        self.finish(now, ticket, kept)
+    }
+
+    /// Finishes requests whose deadline has passed, and removes answers that were kept long enough.
+    pub fn poll_expired(&mut self, now: f64) -> Vec<RecordWrite> {
+        if now < self.next_expiry_at {
+            return Vec::new();
+        }
+        let Expired { requests, answers } = self.collect_expired(now);
+        answers.iter().for_each(|ticket| self.forget(*ticket));
+        let mut writes: Vec<RecordWrite> = answers.into_iter().map(|ticket| self.remove(ticket)).collect();
+        for ticket in requests {
+            self.counters.expired += 1;
+            writes.push(self.finish(now, ticket, DeferredAnswer::timed_out()));
         }
+        writes
     }
 
-    /// The next to be run: of the tenant that has had least for its weight, the oldest. `weight`: its part of what is
-    /// run here. It may have run from the write on, which is to be on disk before it is sent where that matters.
-    pub fn next_runnable(
-        &mut self,
-        now: f64,
-        weight: impl Fn(&str) -> f64,
-        repeat: impl Fn(&DeferredRecord) -> Option<RetryPolicy>,
-    ) -> Option<Write> {
-        loop {
-            let ready = self.queues.iter().filter(|q| !q.1.is_empty());
-            let of = |t: &str| self.served.get(t).copied().unwrap_or(0.0);
-            let tenant = ready.min_by(|a, b| of(a.0).total_cmp(&of(b.0))).map(|q| q.0.clone())?;
-            let ticket = self.queues.get(&tenant)?.first()?.1;
-            self.unqueue(ticket);
-            let known = self.all.get(&ticket).and_then(|e| repeat(&e.record));
-            if !known.is_some_and(|r| self.may_run(now, ticket, r)) {
-                // Its span is over while it waited: nobody may know whether it ran.
-                return Some(self.lost(now, ticket));
-            }
-            let e = self.all.get_mut(&ticket)?;
-            if now >= e.record.until {
-                continue;
+    fn collect_expired(&mut self, now: f64) -> Expired {
+        let mut expired = Expired::default();
+        self.next_expiry_at = f64::INFINITY;
+        for (&ticket, entry) in &self.entries {
+            let (expires_at, tickets) = match entry.record.state {
+                // One that is not on disk yet is queued, and then seen here, once it is.
+                DeferredState::Queued if entry.on_disk => (entry.record.deadline, &mut expired.requests),
+                DeferredState::Finished { at, .. } => (at + self.limits.retention_s, &mut expired.answers),
+                DeferredState::Queued | DeferredState::Running => continue,
+            };
+            if now >= expires_at {
+                tickets.push(ticket);
+            } else {
+                self.next_expiry_at = self.next_expiry_at.min(expires_at);
             }
-            *self.served.entry(tenant.clone()).or_insert(0.0) += 1.0 / weight(&tenant).max(1e-6);
-            e.record.state = DeferredState::Running;
-            e.record.first_run = e.record.first_run.or(Some(now));
-            return Some(self.rewrite(ticket));
         }
+        expired
     }
 
-    pub fn record(&self, ticket: Ticket) -> Option<&DeferredRecord> {
-        self.all.get(&ticket).map(|e| &e.record)
+    fn may_run(&self, now: f64, ticket: Ticket, retry_policy: RetryPolicy) -> bool {
+        self.record(ticket).is_some_and(|record| retry_policy.allows_attempt(now, record.first_attempt_at))
     }
 
-    fn rewrite(&mut self, ticket: Ticket) -> Write {
-        let Some(e) = self.all.get_mut(&ticket) else { return self.remove(ticket) };
-        let bytes = e.record.bytes();
-        self.bytes = self.bytes - e.bytes + bytes.len();
-        e.bytes = bytes.len();
-        e.on_disk = false;
-        self.version += 1;
-        e.version = self.version;
-        Write { ticket, version: e.version, bytes: Some(bytes) }
+    fn push_to_queue(&mut self, ticket: Ticket) {
+        let Some(entry) = self.entries.get(&ticket) else { return };
+        self.next_expiry_at = self.next_expiry_at.min(entry.record.deadline);
+        self.queues.push(&entry.record.tenant, entry.record.queued_at, ticket);
     }
 
-    fn remove(&mut self, ticket: Ticket) -> Write {
-        self.version += 1;
-        Write { ticket, version: self.version, bytes: None }
+    fn remove_from_queue(&mut self, ticket: Ticket) {
+        let Some(entry) = self.entries.get(&ticket) else { return };
+        self.queues.remove(&entry.record.tenant, entry.record.queued_at, ticket);
     }
 
-    fn put_back(&mut self, ticket: Ticket) -> Write {
-        if let Some(e) = self.all.get_mut(&ticket) {
-            e.record.state = DeferredState::Parked;
+    fn requeue(&mut self, ticket: Ticket) -> RecordWrite {
+        if let Some(entry) = self.entries.get_mut(&ticket) {
+            entry.record.state = DeferredState::Queued;
         }
         let write = self.rewrite(ticket);
-        if let Some(e) = self.all.get_mut(&ticket) {
-            // What is on disk says no less: that it may have run.
-            e.on_disk = true;
+        if let Some(entry) = self.entries.get_mut(&ticket) {
+            // The record on disk says that it runs: after a crash that leads to the same.
+            entry.on_disk = true;
         }
-        self.queue(ticket);
+        self.push_to_queue(ticket);
         write
     }
 
-    /// Given out, it came back without an answer: `ran` nothing of it where it was turned away. It waits for its next turn,
-    /// or ends.
-    pub fn attempt_failed(&mut self, now: f64, ticket: Ticket, ran: bool, repeat: RetryPolicy) -> Write {
-        let most = self.figures.most_tries;
-        let Some(e) = self.all.get_mut(&ticket) else { return self.remove(ticket) };
-        if !ran && repeat == RetryPolicy::Never {
-            e.record.first_run = None;
-        }
-        e.record.tries += u32::from(ran);
-        let tries = e.record.tries;
-        if ran && (tries >= most || !self.may_run(now, ticket, repeat)) {
-            return self.lost(now, ticket);
+    fn finish_lost(&mut self, now: f64, ticket: Ticket) -> RecordWrite {
+        self.counters.failed += 1;
+        self.finish(now, ticket, DeferredAnswer::may_have_run())
+    }
+
+    fn finish(&mut self, now: f64, ticket: Ticket, answer: DeferredAnswer) -> RecordWrite {
+        self.remove_from_queue(ticket);
+        let Some(entry) = self.entries.get_mut(&ticket) else { return self.remove(ticket) };
+        if entry.record.is_finished() {
+            // Its client may have the first answer already: the same write once more.
+            let bytes = Some(entry.record.encode());
+            return RecordWrite { ticket, version: entry.version, bytes };
         }
-        self.put_back(ticket)
+        self.next_expiry_at = self.next_expiry_at.min(now + self.limits.retention_s);
+        entry.record.state = DeferredState::Finished { at: now, answer };
+        entry.record.body = Vec::new();
+        self.rewrite(ticket)
     }
 
-    /// It has its answer, which is to be on disk before its client sees it.
-    pub fn complete(&mut self, now: f64, ticket: Ticket, answer: DeferredAnswer) -> Write {
-        self.counters.answered += 1;
-        let long = answer.body.len() > self.figures.most_answer;
-        let word = "the answer is longer than is kept";
-        self.end(now, ticket, if long { DeferredAnswer::error(507, "answer_too_long", word) } else { answer })
+    fn rewrite(&mut self, ticket: Ticket) -> RecordWrite {
+        let Some(entry) = self.entries.get_mut(&ticket) else { return self.remove(ticket) };
+        let bytes = entry.record.encode();
+        self.bytes = self.bytes - entry.encoded_len + bytes.len();
+        entry.encoded_len = bytes.len();
+        entry.on_disk = false;
+        self.version += 1;
+        entry.version = self.version;
+        RecordWrite { ticket, version: entry.version, bytes: Some(bytes) }
     }
 
-    fn end(&mut self, now: f64, ticket: Ticket, answer: DeferredAnswer) -> Write {
-        self.unqueue(ticket);
-        let Some(e) = self.all.get_mut(&ticket) else { return self.remove(ticket) };
-        if matches!(e.record.state, DeferredState::Ended { .. }) {
-            // What was told stays told: the same write once more.
-            return Write { ticket, version: e.version, bytes: Some(e.record.bytes()) };
-        }
-        self.due_at = self.due_at.min(now + self.figures.keep_s);
-        e.record.state = DeferredState::Ended { at: now, answer };
-        // The question is not asked any more.
-        e.record.body = Vec::new();
-        self.rewrite(ticket)
+    fn remove(&mut self, ticket: Ticket) -> RecordWrite {
+        self.version += 1;
+        RecordWrite { ticket, version: self.version, bytes: None }
     }
 
-    /// What has had its time: parked ones are given up, answers kept long enough go.
-    pub fn poll_expired(&mut self, now: f64) -> Vec<Write> {
-        // All are looked over only when one has had its time.
-        if now < self.due_at {
-            return Vec::new();
-        }
-        let (mut given_up, mut gone) = (Vec::new(), Vec::new());
-        self.due_at = f64::INFINITY;
-        for (&ticket, e) in &self.all {
-            let (at, of) = match e.record.state {
-                // Not on disk yet it waits for that first; then it is queued, and looked at again.
-                DeferredState::Parked if e.on_disk => (e.record.until, &mut given_up),
-                DeferredState::Ended { at, .. } => (at + self.figures.keep_s, &mut gone),
-                _ => continue,
-            };
-            if now >= at {
-                of.push(ticket);
-            } else {
-                self.due_at = self.due_at.min(at);
-            }
-        }
-        gone.iter().for_each(|t| self.forget(*t));
-        let mut writes: Vec<Write> = gone.into_iter().map(|t| self.remove(t)).collect();
-        for t in given_up {
-            self.counters.given_up += 1;
-            writes.push(self.end(
-                now,
-                t,
-                DeferredAnswer::error(504, "timeout", "its time passed before there was room"),
-            ));
+    fn forget(&mut self, ticket: Ticket) {
+        self.remove_from_queue(ticket);
+        if let Some(entry) = self.entries.remove(&ticket) {
+            self.bytes -= entry.encoded_len;
         }
-        writes
     }
+}
 
-    /// What the client of this tenant is told; none: there is no such ticket, for it.
-    pub fn status(&self, ticket: Ticket, tenant: &str) -> Option<DeferredStatus<'_>> {
-        let e = self.all.get(&ticket).filter(|e| e.record.tenant == tenant)?;
-        Some(match &e.record.state {
-            DeferredState::Ended { answer, .. } if e.on_disk => DeferredStatus::Ended(answer),
-            DeferredState::Parked => DeferredStatus::Parked,
-            _ => DeferredStatus::Running,
-        })
-    }
+/// Tickets whose time has passed.
+#[derive(Default)]
+struct Expired {
+    /// Past their deadline.
+    requests: Vec<Ticket>,
+    /// Past their retention.
+    answers: Vec<Ticket>,
 }
 
+#[cfg(test)]
+mod crash_tests;
 #[cfg(test)]
 mod tests;
--- a/crates/nickelgw-deferred/src/lib.rs
+++ b/crates/nickelgw-deferred/src/lib.rs
@@ -1,4 +1,4 @@
-//! Offline inferences: parked on disk, run when there is room, ended once. Only a [`core`]: the node writes what it says, and
-//! runs what it gives out.
+//! Deferred requests: kept on disk until there is room, run in the background, and finished exactly once. Only a [`core`]
+//! without I/O: the node carries out the writes that it gives out, and runs the requests.
 
 pub mod core;
--- a/crates/nickelgw-node/src/admin.rs
+++ b/crates/nickelgw-node/src/admin.rs
@@ -169,11 +169,11 @@
         whole(r, "parked", "Offline inferences that wait to be run", waiting);
         whole(r, "parked_running", "Offline inferences being run", running);
         let all = [
-            ("taken", t.parked),
-            ("refused", t.refused),
-            ("answered", t.answered),
-            ("given_up", t.given_up),
-            ("errored", t.errored),
+            ("taken", t.accepted),
+            ("refused", t.rejected),
+            ("answered", t.completed),
+            ("given_up", t.expired),
+            ("errored", t.failed),
         ];
         by_how(r, "parked_inferences", "Offline inferences by what became of them", all);
     }
--- a/crates/nickelgw-node/src/deferred.rs
+++ b/crates/nickelgw-node/src/deferred.rs
@@ -9,7 +9,8 @@
 use nickelgw::interface::{self as route, IdempotencyScope, ModelRoute};
 use nickelgw_deferred::core::record::{DeferredAnswer as Kept, DeferredRecord, DeferredState};
 use nickelgw_deferred::core::{
-    DeferredCounters, DeferredQueue, DeferredRejection, DeferredStatus, Figures, RetryPolicy, Ticket, Write,
+    DeferredCounters, DeferredLimits, DeferredQueue, DeferredRejection, DeferredStatus, RecordWrite,
+    RetryPolicy, Ticket,
 };
 use nickelgw_gossip::core::record::name_hash;
 use nickelgw_gossip::core::Gossip;
@@ -33,7 +34,7 @@
 /// What a node needs to park.
 pub struct DeferredQueueConfig {
     pub file: PathBuf,
-    pub limits: Figures,
+    pub limits: DeferredLimits,
     /// Run at once, at most.
     pub max_running: usize,
     /// For each tenant, its part.
@@ -70,9 +71,9 @@
 /// Whether a parked one may run again, by its model route.
 pub fn repeat(r: &ModelRoute) -> RetryPolicy {
     match r.idempotency {
-        route::Idempotency::Idempotent => RetryPolicy::Retriable,
-        route::Idempotency::Keyed { scope: IdempotencyScope::All, window_s: memory_s } => {
-            RetryPolicy::Deduped(memory_s)
+        route::Idempotency::Idempotent => RetryPolicy::Always,
+        route::Idempotency::Keyed { scope: IdempotencyScope::All, window_s } => {
+            RetryPolicy::Within { window_s }
         }
         // Which engines heard of it is not known to a later process.
         _ => RetryPolicy::Never,
@@ -141,7 +142,7 @@
     }
 
     /// On disk, tried until it is or another is to be there; what is taken out need not be waited for.
-    async fn write(&self, w: Write) {
+    async fn write(&self, w: RecordWrite) {
         let Some(b) = w.bytes else { return self.keeper.remove(RecordKind::DeferredRequest, &key(w.ticket)) };
         // Asked before each try: while a disk fails, an older record would come back over a newer one.
         while self.core.borrow().is_latest(w.ticket, w.version) {
@@ -170,7 +171,7 @@
             };
             a.live_peers(self.keeper.now()).map(of).sum()
         });
-        nickelgw_deferred::core::part(weight.copied().unwrap_or(1.0), own, others)
+        nickelgw_deferred::core::local_weight(weight.copied().unwrap_or(1.0), own, others)
     }
 
     fn found_room(&self) {
@@ -209,11 +210,11 @@
             tenant: ask.tenant.map_or(String::new(), |t| self.door.tenants[t].name.clone()),
             model: chat.model.clone(),
             body,
-            parked_at: now,
-            until: now + within,
-            first_run: None,
-            tries: 0,
-            state: DeferredState::Parked,
+            queued_at: now,
+            deadline: now + within,
+            first_attempt_at: None,
+            failed_attempts: 0,
+            state: DeferredState::Queued,
         };
         let come_back = self.limits.retry_after_s;
         let full = || {
@@ -225,18 +226,18 @@
         }
         let taken = p.core.borrow_mut().enqueue(now, ticket, record);
         let write = taken.map_err(|why| match why {
-            DeferredRejection::Tenant => {
+            DeferredRejection::TenantLimit => {
                 let word = "this tenant has its part of what is kept";
                 ApiError::new(429, "server_error", "parked_tenant_full", word).after(come_back)
             }
-            DeferredRejection::Wait => field("is longer than any may wait"),
-            DeferredRejection::Records | DeferredRejection::Bytes => full(),
+            DeferredRejection::WaitTooLong => field("is longer than any may wait"),
+            DeferredRejection::TooManyRecords | DeferredRejection::TooManyBytes => full(),
         })?;
         // Its client may go meanwhile: what was begun is ended all the same.
         let (tell, told) = bounded(1);
         let of = p.clone();
         let keep = async move {
-            let Write { ticket: t, version, bytes } = write;
+            let RecordWrite { ticket: t, version, bytes } = write;
             let kept = of
                 .keeper
                 .put_and_wait(RecordKind::DeferredRequest, &key(t), &bytes.unwrap_or_default())
@@ -269,8 +270,8 @@
         let id = Some(ticket).filter(|t| t.len() == 32).and_then(|t| Ticket::from_str_radix(t, 16).ok());
         let core = p.core.borrow();
         let status = match id.and_then(|t| core.status(t, tenant)).ok_or_else(none)? {
-            DeferredStatus::Ended(a) => return Ok(json_answer(a.status, Bytes::from(a.body.clone()))),
-            DeferredStatus::Parked => "parked",
+            DeferredStatus::Finished(a) => return Ok(json_answer(a.status, Bytes::from(a.body.clone()))),
+            DeferredStatus::Queued => "parked",
             DeferredStatus::Running => "running",
         };
         let body = json!({"id": ticket, "object": "chat.parked", "status": status});
@@ -320,7 +321,7 @@
         p.repeats.get(route).copied()
     }
 
-    async fn run_parked(self: Rc<Self>, p: Rc<DeferredRequests>, write: Write) {
+    async fn run_parked(self: Rc<Self>, p: Rc<DeferredRequests>, write: RecordWrite) {
         let ticket = write.ticket;
         let record = p.core.borrow().record(ticket).cloned();
         let running = record.filter(|r| r.state == DeferredState::Running);
@@ -332,7 +333,7 @@
         };
         let after = match repeat {
             // An earlier process that ran it changes nothing.
-            RetryPolicy::Retriable => {
+            RetryPolicy::Always => {
                 p.core.borrow_mut().write_finished(ticket, write.version, true);
                 Some(())
             }
@@ -346,7 +347,7 @@
         let ended = match after {
             None => Err(false),
             Some(()) => {
-                let left = record.until - unix_now();
+                let left = record.deadline - unix_now();
                 // Dropped when its time passes, it is called off.
                 within(left, self.run_once(ticket, &record, left)).await.unwrap_or(Err(true))
             }
