--- /dev/null
+++ b/crates/nickelgw-node/tests/stored_records.rs
@@ -0,0 +1,71 @@
+//! Values stored by an earlier release are understood by the modules that own them. The files are those of
+//! `crates/nickelgw-store/tests/fixtures/32b5283`.
+
+use nickelgw_deferred::core::record::{DeferredRecord, DeferredState};
+use nickelgw_node_core::warm_state;
+use nickelgw_protocol::list::{EndpointList, EngineRole, EngineState};
+use nickelgw_store::core::write_buffer::{RestoredRecord, WriteBuffer};
+use nickelgw_store::core::RecordKind;
+use nickelgw_store::Store;
+use std::path::{Path, PathBuf};
+
+/// A moment after the last write of the fixtures, in seconds since 1970.
+const SHORTLY_AFTER_UNIX_S: f64 = 1_796_219_380.0;
+
+fn fixture(file: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../nickelgw-store/tests/fixtures/32b5283").join(file)
+}
+
+/// The records of a fixture; a copy is opened, as opening a store may write to it.
+fn restore(file: &str) -> Vec<RestoredRecord> {
+    let copy = std::env::temp_dir().join(format!("nickelgw-stored-records-{}-{file}", std::process::id()));
+    std::fs::copy(fixture(file), &copy).unwrap();
+    let (store, records) = Store::open(&copy).unwrap();
+    drop(store);
+    std::fs::remove_file(&copy).unwrap();
+    WriteBuffer::new(Default::default()).restore(0.0, SHORTLY_AFTER_UNIX_S, records)
+}
+
+#[test]
+fn learned_state_of_an_earlier_release_is_read() {
+    let records = restore("node.store");
+    let stored = records.iter().find(|record| record.kind == RecordKind::LearnedState).unwrap();
+    let learned = warm_state::read(&stored.value, 0.0).unwrap();
+    assert_eq!(learned.averages.len(), 21);
+    assert_eq!(learned.averages[..3], [4.34508340877786, 6.0, 0.049116128454386794]);
+    assert_eq!(learned.engines.len(), 1);
+    assert_eq!(learned.engines[0].id, "w0");
+    assert_eq!(learned.engines[0].started_at, None);
+    assert_eq!(learned.engines[0].recent_failures, 2.6532131490676205);
+    assert_eq!(learned.engines[0].last_failure_at, 1796219370.6095526);
+    // Written again it is the same text: an earlier release could read it too.
+    assert_eq!(warm_state::write(&learned, 0.0), stored.value);
+}
+
+#[test]
+fn deferred_requests_of_an_earlier_release_are_read() {
+    let records = restore("deferred.store");
+    let requests: Vec<DeferredRecord> =
+        records.iter().map(|record| DeferredRecord::read(&record.value).unwrap()).collect();
+    assert_eq!(requests.len(), 2);
+    let [waiting, answered] = &requests[..] else { unreachable!() };
+    assert_eq!((waiting.model.as_str(), &waiting.state), ("chat", &DeferredState::Parked));
+    assert!(std::str::from_utf8(&waiting.body).unwrap().contains(r#""content":"waiting""#));
+    assert!((waiting.until - waiting.parked_at - 86_000.0).abs() < 1e-3);
+    let DeferredState::Ended { answer, .. } = &answered.state else { panic!("{:?}", answered.state) };
+    assert_eq!(answer.status, 200);
+    assert!(std::str::from_utf8(&answer.body).unwrap().contains("w0 w1 w2 w3 w4 w5 w6 w7"));
+    for (record, request) in records.iter().zip(&requests) {
+        assert_eq!(request.bytes(), record.value, "written again it is the same");
+    }
+}
+
+#[test]
+fn last_list_of_an_earlier_release_is_read() {
+    let list = EndpointList::parse(&std::fs::read(fixture("last_list.json")).unwrap()).unwrap();
+    let entries: Vec<_> =
+        list.engines.iter().map(|entry| (entry.id.as_str(), entry.role, entry.state)).collect();
+    let active = EngineState::Active;
+    assert_eq!(entries, [("r0", EngineRole::Prefill, active), ("w0", EngineRole::Decode, active)]);
+    assert_eq!(list.revision, 1);
+}
