--- a/crates/nickelgw-cli/src/bench_path.rs
+++ b/crates/nickelgw-cli/src/bench_path.rs
@@ -9,7 +9,7 @@
 use nickelgw_chat::core::retry_budget::{self, RetryBudget};
 use nickelgw_node_core::ledger::{Ledger, ReservationId};
 use nickelgw_node_core::{Endpoint, Reservation};
-use nickelgw_store::core::write_buffer::{Batch, Figures as ShelfFigures, Waiter, WriteBuffer};
+use nickelgw_store::core::write_buffer::{Batch, Waiter, WriteBuffer, WriteBufferConfig};
 use nickelgw_store::core::RecordKind;
 use nickelgw_store::Store;
 use nickelgw_test_servers::client;
@@ -95,11 +95,11 @@
 
 fn store(seconds: f64) -> Result<(), Unusable> {
     let path = std::env::temp_dir().join(format!("nickelgw-bench-store-{}", std::process::id()));
-    let wrong = |e: nickelgw_store::Problem| Unusable(e.to_string());
+    let wrong = |e: nickelgw_store::StoreError| Unusable(e.to_string());
     println!("the store, 1000 records a second, each waited for:");
     {
         let (store, _) = Store::open(&path).map_err(wrong)?;
-        let mut shelf = WriteBuffer::new(ShelfFigures::default());
+        let mut shelf = WriteBuffer::new(WriteBufferConfig::default());
         let mut waits = Histogram::<u64>::new_with_bounds(1, 60_000_000_000, 3).expect("a valid range");
         let mut commits = waits.clone();
         let (from, mut n, mut put_at) = (Instant::now(), 0u64, HashMap::new());
@@ -149,7 +149,7 @@
     for records in [1_000u64, 10_000, 60_000] {
         {
             let (store, _) = Store::open(&path).map_err(wrong)?;
-            let mut shelf = WriteBuffer::new(ShelfFigures::default());
+            let mut shelf = WriteBuffer::new(WriteBufferConfig::default());
             for n in 0..records {
                 let key = blake3::hash(&n.to_le_bytes());
                 shelf.put(0.0, 1e9, (RecordKind::IdempotencyKey, key.as_bytes()), &[7; 32], None);
@@ -166,7 +166,7 @@
         let from = Instant::now();
         let (store, found) = Store::open(&path).map_err(wrong)?;
         let opened = from.elapsed();
-        let mut shelf = WriteBuffer::new(ShelfFigures::default());
+        let mut shelf = WriteBuffer::new(WriteBufferConfig::default());
         let n = shelf.restore(0.0, 1e9 + 1.0, found).len();
         let whole = from.elapsed();
         drop(store);
--- a/crates/nickelgw-node/src/lib.rs
+++ b/crates/nickelgw-node/src/lib.rs
@@ -205,7 +205,7 @@
                 relays.restore(clock.now() - f.age_s.unwrap_or(0.0), &f.key, &f.value)
             }
             RecordKind::LearnedState => {
-                let trust = retention::weight(f.age_s.unwrap_or(f64::INFINITY));
+                let trust = retention::learned_state_weight(f.age_s.unwrap_or(f64::INFINITY));
                 let read = core.restore_state(&f.value, trust);
                 tracing::info!(trust, read, "what the process before had learnt");
             }
--- a/crates/nickelgw-node/src/persistence.rs
+++ b/crates/nickelgw-node/src/persistence.rs
@@ -2,9 +2,9 @@
 
 use crate::{unix_now, Clock};
 use async_channel::{bounded, Receiver, Sender};
-use nickelgw_store::core::write_buffer::{Figures, RestoredRecord, Waiter, WriteBuffer};
+use nickelgw_store::core::write_buffer::{RestoredRecord, Waiter, WriteBuffer, WriteBufferConfig};
 use nickelgw_store::core::RecordKind;
-use nickelgw_store::{open_or_begin, Problem, Store};
+use nickelgw_store::{open_or_recreate, Store, StoreError};
 use smol::Timer;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -31,26 +31,26 @@
 impl StoreWriter {
     /// Opens the file; blocking, before anything is served.
     pub fn open(path: Option<PathBuf>, clock: Clock) -> (Rc<StoreWriter>, Vec<RestoredRecord>) {
-        let mut shelf = WriteBuffer::new(Figures::default());
+        let mut shelf = WriteBuffer::new(WriteBufferConfig::default());
         let (mut store, mut found) = (None, Vec::new());
         if let Some(path) = &path {
             let from = Instant::now();
-            let (s, records, problem) = loop {
-                let opened = open_or_begin(path);
-                if !matches!(opened.2, Some(Problem::Locked)) || from.elapsed() > LET_GO {
+            let opened = loop {
+                let opened = open_or_recreate(path);
+                if !matches!(opened.error, Some(StoreError::Locked)) || from.elapsed() > LET_GO {
                     break opened;
                 }
                 std::thread::sleep(Duration::from_millis(20));
             };
-            match &problem {
-                Some(p @ Problem::Damaged(_)) => {
+            match &opened.error {
+                Some(p @ StoreError::Damaged(_)) => {
                     tracing::warn!(file = %path.display(), "the store is {p}; it is put aside, nothing of it is used")
                 }
                 Some(p) => tracing::warn!(file = %path.display(), "the store is {p}; nothing is kept"),
                 None => {}
             }
-            found = shelf.restore(clock.now(), unix_now(), records);
-            store = s.map(Arc::new);
+            found = shelf.restore(clock.now(), unix_now(), opened.records);
+            store = opened.store.map(Arc::new);
             tracing::info!(records = found.len(), unsound = shelf.counters.damaged, "the store was read");
         }
         let keeper = StoreWriter {
--- a/crates/nickelgw-store/src/core/mod.rs
+++ b/crates/nickelgw-store/src/core/mod.rs
@@ -1,24 +1,26 @@
-//! What is written when, what is dropped, and what is believed of what is read. No I/O.
+//! What is written when, what is evicted, and which records of an earlier process are still used. No I/O.
 
 pub mod record;
+mod record_index;
 pub mod retention;
 pub mod write_buffer;
 
-/// What a record is of; the number is on disk, so never given to another.
+/// What a record is about; the number is on disk, so never reused for another kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[repr(u8)]
 pub enum RecordKind {
-    /// What the module has learnt of engines and costs.
+    /// What the router has learned of engines and costs.
     LearnedState = 1,
-    /// A request that may not run twice was taken under a key.
+    /// A non-idempotent request was accepted under a key.
     IdempotencyKey = 2,
-    /// The last list of engines.
+    /// The last endpoint list.
     EndpointList = 3,
-    /// An offline inference, until its answer is kept no longer.
+    /// A deferred request, until the retention of its response ends.
     DeferredRequest = 4,
 }
 
 impl RecordKind {
+    /// Every kind, in the order of its number.
     pub const ALL: [RecordKind; 4] = [
         RecordKind::LearnedState,
         RecordKind::IdempotencyKey,
@@ -26,7 +28,8 @@
         RecordKind::DeferredRequest,
     ];
 
-    pub fn of(number: u8) -> Option<RecordKind> {
-        RecordKind::ALL.into_iter().find(|k| *k as u8 == number)
+    /// The kind of a number as it is on disk.
+    pub fn from_number(number: u8) -> Option<RecordKind> {
+        RecordKind::ALL.into_iter().find(|kind| *kind as u8 == number)
     }
 }
--- a/crates/nickelgw-store/src/core/record.rs
+++ b/crates/nickelgw-store/src/core/record.rs
@@ -1,70 +1,64 @@
-//! A record as it stands in the file: form, time, code of all of it, value. What is not exactly what was written is
-//! not believed, whatever the file layer says of it.
+//! The stored form of a record: format version, time of writing, checksum of key, time and value, then the value. What is
+//! not exactly what was written is rejected, even where the file layer reports no error.
 
-const FORM: u8 = 1;
-const HEAD: usize = 1 + 8 + 16;
+/// Version of this form, the first byte.
+const VERSION: u8 = 1;
+const VERSION_BYTES: usize = 1;
+const TIME_BYTES: usize = 8;
+const CHECKSUM_BYTES: usize = 16;
+const HEADER_BYTES: usize = VERSION_BYTES + TIME_BYTES + CHECKSUM_BYTES;
 
+/// Why stored bytes are not a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
+    /// Fewer bytes than a header has.
     #[error("too short to be a record")]
-    Short,
+    TooShort,
+    /// Another version of the form.
     #[error("of a form that this program does not know: {0}")]
-    Form(u8),
+    UnknownVersion(u8),
+    /// The checksum does not match.
     #[error("not what was written")]
-    Altered,
+    ChecksumMismatch,
 }
 
-fn code(key: &[u8], written_ms: u64, value: &[u8]) -> [u8; 16] {
-    let mut h = blake3::Hasher::new();
-    h.update(&(key.len() as u64).to_le_bytes()).update(key).update(&written_ms.to_le_bytes()).update(value);
-    let mut out = [0; 16];
-    out.copy_from_slice(&h.finalize().as_bytes()[..16]);
-    out
+fn checksum(key: &[u8], written_ms: u64, value: &[u8]) -> [u8; CHECKSUM_BYTES] {
+    let mut hasher = blake3::Hasher::new();
+    hasher.update(&(key.len() as u64).to_le_bytes());
+    hasher.update(key);
+    hasher.update(&written_ms.to_le_bytes());
+    hasher.update(value);
+    let mut checksum = [0; CHECKSUM_BYTES];
+    checksum.copy_from_slice(&hasher.finalize().as_bytes()[..CHECKSUM_BYTES]);
+    checksum
 }
 
+/// The stored form of a value under a key, written at `written_ms` milliseconds since 1970.
 pub fn seal(key: &[u8], written_ms: u64, value: &[u8]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(HEAD + value.len());
-    out.push(FORM);
-    out.extend(written_ms.to_le_bytes());
-    out.extend(code(key, written_ms, value));
-    out.extend(value);
-    out
+    let mut sealed = Vec::with_capacity(HEADER_BYTES + value.len());
+    sealed.push(VERSION);
+    sealed.extend(written_ms.to_le_bytes());
+    sealed.extend(checksum(key, written_ms, value));
+    sealed.extend(value);
+    sealed
 }
 
 /// When it was written, in milliseconds since 1970, and the value.
-pub fn unseal<'a>(key: &[u8], bytes: &'a [u8]) -> Result<(u64, &'a [u8]), RecordError> {
-    let Some((head, value)) = bytes.split_at_checked(HEAD) else { return Err(RecordError::Short) };
-    if head[0] != FORM {
-        return Err(RecordError::Form(head[0]));
+pub fn unseal<'a>(key: &[u8], sealed: &'a [u8]) -> Result<(u64, &'a [u8]), RecordError> {
+    let Some((header, value)) = sealed.split_at_checked(HEADER_BYTES) else {
+        return Err(RecordError::TooShort);
+    };
+    if header[0] != VERSION {
+        return Err(RecordError::UnknownVersion(header[0]));
     }
-    let written_ms = head[1..9].iter().rev().fold(0u64, |n, b| n << 8 | u64::from(*b));
-    match head[9..] == code(key, written_ms, value) {
-        true => Ok((written_ms, value)),
-        false => Err(RecordError::Altered),
+    let (time, stored_checksum) = header[VERSION_BYTES..].split_at(TIME_BYTES);
+    let written_ms = time.iter().rev().fold(0u64, |number, byte| number << 8 | u64::from(*byte));
+    if *stored_checksum != checksum(key, written_ms, value) {
+        return Err(RecordError::ChecksumMismatch);
     }
+    Ok((written_ms, value))
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-    use proptest::test_runner::RngSeed;
-
-    proptest! {
-        #![proptest_config(ProptestConfig { cases: 512, rng_seed: RngSeed::Fixed(51), failure_persistence: None, ..ProptestConfig::default() })]
-        #[test]
-        fn what_was_sealed_comes_back_and_nothing_else_does(
-            key in prop::collection::vec(any::<u8>(), 0..20), value in prop::collection::vec(any::<u8>(), 0..60),
-            at in any::<u64>(), flip in any::<prop::sample::Index>(), junk in prop::collection::vec(any::<u8>(), 0..60),
-        ) {
-            let mut sealed = seal(&key, at, &value);
-            prop_assert_eq!(unseal(&key, &sealed), Ok((at, &value[..])));
-            let other = [&key[..], &[1]].concat();
-            prop_assert!(unseal(&other, &sealed).is_err() && unseal(&key, &junk).is_err());
-            let n = flip.index(sealed.len());
-            prop_assert!(unseal(&key, &sealed[..n]).is_err());
-            sealed[n] ^= 1;
-            prop_assert!(unseal(&key, &sealed).is_err());
-        }
-    }
-}
+#[path = "record_tests.rs"]
+mod tests;
--- a/crates/nickelgw-store/src/core/write_buffer.rs
+++ b/crates/nickelgw-store/src/core/write_buffer.rs
@@ -1,181 +1,186 @@
-//! What is to be on disk, and when it gets there. Changes gather and are committed together; what a request waits for
-//! goes soon, the rest when its time has come. One commit at a time; one that fails is tried again after a while.
+//! Changes that are not on disk yet, and when they are committed. Changes gather and are committed together: those that
+//! a request waits for soon, others after a longer delay. One commit is in flight at a time; a failed one is retried
+//! with backoff.
 
 use super::record::{seal, unseal};
+pub use super::record_index::Key;
+use super::record_index::{disk_key, RecordIndex};
 use super::{retention, RecordKind};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
+/// Delays and bounds of a [`WriteBuffer`].
 #[derive(Clone, Copy, Debug)]
-pub struct Figures {
-    /// How long changes gather before a commit: those that somebody waits for, and others.
-    pub urgent_s: f64,
-    pub lazy_s: f64,
-    pub most_batch_bytes: usize,
-    /// Records of a kind, and bytes of all.
-    pub most_records: usize,
-    pub most_bytes: usize,
-    pub first_gap_s: f64,
-    pub longest_gap_s: f64,
-    /// Who waits is told of a failure after so long.
-    pub most_wait_s: f64,
+pub struct WriteBufferConfig {
+    /// How long changes gather before a commit if somebody waits for one of them.
+    pub urgent_delay_s: f64,
+    /// How long changes gather before a commit if nobody waits.
+    pub lazy_delay_s: f64,
+    /// Bytes of a commit that nobody waits for.
+    pub max_batch_bytes: usize,
+    /// Records of all kinds; above it the oldest idempotency keys are evicted.
+    pub max_records: usize,
+    /// Bytes of all records; above it the oldest idempotency keys are evicted.
+    pub max_bytes: usize,
+    /// Backoff after the first failed commit; doubles with each further one.
+    pub initial_backoff_s: f64,
+    /// Longest backoff.
+    pub max_backoff_s: f64,
+    /// A waiter is notified of the failure if the next retry is later than this after its change.
+    pub max_wait_s: f64,
 }
 
-impl Default for Figures {
+impl Default for WriteBufferConfig {
     fn default() -> Self {
-        Figures {
-            urgent_s: 0.002,
-            lazy_s: 1.0,
-            most_batch_bytes: 1 << 20,
-            most_records: 65_536,
-            most_bytes: 64 << 20,
-            first_gap_s: 0.1,
-            longest_gap_s: 5.0,
-            most_wait_s: 1.0,
+        WriteBufferConfig {
+            urgent_delay_s: 0.002,
+            lazy_delay_s: 1.0,
+            max_batch_bytes: 1 << 20,
+            max_records: 65_536,
+            max_bytes: 64 << 20,
+            initial_backoff_s: 0.1,
+            max_backoff_s: 5.0,
+            max_wait_s: 1.0,
         }
     }
 }
 
-/// One that waits until what it has put is on disk.
+/// Doublings of the backoff after which it grows no further.
+const MAX_BACKOFF_DOUBLINGS: u32 = 10;
+
+/// Identifies who waits until its change is on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Waiter(pub u64);
 
-pub type Key = Vec<u8>;
+struct PendingWaiter {
+    waiter: Waiter,
+    since: f64,
+}
 
-/// What one commit writes; none for a value: the record goes.
+/// What one commit writes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Batch {
+    /// Identifies the commit in [`WriteBuffer::commit_finished`].
     pub number: u64,
+    /// By key: the sealed value to write, or none to remove the record.
     pub changes: Vec<(Key, Option<Vec<u8>>)>,
+    /// Bytes of all keys and values.
     pub bytes: usize,
 }
 
-/// What is, or will be, on disk under a key.
-struct Kept {
-    written_ms: u64,
-    bytes: usize,
-}
-
+/// Totals since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreCounters {
+    /// Commits that succeeded.
     pub commits: u64,
+    /// Commits that failed.
     pub failed: u64,
+    /// Bytes of the commits that succeeded.
     pub written_bytes: u64,
-    /// Dropped for want of room, and as too old.
+    /// Records removed because there were too many.
     pub evicted: u64,
+    /// Records removed because of their age.
     pub expired: u64,
-    /// Found on disk and not believed.
+    /// Records found on disk that were not what was written.
     pub damaged: u64,
 }
 
+/// Changes on their way to disk.
 pub struct WriteBuffer {
-    figures: Figures,
-    kept: BTreeMap<Key, Kept>,
-    /// By kind and time: what goes first when there is no room.
-    order: BTreeSet<(RecordKind, u64, Key)>,
-    bytes: usize,
-    /// Not on disk yet, the newest word on each.
+    config: WriteBufferConfig,
+    index: RecordIndex,
+    /// Changes that no commit has written; the newest one for each key.
     dirty: BTreeMap<Key, Option<Vec<u8>>>,
     dirty_since: Option<f64>,
     urgent_since: Option<f64>,
-    /// Waiters for the next batch, and for the one under way.
-    next_waiters: Vec<(Waiter, f64)>,
-    waiters: Vec<(Waiter, f64)>,
+    /// Waiters for the next batch.
+    next_waiters: Vec<PendingWaiter>,
+    /// Waiters for the batch in flight.
+    in_flight_waiters: Vec<PendingWaiter>,
     in_flight: Option<Batch>,
-    number: u64,
-    failures: u32,
+    last_batch_number: u64,
+    consecutive_failures: u32,
     not_before: f64,
+    /// Totals for the metrics.
     pub counters: StoreCounters,
 }
 
 /// A record as an earlier process left it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RestoredRecord {
+    /// What it is about.
     pub kind: RecordKind,
+    /// The kind's own key.
     pub key: Vec<u8>,
+    /// The value that was put.
     pub value: Vec<u8>,
-    /// None: of no known age, as the clock was set back.
+    /// None: of unknown age, as the clock was set back.
     pub age_s: Option<f64>,
 }
 
-fn whole_key(kind: RecordKind, key: &[u8]) -> Key {
-    [&[kind as u8], key].concat()
-}
-
 impl WriteBuffer {
-    pub fn new(figures: Figures) -> WriteBuffer {
+    /// An empty buffer in front of an empty file.
+    pub fn new(config: WriteBufferConfig) -> WriteBuffer {
         WriteBuffer {
-            figures,
-            kept: BTreeMap::new(),
-            order: BTreeSet::new(),
-            bytes: 0,
+            config,
+            index: RecordIndex::default(),
             dirty: BTreeMap::new(),
             dirty_since: None,
             urgent_since: None,
             next_waiters: Vec::new(),
-            waiters: Vec::new(),
+            in_flight_waiters: Vec::new(),
             in_flight: None,
-            number: 0,
-            failures: 0,
+            last_batch_number: 0,
+            consecutive_failures: 0,
             not_before: 0.0,
             counters: StoreCounters::default(),
         }
     }
 
+    /// Number of records that are, or will be, on disk.
     pub fn len(&self) -> usize {
-        self.kept.len()
+        self.index.len()
     }
 
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
-        self.kept.is_empty()
+        self.index.len() == 0
     }
 
+    /// Bytes of all records.
     pub fn bytes(&self) -> usize {
-        self.bytes
+        self.index.bytes()
     }
 
-    /// Nothing is left to be written.
+    /// Whether all changes are on disk.
     pub fn is_clean(&self) -> bool {
         self.dirty.is_empty() && self.in_flight.is_none()
     }
 
-    /// What the file held when it was opened. What is not believed is taken out of it.
-    pub fn restore(&mut self, now: f64, now_unix_s: f64, found: Vec<(Key, Vec<u8>)>) -> Vec<RestoredRecord> {
-        let mut out = Vec::new();
-        for (key, bytes) in found {
-            let kind = key.first().and_then(|n| RecordKind::of(*n));
-            let sound = unseal(&key, &bytes).ok();
-            let Some((kind, (written_ms, value))) = kind.zip(sound) else {
+    /// Takes in what the file held when it was opened, and gives the records that are still used; the others are
+    /// removed from the file.
+    pub fn restore(&mut self, now: f64, now_unix_s: f64, stored: Vec<(Key, Vec<u8>)>) -> Vec<RestoredRecord> {
+        let mut restored = Vec::new();
+        for (key, sealed) in stored {
+            let kind = key.first().and_then(|number| RecordKind::from_number(*number));
+            let unsealed = unseal(&key, &sealed).ok();
+            let Some((kind, (written_ms, value))) = kind.zip(unsealed) else {
                 self.counters.damaged += 1;
                 self.change(now, key, None);
                 continue;
             };
             let age_s = retention::age_s(written_ms, now_unix_s);
-            if !retention::used(kind, age_s) {
+            if !retention::is_used(kind, age_s) {
                 self.counters.expired += 1;
                 self.change(now, key, None);
                 continue;
             }
-            // One of no known age counts from now on.
+            // The retention of one of unknown age begins now.
             let written_ms = if age_s.is_some() { written_ms } else { (now_unix_s * 1e3) as u64 };
-            self.note(kind, &key, written_ms, bytes.len());
-            out.push(RestoredRecord { kind, key: key[1..].to_vec(), value: value.to_vec(), age_s });
+            self.index.insert(kind, &key, written_ms, sealed.len());
+            restored.push(RestoredRecord { kind, key: key[1..].to_vec(), value: value.to_vec(), age_s });
         }
-        self.make_room(now);
-        out
-    }
-
-    fn note(&mut self, kind: RecordKind, key: &Key, written_ms: u64, bytes: usize) {
-        self.forget(kind, key);
-        self.kept.insert(key.clone(), Kept { written_ms, bytes });
-        self.order.insert((kind, written_ms, key.clone()));
-        self.bytes += bytes;
-    }
-
-    fn forget(&mut self, kind: RecordKind, key: &Key) -> bool {
-        let Some(old) = self.kept.remove(key) else { return false };
-        self.order.remove(&(kind, old.written_ms, key.clone()));
-        self.bytes -= old.bytes;
-        true
+        self.evict(now);
+        restored
     }
 
     fn change(&mut self, now: f64, key: Key, value: Option<Vec<u8>>) {
@@ -183,7 +188,7 @@
         self.dirty_since.get_or_insert(now);
     }
 
-    /// Puts a record; a waiter makes it urgent, and is told when it is on disk.
+    /// Puts a record. A waiter makes the next commit urgent, and is notified by [`WriteBuffer::commit_finished`].
     pub fn put(
         &mut self,
         now: f64,
@@ -192,116 +197,125 @@
         value: &[u8],
         waiter: Option<Waiter>,
     ) {
-        let (key, written_ms) = (whole_key(kind, key), (now_unix_s.max(0.0) * 1e3) as u64);
+        let key = disk_key(kind, key);
+        let written_ms = (now_unix_s.max(0.0) * 1e3) as u64;
         let sealed = seal(&key, written_ms, value);
-        self.note(kind, &key, written_ms, sealed.len());
+        self.index.insert(kind, &key, written_ms, sealed.len());
         self.change(now, key, Some(sealed));
-        if let Some(w) = waiter {
-            self.next_waiters.push((w, now));
+        if let Some(waiter) = waiter {
+            self.next_waiters.push(PendingWaiter { waiter, since: now });
             self.urgent_since.get_or_insert(now);
         }
-        self.make_room(now);
+        self.evict(now);
     }
 
+    /// Removes a record, if there is one under the key.
     pub fn remove(&mut self, now: f64, kind: RecordKind, key: &[u8]) {
-        let key = whole_key(kind, key);
-        if self.forget(kind, &key) {
+        self.remove_indexed(now, kind, disk_key(kind, key));
+    }
+
+    fn remove_indexed(&mut self, now: f64, kind: RecordKind, key: Key) {
+        if self.index.remove(kind, &key) {
             self.change(now, key, None);
         }
     }
 
-    /// Drops what is too old.
+    /// Removes records past their retention.
     pub fn expire(&mut self, now: f64, now_unix_s: f64) {
         for kind in RecordKind::ALL {
-            let before = ((now_unix_s - retention::limit_s(kind)).max(0.0) * 1e3) as u64;
-            let old: Vec<Key> = self
-                .order
-                .range((kind, 0, Vec::new())..(kind, before, Vec::new()))
-                .map(|o| o.2.clone())
-                .collect();
-            for key in old {
+            let before_ms = ((now_unix_s - retention::max_age_s(kind)).max(0.0) * 1e3) as u64;
+            for key in self.index.written_before(kind, before_ms) {
                 self.counters.expired += 1;
-                self.forget(kind, &key);
-                self.change(now, key, None);
+                self.remove_indexed(now, kind, key);
             }
         }
     }
 
-    /// Too many of a kind: its oldest go. Too many bytes: the oldest repeats go, which are the only ones in number.
-    fn make_room(&mut self, now: f64) {
-        for kind in RecordKind::ALL {
-            let all = || (kind, 0, Vec::new())..=(kind, u64::MAX, Vec::new());
-            // Counting is cheap only where it is rarely needed.
-            while self.kept.len() > self.figures.most_records || self.bytes > self.figures.most_bytes {
-                let Some(oldest) = self.order.range(all()).next().cloned() else { break };
-                if kind != RecordKind::IdempotencyKey {
-                    break;
-                }
-                self.counters.evicted += 1;
-                self.forget(kind, &oldest.2);
-                self.change(now, oldest.2, None);
-            }
+    /// Removes the oldest idempotency keys while a bound is passed: only these are many.
+    fn evict(&mut self, now: f64) {
+        while self.index.len() > self.config.max_records || self.index.bytes() > self.config.max_bytes {
+            let Some(oldest) = self.index.oldest(RecordKind::IdempotencyKey) else { return };
+            self.counters.evicted += 1;
+            self.remove_indexed(now, RecordKind::IdempotencyKey, oldest);
         }
     }
 
-    /// The next commit, if its time has come, and when to look again.
+    /// The next commit if its time has come; else when to poll again, if there is anything to commit.
     pub fn poll_batch(&mut self, now: f64) -> (Option<Batch>, Option<f64>) {
         if self.in_flight.is_some() || self.dirty.is_empty() {
             return (None, None);
         }
-        let f = &self.figures;
-        let lazy = self.dirty_since.map(|s| s + f.lazy_s);
-        let urgent = self.urgent_since.map(|s| s + f.urgent_s);
-        let at = [lazy, urgent].into_iter().flatten().fold(f64::INFINITY, f64::min).max(self.not_before);
-        if now < at {
-            return (None, Some(at));
+        let commit_at = self.commit_at();
+        if now < commit_at {
+            return (None, Some(commit_at));
         }
-        self.number += 1;
-        let mut batch = Batch { number: self.number, ..Batch::default() };
-        // Somebody waits for the whole of what is there: it goes in one piece, else in bounded ones.
-        let whole = !self.next_waiters.is_empty();
+        let batch = self.next_batch();
+        self.in_flight_waiters = std::mem::take(&mut self.next_waiters);
+        self.urgent_since = None;
+        self.dirty_since = (!self.dirty.is_empty()).then_some(now);
+        self.in_flight = Some(batch.clone());
+        (Some(batch), None)
+    }
+
+    fn commit_at(&self) -> f64 {
+        let lazy_at = self.dirty_since.map(|since| since + self.config.lazy_delay_s);
+        let urgent_at = self.urgent_since.map(|since| since + self.config.urgent_delay_s);
+        let first = [lazy_at, urgent_at].into_iter().flatten().fold(f64::INFINITY, f64::min);
+        first.max(self.not_before)
+    }
+
+    fn next_batch(&mut self) -> Batch {
+        self.last_batch_number += 1;
+        let mut batch = Batch { number: self.last_batch_number, ..Batch::default() };
+        // A waiter's change must be in this batch, so then it is not bounded.
+        let is_bounded = self.next_waiters.is_empty();
         while let Some((key, value)) = self.dirty.pop_first() {
             batch.bytes += key.len() + value.as_ref().map_or(0, Vec::len);
             batch.changes.push((key, value));
-            if !whole && batch.bytes >= f.most_batch_bytes {
+            if is_bounded && batch.bytes >= self.config.max_batch_bytes {
                 break;
             }
         }
-        self.waiters = std::mem::take(&mut self.next_waiters);
-        self.urgent_since = None;
-        self.dirty_since = (!self.dirty.is_empty()).then_some(now);
-        self.in_flight = Some(batch.clone());
-        (Some(batch), None)
+        batch
     }
 
-    /// How the commit went: who need wait no longer, and whether what they put is on disk.
-    pub fn commit_finished(&mut self, now: f64, number: u64, done: bool) -> Vec<(Waiter, bool)> {
-        let Some(batch) = self.in_flight.take_if(|b| b.number == number) else { return Vec::new() };
-        if done {
-            self.failures = 0;
-            self.counters.commits += 1;
-            self.counters.written_bytes += batch.bytes as u64;
-            return std::mem::take(&mut self.waiters).into_iter().map(|w| (w.0, true)).collect();
+    /// A commit ended. Gives the waiters to notify, and whether their changes are on disk.
+    pub fn commit_finished(&mut self, now: f64, number: u64, succeeded: bool) -> Vec<(Waiter, bool)> {
+        let Some(batch) = self.in_flight.take_if(|batch| batch.number == number) else { return Vec::new() };
+        let waiters = std::mem::take(&mut self.in_flight_waiters);
+        if !succeeded {
+            return self.commit_failed(now, batch, waiters);
         }
+        self.consecutive_failures = 0;
+        self.counters.commits += 1;
+        self.counters.written_bytes += batch.bytes as u64;
+        waiters.into_iter().map(|pending| (pending.waiter, true)).collect()
+    }
+
+    /// Schedules a retry. Waiters that can wait for it do; the others are notified of the failure.
+    fn commit_failed(&mut self, now: f64, batch: Batch, waiters: Vec<PendingWaiter>) -> Vec<(Waiter, bool)> {
         self.counters.failed += 1;
-        self.failures += 1;
-        let gap = self.figures.first_gap_s * f64::from(1u32 << (self.failures - 1).min(10));
-        self.not_before = now + gap.min(self.figures.longest_gap_s);
-        // What has been said since of the same key is newer.
+        self.consecutive_failures += 1;
+        self.not_before = now + self.backoff_s();
         for (key, value) in batch.changes {
+            // A change made meanwhile is newer than the one that failed.
             self.dirty.entry(key).or_insert(value);
         }
         self.dirty_since.get_or_insert(now);
-        // Who can wait for the next try does; the others are told.
-        let until = self.not_before;
-        let most = self.figures.most_wait_s;
-        let (late, wait): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.waiters).into_iter().partition(|w| until > w.1 + most);
-        self.next_waiters.extend(wait);
+        let (retry_at, max_wait_s) = (self.not_before, self.config.max_wait_s);
+        let (expired, waiting): (Vec<_>, Vec<_>) =
+            waiters.into_iter().partition(|pending| retry_at > pending.since + max_wait_s);
+        self.next_waiters.extend(waiting);
         if !self.next_waiters.is_empty() {
             self.urgent_since = Some(now);
         }
-        late.into_iter().map(|w| (w.0, false)).collect()
+        expired.into_iter().map(|pending| (pending.waiter, false)).collect()
+    }
+
+    fn backoff_s(&self) -> f64 {
+        let doublings = (self.consecutive_failures - 1).min(MAX_BACKOFF_DOUBLINGS);
+        let backoff_s = self.config.initial_backoff_s * f64::from(1u32 << doublings);
+        backoff_s.min(self.config.max_backoff_s)
     }
 }
 
--- a/crates/nickelgw-store/tests/compatibility.rs
+++ b/crates/nickelgw-store/tests/compatibility.rs
@@ -1,6 +1,6 @@
 //! Stores written by an earlier release are opened and restored. `fixtures/32b5283/README.md` says how the files were made.
 
-use nickelgw_store::core::write_buffer::{Figures, RestoredRecord, WriteBuffer};
+use nickelgw_store::core::write_buffer::{RestoredRecord, WriteBuffer, WriteBufferConfig};
 use nickelgw_store::core::RecordKind;
 use nickelgw_store::Store;
 use std::path::{Path, PathBuf};
@@ -35,7 +35,7 @@
 fn restore(file: &str, now_unix_s: f64) -> (WriteBuffer, Vec<RestoredRecord>) {
     let copy = FixtureCopy::new(file);
     let (_store, records) = Store::open(&copy.0).unwrap();
-    let mut buffer = WriteBuffer::new(Figures::default());
+    let mut buffer = WriteBuffer::new(WriteBufferConfig::default());
     let restored = buffer.restore(0.0, now_unix_s, records);
     (buffer, restored)
 }
--- a/crates/nickelgw-store/tests/crash.rs
+++ b/crates/nickelgw-store/tests/crash.rs
@@ -1,115 +1,143 @@
-//! The file under a disk that cuts, tears, reorders and runs full: what was acknowledged is there, nothing else.
+//! Fault injection under the store: power loss, torn and reordered writes, a full disk, damaged files. Acknowledged
+//! commits survive, and nothing else is read.
 
 use nanorand::{Rng, WyRand};
 use nickelgw_store::core::write_buffer::Batch;
-use nickelgw_store::{open_or_begin, Problem, Store};
+use nickelgw_store::{open_or_recreate, Opened, Store, StoreError};
 use redb::StorageBackend;
 use std::collections::BTreeMap;
 use std::io::Error as BackendIoError;
+use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
 
-/// A disk in memory. Writes since the last sync are kept apart: a crash keeps any part of them, in any order, torn.
+/// A file in memory. A power loss keeps any of the operations since the last sync, in any order, some of them torn.
 #[derive(Debug, Default)]
-struct Platter {
+struct DiskState {
     synced: Vec<u8>,
-    now: Vec<u8>,
-    /// Since the last sync: where, and what; none: the length changed.
-    pending: Vec<(usize, Option<Vec<u8>>)>,
-    /// Calls that change anything, and at which one the power goes.
+    current: Vec<u8>,
+    unsynced: Vec<Operation>,
+    /// Calls so far that change anything.
     calls: usize,
-    dies_at: usize,
-    /// Largest that the file may grow.
-    room: usize,
+    /// The call at which power is lost.
+    power_loss_at: usize,
+    /// Largest size of the file; 0: no limit.
+    max_len: usize,
 }
 
+#[derive(Clone, Debug)]
+enum Operation {
+    Write { offset: usize, data: Vec<u8> },
+    SetLen(usize),
+}
+
+const SECTOR_BYTES: usize = 512;
+const NEVER: usize = usize::MAX;
+
 #[derive(Clone, Debug, Default)]
-struct Disk(Arc<Mutex<Platter>>);
+struct Disk(Arc<Mutex<DiskState>>);
+
+impl Disk {
+    fn new(power_loss_at: usize) -> Disk {
+        Disk(Arc::new(Mutex::new(DiskState { power_loss_at, ..DiskState::default() })))
+    }
+
+    fn holding(content: Vec<u8>) -> Disk {
+        let state = DiskState {
+            synced: content.clone(),
+            current: content,
+            power_loss_at: NEVER,
+            ..DiskState::default()
+        };
+        Disk(Arc::new(Mutex::new(state)))
+    }
+}
 
-fn gone() -> BackendIoError {
+fn power_lost() -> BackendIoError {
     std::io::Error::other("the power is gone")
 }
 
-impl Platter {
-    fn call(&mut self) -> Result<(), BackendIoError> {
+impl DiskState {
+    fn count_call(&mut self) -> Result<(), BackendIoError> {
         self.calls += 1;
-        if self.calls >= self.dies_at {
-            return Err(gone());
+        if self.calls >= self.power_loss_at {
+            return Err(power_lost());
         }
         Ok(())
     }
 
-    /// What a reader finds after the crash.
-    fn crash(&self, chance: &mut WyRand) -> Vec<u8> {
-        let mut file = self.synced.clone();
-        let mut pending = self.pending.clone();
-        chance.shuffle(&mut pending);
-        for (at, bytes) in pending {
-            // Some never got there, some in part, by sectors.
-            let sectors = match chance.generate_range(0..3u8) {
+    /// What is on disk after the power loss.
+    fn after_power_loss(&self, random: &mut WyRand) -> Vec<u8> {
+        let mut content = self.synced.clone();
+        let mut unsynced = self.unsynced.clone();
+        random.shuffle(&mut unsynced);
+        for operation in unsynced {
+            // Some operations are lost, some writes stop at a sector, others are whole.
+            let sectors = match random.generate_range(0..3u8) {
                 0 => continue,
-                1 => 1 + chance.generate_range(0..8usize),
+                1 => 1 + random.generate_range(0..8usize),
                 _ => usize::MAX,
             };
-            match bytes {
-                None => file.resize(at, 0),
-                Some(bytes) => {
-                    let n = bytes.len().min(sectors.saturating_mul(512));
-                    if file.len() < at + n {
-                        file.resize(at + n, 0);
-                    }
-                    file[at..at + n].copy_from_slice(&bytes[..n]);
+            match operation {
+                Operation::SetLen(len) => content.resize(len, 0),
+                Operation::Write { offset, data } => {
+                    let written = data.len().min(sectors.saturating_mul(SECTOR_BYTES));
+                    write_at(&mut content, offset, &data[..written]);
                 }
             }
         }
-        file
+        content
+    }
+}
+
+fn write_at(content: &mut Vec<u8>, offset: usize, data: &[u8]) {
+    let end = offset + data.len();
+    if content.len() < end {
+        content.resize(end, 0);
     }
+    content[offset..end].copy_from_slice(data);
 }
 
 impl StorageBackend for Disk {
     fn len(&self) -> Result<u64, BackendIoError> {
-        Ok(self.0.lock().unwrap().now.len() as u64)
+        Ok(self.0.lock().unwrap().current.len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), BackendIoError> {
-        let p = self.0.lock().unwrap();
-        let at = offset as usize;
-        let there = p.now.get(at..at + out.len()).ok_or_else(gone)?;
-        out.copy_from_slice(there);
+        let state = self.0.lock().unwrap();
+        let offset = offset as usize;
+        let content = state.current.get(offset..offset + out.len()).ok_or_else(power_lost)?;
+        out.copy_from_slice(content);
         Ok(())
     }
 
     fn set_len(&self, len: u64) -> Result<(), BackendIoError> {
-        let mut p = self.0.lock().unwrap();
-        p.call()?;
-        if p.room > 0 && len as usize > p.room {
+        let mut state = self.0.lock().unwrap();
+        state.count_call()?;
+        let len = len as usize;
+        if state.max_len > 0 && len > state.max_len {
             return Err(std::io::ErrorKind::StorageFull.into());
         }
-        p.now.resize(len as usize, 0);
-        p.pending.push((len as usize, None));
+        state.current.resize(len, 0);
+        state.unsynced.push(Operation::SetLen(len));
         Ok(())
     }
 
     fn sync_data(&self) -> Result<(), BackendIoError> {
-        let mut p = self.0.lock().unwrap();
-        p.call()?;
-        p.synced = p.now.clone();
-        p.pending.clear();
+        let mut state = self.0.lock().unwrap();
+        state.count_call()?;
+        state.synced = state.current.clone();
+        state.unsynced.clear();
         Ok(())
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), BackendIoError> {
-        let mut p = self.0.lock().unwrap();
-        let at = offset as usize;
-        // The last call may get through in part.
-        let whole = p.call().is_ok();
-        p.pending.push((at, Some(data.to_vec())));
-        if !whole {
-            return Err(gone());
-        }
-        if p.now.len() < at + data.len() {
-            p.now.resize(at + data.len(), 0);
-        }
-        p.now[at..at + data.len()].copy_from_slice(data);
+        let mut state = self.0.lock().unwrap();
+        let offset = offset as usize;
+        // The call at which power is lost may still reach the disk in part.
+        let powered = state.count_call();
+        state.unsynced.push(Operation::Write { offset, data: data.to_vec() });
+        powered?;
+        write_at(&mut state.current, offset, data);
         Ok(())
     }
 }
@@ -117,19 +145,19 @@
 type Model = BTreeMap<Vec<u8>, Vec<u8>>;
 
 /// Commits batches until the disk fails; gives what was acknowledged, and what the next batch would have made of it.
-fn work(disk: &Disk, chance: &mut WyRand) -> (Model, Model) {
+fn commit_until_failure(disk: &Disk, random: &mut WyRand) -> (Model, Model) {
     let (mut acknowledged, mut next) = (Model::new(), Model::new());
-    let Ok((store, found)) = Store::open_on(disk.clone()) else { return (acknowledged, next) };
-    acknowledged.extend(found);
+    let Ok((store, stored)) = Store::open_on(disk.clone()) else { return (acknowledged, next) };
+    acknowledged.extend(stored);
     for number in 0..12 {
         let mut batch = Batch { number, ..Batch::default() };
         next = acknowledged.clone();
-        for _ in 0..1 + chance.generate_range(0..4u8) {
-            let key = vec![2, chance.generate_range(0..6u8)];
-            let value = (chance.generate_range(0..4u8) > 0)
-                .then(|| vec![chance.generate::<u8>(); chance.generate_range(1..3000usize)]);
+        for _ in 0..1 + random.generate_range(0..4u8) {
+            let key = vec![2, random.generate_range(0..6u8)];
+            let value = (random.generate_range(0..4u8) > 0)
+                .then(|| vec![random.generate::<u8>(); random.generate_range(1..3000usize)]);
             match &value {
-                Some(v) => drop(next.insert(key.clone(), v.clone())),
+                Some(value) => drop(next.insert(key.clone(), value.clone())),
                 None => drop(next.remove(&key)),
             }
             batch.changes.push((key, value));
@@ -143,33 +171,33 @@
 }
 
 #[test]
-fn after_a_crash_at_any_write_what_was_acknowledged_is_there() {
-    let mut chance = WyRand::new_seed(5);
-    let whole = Disk(Arc::new(Mutex::new(Platter { dies_at: usize::MAX, ..Platter::default() })));
-    work(&whole, &mut WyRand::new_seed(9));
-    let calls = whole.0.lock().unwrap().calls;
+fn acknowledged_commits_survive_a_power_loss_at_any_write() {
+    let mut random = WyRand::new_seed(5);
+    let unharmed = Disk::new(NEVER);
+    commit_until_failure(&unharmed, &mut WyRand::new_seed(9));
+    let calls = unharmed.0.lock().unwrap().calls;
     assert!(calls > 60, "{calls}");
     let (mut before, mut after) = (0, 0);
-    for dies_at in 1..calls {
-        let disk = Disk(Arc::new(Mutex::new(Platter { dies_at, ..Platter::default() })));
-        let (acknowledged, next) = work(&disk, &mut WyRand::new_seed(9));
+    for power_loss_at in 1..calls {
+        let disk = Disk::new(power_loss_at);
+        let (acknowledged, next) = commit_until_failure(&disk, &mut WyRand::new_seed(9));
         for _ in 0..3 {
-            let left = disk.0.lock().unwrap().crash(&mut chance);
-            let again =
-                Platter { synced: left.clone(), now: left, dies_at: usize::MAX, ..Platter::default() };
-            match Store::open_on(Disk(Arc::new(Mutex::new(again)))) {
-                Ok((_, found)) => {
-                    let found: Model = found.into_iter().collect();
-                    // The commit under way may have come through whole, never in part.
-                    assert!(found == acknowledged || found == next, "power gone at call {dies_at}");
-                    if found == acknowledged {
+            let content = disk.0.lock().unwrap().after_power_loss(&mut random);
+            match Store::open_on(Disk::holding(content)) {
+                Ok((_, stored)) => {
+                    let stored: Model = stored.into_iter().collect();
+                    // The commit in flight may have been applied whole, never in part.
+                    assert!(stored == acknowledged || stored == next, "power lost at call {power_loss_at}");
+                    if stored == acknowledged {
                         before += 1
                     } else {
                         after += 1
                     }
                 }
                 // Before anything was acknowledged there may be no file yet.
-                Err(p) => assert!(acknowledged.is_empty(), "power gone at call {dies_at}: {p}"),
+                Err(error) => {
+                    assert!(acknowledged.is_empty(), "power lost at call {power_loss_at}: {error}")
+                }
             }
         }
     }
@@ -177,81 +205,95 @@
 }
 
 #[test]
-fn a_full_disk_refuses_and_loses_nothing() {
-    let disk = Disk(Arc::new(Mutex::new(Platter { dies_at: usize::MAX, ..Platter::default() })));
+fn commit_on_a_full_disk_fails_and_loses_nothing() {
+    let disk = Disk::new(NEVER);
     let (store, _) = Store::open_on(disk.clone()).unwrap();
     let put = |n: u8, size: usize| {
         store.commit(&Batch { number: 0, changes: vec![(vec![2, n], Some(vec![n; size]))], bytes: size })
     };
     put(1, 100).unwrap();
-    let size = disk.0.lock().unwrap().now.len();
-    disk.0.lock().unwrap().room = size;
-    assert!(matches!(put(2, 8 << 20), Err(Problem::Unusable(_))));
+    let len = disk.0.lock().unwrap().current.len();
+    disk.0.lock().unwrap().max_len = len;
+    assert!(matches!(put(2, 8 << 20), Err(StoreError::Unusable(_))));
     drop(store);
-    let now = disk.0.lock().unwrap().now.clone();
-    let again = Platter { synced: now.clone(), now, dies_at: usize::MAX, ..Platter::default() };
-    let (_, found) = Store::open_on(Disk(Arc::new(Mutex::new(again)))).unwrap();
-    assert_eq!(found, vec![(vec![2, 1], vec![1; 100])]);
+    let content = disk.0.lock().unwrap().current.clone();
+    let (_, stored) = Store::open_on(Disk::holding(content)).unwrap();
+    assert_eq!(stored, vec![(vec![2, 1], vec![1; 100])]);
+}
+
+/// A new folder for a test, and the path of a store in it.
+fn new_folder(name: &str) -> (PathBuf, PathBuf) {
+    let folder = std::env::temp_dir().join(format!("nickelgw-store{name}-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).unwrap();
+    let path = folder.join("node.store");
+    (folder, path)
+}
+
+fn put_one(number: u8) -> Batch {
+    Batch { number: 1, changes: vec![(vec![2, number], Some(b"v".to_vec()))], bytes: 3 }
+}
+
+/// Truncates the content, flips many bytes, or flips one bit near the start.
+fn damage(content: &[u8], n: usize, random: &mut WyRand) -> Vec<u8> {
+    let mut damaged = content.to_vec();
+    match n % 3 {
+        0 => damaged.truncate(random.generate_range(0..content.len())),
+        1 => (0..200).for_each(|_| damaged[random.generate_range(0..content.len())] ^= 0xff),
+        _ => damaged[random.generate_range(0..4096)] ^= 1,
+    }
+    damaged
 }
 
 #[test]
-fn a_damaged_file_is_put_aside_and_others_are_left_alone() {
-    let dir = std::env::temp_dir().join(format!("nickelgw-store-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).unwrap();
-    let path = dir.join("node.store");
-    let change = |k: u8| Batch { number: 1, changes: vec![(vec![2, k], Some(b"v".to_vec()))], bytes: 3 };
-    let (store, records, none) = open_or_begin(&path);
-    assert!(records.is_empty() && none.is_none());
-    store.as_ref().unwrap().commit(&change(1)).unwrap();
-    // Two processes with one file: the second keeps nothing, and harms nothing.
-    assert!(matches!(open_or_begin(&path), (None, _, Some(Problem::Locked))));
+fn damaged_file_is_moved_aside_and_a_locked_one_is_left_alone() {
+    let (folder, path) = new_folder("");
+    let Opened { store, records, error } = open_or_recreate(&path);
+    assert!(records.is_empty() && error.is_none());
+    store.as_ref().unwrap().commit(&put_one(1)).unwrap();
+    // Two processes with one file: the second persists nothing, and harms nothing.
+    let second = open_or_recreate(&path);
+    assert!(second.store.is_none() && matches!(second.error, Some(StoreError::Locked)));
     drop(store);
-    assert_eq!(open_or_begin(&path).1.len(), 1);
-    // Damage at each of many places: begun anew, or what is there is what was written.
-    let sound = std::fs::read(&path).unwrap();
-    let mut chance = WyRand::new_seed(3);
-    let mut anew = 0;
+    assert_eq!(open_or_recreate(&path).records.len(), 1);
+    // Damage at each of many places: created anew, or what is read is what was written.
+    let intact = std::fs::read(&path).unwrap();
+    let mut random = WyRand::new_seed(3);
+    let mut recreated = 0;
     for n in 0..60 {
-        let mut bytes = sound.clone();
-        match n % 3 {
-            0 => bytes.truncate(chance.generate_range(0..sound.len())),
-            1 => (0..200).for_each(|_| bytes[chance.generate_range(0..sound.len())] ^= 0xff),
-            _ => bytes[chance.generate_range(0..4096)] ^= 1,
-        }
-        std::fs::write(&path, &bytes).unwrap();
-        let (store, records, problem) = open_or_begin(&path);
-        anew += usize::from(problem.is_some());
-        assert!(problem.is_some() || n % 3 > 0 || bytes.is_empty(), "a cut file was taken for whole");
+        let content = damage(&intact, n, &mut random);
+        std::fs::write(&path, &content).unwrap();
+        let Opened { store, records, error } = open_or_recreate(&path);
+        recreated += usize::from(error.is_some());
+        assert!(error.is_some() || n % 3 > 0 || content.is_empty(), "a truncated file was accepted");
         assert!(records.len() <= 1);
-        if let Some(s) = store {
-            s.commit(&change(2)).unwrap();
+        if let Some(store) = store {
+            store.commit(&put_one(2)).unwrap();
         }
     }
-    assert!(anew > 10, "{anew}");
-    std::fs::remove_dir_all(&dir).unwrap();
+    assert!(recreated > 10, "{recreated}");
+    std::fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
-fn a_file_of_a_later_form_is_left_as_it_is_and_one_without_a_form_is_begun() {
-    let dir = std::env::temp_dir().join(format!("nickelgw-store-form-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).unwrap();
-    let path = dir.join("node.store");
-    let about: redb::TableDefinition<&str, u64> = redb::TableDefinition::new("about");
-    let write = |form: u64| {
-        let db = redb::Database::create(&path).unwrap();
-        let w = db.begin_write().unwrap();
-        w.open_table(about).unwrap().insert("form", form).unwrap();
-        w.commit().unwrap();
+fn file_of_a_later_version_is_not_touched_and_one_without_a_version_is_initialized() {
+    let (folder, path) = new_folder("-form");
+    let metadata: redb::TableDefinition<&str, u64> = redb::TableDefinition::new("about");
+    let write_version = |version: u64| {
+        let database = redb::Database::create(&path).unwrap();
+        let transaction = database.begin_write().unwrap();
+        transaction.open_table(metadata).unwrap().insert("form", version).unwrap();
+        transaction.commit().unwrap();
     };
-    write(9);
+    write_version(9);
     let before = std::fs::read(&path).unwrap();
-    let (store, records, problem) = open_or_begin(&path);
-    assert!(store.is_none() && records.is_empty() && matches!(problem, Some(Problem::Newer(9))));
+    let Opened { store, records, error } = open_or_recreate(&path);
+    assert!(store.is_none() && records.is_empty());
+    assert!(matches!(error, Some(StoreError::UnsupportedVersion(9))));
     assert!(std::fs::read(&path).unwrap().len() == before.len() && path.exists());
     std::fs::remove_file(&path).unwrap();
-    // As an older program, or one that died at its first write, may leave it.
+    // As a process that died at its first write may leave it.
     drop(redb::Database::create(&path).unwrap());
-    let (store, records, problem) = open_or_begin(&path);
-    assert!(store.is_some() && records.is_empty() && problem.is_none());
-    std::fs::remove_dir_all(&dir).unwrap();
+    let Opened { store, records, error } = open_or_recreate(&path);
+    assert!(store.is_some() && records.is_empty() && error.is_none());
+    std::fs::remove_dir_all(&folder).unwrap();
 }
