--- a/crates/nickelgw-cli/src/bench.rs
+++ b/crates/nickelgw-cli/src/bench.rs
@@ -9,10 +9,10 @@
 use hyper::{Method, Request};
 use nickelgw_node::client::{Connection, Peer, Pool};
 use nickelgw_protocol::chat::ChatRequest;
-use nickelgw_protocol::engine::{read_body, write_body, ReadAnswer};
+use nickelgw_protocol::engine::{decode_request_body, prefill_request_body, PrefillResponse};
 use nickelgw_protocol::list::{self, EndpointEntry, EndpointList, EngineState};
-use nickelgw_protocol::sse::{Event, Events};
-use nickelgw_protocol::{REQUEST_ID, SEND_ID};
+use nickelgw_protocol::sse::{Event, EventDecoder};
+use nickelgw_protocol::{ATTEMPT_ID_HEADER, REQUEST_ID_HEADER};
 use nickelgw_test_servers::model::Figures;
 use nickelgw_tls::core::pool::Figures as PoolFigures;
 use serde_json::{json, Value};
@@ -87,7 +87,7 @@
     fn request(&self, address: &str, name: &str, body: Bytes) -> Option<Request<Full<Bytes>>> {
         let b = Request::builder().method(Method::POST).uri("/v1/chat/completions").header("host", address);
         let b = b.header("content-type", "application/json").header("te", "trailers");
-        b.header(REQUEST_ID, name).header(SEND_ID, name).body(Full::new(body)).ok()
+        b.header(REQUEST_ID_HEADER, name).header(ATTEMPT_ID_HEADER, name).body(Full::new(body)).ok()
     }
 
     /// Streams an answer to its end.
@@ -97,7 +97,7 @@
             return None;
         }
         let mut body = response.into_body();
-        let (mut events, mut first, mut done) = (Events::default(), None, false);
+        let (mut events, mut first, mut done) = (EventDecoder::default(), None, false);
         while let Some(frame) = body.frame().await {
             if let Ok(data) = frame.ok()?.into_data() {
                 events.push(&data);
@@ -132,13 +132,13 @@
         let reader = &self.readers[k % 8 % self.readers.len()];
         let writer = &self.writers[self.turn.get() % self.writers.len()];
         let name = format!("d{k}-{}", self.turn.get());
-        let read = self.request(&reader.0, &name, read_body(&chat).ok()?)?;
+        let read = self.request(&reader.0, &name, prefill_request_body(&chat).ok()?)?;
         let (status, _, body) = self.pool.fetch(peer(reader), &read).await.ok()?;
         if status != 200 {
             return None;
         }
-        let state = ReadAnswer::parse(&body).ok()?.kv_transfer_params;
-        let write = self.request(&writer.0, &name, write_body(&chat, Some(&state)).ok()?)?;
+        let state = PrefillResponse::parse(&body).ok()?.kv_transfer_params;
+        let write = self.request(&writer.0, &name, decode_request_body(&chat, Some(&state)).ok()?)?;
         self.stream(peer(writer), &write, from).await
     }
 }
--- a/crates/nickelgw-node-core/src/admission.rs
+++ b/crates/nickelgw-node-core/src/admission.rs
@@ -60,20 +60,23 @@
             RejectReason::Invalid(e) => return e,
             RejectReason::TenantFull => {
                 let word = "as many requests of this tenant are open as it may have";
-                return ApiError::new(429, "rate_limit_error", "too_many_open", word).after(come_back_s);
+                return ApiError::new(429, "rate_limit_error", "too_many_open", word)
+                    .with_retry_after(come_back_s);
             }
             RejectReason::OverFairShare => {
                 let word = "there is not enough for all now, and this tenant has its part";
-                return ApiError::new(429, "rate_limit_error", "fair_share", word).after(come_back_s);
+                return ApiError::new(429, "rate_limit_error", "fair_share", word)
+                    .with_retry_after(come_back_s);
             }
             RejectReason::ShuttingDown => {
                 let word = "this node is stopping; another one takes it";
-                return ApiError::new(503, "server_error", "node_draining", word).after(come_back_s);
+                return ApiError::new(503, "server_error", "node_draining", word)
+                    .with_retry_after(come_back_s);
             }
             RejectReason::NodeFull => "as many requests are open as this node takes",
             RejectReason::QueueFull => "this node is behind with its work",
         };
-        ApiError::new(503, "server_error", "node_full", word).after(come_back_s)
+        ApiError::new(503, "server_error", "node_full", word).with_retry_after(come_back_s)
     }
 }
 
@@ -187,6 +190,6 @@
         assert_eq!(status(door().admit(&chat("chat", "hi"), Some("key-c"), None)), 401);
         assert_eq!(status(door().admit(&chat("nope", "hi"), Some("key-a"), None)), 404);
         assert_eq!(status(door().admit(&chat("chat", &"x".repeat(500)), Some("key-a"), None)), 400);
-        assert_eq!(RejectReason::NodeFull.error(1.5).retry_after().as_deref(), Some("2"));
+        assert_eq!(RejectReason::NodeFull.error(1.5).retry_after_header().as_deref(), Some("2"));
     }
 }
--- a/crates/nickelgw-node-core/src/attempt_outcome.rs
+++ b/crates/nickelgw-node-core/src/attempt_outcome.rs
@@ -3,7 +3,7 @@
 
 use nickelgw::interface::Outcome;
 use nickelgw_protocol::chat::error_code;
-use nickelgw_protocol::engine::{DRAINING, FULL, NO_STATE};
+use nickelgw_protocol::engine::{ENGINE_DRAINING, ENGINE_FULL, STATE_NOT_FOUND};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AttemptOutcome {
@@ -66,8 +66,8 @@
     pub fn from_status(status: u16, body: &[u8]) -> AttemptOutcome {
         let code = error_code(body);
         match (status, code.as_deref()) {
-            (429 | 503, Some(FULL | DRAINING)) => AttemptOutcome::Rejected,
-            (409, Some(NO_STATE)) => AttemptOutcome::ReservationNotFound,
+            (429 | 503, Some(ENGINE_FULL | ENGINE_DRAINING)) => AttemptOutcome::Rejected,
+            (409, Some(STATE_NOT_FOUND)) => AttemptOutcome::ReservationNotFound,
             _ => AttemptOutcome::ErrorStatus(status),
         }
     }
--- a/crates/nickelgw-node-core/src/lib.rs
+++ b/crates/nickelgw-node-core/src/lib.rs
@@ -119,9 +119,9 @@
     EngineLoad {
         memory_share: report.mem_utilization,
         slot_share: report.application_utilization,
-        queue_len: report.named(load::WAITING),
-        inflight: report.named(load::PRESENT),
-        pending_prompt_tokens: report.named(load::UNREAD),
+        queue_len: report.named_metric(load::QUEUED_REQUESTS_METRIC),
+        inflight: report.named_metric(load::INFLIGHT_REQUESTS_METRIC),
+        pending_prompt_tokens: report.named_metric(load::PENDING_PROMPT_TOKENS_METRIC),
     }
 }
 
--- a/crates/nickelgw-node/src/deferred.rs
+++ b/crates/nickelgw-node/src/deferred.rs
@@ -195,7 +195,7 @@
         mut chat: ChatRequest,
         ask: &AdmittedRequest,
     ) -> Result<Answer, ApiError> {
-        let field = |what: &'static str| ApiError::invalid(&Malformed::field(FIELD, what));
+        let field = |what: &'static str| ApiError::invalid_request(&Malformed::field(FIELD, what));
         let Some(p) = self.parked.clone() else { return Err(field("is not served here")) };
         let within = chat.fields.remove(FIELD).and_then(|v| serde_json::from_str::<f64>(v.get()).ok());
         let within =
@@ -218,7 +218,7 @@
         let come_back = self.limits.retry_after_s;
         let full = || {
             let word = "no place to keep more offline requests";
-            ApiError::new(503, "server_error", "parked_full", word).after(come_back)
+            ApiError::new(503, "server_error", "parked_full", word).with_retry_after(come_back)
         };
         if p.keeper.is_released() {
             return Err(full());
@@ -227,7 +227,7 @@
         let write = taken.map_err(|why| match why {
             DeferredRejection::Tenant => {
                 let word = "this tenant has its part of what is kept";
-                ApiError::new(429, "server_error", "parked_tenant_full", word).after(come_back)
+                ApiError::new(429, "server_error", "parked_tenant_full", word).with_retry_after(come_back)
             }
             DeferredRejection::Wait => field("is longer than any may wait"),
             DeferredRejection::Records | DeferredRejection::Bytes => full(),
--- a/crates/nickelgw-node/src/engines.rs
+++ b/crates/nickelgw-node/src/engines.rs
@@ -12,10 +12,13 @@
 use nickelgw_node_core::ledger::ReservationId;
 use nickelgw_node_core::{AttemptKind, AttemptOutcome, AttemptRequest, AttemptResult, Endpoint, Reservation};
 use nickelgw_protocol::chat::ChatRequest;
-use nickelgw_protocol::engine::{read_body, write_body, KvTransfer, ReadAnswer};
+use nickelgw_protocol::engine::{decode_request_body, prefill_request_body, KvTransfer, PrefillResponse};
 use nickelgw_protocol::load::LoadReport;
-use nickelgw_protocol::sse::{Event, Events};
-use nickelgw_protocol::{LOAD, LOAD_FORMAT, NODE, REQUEST_ID, SEND_ID, ZONE};
+use nickelgw_protocol::sse::{Event, EventDecoder};
+use nickelgw_protocol::{
+    ATTEMPT_ID_HEADER, LOAD_METRICS_FORMAT_HEADER, LOAD_METRICS_HEADER, NODE_HEADER, REQUEST_ID_HEADER,
+    ZONE_HEADER,
+};
 use smol::Timer;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -29,7 +32,7 @@
 
 fn report(headers: &HeaderMap) -> Option<LoadReport> {
     // A report that cannot be read is as none: it rides on an answer that counts without it.
-    LoadReport::parse(headers.get(LOAD)?.to_str().ok()?).ok()
+    LoadReport::parse(headers.get(LOAD_METRICS_HEADER)?.to_str().ok()?).ok()
 }
 
 /// Its time is over: before anything went out that is an engine which could not be reached.
@@ -73,13 +76,15 @@
 
     pub fn request(&self, method: Method, address: &str, path: &str) -> hyper::http::request::Builder {
         let b = Request::builder().method(method).uri(path).header(HOST, address);
-        b.header(NODE, &self.node).header(ZONE, &self.zone).header(LOAD_FORMAT, "JSON")
+        b.header(NODE_HEADER, &self.node)
+            .header(ZONE_HEADER, &self.zone)
+            .header(LOAD_METRICS_FORMAT_HEADER, "JSON")
     }
 
     fn completion(&self, order: &AttemptRequest, id: &str, body: Bytes) -> Option<Request<Full<Bytes>>> {
         let b = self.request(Method::POST, &order.engine.address, "/v1/chat/completions");
         let b = b.header(CONTENT_TYPE, "application/json").header(TE, "trailers");
-        b.header(REQUEST_ID, id).header(SEND_ID, &order.name).body(Full::new(body)).ok()
+        b.header(REQUEST_ID_HEADER, id).header(ATTEMPT_ID_HEADER, &order.name).body(Full::new(body)).ok()
     }
 
     /// Makes one send and tells the core how it ends. Dropped, it closes its connection.
@@ -113,7 +118,7 @@
         chat: &ChatRequest,
         out: &Cell<bool>,
     ) -> AttemptResult {
-        let request = read_body(chat).ok().and_then(|body| self.completion(order, id, body));
+        let request = prefill_request_body(chat).ok().and_then(|body| self.completion(order, id, body));
         let Some(request) = request else { return AttemptResult::default() };
         let answer =
             within(order.timeout_s, self.pool.fetch(self.peer_out(&order.engine, out), &request)).await;
@@ -130,7 +135,7 @@
                 cached_tokens: 0.0,
             };
         }
-        match ReadAnswer::parse(&body) {
+        match PrefillResponse::parse(&body) {
             Ok(a) if a.kv_transfer_params.remote_request_id.as_deref() == Some(&order.name) => {
                 let kept = a.usage.prompt_tokens_details.unwrap_or_default().cached_tokens as f64;
                 AttemptResult { outcome: AttemptOutcome::Prefilled, load, cached_tokens: kept }
@@ -152,7 +157,8 @@
             return (AttemptResult::default(), None);
         };
         let ended = |cause, load| (AttemptResult { outcome: cause, load, cached_tokens: 0.0 }, None);
-        let request = write_body(chat, kv.as_ref()).ok().and_then(|body| self.completion(order, id, body));
+        let request =
+            decode_request_body(chat, kv.as_ref()).ok().and_then(|body| self.completion(order, id, body));
         let Some(request) = request else { return ended(AttemptOutcome::NotDelivered, None) };
         let mut patience = Timer::after(seconds(order.timeout_s));
         let begun =
@@ -203,8 +209,14 @@
         if !kind.starts_with("text/event-stream") {
             return Err((AttemptOutcome::Malformed, load));
         }
-        let mut s =
-            Stream { body, events: Events::default(), first: None, trailers: None, at_end: false, conn };
+        let mut s = Stream {
+            body,
+            events: EventDecoder::default(),
+            first: None,
+            trailers: None,
+            at_end: false,
+            conn,
+        };
         match s.next().await {
             Ok(Some(first)) => s.first = Some(first),
             Ok(None) => return Err((AttemptOutcome::Malformed, load)),
@@ -267,7 +279,7 @@
 /// A write's answer as it comes.
 struct Stream {
     body: Incoming,
-    events: Events,
+    events: EventDecoder,
     first: Option<Event>,
     trailers: Option<HeaderMap>,
     at_end: bool,
@@ -286,7 +298,7 @@
                 return if sound { Ok(Some(e)) } else { Err(AttemptOutcome::Malformed) };
             }
             match self.body.frame().await {
-                None if self.events.is_cut() => return Err(AttemptOutcome::Malformed),
+                None if self.events.has_incomplete_event() => return Err(AttemptOutcome::Malformed),
                 None => {
                     self.at_end = true;
                     return Ok(None);
--- a/crates/nickelgw-node/src/event_loop.rs
+++ b/crates/nickelgw-node/src/event_loop.rs
@@ -16,7 +16,7 @@
     AdmittedRequest, AttemptOutcome, AttemptResult, Command, Endpoint, FailureReason, FinalAnswer, NodeCore,
     RejectReason, RequestId,
 };
-use nickelgw_protocol::chat::{ApiError, ChatRequest, Chunk, Whole};
+use nickelgw_protocol::chat::{ApiError, ChatRequest, Chunk, UnaryResponse};
 use nickelgw_protocol::list::EndpointList;
 use nickelgw_protocol::load::LoadReport;
 use nickelgw_protocol::sse;
@@ -130,7 +130,7 @@
 /// Where a stream's events go. Held by the one send that has the client.
 pub enum ResponseSink {
     Stream { events: Sender<Bytes>, usage: bool },
-    Unary(Box<Whole>),
+    Unary(Box<UnaryResponse>),
 }
 
 impl ResponseSink {
@@ -142,7 +142,7 @@
                 to.send(frame).await.map_err(|_| AttemptOutcome::Cancelled)
             }
             ResponseSink::Unary(whole) => {
-                whole.add(Chunk::parse(data).map_err(|_| AttemptOutcome::Malformed)?);
+                whole.push_chunk(Chunk::parse(data).map_err(|_| AttemptOutcome::Malformed)?);
                 Ok(())
             }
         }
@@ -444,8 +444,11 @@
     fn finish(&self, sink: ResponseSink, job: &ClientRequest, whole: bool) {
         match sink {
             ResponseSink::Stream { events: to, .. } => {
-                let last =
-                    if whole { sse::done() } else { sse::frame(&failed(FailureReason::StreamBroken).body()) };
+                let last = if whole {
+                    sse::done_event()
+                } else {
+                    sse::encode_event(&failed(FailureReason::StreamBroken).body())
+                };
                 self.last(to, last);
             }
             ResponseSink::Unary(w) => {
@@ -529,7 +532,7 @@
         let Some(job) = self.clients.remove(&ticket) else { return };
         if let (Some(to), FinalAnswer::Failed(why)) = (job.stream.clone(), answer) {
             // Its send is called off with this, so that nothing comes after.
-            self.last(to, sse::frame(&failed(why).body()));
+            self.last(to, sse::encode_event(&failed(why).body()));
             return self.note(&job, "errored");
         }
         let (error, word) = match answer {
--- a/crates/nickelgw-node/src/idempotency.rs
+++ b/crates/nickelgw-node/src/idempotency.rs
@@ -201,7 +201,7 @@
 
 impl Server {
     fn full(&self, word: &str) -> ApiError {
-        ApiError::new(503, "server_error", "node_full", word).after(self.limits.retry_after_s)
+        ApiError::new(503, "server_error", "node_full", word).with_retry_after(self.limits.retry_after_s)
     }
 
     /// A request that carries a key: it runs once, and each repeat hears that run.
@@ -287,7 +287,7 @@
                 relay.ring();
                 let mut whole = false;
                 while let Ok(event) = from.recv().await {
-                    whole = event == sse::done();
+                    whole = event == sse::done_event();
                     if !self.hear(serial, &relay, event).await {
                         break;
                     }
--- a/crates/nickelgw-node/src/server.rs
+++ b/crates/nickelgw-node/src/server.rs
@@ -16,7 +16,7 @@
 use nickelgw_chat::core::retry_budget::{RetryBudget, RetryVerdict};
 use nickelgw_node_core::{Admission, AdmittedRequest, RejectReason, RequestId};
 use nickelgw_protocol::chat::{ApiError, ChatRequest};
-use nickelgw_protocol::{Malformed, REQUEST_ID};
+use nickelgw_protocol::{Malformed, REQUEST_ID_HEADER};
 use serde_json::json;
 use smol::io::{self, AsyncRead, AsyncWrite};
 use smol::{Async, LocalExecutor};
@@ -105,7 +105,7 @@
 
 fn error(e: &ApiError) -> Answer {
     let mut r = json_answer(e.status, e.body());
-    if let Some(v) = e.retry_after().and_then(|s| HeaderValue::from_str(&s).ok()) {
+    if let Some(v) = e.retry_after_header().and_then(|s| HeaderValue::from_str(&s).ok()) {
         r.headers_mut().insert(RETRY_AFTER, v);
     }
     if let Some(s) = e.retry_after_s {
@@ -321,7 +321,8 @@
     }
 
     async fn serve(self: Rc<Self>, request: Request<Incoming>) -> Answer {
-        let id = request.headers().get(REQUEST_ID).and_then(|v| v.to_str().ok()).filter(|id| plain_id(id));
+        let id =
+            request.headers().get(REQUEST_ID_HEADER).and_then(|v| v.to_str().ok()).filter(|id| plain_id(id));
         let id: Rc<str> = match id {
             Some(id) => id.into(),
             None => {
@@ -384,7 +385,7 @@
         let bearer = bearer(&head.headers);
         let timeout = header(TIMEOUT).and_then(|v| v.parse::<f64>().ok()).map(|ms| ms / 1e3);
         let body = self.body(body).await?;
-        let chat = ChatRequest::parse(&body).map_err(|m| ApiError::invalid(&m))?;
+        let chat = ChatRequest::parse(&body).map_err(|m| ApiError::invalid_request(&m))?;
         let ask = self.door.admit(&chat, bearer, timeout).map_err(|r| r.error(self.limits.retry_after_s))?;
         if chat.fields.contains_key(crate::deferred::FIELD) {
             return self.park(chat, &ask).await;
@@ -400,7 +401,7 @@
             }
             Some(key) if key.is_empty() || key.len() > 255 => {
                 let m = Malformed::field("idempotency-key", "must have 1 to 255 characters");
-                Err(ApiError::invalid(&m))
+                Err(ApiError::invalid_request(&m))
             }
             Some(key) => {
                 let key = key.to_string();
@@ -419,7 +420,8 @@
             RetryVerdict::FirstAttempt | RetryVerdict::Retry => Ok(()),
             RetryVerdict::Rejected { come_back_s } => {
                 let word = "too many retries of late; come back later";
-                Err(ApiError::new(429, "rate_limit_error", "retry_budget", word).after(come_back_s))
+                Err(ApiError::new(429, "rate_limit_error", "retry_budget", word)
+                    .with_retry_after(come_back_s))
             }
         }
     }
@@ -468,4 +470,4 @@
     }
 }
 
-const ID: hyper::header::HeaderName = hyper::header::HeaderName::from_static(REQUEST_ID);
+const ID: hyper::header::HeaderName = hyper::header::HeaderName::from_static(REQUEST_ID_HEADER);
--- a/crates/nickelgw-platform/src/core/engine.rs
+++ b/crates/nickelgw-platform/src/core/engine.rs
@@ -5,7 +5,9 @@
 use bytes::Bytes;
 use nickelgw_node_core::AttemptOutcome;
 use nickelgw_platform_config::load;
-use nickelgw_protocol::load::{LoadReport, PRESENT, UNREAD, WAITING};
+use nickelgw_protocol::load::{
+    LoadReport, INFLIGHT_REQUESTS_METRIC, PENDING_PROMPT_TOKENS_METRIC, QUEUED_REQUESTS_METRIC,
+};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
 
@@ -86,7 +88,11 @@
         values.insert(name.trim(), value);
     }
     let Ok(l) = load(|name: &str| Ok::<_, Infallible>(values.get(name).copied()));
-    let named = [(PRESENT, l.inflight), (WAITING, l.queue_len), (UNREAD, l.pending_prompt_tokens)];
+    let named = [
+        (INFLIGHT_REQUESTS_METRIC, l.inflight),
+        (QUEUED_REQUESTS_METRIC, l.queue_len),
+        (PENDING_PROMPT_TOKENS_METRIC, l.pending_prompt_tokens),
+    ];
     let named = named.into_iter().filter_map(|(name, v)| Some((name.to_string(), v?)));
     Some(LoadReport {
         mem_utilization: l.memory_share,
--- a/crates/nickelgw-platform/src/core/tests.rs
+++ b/crates/nickelgw-platform/src/core/tests.rs
@@ -7,7 +7,7 @@
 use bytes::{Bytes, BytesMut};
 use nickelgw::interface::EngineRole;
 use nickelgw_node_core::AttemptOutcome;
-use nickelgw_protocol::load::UNREAD;
+use nickelgw_protocol::load::PENDING_PROMPT_TOKENS_METRIC;
 use proptest::prelude::*;
 use test_case::test_case;
 
@@ -207,7 +207,7 @@
 #[test]
 fn reports_are_read_or_passed_over() {
     let r = report("x0=0.4,x1=2.5").unwrap();
-    assert_eq!((r.mem_utilization, r.named(UNREAD)), (Some(0.4), Some(2500.0)));
+    assert_eq!((r.mem_utilization, r.named_metric(PENDING_PROMPT_TOKENS_METRIC)), (Some(0.4), Some(2500.0)));
     for bad in ["x0=NaN", "x0", "x0=-1", "x0=1e99", "\u{0}"] {
         assert!(report(bad).is_none(), "{bad}");
     }
--- /dev/null
+++ b/crates/nickelgw-protocol/src/chat/prompt.rs
@@ -0,0 +1,140 @@
+//! What routing needs to know of a prompt: its length, and names for its beginning that are equal at every node.
+
+use crate::Malformed;
+use serde::Deserialize;
+use serde_json::value::RawValue;
+use std::borrow::Cow;
+
+/// Bytes per token, by the published rule of thumb.
+const BYTES_PER_TOKEN: f64 = 4.0;
+/// Tokens that a message's role and markup add.
+const TOKENS_PER_MESSAGE: f64 = 4.0;
+/// Length of a prefix name in hexadecimal digits.
+const NAME_LEN: usize = 24;
+/// Roles that a message may have.
+const ROLES: [&str; 6] = ["developer", "system", "user", "assistant", "tool", "function"];
+/// Seed of the rolling hash.
+const HASH_SEED: &str = "messages";
+
+/// A message of the request.
+#[derive(Deserialize)]
+pub(super) struct Message<'a> {
+    #[serde(borrow)]
+    role: Cow<'a, str>,
+    #[serde(default, borrow)]
+    content: Option<&'a RawValue>,
+}
+
+/// One part of a message's content, where the content is a list.
+#[derive(Deserialize)]
+struct ContentPart {
+    #[serde(default)]
+    text: String,
+}
+
+/// Estimated tokens of a text. The one place to put a tokenizer.
+pub fn estimate_tokens(text: &str) -> f64 {
+    (text.len() as f64 / BYTES_PER_TOKEN).ceil()
+}
+
+impl Message<'_> {
+    fn text(&self) -> Result<String, Malformed> {
+        let Some(raw) = self.content else { return Ok(String::new()) };
+        if raw.get() == "null" {
+            return Ok(String::new());
+        }
+        if let Ok(text) = serde_json::from_str::<String>(raw.get()) {
+            return Ok(text);
+        }
+        let parts: Vec<ContentPart> = serde_json::from_str(raw.get())
+            .map_err(|_| Malformed::field("messages", "content is neither text nor a list of parts"))?;
+        Ok(parts.into_iter().map(|part| part.text).collect())
+    }
+
+    fn is_instruction(&self) -> bool {
+        matches!(self.role.as_ref(), "system" | "developer")
+    }
+}
+
+/// A rolling hash over messages. Each step includes the steps before it, so that equal beginnings have equal names at
+/// every node and a longer beginning never has the name of a shorter one.
+#[derive(Clone, Copy)]
+struct PrefixHash(blake3::Hash);
+
+impl PrefixHash {
+    fn new(seed: &str) -> PrefixHash {
+        PrefixHash(blake3::hash(seed.as_bytes()))
+    }
+
+    fn with_message(self, role: &str, text: &str) -> PrefixHash {
+        let mut hasher = blake3::Hasher::new();
+        hasher.update(self.0.as_bytes());
+        hasher.update(&(role.len() as u64).to_le_bytes());
+        hasher.update(role.as_bytes());
+        hasher.update(text.as_bytes());
+        PrefixHash(hasher.finalize())
+    }
+
+    fn name(self) -> String {
+        self.0.to_hex().as_str()[..NAME_LEN].to_string()
+    }
+}
+
+/// Length and beginning of a prompt.
+pub(super) struct Prompt {
+    /// Estimated tokens of all messages.
+    pub tokens: f64,
+    /// Estimated tokens of the instructions at the beginning.
+    pub prefix_tokens: f64,
+    /// Hash of the instructions at the beginning.
+    prefix: PrefixHash,
+    /// Hash of the instructions and the first message after them.
+    conversation: Option<PrefixHash>,
+}
+
+impl Prompt {
+    /// Validates the messages and summarizes them.
+    pub fn new(messages: &[Message]) -> Result<Prompt, Malformed> {
+        let mut prompt = Prompt {
+            tokens: 0.0,
+            prefix_tokens: 0.0,
+            prefix: PrefixHash::new(HASH_SEED),
+            conversation: None,
+        };
+        for message in messages {
+            prompt.push(message)?;
+        }
+        Ok(prompt)
+    }
+
+    fn push(&mut self, message: &Message) -> Result<(), Malformed> {
+        if !ROLES.contains(&message.role.as_ref()) {
+            return Err(Malformed::field("messages", "a message has a role that is not known"));
+        }
+        let text = message.text()?;
+        let tokens = estimate_tokens(&text) + TOKENS_PER_MESSAGE;
+        self.tokens += tokens;
+        if self.conversation.is_some() {
+            return Ok(());
+        }
+        let hash = self.prefix.with_message(&message.role, &text);
+        if message.is_instruction() {
+            self.prefix_tokens += tokens;
+            self.prefix = hash;
+        } else {
+            self.conversation = Some(hash);
+        }
+        Ok(())
+    }
+
+    /// Name of the instructions at the beginning, which sessions may share; none without instructions.
+    pub fn prefix_name(&self) -> Option<String> {
+        (self.prefix_tokens > 0.0).then(|| self.prefix.name())
+    }
+
+    /// Name of the session: equal for requests of one user that begin with the same conversation.
+    pub fn session_name(&self, user: Option<&str>) -> String {
+        let beginning = self.conversation.unwrap_or(self.prefix);
+        beginning.with_message("", user.unwrap_or("")).name()
+    }
+}
--- a/crates/nickelgw-protocol/src/lib.rs
+++ b/crates/nickelgw-protocol/src/lib.rs
@@ -1,43 +1,65 @@
-//! What crosses the sockets between client, node, engine and engine list. No I/O: bytes in, meaning out.
-//! Every message, field, unit and error is in docs/engine-protocol.md.
+//! Messages between clients, nodes, engines and the endpoint list. The package does no I/O: it encodes and decodes
+//! bytes. Every message, field, unit and error is described in docs/engine-protocol.md.
 
 pub mod chat;
 pub mod engine;
 pub mod list;
 pub mod load;
 pub mod sse;
+pub mod usage;
 
 #[cfg(test)]
-mod fuzz;
+mod fuzz_tests;
 
-/// The client's or node's name for an inference; the same at every engine that hears of it.
-pub const REQUEST_ID: &str = "x-request-id";
-/// Names one send, and the state that a read leaves: unlike the request id it is the node's own, so never
-/// used twice.
-pub const SEND_ID: &str = "x-send-id";
-/// Which node sends, and from which zone.
-pub const NODE: &str = "x-node";
-pub const ZONE: &str = "x-zone";
-/// With a fetch: which writer fetches, and the node's word that it may.
-pub const ENGINE: &str = "x-engine-id";
-pub const GRANT: &str = "x-state-grant";
-pub const LOAD: &str = "endpoint-load-metrics";
-pub const LOAD_FORMAT: &str = "endpoint-load-metrics-format";
+/// Header with the request's id, chosen by the client or the node; the same at every engine the request reaches.
+pub const REQUEST_ID_HEADER: &str = "x-request-id";
+/// Header with the id of one attempt, which is also the id of the KV state that a prefill attempt leaves. The node
+/// chooses it, so unlike the request id it is never reused.
+pub const ATTEMPT_ID_HEADER: &str = "x-send-id";
+/// Header with the name of the node that sends the attempt.
+pub const NODE_HEADER: &str = "x-node";
+/// Header with the zone of the sender.
+pub const ZONE_HEADER: &str = "x-zone";
+/// Header of a KV state fetch with the id of the decode engine that fetches.
+pub const ENGINE_ID_HEADER: &str = "x-engine-id";
+/// Header of a KV state fetch with the node's grant, which authorizes the decode engine to fetch.
+pub const GRANT_HEADER: &str = "x-state-grant";
+/// Header or trailer with an engine's load report.
+pub const LOAD_METRICS_HEADER: &str = "endpoint-load-metrics";
+/// Request header that asks for a load report in the given format.
+pub const LOAD_METRICS_FORMAT_HEADER: &str = "endpoint-load-metrics-format";
 
+/// Why a message could not be decoded.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Malformed {
+    /// The bytes are not JSON of the expected shape.
     #[error("not JSON: {0}")]
     Json(String),
-    #[error("{field}: {why}")]
-    Field { field: &'static str, why: String },
+    /// A field is missing or has a value that is not allowed.
+    #[error("{field}: {reason}")]
+    Field {
+        /// Name of the field on the wire.
+        field: &'static str,
+        /// What is wrong with its value.
+        reason: String,
+    },
+    /// The bytes are not a stream of server-sent events.
     #[error("event stream: {0}")]
     Stream(&'static str),
+    /// The load report is not usable.
     #[error("load report: {0}")]
     Load(String),
 }
 
 impl Malformed {
-    pub fn field(field: &'static str, why: impl Into<String>) -> Self {
-        Malformed::Field { field, why: why.into() }
+    /// An error about one field.
+    pub fn field(field: &'static str, reason: impl Into<String>) -> Self {
+        Malformed::Field { field, reason: reason.into() }
+    }
+}
+
+impl From<serde_json::Error> for Malformed {
+    fn from(error: serde_json::Error) -> Self {
+        Malformed::Json(error.to_string())
     }
 }
--- a/crates/nickelgw-protocol/src/sse.rs
+++ b/crates/nickelgw-protocol/src/sse.rs
@@ -3,80 +3,88 @@
 use crate::Malformed;
 use bytes::{Buf, Bytes, BytesMut};
 
-/// An event may not be longer; a peer that sends more without a blank line is garbling.
-pub const LONGEST_EVENT: usize = 256 * 1024;
+#[cfg(test)]
+mod tests;
 
-/// Cuts a byte stream into whole events. The bytes of an event are passed on as they came.
-#[derive(Default)]
-pub struct Events {
-    buffer: BytesMut,
-    searched: usize,
-}
+/// Largest event accepted. The limit bounds the buffer against a peer that never ends an event.
+pub const MAX_EVENT_BYTES: usize = 256 * 1024;
+
+/// Data of the last event of a stream.
+const DONE_DATA: &[u8] = b"[DONE]";
 
+/// The longest boundary has four bytes, so up to three of them may be in the part already searched.
+const BOUNDARY_OVERLAP: usize = 3;
+
+/// An event of a stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// An event with its framing, and its data alone.
+    /// An event with data.
     Data {
+        /// The event with its framing, byte for byte as received.
         frame: Bytes,
+        /// The data alone.
         data: Bytes,
     },
+    /// The end of the stream.
     Done,
 }
 
-impl Events {
+/// Splits a byte stream into events. The bytes of an event are passed on as received.
+#[derive(Default)]
+pub struct EventDecoder {
+    buffer: BytesMut,
+    /// Length of the buffer's beginning that is known to hold no boundary.
+    searched: usize,
+}
+
+/// End of an event in the buffer.
+struct Boundary {
+    /// Offset of the event's end.
+    end: usize,
+    /// Length of the blank line after it.
+    gap: usize,
+}
+
+impl EventDecoder {
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether bytes of an unfinished event are left: at the end of a stream, a cut.
-    pub fn is_cut(&self) -> bool {
-        !self.buffer.iter().all(|b| b.is_ascii_whitespace())
+    /// Whether bytes of an incomplete event are buffered; at the end of a stream, this means it was truncated.
+    pub fn has_incomplete_event(&self) -> bool {
+        !self.buffer.iter().all(|byte| byte.is_ascii_whitespace())
     }
 
-    /// The next whole event; comments and empty events are passed over.
+    /// The next complete event; comments and empty events are skipped.
     pub fn next_event(&mut self) -> Result<Option<Event>, Malformed> {
-        while let Some((end, gap)) = self.boundary() {
+        while let Some(Boundary { end, gap }) = self.find_boundary() {
             let frame = self.buffer.split_to(end + gap).freeze();
             self.searched = 0;
-            let mut data: Option<Bytes> = None;
-            let mut at = 0;
-            for line in frame[..end].split(|&b| b == b'\n') {
-                let (start, line) = (at, line.strip_suffix(b"\r").unwrap_or(line));
-                at = start + line.len() + 1 + usize::from(frame.get(start + line.len()) == Some(&b'\r'));
-                if let Some(rest) = line.strip_prefix(b"data:") {
-                    let skip = 5 + usize::from(rest.first() == Some(&b' '));
-                    let piece = frame.slice(start + skip..start + line.len());
-                    // Several data lines are one text, joined by line feeds.
-                    data = Some(data.map_or(piece.clone(), |d| [&d[..], &piece[..]].join(&b'\n').into()));
-                } else if !(line.is_empty() || line[0] == b':' || line.contains(&b':')) {
-                    return Err(Malformed::Stream("a line is not a field"));
-                }
-            }
-            match data {
+            match event_data(&frame, end)? {
                 None => continue,
-                Some(d) if &d[..] == b"[DONE]" => return Ok(Some(Event::Done)),
+                Some(data) if &data[..] == DONE_DATA => return Ok(Some(Event::Done)),
                 Some(data) => return Ok(Some(Event::Data { frame, data })),
             }
         }
-        if self.buffer.len() > LONGEST_EVENT {
+        if self.buffer.len() > MAX_EVENT_BYTES {
             return Err(Malformed::Stream("an event is too long"));
         }
         Ok(None)
     }
 
-    /// Where the first event ends and how long the blank line after it is.
-    fn boundary(&mut self) -> Option<(usize, usize)> {
+    fn find_boundary(&mut self) -> Option<Boundary> {
         while matches!(self.buffer.first(), Some(b'\n' | b'\r')) {
             self.buffer.advance(1);
             self.searched = 0;
         }
-        let from = self.searched.saturating_sub(3);
+        let from = self.searched.saturating_sub(BOUNDARY_OVERLAP);
         for i in from..self.buffer.len().saturating_sub(1) {
             if self.buffer[i] == b'\n' && self.buffer[i + 1] == b'\n' {
-                return Some((i, 2));
+                return Some(Boundary { end: i, gap: 2 });
             }
             if self.buffer[i..].starts_with(b"\r\n\r\n") {
-                return Some((i, 4));
+                return Some(Boundary { end: i, gap: 4 });
             }
         }
         self.searched = self.buffer.len();
@@ -84,53 +92,38 @@
     }
 }
 
-pub fn frame(data: &[u8]) -> Bytes {
-    let mut out = BytesMut::with_capacity(data.len() + 8);
-    out.extend_from_slice(b"data: ");
-    out.extend_from_slice(data);
-    out.extend_from_slice(b"\n\n");
-    out.freeze()
-}
-
-pub fn done() -> Bytes {
-    Bytes::from_static(b"data: [DONE]\n\n")
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn all(bytes: &[u8], step: usize) -> Result<Vec<Event>, Malformed> {
-        let (mut events, mut out) = (Events::default(), Vec::new());
-        for piece in bytes.chunks(step) {
-            events.push(piece);
-            while let Some(e) = events.next_event()? {
-                out.push(e);
-            }
+/// Data of the event that ends at `end` of its frame; several data lines are joined by line feeds.
+fn event_data(frame: &Bytes, end: usize) -> Result<Option<Bytes>, Malformed> {
+    let mut data: Option<Bytes> = None;
+    let mut offset = 0;
+    for line in frame[..end].split(|&byte| byte == b'\n') {
+        let (start, line) = (offset, line.strip_suffix(b"\r").unwrap_or(line));
+        let ends_with_return = frame.get(start + line.len()) == Some(&b'\r');
+        offset = start + line.len() + 1 + usize::from(ends_with_return);
+        if let Some(rest) = line.strip_prefix(b"data:") {
+            let skip = b"data:".len() + usize::from(rest.first() == Some(&b' '));
+            let piece = frame.slice(start + skip..start + line.len());
+            data = Some(match data {
+                None => piece,
+                Some(before) => [&before[..], &piece[..]].join(&b'\n').into(),
+            });
+        } else if !(line.is_empty() || line.contains(&b':')) {
+            return Err(Malformed::Stream("a line is not a field"));
         }
-        Ok(out)
     }
+    Ok(data)
+}
 
-    #[test]
-    fn any_cut_gives_the_same_events() {
-        let text =
-            b": hello\n\ndata: {\"a\":1}\n\nevent: x\r\ndata:two\r\ndata: lines\r\n\r\ndata: [DONE]\n\n";
-        let whole = all(text, text.len()).unwrap();
-        assert_eq!(whole.len(), 3);
-        assert!(matches!(&whole[0], Event::Data { data, .. } if &data[..] == b"{\"a\":1}"));
-        assert!(matches!(&whole[1], Event::Data { data, .. } if &data[..] == b"two\nlines"));
-        assert_eq!(whole[2], Event::Done);
-        for step in 1..text.len() {
-            assert_eq!(all(text, step).unwrap(), whole, "cut every {step}");
-        }
-    }
+/// Encodes an event with this data.
+pub fn encode_event(data: &[u8]) -> Bytes {
+    let mut frame = BytesMut::with_capacity(data.len() + 8);
+    frame.extend_from_slice(b"data: ");
+    frame.extend_from_slice(data);
+    frame.extend_from_slice(b"\n\n");
+    frame.freeze()
+}
 
-    #[test]
-    fn what_is_no_event_stream_is_told() {
-        assert!(all(b"<html>nope</html>\n\n", 5).is_err());
-        assert!(all(&vec![b'x'; LONGEST_EVENT + 9], 4096).is_err());
-        let mut cut = Events::default();
-        cut.push(b"data: {\"a\"");
-        assert!(cut.next_event().unwrap().is_none() && cut.is_cut());
-    }
+/// The encoded event that ends a stream.
+pub fn done_event() -> Bytes {
+    Bytes::from_static(b"data: [DONE]\n\n")
 }
--- a/crates/nickelgw-test-servers/src/client.rs
+++ b/crates/nickelgw-test-servers/src/client.rs
@@ -7,8 +7,8 @@
 use hyper::client::conn::http1::handshake;
 use hyper::{Method, Request};
 use nickelgw_protocol::chat::error_code;
-use nickelgw_protocol::sse::{Event, Events};
-use nickelgw_protocol::REQUEST_ID;
+use nickelgw_protocol::sse::{Event, EventDecoder};
+use nickelgw_protocol::REQUEST_ID_HEADER;
 use serde_json::{json, Value};
 use smol::net::TcpStream;
 use smol::Timer;
@@ -88,7 +88,7 @@
     fn request(&self) -> Option<Request<Full<Bytes>>> {
         let mut b = Request::builder().method(Method::POST).uri("/v1/chat/completions");
         b = b.header("host", &self.address).header("content-type", "application/json");
-        b = b.header(REQUEST_ID, &self.req);
+        b = b.header(REQUEST_ID_HEADER, &self.req);
         if let Some(key) = &self.key {
             b = b.header("authorization", format!("Bearer {key}"));
         }
@@ -154,7 +154,7 @@
             record.note("first", json!({"req": ask.req}));
             return Some("completed");
         }
-        let mut events = Events::default();
+        let mut events = EventDecoder::default();
         let mut over = None;
         loop {
             loop {
--- a/crates/nickelgw-test-servers/src/engine.rs
+++ b/crates/nickelgw-test-servers/src/engine.rs
@@ -14,9 +14,12 @@
 use nanorand::{Rng, WyRand};
 use nickelgw_chat::core::grant::{GrantChecker, GrantClaims, GrantKey};
 use nickelgw_protocol::chat::ChatRequest;
-use nickelgw_protocol::engine::{KvTransfer, DRAINING, FULL, NO_STATE};
+use nickelgw_protocol::engine::{KvTransfer, ENGINE_DRAINING, ENGINE_FULL, STATE_NOT_FOUND};
 use nickelgw_protocol::load::{self, LoadReport};
-use nickelgw_protocol::{sse, ENGINE, GRANT, LOAD, NODE, REQUEST_ID, SEND_ID, ZONE};
+use nickelgw_protocol::{
+    sse, ATTEMPT_ID_HEADER, ENGINE_ID_HEADER, GRANT_HEADER, LOAD_METRICS_HEADER, NODE_HEADER,
+    REQUEST_ID_HEADER, ZONE_HEADER,
+};
 use serde_json::{json, Value};
 use smol::Timer;
 use std::cell::{Cell, RefCell};
@@ -149,15 +152,15 @@
             application_utilization: Some(m.running as f64 / f.slots as f64),
             ..LoadReport::default()
         };
-        r.named_metrics.insert(load::WAITING.into(), m.waiting as f64);
-        r.named_metrics.insert(load::PRESENT.into(), (m.waiting + m.running) as f64);
-        r.named_metrics.insert(load::UNREAD.into(), m.waiting_tokens.max(0.0));
+        r.named_metrics.insert(load::QUEUED_REQUESTS_METRIC.into(), m.waiting as f64);
+        r.named_metrics.insert(load::INFLIGHT_REQUESTS_METRIC.into(), (m.waiting + m.running) as f64);
+        r.named_metrics.insert(load::PENDING_PROMPT_TOKENS_METRIC.into(), m.waiting_tokens.max(0.0));
         r
     }
 
     fn told(&self, mut a: Answer) -> Answer {
-        if let Ok(v) = self.report().header().parse() {
-            a.headers_mut().insert(LOAD, v);
+        if let Ok(v) = self.report().to_header().parse() {
+            a.headers_mut().insert(LOAD_METRICS_HEADER, v);
         }
         a
     }
@@ -230,7 +233,7 @@
             return self.control(request).await;
         }
         let headers = request.headers().clone();
-        let zone = header(&headers, ZONE).to_string();
+        let zone = header(&headers, ZONE_HEADER).to_string();
         let answer = match (method, path.as_str()) {
             // Recorded as it comes in: when it was sent, not when a cut that holds it up has healed.
             (Method::POST, "/v1/chat/completions") => self.clone().complete(request, &zone).await?,
@@ -258,7 +261,7 @@
             (Method::GET, "/health") if self.model.borrow().fallen => error(500, "fallen"),
             (Method::GET, "/health") => json(200, json!({"status": "ok"})),
             (Method::DELETE, "/v1/states") => {
-                let node = header(request.headers(), NODE).to_string();
+                let node = header(request.headers(), NODE_HEADER).to_string();
                 let except = request.uri().query().and_then(|q| q.strip_prefix("except=")).unwrap_or("");
                 let left = self.model.borrow().left_by(&node, &format!("{except}-"));
                 for name in &left {
@@ -270,7 +273,7 @@
             (method, path) => match path.strip_prefix("/v1/states/") {
                 Some(name) if method == Method::DELETE => {
                     let found = self.model.borrow_mut().free(name);
-                    let node = header(request.headers(), NODE);
+                    let node = header(request.headers(), NODE_HEADER);
                     self.record.note("let_go", json!({"state": name, "found": found, "node": node}));
                     json(if found { 200 } else { 404 }, json!({"found": found}))
                 }
@@ -287,16 +290,16 @@
             let g = GrantClaims {
                 reservation: name,
                 prefill_engine: &m.figures.id,
-                decode_engine: header(headers, ENGINE),
+                decode_engine: header(headers, ENGINE_ID_HEADER),
                 expires_at: 0.0,
             };
-            if let Err(why) = checker.borrow_mut().check(unix_now(), header(headers, GRANT), &g) {
+            if let Err(why) = checker.borrow_mut().check(unix_now(), header(headers, GRANT_HEADER), &g) {
                 self.record.note("not_granted", json!({"state": name, "why": format!("{why:?}")}));
                 return Ok(error(403, "not_granted"));
             }
         }
         let found = self.model.borrow().states.get(name).map(|s| s.0);
-        let Some(tokens) = found else { return Ok(error(404, NO_STATE)) };
+        let Some(tokens) = found else { return Ok(error(404, STATE_NOT_FOUND)) };
         let bytes = (tokens * self.model.borrow().figures.state_bytes_per_token) as usize;
         let (to, from) = async_channel::bounded(4);
         let (engine, name) = (self.clone(), name.to_string());
@@ -328,7 +331,10 @@
 
     async fn complete(self: Rc<Self>, request: Request<Incoming>, zone: &str) -> Result<Answer, Cut> {
         let headers = request.headers().clone();
-        let (req, send) = (header(&headers, REQUEST_ID).to_string(), header(&headers, SEND_ID).to_string());
+        let (req, send) = (
+            header(&headers, REQUEST_ID_HEADER).to_string(),
+            header(&headers, ATTEMPT_ID_HEADER).to_string(),
+        );
         let bytes = body(request).await?;
         let Ok(chat) = ChatRequest::parse(&bytes) else { return Ok(error(400, "bad_request")) };
         let kv: Option<KvTransfer> =
@@ -338,7 +344,7 @@
         let state = kv.as_ref().and_then(|k| k.remote_request_id.clone());
         self.record.note(
             "send",
-            json!({"req": req, "send": send, "node": header(&headers, NODE), "role": role,
+            json!({"req": req, "send": send, "node": header(&headers, NODE_HEADER), "role": role,
             "state": state, "work": work}),
         );
         self.through(zone).await;
@@ -353,8 +359,8 @@
         }
         if let Some(why) = refused {
             let (status, code) = match why {
-                Refused::Full => (429, FULL),
-                Refused::Draining => (503, DRAINING),
+                Refused::Full => (429, ENGINE_FULL),
+                Refused::Draining => (503, ENGINE_DRAINING),
                 Refused::Fallen => (500, "fallen"),
             };
             self.record.note("turned", json!({"req": req, "send": send, "code": code}));
@@ -367,7 +373,7 @@
         }
         match role {
             Role::Read => {
-                let node = header(&headers, NODE).to_string();
+                let node = header(&headers, NODE_HEADER).to_string();
                 self.read(&chat, &req, &send, zone, &node).await
             }
             Role::Write => self.write(chat, headers, req, send, kv).await,
@@ -423,7 +429,7 @@
         send: String,
         kv: Option<KvTransfer>,
     ) -> Result<Answer, Cut> {
-        let zone = header(&headers, ZONE).to_string();
+        let zone = header(&headers, ZONE_HEADER).to_string();
         let (drawn, out) = {
             let dice = self.chance.borrow_mut().generate::<u32>() as f64 / u32::MAX as f64;
             let mean = self.model.borrow().figures.out_tokens as f64;
@@ -442,8 +448,8 @@
         match kv {
             Some(kv) => {
                 if self.fetch(&kv).await.is_none() {
-                    self.record.note("turned", json!({"req": req, "send": send, "code": NO_STATE}));
-                    return Ok(error(409, NO_STATE));
+                    self.record.note("turned", json!({"req": req, "send": send, "code": STATE_NOT_FOUND}));
+                    return Ok(error(409, STATE_NOT_FOUND));
                 }
             }
             None => {
@@ -467,7 +473,9 @@
         let engine = self.clone();
         self.streams.set(self.streams.get() + 1);
         self.ex.spawn(async move { engine.speak(chat, speech, room, to, req, send, zone).await }).detach();
-        let b = Response::builder().header("content-type", "text/event-stream").header("trailer", LOAD);
+        let b = Response::builder()
+            .header("content-type", "text/event-stream")
+            .header("trailer", LOAD_METRICS_HEADER);
         b.body(stream_body(from)).map_err(|_| Cut)
     }
 
@@ -496,7 +504,7 @@
         let chunk = |choices: Value, usage: Value| {
             let v = json!({"id": send, "object": "chat.completion.chunk", "created": created,
                 "model": chat.model, "choices": choices, "usage": usage});
-            sse::frame(v.to_string().as_bytes())
+            sse::encode_event(v.to_string().as_bytes())
         };
         for (n, token) in (0..out).zip(&speech.tokens) {
             let finish = if n + 1 == out { json!(speech.finish) } else { Value::Null };
@@ -521,10 +529,10 @@
             let _ = put(chunk(json!([]), usage)).await;
         }
         if ending != "none" {
-            let _ = put(sse::done()).await;
+            let _ = put(sse::done_event()).await;
         }
         match ending.as_str() {
-            "twice" => drop(put(sse::done()).await),
+            "twice" => drop(put(sse::done_event()).await),
             "text" => {
                 let more = json!([{"index": 0, "delta": {"content": "and more"}, "finish_reason": null}]);
                 let _ = put(chunk(more, Value::Null)).await;
@@ -534,8 +542,8 @@
         drop(room);
         self.record.note("done", json!({"req": req, "send": send, "tokens": out}));
         let mut trailers = HeaderMap::new();
-        if let Ok(v) = self.report().header().parse() {
-            trailers.insert(LOAD, v);
+        if let Ok(v) = self.report().to_header().parse() {
+            trailers.insert(LOAD_METRICS_HEADER, v);
         }
         let _ = to.send(Frame::trailers(trailers)).await;
     }
@@ -551,7 +559,7 @@
                 Some(tls) => tls.connect(host, kv.remote_tls_name.as_ref()?).await?,
             };
             let head = format!(
-                "GET /v1/states/{name} HTTP/1.1\r\nhost: {host}\r\n{ZONE}: {zone}\r\n{ENGINE}: {id}\r\n{GRANT}: {grant}\r\nconnection: close\r\n\r\n"
+                "GET /v1/states/{name} HTTP/1.1\r\nhost: {host}\r\n{ZONE_HEADER}: {zone}\r\n{ENGINE_ID_HEADER}: {id}\r\n{GRANT_HEADER}: {grant}\r\nconnection: close\r\n\r\n"
             );
             s.write_all(head.as_bytes()).await.ok()?;
             let (mut head, mut buffer) = (Vec::new(), vec![0; 64 * 1024]);
--- a/crates/nickelgw-test-servers/src/registry.rs
+++ b/crates/nickelgw-test-servers/src/registry.rs
@@ -8,7 +8,7 @@
 use http_body_util::BodyExt;
 use hyper::body::{Frame, Incoming};
 use hyper::{Request, Response};
-use nickelgw_protocol::NODE;
+use nickelgw_protocol::NODE_HEADER;
 use serde_json::{json, Value};
 use smol::Timer;
 use std::cell::RefCell;
@@ -142,7 +142,7 @@
     record: Record,
 ) -> Result<Answer, Cut> {
     let path = request.uri().path().to_string();
-    let node = header(request.headers(), NODE).to_string();
+    let node = header(request.headers(), NODE_HEADER).to_string();
     let token = header(request.headers(), "authorization").to_string();
     let Ok(v) = serde_json::from_slice::<Value>(&body(request).await?) else {
         return Ok(error(400, "bad_json"));
