--- a/crates/nickelgw-cli/src/bench_fleet.rs
+++ b/crates/nickelgw-cli/src/bench_fleet.rs
@@ -239,7 +239,7 @@
     /// Starts a node in this process; its address, and seconds until it was healthy.
     fn node(&self, source: &str, kept: &Path) -> Result<(String, f64), Unusable> {
         let text = settings(self, source, kept);
-        let node = nickelgw_settings::node_text("bench", &text).map_err(|p| crate::start::problems(&p))?;
+        let node = nickelgw_settings::parse_node("bench", &text).map_err(|p| crate::start::problems(&p))?;
         let start = crate::start::start(&node, None)?;
         let l = TcpListener::bind("127.0.0.1:0")?;
         let address = l.local_addr()?.to_string();
--- a/crates/nickelgw-cli/src/bench_tls.rs
+++ b/crates/nickelgw-cli/src/bench_tls.rs
@@ -233,7 +233,7 @@
         crate::up::settings(0, 1, &listed),
         d = c.dir.display()
     );
-    let node = nickelgw_settings::node_text("rush", &text).map_err(|p| crate::start::problems(&p))?;
+    let node = nickelgw_settings::parse_node("rush", &text).map_err(|p| crate::start::problems(&p))?;
     let mut start = crate::start::start(&node, None)?;
     if !paced {
         start.tls = TlsOptions {
--- a/crates/nickelgw-cli/src/main.rs
+++ b/crates/nickelgw-cli/src/main.rs
@@ -181,7 +181,7 @@
             Ok(if head.starts_with("HTTP/1.1 200") { ExitCode::SUCCESS } else { ExitCode::from(1) })
         }
         What::Check { file } => {
-            let kind = nickelgw_settings::any(&file).map_err(|p| start::problems(&p))?;
+            let kind = nickelgw_settings::load_any(&file).map_err(|p| start::problems(&p))?;
             println!("{}: sound settings of a {kind}", file.display());
             Ok(ExitCode::SUCCESS)
         }
--- a/crates/nickelgw-cli/src/rehearse.rs
+++ b/crates/nickelgw-cli/src/rehearse.rs
@@ -9,9 +9,9 @@
 use nickelgw_rehearsal::core::script::Script;
 use nickelgw_rehearsal::core::series::Series;
 use nickelgw_rehearsal::report::{page, Played};
-use nickelgw_settings::check::{engine_names, node_zone};
 use nickelgw_settings::proto::{fault::Kind, EngineRole, Fault, Group, Repeat, Retries, Traffic};
 use nickelgw_settings::Day;
+use nickelgw_settings::{engine_names, node_zone};
 use nickelgw_test_servers::authority::{Authority, Fault as CertFault};
 use nickelgw_test_servers::client::{self, Ask, Leave};
 use nickelgw_test_servers::model::{Figures, Role, TlsFiles};
@@ -117,7 +117,7 @@
 impl Rehearse {
     /// The days to play, with what is to be known about each; none where one was only to be written down.
     fn days(&self) -> Result<Vec<(Day, Vec<String>)>, Unusable> {
-        let read = |f: &PathBuf| nickelgw_settings::day(f).map_err(|p| start::problems(&p));
+        let read = |f: &PathBuf| nickelgw_settings::load_day(f).map_err(|p| start::problems(&p));
         if let Some(dir) = &self.all {
             let entries = std::fs::read_dir(dir).map_err(|e| Unusable(format!("{}: {e}", dir.display())))?;
             let mut files: Vec<PathBuf> = entries.filter_map(|f| Some(f.ok()?.path())).collect();
@@ -136,8 +136,8 @@
             let made = bench_day::day(&v, bench_day::Room::default());
             let (day, notes) = made.map_err(|e| wrong(format!("is no day of the bench: {}", e.0)))?;
             notes.iter().for_each(|n| println!("{n}"));
-            let text = nickelgw_settings::text_of_day(&day);
-            nickelgw_settings::day_text("the day made", &text).map_err(|p| start::problems(&p))?;
+            let text = nickelgw_settings::day_to_text(&day);
+            nickelgw_settings::parse_day("the day made", &text).map_err(|p| start::problems(&p))?;
             if let Some(to) = &self.write_day {
                 std::fs::write(to, text)?;
                 return Ok(Vec::new());
@@ -323,7 +323,7 @@
         let text = node_settings(&stage, n);
         let path = stage.file(&format!("node{n}.txtpb"));
         std::fs::write(&path, text)?;
-        nickelgw_settings::node(&path).map_err(|p| start::problems(&p))?;
+        nickelgw_settings::load_node(&path).map_err(|p| start::problems(&p))?;
         stage.start_node(n).await?;
     }
     // The day begins when all nodes have heard the list.
@@ -409,7 +409,7 @@
 
 /// A node's settings from the day's, as a file that `nickelgw check` reads.
 fn node_settings(stage: &Stage, number: u32) -> String {
-    use nickelgw_settings::text_of;
+    use nickelgw_settings::node_to_text;
     let d = &stage.day;
     let node = nickelgw_settings::Node {
         name: format!("node{number}"),
@@ -453,5 +453,5 @@
         store: (!stage.cold).then(|| stage.file(&format!("node{number}.store")).display().to_string()),
         state_grants: d.state_grants.clone(),
     };
-    text_of(&node)
+    node_to_text(&node)
 }
--- a/crates/nickelgw-cli/src/serve.rs
+++ b/crates/nickelgw-cli/src/serve.rs
@@ -37,7 +37,7 @@
 
 impl Serve {
     pub fn run(self) -> Result<ExitCode, Unusable> {
-        let node = nickelgw_settings::node(&self.config).map_err(|p| start::problems(&p))?;
+        let node = nickelgw_settings::load_node(&self.config).map_err(|p| start::problems(&p))?;
         let measured = self.meter.is_some().then(Default::default);
         // Whatever is wrong is said before anything listens.
         let mut start = start::start(&node, measured.clone())?;
--- a/crates/nickelgw-cli/src/start.rs
+++ b/crates/nickelgw-cli/src/start.rs
@@ -16,13 +16,13 @@
 use nickelgw_node_core::{Admission, CoreConfig, FairShareConfig, GrantConfig};
 use nickelgw_registry::core::member::Figures as MemberFigures;
 use nickelgw_registry::core::view::Figures as ViewFigures;
-use nickelgw_settings::{check, Node, Problem};
+use nickelgw_settings::{Node, SettingsError};
 use nickelgw_test_servers::record::unix_now;
 use nickelgw_tls::{Files, TlsEvent, Versions};
 use std::sync::{Arc, Mutex};
 
-pub fn problems(all: &[Problem]) -> Unusable {
-    let lines: Vec<String> = all.iter().map(Problem::to_string).collect();
+pub fn problems(all: &[SettingsError]) -> Unusable {
+    let lines: Vec<String> = all.iter().map(SettingsError::to_string).collect();
     Unusable(lines.join("\n"))
 }
 
@@ -198,7 +198,7 @@
         retry_budget: retries(n),
         name: n.name.clone(),
         zone: n.zone.clone(),
-        deployment: check::deployment(n),
+        deployment: nickelgw_settings::deployment(n),
         core_config: CoreConfig {
             // A process's own: states named by an earlier one are not this one's.
             incarnation: format!("{}-{:x}-{:x}", n.name, std::process::id(), (epoch * 1e6) as u64),
--- a/crates/nickelgw-cli/src/up.rs
+++ b/crates/nickelgw-cli/src/up.rs
@@ -82,7 +82,7 @@
             let listener = TcpListener::bind(&address).map_err(wrong)?;
             urls.push(format!("http://{}", listener.local_addr()?));
             let text = settings(n, self.nodes, &listed);
-            let node = nickelgw_settings::node_text("up", &text).map_err(|p| start::problems(&p))?;
+            let node = nickelgw_settings::parse_node("up", &text).map_err(|p| start::problems(&p))?;
             thread::spawn(move || match start::start(&node, None) {
                 Ok(s) => drop(smol::block_on(nickelgw_node::run(listener, s))),
                 Err(Unusable(why)) => eprintln!("nickelgw: {why}"),
--- a/crates/nickelgw-rehearsal/src/core/bench_day.rs
+++ b/crates/nickelgw-rehearsal/src/core/bench_day.rs
@@ -341,7 +341,7 @@
         assert!(is_sound(&d, &Script::of(&d, 1)));
         assert_eq!(d.model_route[0].dedupe_memory_ms, Some(5000.0));
         // What it makes is a day that may be played.
-        let checked = nickelgw_settings::check::Checks::new("made", "").day(&d);
+        let checked = nickelgw_settings::validate_day("made", "", &d);
         assert_eq!(checked, Ok(()));
     }
 
--- a/crates/nickelgw-rehearsal/src/core/script.rs
+++ b/crates/nickelgw-rehearsal/src/core/script.rs
@@ -1,8 +1,8 @@
 //! Troubles become single faults, each of one engine or node at one time, and what they do to the traffic.
 
 use nanorand::{Rng, WyRand};
-use nickelgw_settings::check::{engine_names, node_zone};
 use nickelgw_settings::proto::{fault::Kind, Day, EngineRole, Fault};
+use nickelgw_settings::{engine_names, node_zone};
 
 /// What a day does: single faults in the order of time, and changes of the traffic.
 #[derive(Clone, Debug, Default)]
@@ -231,7 +231,7 @@
         traffic { model: 'chat' rate_per_s: 10 } ";
 
     fn day(faults: &str) -> Day {
-        nickelgw_settings::day_text("test", &format!("{DAY}{faults}")).unwrap()
+        nickelgw_settings::parse_day("test", &format!("{DAY}{faults}")).unwrap()
     }
 
     #[test]
--- a/crates/nickelgw-settings/src/lib.rs
+++ b/crates/nickelgw-settings/src/lib.rs
@@ -1,129 +1,110 @@
-//! Settings in protobuf text format: read, checked whole, and turned into the few figures used.
+//! Settings of a node and of a rehearsal day in protobuf text format: parsed, validated as a whole, and converted to
+//! the router's deployment.
 
-pub mod check;
-mod place;
+mod day_layout;
+mod deployment;
+mod error;
+mod field_location;
+mod text_format;
+mod validation;
 
-use prost::Message;
-use prost_reflect::{DescriptorPool, DynamicMessage};
+use std::fmt;
 use std::path::Path;
 
-/// The messages of `proto/`.
-#[allow(clippy::all)]
+/// The messages of `proto/node.proto` and `proto/day.proto`, generated at build time.
+#[allow(clippy::all, clippy::min_ident_chars, missing_docs)]
 pub mod proto {
     include!(concat!(env!("OUT_DIR"), "/nickelgw.settings.rs"));
 }
 
+pub use day_layout::{engine_names, node_zone};
+pub use deployment::deployment;
+pub use error::SettingsError;
 pub use proto::{Day, Node};
-
-/// What is wrong with a file, with its place and what is wanted.
-#[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Problem {
-    #[error("{file}: cannot be read: {why}")]
-    File { file: String, why: String },
-    #[error("{file}: {why}")]
-    Text { file: String, why: String },
-    #[error("{file}:{line}: {field}: {what}; wanted: {wanted}")]
-    Field { file: String, line: usize, field: String, what: String, wanted: String },
-}
-
-const NODE: &str = "nickelgw.settings.Node";
-const DAY: &str = "nickelgw.settings.Day";
-
-fn pool() -> Result<DescriptorPool, prost_reflect::DescriptorError> {
-    DescriptorPool::decode(&include_bytes!(concat!(env!("OUT_DIR"), "/settings.bin"))[..])
-}
-
-/// A day as text that [`day`] reads.
-pub fn text_of_day(day: &Day) -> String {
-    written(day, DAY)
+pub use validation::{validate_day, validate_node};
+
+/// Everything that is wrong with a settings file, in the order of its sections.
+pub type SettingsErrors = Vec<SettingsError>;
+
+/// What a settings file describes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SettingsKind {
+    /// A rehearsal day.
+    Day,
+    /// A node.
+    Node,
 }
 
-/// A node's settings as text that [`node`] reads.
-pub fn text_of(node: &Node) -> String {
-    written(node, NODE)
-}
-
-fn written(message: &impl Message, name: &str) -> String {
-    let found = pool().ok().and_then(|p| p.get_message_by_name(name));
-    let m = found.and_then(|d| DynamicMessage::decode(d, &message.encode_to_vec()[..]).ok());
-    m.map(|m| m.to_text_format()).unwrap_or_default()
+impl fmt::Display for SettingsKind {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            SettingsKind::Day => "day",
+            SettingsKind::Node => "node",
+        })
+    }
 }
 
-fn parse<T: Message + Default>(file: &str, text: &str, name: &str) -> Result<T, Problem> {
-    let wrong = |why: String| Problem::Text { file: file.into(), why };
-    let found = pool().ok().and_then(|p| p.get_message_by_name(name));
-    let found = found.ok_or_else(|| wrong(format!("no message {name} is known")))?;
-    let m = DynamicMessage::parse_text_format(found, text).map_err(|e| wrong(explain(text, &e)))?;
-    // Required fields that are missing come out as their empty values: the checks name them.
-    T::decode(&m.encode_to_vec()[..]).map_err(|e| wrong(e.to_string()))
+/// Reads and validates the settings of a node.
+pub fn load_node(path: &Path) -> Result<Node, SettingsErrors> {
+    let text = read_file(path)?;
+    parse_node(&path.display().to_string(), &text)
 }
 
-/// The parser's error with its place, as line and column.
-fn explain(text: &str, e: &prost_reflect::text_format::ParseError) -> String {
-    use miette::Diagnostic;
-    let span = e.labels().and_then(|mut l| l.next());
-    match span {
-        Some(s) => {
-            let before = &text[..s.offset().min(text.len())];
-            let line = before.matches('\n').count() + 1;
-            let column = before.len() - before.rfind('\n').map_or(0, |n| n + 1) + 1;
-            format!("line {line}, column {column}: {e}")
-        }
-        None => format!("at the end: {e}"),
-    }
-}
-
-fn load<T: Message + Default>(path: &Path, name: &str) -> Result<(String, String, T), Problem> {
+/// Reads and validates a day, after the base file that it names, if any.
+pub fn load_day(path: &Path) -> Result<Day, SettingsErrors> {
     let file = path.display().to_string();
-    let text = std::fs::read_to_string(path)
-        .map_err(|e| Problem::File { file: file.clone(), why: e.to_string() })?;
-    let message = parse(&file, &text, name)?;
-    Ok((file, text, message))
+    let text = read_file(path)?;
+    let day: Day = text_format::parse(&file, &text).map_err(|error| vec![error])?;
+    let Some(base) = &day.base else {
+        validate_day(&file, &text, &day)?;
+        return Ok(day);
+    };
+    let base = path.with_file_name(base);
+    let base_text = read_file(&base)?;
+    // Line numbers in errors count from the first line of the base file.
+    parse_day(&format!("{} and then {file}", base.display()), &format!("{base_text}\n{text}"))
 }
 
-/// Reads a node's settings; all that is wrong with them is told at once.
-pub fn node(path: &Path) -> Result<Node, Vec<Problem>> {
-    let (file, text, node) = load::<Node>(path, NODE).map_err(|p| vec![p])?;
-    check::Checks::new(&file, &text).node(&node)?;
+/// Like [`load_node`], from text in memory; `file` names it in errors.
+pub fn parse_node(file: &str, text: &str) -> Result<Node, SettingsErrors> {
+    let node = text_format::parse(file, text).map_err(|error| vec![error])?;
+    validate_node(file, text, &node)?;
     Ok(node)
 }
 
-pub fn day(path: &Path) -> Result<Day, Vec<Problem>> {
-    let (mut file, mut text, mut day) = load::<Day>(path, DAY).map_err(|p| vec![p])?;
-    if let Some(base) = day.base.clone() {
-        let base = path.with_file_name(base);
-        let first = std::fs::read_to_string(&base)
-            .map_err(|e| vec![Problem::File { file: base.display().to_string(), why: e.to_string() }])?;
-        // Lines count from the base's first one on.
-        file = format!("{} and then {file}", base.display());
-        text = format!("{first}\n{text}");
-        day = parse(&file, &text, DAY).map_err(|p| vec![p])?;
-    }
-    check::Checks::new(&file, &text).day(&day)?;
+/// Like [`load_day`], from text in memory, without a base file; `file` names it in errors.
+pub fn parse_day(file: &str, text: &str) -> Result<Day, SettingsErrors> {
+    let day = text_format::parse(file, text).map_err(|error| vec![error])?;
+    validate_day(file, text, &day)?;
     Ok(day)
 }
 
-/// As [`node`] and [`day`], from text at hand.
-pub fn node_text(file: &str, text: &str) -> Result<Node, Vec<Problem>> {
-    let node = parse(file, text, NODE).map_err(|p| vec![p])?;
-    check::Checks::new(file, text).node(&node)?;
-    Ok(node)
+/// Reads and validates a file that is either a node's settings or a day, told apart by the fields that only a day has.
+pub fn load_any(path: &Path) -> Result<SettingsKind, SettingsErrors> {
+    let text = std::fs::read_to_string(path).unwrap_or_default();
+    let has_field = |field: &'static str| {
+        field_location::line_of(&text, &[field.into()]) > 1 || text.trim_start().starts_with(field)
+    };
+    if has_field("length_s") || has_field("base") {
+        return load_day(path).map(|_| SettingsKind::Day);
+    }
+    load_node(path).map(|_| SettingsKind::Node)
 }
 
-pub fn day_text(file: &str, text: &str) -> Result<Day, Vec<Problem>> {
-    let day = parse(file, text, DAY).map_err(|p| vec![p])?;
-    check::Checks::new(file, text).day(&day)?;
-    Ok(day)
+/// Text that [`parse_day`] reads back.
+pub fn day_to_text(day: &Day) -> String {
+    text_format::write(day)
 }
 
-/// Whether a file is a node's settings or a day's, by its fields.
-pub fn any(path: &Path) -> Result<&'static str, Vec<Problem>> {
-    let text = std::fs::read_to_string(path).unwrap_or_default();
-    let has = |f: &'static str| place::line_of(&text, &[(f, 0)]) > 1 || text.trim_start().starts_with(f);
-    if has("length_s") || has("base") {
-        return day(path).map(|_| "day");
-    }
-    node(path).map(|_| "node")
+/// Text that [`parse_node`] reads back.
+pub fn node_to_text(node: &Node) -> String {
+    text_format::write(node)
+}
+
+fn read_file(path: &Path) -> Result<String, SettingsErrors> {
+    std::fs::read_to_string(path).map_err(|error| {
+        vec![SettingsError::Unreadable { file: path.display().to_string(), reason: error.to_string() }]
+    })
 }
 
 #[cfg(test)]
--- a/crates/nickelgw-settings/src/tests.rs
+++ b/crates/nickelgw-settings/src/tests.rs
@@ -5,20 +5,20 @@
 const DAY: &str = include_str!("../../../examples/bad-day.txtpb");
 
 #[test]
-fn the_examples_pass() {
-    let n = node_text("node.txtpb", NODE).unwrap();
-    assert!(check::deployment(&n).routes.len() >= 2);
-    let fleet = node_text("fleet-node.txtpb", include_str!("../../../examples/fleet-node.txtpb")).unwrap();
-    assert_eq!(fleet.accord.map(|a| a.peer.len()), Some(2));
-    let d = day_text("bad-day.txtpb", DAY).unwrap();
-    assert!(d.length_s < 60.0 && d.nodes() == 3 && check::engine_names(&d).len() >= 12);
+fn example_files_are_valid() {
+    let node = parse_node("node.txtpb", NODE).unwrap();
+    assert!(deployment(&node).routes.len() >= 2);
+    let fleet = parse_node("fleet-node.txtpb", include_str!("../../../examples/fleet-node.txtpb")).unwrap();
+    assert_eq!(fleet.accord.map(|gossip| gossip.peer.len()), Some(2));
+    let day = parse_day("bad-day.txtpb", DAY).unwrap();
+    assert!(day.length_s < 60.0 && day.nodes() == 3 && engine_names(&day).len() >= 12);
 }
 
 #[test]
-fn a_tls_fault_needs_a_tls_day() {
+fn tls_fault_requires_a_tls_day() {
     let text = include_str!("../../../examples/bad-day-tls.txtpb");
-    assert!(day_text("t", text).unwrap().tls());
-    assert!(day_text("t", &text.replacen("tls: true", "", 1)).unwrap_err()[0]
+    assert!(parse_day("t", text).unwrap().tls());
+    assert!(parse_day("t", &text.replacen("tls: true", "", 1)).unwrap_err()[0]
         .to_string()
         .contains("tls: true"));
 }
@@ -39,29 +39,32 @@
 #[test_case("limits {", "accord { listen: 'h:1' key: 'a secret of 16 bytes' wait_ms: 9 longest_wait_ms: 5 }\nlimits {", "accord.longest_wait_ms", "wait_ms or more"; "a longest wait below the first")]
 #[test_case("limits {", "parked { file: '' }\nlimits {", "parked.file", "a name"; "nowhere to park")]
 #[test_case("limits {", "parked { file: 'p' most_bytes: 999999999 }\nlimits {", "parked.most_bytes", "or less"; "more than a file holds")]
-fn a_bad_field_is_told_with_its_line(good: &str, bad: &str, field: &str, wanted: &str) {
+fn invalid_field_is_reported_with_its_line(good: &str, bad: &str, field: &str, wanted: &str) {
     assert!(NODE.contains(good), "the example has no {good}");
     let text = NODE.replacen(good, bad, 1);
-    let problems = node_text("n.txtpb", &text).unwrap_err();
-    let Problem::Field { line, field: f, wanted: w, .. } = &problems[0] else { panic!("{problems:?}") };
-    assert!(f == field && w.contains(wanted), "{problems:?}");
-    let known = text.lines().nth(line - 1).unwrap();
-    let near = bad.lines().next().unwrap_or("");
-    assert!(bad.is_empty() || known.contains(near), "line {line} is: {known}");
+    let errors = parse_node("n.txtpb", &text).unwrap_err();
+    let SettingsError::Field { line, field: reported_field, wanted: reported_wanted, .. } = &errors[0] else {
+        panic!("{errors:?}")
+    };
+    assert!(reported_field == field && reported_wanted.contains(wanted), "{errors:?}");
+    let reported_line = text.lines().nth(line - 1).unwrap();
+    let expected = bad.lines().next().unwrap_or("");
+    assert!(bad.is_empty() || reported_line.contains(expected), "line {line} is: {reported_line}");
 }
 
 #[test]
-fn text_that_is_no_settings_is_told_with_its_line() {
-    let why = |text: &str| node_text("n.txtpb", text).unwrap_err()[0].to_string();
-    assert!(why(&format!("{NODE}\nwrong_name: 3\n")).contains(&format!("line {}", NODE.lines().count() + 2)));
-    assert!(why("name: ").contains("at the end"));
-    assert!(node(Path::new("no/such/file")).unwrap_err()[0].to_string().contains("cannot be read"));
+fn syntax_error_is_reported_with_its_location() {
+    let first_error = |text: &str| parse_node("n.txtpb", text).unwrap_err()[0].to_string();
+    assert!(first_error(&format!("{NODE}\nwrong_name: 3\n"))
+        .contains(&format!("line {}", NODE.lines().count() + 2)));
+    assert!(first_error("name: ").contains("at the end"));
+    assert!(load_node(Path::new("no/such/file")).unwrap_err()[0].to_string().contains("cannot be read"));
 }
 
 #[test_case("target: \"read-south0\"", "target: \"ghost\"", "an engine"; "unknown engine")]
 #[test_case("kind: KILL_NODE", "kind: CUT_ZONE", "one of zones"; "a node is no zone")]
-fn a_bad_day_is_refused(good: &str, bad: &str, wanted: &str) {
+fn invalid_day_is_rejected(good: &str, bad: &str, wanted: &str) {
     assert!(DAY.contains(good), "the example has no {good}");
-    let problems = day_text("d.txtpb", &DAY.replacen(good, bad, 1)).unwrap_err();
-    assert!(problems.iter().any(|p| p.to_string().contains(wanted)), "{problems:?}");
+    let errors = parse_day("d.txtpb", &DAY.replacen(good, bad, 1)).unwrap_err();
+    assert!(errors.iter().any(|error| error.to_string().contains(wanted)), "{errors:?}");
 }
--- /dev/null
+++ b/crates/nickelgw-settings/src/validation.rs
@@ -0,0 +1,160 @@
+//! Validation of settings: what cannot work is rejected with its location before anything listens.
+//!
+//! Each section of the settings has a function of its own; all errors of a file are reported at once.
+
+mod admission;
+mod day;
+mod fault;
+mod fleet;
+mod node;
+mod routing;
+mod tls;
+
+use crate::error::SettingsError;
+use crate::field_location::{line_of, FieldStep};
+use crate::proto::{Day, Node};
+use std::collections::BTreeSet;
+
+/// Validates a node's settings against each other; `text` is where errors find their lines.
+pub fn validate_node(file: &str, text: &str, node: &Node) -> Result<(), Vec<SettingsError>> {
+    let mut validator = Validator::new(file, text);
+    validator.node(node);
+    validator.finish()
+}
+
+/// Validates a day's settings against each other; `text` is where errors find their lines.
+pub fn validate_day(file: &str, text: &str, day: &Day) -> Result<(), Vec<SettingsError>> {
+    let mut validator = Validator::new(file, text);
+    validator.day(day);
+    validator.finish()
+}
+
+/// Collects the errors of one file.
+struct Validator<'a> {
+    file: &'a str,
+    text: &'a str,
+    errors: Vec<SettingsError>,
+}
+
+impl<'a> Validator<'a> {
+    fn new(file: &'a str, text: &'a str) -> Self {
+        Validator { file, text, errors: Vec::new() }
+    }
+
+    fn finish(self) -> Result<(), Vec<SettingsError>> {
+        if self.errors.is_empty() {
+            Ok(())
+        } else {
+            Err(self.errors)
+        }
+    }
+
+    /// The fields of the file's own message.
+    fn root(&mut self) -> Section<'_, 'a> {
+        Section { validator: self, path: Vec::new() }
+    }
+
+    /// The fields of a message, or of one of a repeated message.
+    fn section(&mut self, step: impl Into<FieldStep<'static>>) -> Section<'_, 'a> {
+        Section { validator: self, path: vec![step.into()] }
+    }
+
+    fn report(&mut self, path: &[FieldStep], found: String, wanted: &str) {
+        self.errors.push(SettingsError::Field {
+            file: self.file.into(),
+            line: line_of(self.text, path),
+            field: path_text(path),
+            found,
+            wanted: wanted.into(),
+        });
+    }
+
+    /// Reports each name in a field of a repeated message that an earlier one has already.
+    fn unique(&mut self, message: &'static str, field: &'static str, names: impl Iterator<Item = String>) {
+        let mut seen = BTreeSet::new();
+        for (index, name) in names.enumerate() {
+            if !seen.insert(name.clone()) {
+                self.section((message, index)).report(
+                    field,
+                    format!("'{name}' stands twice"),
+                    "each name once",
+                );
+            }
+        }
+    }
+}
+
+fn path_text(path: &[FieldStep]) -> String {
+    let step_text = |step: &FieldStep| match step.index {
+        0 => step.name.to_string(),
+        index => format!("{}[{index}]", step.name),
+    };
+    path.iter().map(step_text).collect::<Vec<_>>().join(".")
+}
+
+/// Checks of the fields of one message.
+struct Section<'v, 'a> {
+    validator: &'v mut Validator<'a>,
+    path: Vec<FieldStep<'static>>,
+}
+
+impl<'a> Section<'_, 'a> {
+    /// The fields of a message within this one.
+    fn section(&mut self, step: impl Into<FieldStep<'static>>) -> Section<'_, 'a> {
+        let mut path = self.path.clone();
+        path.push(step.into());
+        Section { validator: self.validator, path }
+    }
+
+    fn report(&mut self, field: impl Into<FieldStep<'static>>, found: impl ToString, wanted: &str) {
+        let mut path = self.path.clone();
+        path.push(field.into());
+        self.validator.report(&path, found.to_string(), wanted);
+    }
+
+    fn above_zero(&mut self, field: &'static str, value: f64) {
+        if !(value.is_finite() && value > 0.0) {
+            self.report(field, format!("is {value}"), "a number above zero");
+        }
+    }
+
+    fn all_above_zero(&mut self, fields: &[(&'static str, f64)]) {
+        for &(field, value) in fields {
+            self.above_zero(field, value);
+        }
+    }
+
+    fn not_negative(&mut self, field: &'static str, value: f64) {
+        if !(value.is_finite() && value >= 0.0) {
+            self.report(field, format!("is {value}"), "zero or more");
+        }
+    }
+
+    /// Not a number fails as well.
+    fn at_least(&mut self, field: &'static str, value: f64, minimum: f64, wanted: &str) {
+        if value.is_nan() || value < minimum {
+            self.report(field, format!("is {value}"), wanted);
+        }
+    }
+
+    fn fraction(&mut self, field: &'static str, value: f64) {
+        if !(0.0..=1.0).contains(&value) {
+            self.report(field, format!("is {value}"), "a part from 0 to 1");
+        }
+    }
+
+    fn not_empty(&mut self, field: &'static str, value: &str) {
+        if value.is_empty() {
+            self.report(field, "is empty or missing", "a name");
+        }
+    }
+
+    fn address(&mut self, field: impl Into<FieldStep<'static>>, value: &str) {
+        let is_address = value
+            .rsplit_once(':')
+            .is_some_and(|(host, port)| !host.is_empty() && port.parse::<u16>().is_ok());
+        if !is_address {
+            self.report(field, format!("is '{value}'"), "host:port");
+        }
+    }
+}
