--- a/crates/nickelgw-rehearsal/src/core/series.rs
+++ b/crates/nickelgw-rehearsal/src/core/series.rs
@@ -1,156 +1,162 @@
-//! Service over time, from the clients' lines: how much of what was wanted in each span was served in target, and the
-//! worst ten seconds.
+//! Service over time, from the records of clients: how much of what was wanted in each second was served in target, the
+//! worst ten seconds, and the time that service takes to recover.
 
 use nickelgw_audit::Line;
 use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Range;
 
-/// Counts of one model route in one span.
+/// Length of the windows among which the worst is searched for, in seconds.
+pub const WORST_WINDOW_S: usize = 10;
+/// Service is back once it is back over this many seconds.
+const RECOVERY_WINDOW_S: usize = 2;
+
+/// Requests of one model route in a span of time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Span {
+pub struct ServiceCounts {
+    /// Requests, without their retries.
     pub wanted: u32,
+    /// Requests completed with their first token in target, by whichever attempt.
     pub served: u32,
-    pub shed: u32,
-    pub errored: u32,
+    /// Attempts rejected for lack of capacity.
+    pub rejected: u32,
+    /// Attempts that failed.
+    pub failed: u32,
 }
 
-impl Span {
-    /// Part served in target; none where nothing was wanted.
-    pub fn share(&self) -> Option<f64> {
+impl ServiceCounts {
+    /// Share served in target; none where nothing was wanted.
+    pub fn served_share(&self) -> Option<f64> {
         (self.wanted > 0).then(|| f64::from(self.served) / f64::from(self.wanted))
     }
 
-    fn add(&mut self, o: &Span) {
-        self.wanted += o.wanted;
-        self.served += o.served;
-        self.shed += o.shed;
-        self.errored += o.errored;
+    pub(crate) fn add(&mut self, other: &ServiceCounts) {
+        self.wanted += other.wanted;
+        self.served += other.served;
+        self.rejected += other.rejected;
+        self.failed += other.failed;
     }
 }
 
+/// The window of the least service.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct WorstWindow {
+    /// Second of the day at which it begins.
+    pub start_s: usize,
+    /// Share served in target.
+    pub served_share: f64,
+}
+
+/// Counts of each second of a day.
 #[derive(Clone, Debug, Default)]
 pub struct Series {
     /// By model route, each second of the day.
-    pub routes: BTreeMap<String, Vec<Span>>,
+    pub routes: BTreeMap<String, Vec<ServiceCounts>>,
+    /// Length of the day.
     pub seconds: usize,
 }
 
-/// Spans by which the worst time is looked for.
-pub const WORST_S: usize = 10;
+/// What is known about a client's call.
+struct Call<'a> {
+    model: &'a str,
+    /// Second of the day in which the request was first wanted.
+    second: usize,
+    record: &'a Line,
+}
 
 impl Series {
-    /// `begun`: Unix time at the day's second 0. A request counts in the second in which it was first wanted.
-    pub fn of(lines: &[Line], begun: f64, length_s: f64) -> Series {
+    /// `begun` is the Unix time at which the day began. A request counts in the second in which it was first wanted.
+    pub fn from_records(records: &[Line], begun: f64, length_s: f64) -> Series {
         let seconds = length_s.ceil().max(1.0) as usize;
-        let mut out = Series { routes: BTreeMap::new(), seconds };
-        // Of each request: its route, second, and target; asked again it is the first that counts.
-        let mut asks: BTreeMap<&str, (&str, usize, &Line)> = BTreeMap::new();
+        let mut series = Series { routes: BTreeMap::new(), seconds };
+        let mut calls: BTreeMap<&str, Call> = BTreeMap::new();
         let mut in_target: BTreeSet<&str> = BTreeSet::new();
         let mut served: BTreeSet<&str> = BTreeSet::new();
-        for l in lines {
-            let req = l.text("req");
-            if l.ev == "ask" {
-                let origin = l.text("of");
-                let at = match asks.get(origin) {
-                    Some(first) => first.1,
-                    None => ((l.num("intended") - begun).max(0.0) as usize).min(seconds - 1),
-                };
-                asks.insert(req, (l.text("model"), at, l));
-                if origin.is_empty() {
-                    out.span(l.text("model"), at).wanted += 1;
-                }
+        for record in records {
+            let id = record.text("req");
+            if record.ev == "ask" {
+                let call = series.count_call(&calls, record, begun);
+                calls.insert(id, call);
                 continue;
             }
-            let Some(&(model, at, ask)) = asks.get(req) else { continue };
-            let origin = if ask.text("of").is_empty() { req } else { ask.text("of") };
-            match (l.ev.as_str(), l.text("how")) {
-                ("first", _) if l.t - ask.num("intended") <= ask.num("target_s") => {
-                    in_target.insert(req);
+            let Some(call) = calls.get(id) else { continue };
+            let first_id = call.record.text("of");
+            let first_id = if first_id.is_empty() { id } else { first_id };
+            let counts = || (call.model, call.second);
+            match (record.ev.as_str(), record.text("how")) {
+                ("first", _) if record.t - call.record.num("intended") <= call.record.num("target_s") => {
+                    in_target.insert(id);
                 }
-                ("final", "completed") if in_target.contains(req) && served.insert(origin) => {
-                    out.span(model, at).served += 1;
+                ("final", "completed") if in_target.contains(id) && served.insert(first_id) => {
+                    series.counts(counts()).served += 1;
                 }
-                ("final", "shed") => out.span(model, at).shed += 1,
-                ("final", "errored") | ("cut", _) => out.span(model, at).errored += 1,
+                ("final", "shed") => series.counts(counts()).rejected += 1,
+                ("final", "errored") | ("cut", _) => series.counts(counts()).failed += 1,
                 _ => {}
             }
         }
-        out
+        series
     }
 
-    fn span(&mut self, model: &str, at: usize) -> &mut Span {
-        &mut self.routes.entry(model.into()).or_insert_with(|| vec![Span::default(); self.seconds])[at]
+    /// Counts a call as wanted unless it is a retry.
+    fn count_call<'a>(&mut self, calls: &BTreeMap<&str, Call>, record: &'a Line, begun: f64) -> Call<'a> {
+        let first_id = record.text("of");
+        let second = match calls.get(first_id) {
+            Some(first) => first.second,
+            None => ((record.num("intended") - begun).max(0.0) as usize).min(self.seconds - 1),
+        };
+        let model = record.text("model");
+        if first_id.is_empty() {
+            self.counts((model, second)).wanted += 1;
+        }
+        Call { model, second, record }
     }
 
-    /// All routes together, in a range of seconds.
-    pub fn sum(&self, from: usize, to: usize) -> Span {
-        let mut all = Span::default();
-        for spans in self.routes.values() {
-            spans[from.min(self.seconds)..to.min(self.seconds)].iter().for_each(|s| all.add(s));
-        }
-        all
+    fn counts(&mut self, (model, second): (&str, usize)) -> &mut ServiceCounts {
+        let seconds = self.seconds;
+        let route =
+            self.routes.entry(model.into()).or_insert_with(|| vec![ServiceCounts::default(); seconds]);
+        &mut route[second]
     }
 
-    /// The ten seconds with the least service: when they begin, and the part served.
-    pub fn worst(&self) -> Option<(usize, f64)> {
-        let last = self.seconds.saturating_sub(WORST_S);
-        let spans = (0..=last).filter_map(|n| Some((n, self.sum(n, n + WORST_S).share()?)));
-        spans.fold(None, |worst: Option<(usize, f64)>, x| match worst {
-            Some(w) if w.1 <= x.1 => Some(w),
-            _ => Some(x),
-        })
+    /// All routes together, in a range of seconds.
+    pub fn total(&self, range: Range<usize>) -> ServiceCounts {
+        let mut total = ServiceCounts::default();
+        for counts in self.routes.values() {
+            let within = &counts[range.start.min(self.seconds)..range.end.min(self.seconds)];
+            within.iter().for_each(|second| total.add(second));
+        }
+        total
     }
 
-    /// Seconds from a moment until service, over spans of two seconds, is back within a part of what it was in the ten
-    /// before it. None: not until the end.
-    pub fn back_after(&self, at: usize, part: f64) -> Option<usize> {
-        let before = self.sum(at.saturating_sub(WORST_S), at).share()?;
-        let back = |n: &usize| self.sum(*n, n + 2).share().is_some_and(|s| s >= part * before);
-        (at..self.seconds.saturating_sub(1)).find(back).map(|n| n - at)
+    /// All routes together, over the day.
+    pub fn whole_day(&self) -> ServiceCounts {
+        self.total(0..self.seconds)
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use serde_json::json;
-
-    fn line(t: f64, v: serde_json::Value) -> Line {
-        let mut v = v;
-        (v["t"], v["who"]) = (json!(t), json!("client"));
-        Line::of(&v).unwrap()
+    /// The first window of [`WORST_WINDOW_S`] with the least service.
+    pub fn worst_window(&self) -> Option<WorstWindow> {
+        let last = self.seconds.saturating_sub(WORST_WINDOW_S);
+        let windows = (0..=last).filter_map(|start_s| {
+            let served_share = self.total(start_s..start_s + WORST_WINDOW_S).served_share()?;
+            Some(WorstWindow { start_s, served_share })
+        });
+        windows.fold(None, |worst: Option<WorstWindow>, window| match worst {
+            Some(worst) if worst.served_share <= window.served_share => Some(worst),
+            _ => Some(window),
+        })
     }
 
-    #[test]
-    fn a_request_counts_once_and_when_it_was_first_wanted() {
-        let ask = |t: f64, req: &str, of: Option<&str>| {
-            line(
-                t,
-                json!({"ev": "ask", "req": req, "of": of, "model": "chat", "intended": t, "target_s": 0.5}),
-            )
+    /// Seconds from `at` until service is back within a share of what it was in the ten seconds before; none where it
+    /// is not until the end.
+    pub fn recovery_s(&self, at: usize, share: f64) -> Option<usize> {
+        let before = self.total(at.saturating_sub(WORST_WINDOW_S)..at).served_share()?;
+        let has_recovered = |start: &usize| {
+            let now = self.total(*start..*start + RECOVERY_WINDOW_S).served_share();
+            now.is_some_and(|now| now >= share * before)
         };
-        let mut lines = Vec::new();
-        for n in 0..30 {
-            let (t, req) = (100.0 + f64::from(n), format!("q{n}"));
-            lines.push(ask(t, &req, None));
-            if !(10..15).contains(&n) {
-                lines.push(line(t + 0.1, json!({"ev": "first", "req": req})));
-                lines.push(line(t + 0.2, json!({"ev": "final", "how": "completed", "req": req})));
-            } else {
-                lines.push(line(t + 0.1, json!({"ev": "final", "how": "shed", "req": req})));
-                // Asked again it is answered, in target and then late.
-                let again = format!("{req}-1");
-                lines.push(ask(t + 3.0, &again, Some(&req)));
-                let late = if n == 10 { 0.1 } else { 2.0 };
-                lines.push(line(t + 3.0 + late, json!({"ev": "first", "req": again})));
-                lines.push(line(t + 6.0, json!({"ev": "final", "how": "completed", "req": again})));
-            }
-        }
-        lines.sort_by(|a, b| a.t.total_cmp(&b.t));
-        let s = Series::of(&lines, 100.0, 30.0);
-        let spans = &s.routes["chat"];
-        assert_eq!((spans[9].served, spans[10].served, spans[12].served), (1, 1, 0));
-        assert_eq!((spans[12].shed, s.sum(0, 30).wanted, s.sum(0, 30).served), (1, 30, 26));
-        assert_eq!(s.worst(), Some((5, 0.6)));
-        assert_eq!((s.back_after(11, 0.95), s.back_after(20, 0.95)), (Some(4), Some(0)));
+        (at..self.seconds.saturating_sub(1)).find(has_recovered).map(|start| start - at)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/nickelgw-rehearsal/src/lib.rs
+++ b/crates/nickelgw-rehearsal/src/lib.rs
@@ -1,4 +1,5 @@
-//! The rehearsal kit around the stage: [`core`] decides what goes wrong when, [`report`] shows what came of it.
+//! Parts of a rehearsal that need no processes: [`core`] decides which faults happen when and summarizes the service
+//! over time, [`report`] renders it as a page.
 
 pub mod core;
 pub mod report;
