--- a/crates/nickelgw-cli/src/rehearse.rs
+++ b/crates/nickelgw-cli/src/rehearse.rs
@@ -5,10 +5,10 @@
 use nanorand::{Rng, WyRand};
 use nickelgw_audit::{Rule, Service, Verdict};
 use nickelgw_protocol::list::{self, EndpointEntry, EngineState};
-use nickelgw_rehearsal::core::bench_day;
 use nickelgw_rehearsal::core::script::Script;
 use nickelgw_rehearsal::core::series::Series;
-use nickelgw_rehearsal::report::{page, Played};
+use nickelgw_rehearsal::core::simulator_day::{self, ConvertedDay};
+use nickelgw_rehearsal::report::{render_page, DayReport};
 use nickelgw_settings::proto::{fault::Kind, EngineRole, Fault, Group, Repeat, Retries, Traffic};
 use nickelgw_settings::Day;
 use nickelgw_settings::{engine_names, node_zone};
@@ -133,8 +133,9 @@
             let wrong = |why: String| Unusable(format!("{}: {why}", file.display()));
             let text = std::fs::read_to_string(file).map_err(|e| wrong(e.to_string()))?;
             let v: Value = serde_json::from_str(&text).map_err(|e| wrong(e.to_string()))?;
-            let made = bench_day::day(&v, bench_day::Room::default());
-            let (day, notes) = made.map_err(|e| wrong(format!("is no day of the bench: {}", e.0)))?;
+            let made = simulator_day::convert(&v, simulator_day::MachineLimits::default());
+            let ConvertedDay { day, notes } =
+                made.map_err(|e| wrong(format!("is no day of the bench: {e}")))?;
             notes.iter().for_each(|n| println!("{n}"));
             let text = nickelgw_settings::day_to_text(&day);
             nickelgw_settings::parse_day("the day made", &text).map_err(|p| start::problems(&p))?;
@@ -165,8 +166,9 @@
             }
             let o = outcome?;
             if many {
-                let served = 100.0 * o.series.sum(0, o.series.seconds).share().unwrap_or(0.0);
-                let worst = o.series.worst().map_or("-".into(), |w| format!("{:.0}%", 100.0 * w.1));
+                let served = 100.0 * o.series.whole_day().served_share().unwrap_or(0.0);
+                let worst =
+                    o.series.worst_window().map_or("-".into(), |w| format!("{:.0}%", 100.0 * w.served_share));
                 let broken = o.verdict.breaks.len();
                 println!(
                     "{:<16} served {served:>5.1}%, worst 10 s {worst:>4}, rules broken {broken}",
@@ -184,8 +186,8 @@
             outcomes.push(o);
         }
         if kept {
-            let played: Vec<Played> = outcomes.iter().map(|o| self.played(o)).collect();
-            std::fs::write(root.join("report.html"), page("Rehearsal", &played))?;
+            let played: Vec<DayReport> = outcomes.iter().map(|o| self.played(o)).collect();
+            std::fs::write(root.join("report.html"), render_page("Rehearsal", &played))?;
         }
         let sound = outcomes.iter().all(|o| o.verdict.breaks.is_empty());
         Ok(if sound { ExitCode::SUCCESS } else { ExitCode::from(1) })
@@ -223,8 +225,8 @@
         let lines = nickelgw_audit::read(&dir.join("records"))?;
         let begun = lines.iter().find(|l| l.ev == "begin").map_or(0.0, |l| l.t);
         Ok(Outcome {
-            script: Script::of(&day, self.seed),
-            series: Series::of(&lines, begun, day.length_s),
+            script: Script::from_day(&day, self.seed),
+            series: Series::from_records(&lines, begun, day.length_s),
             routes: nickelgw_audit::service(&lines),
             verdict: nickelgw_audit::judge(&lines),
             notes,
@@ -233,8 +235,8 @@
         })
     }
 
-    fn played<'a>(&self, o: &'a Outcome) -> Played<'a> {
-        Played {
+    fn played<'a>(&self, o: &'a Outcome) -> DayReport<'a> {
+        DayReport {
             name: &o.day.name,
             seed: self.seed,
             series: &o.series,
@@ -261,13 +263,13 @@
         // After each trouble: service in its first ten seconds, and time until it is back.
         let after = |t: &nickelgw_rehearsal::core::script::Trouble| {
             let at = t.from_s as usize;
-            json!({"trouble": t.name, "at_s": t.from_s, "served_10_s": o.series.sum(at, at + 10).share(),
-                "served_before": o.series.sum(at.saturating_sub(10), at).share(),
-                "back_after_s": o.series.back_after(at, 0.95)})
+            json!({"trouble": t.name, "at_s": t.from_s, "served_10_s": o.series.total(at..at + 10).served_share(),
+                "served_before": o.series.total(at.saturating_sub(10)..at).served_share(),
+                "back_after_s": o.series.recovery_s(at, 0.95)})
         };
         let troubles: Vec<Value> = o.script.troubles.iter().map(after).collect();
-        let worst = o.series.worst().map(|w| json!({"at_s": w.0, "served": w.1}));
-        json!({"day": o.day.name, "seed": self.seed, "served": o.series.sum(0, o.series.seconds).share(),
+        let worst = o.series.worst_window().map(|w| json!({"at_s": w.start_s, "served": w.served_share}));
+        json!({"day": o.day.name, "seed": self.seed, "served": o.series.whole_day().served_share(),
             "rules": counts, "routes": routes, "worst_10_s": worst, "troubles": troubles,
             "judged": v.judged, "excused_states": v.excused, "doubted_sends": v.doubted, "nearest_cold": v.nearest_cold, "breaks": breaks,
             "driver_stall_s": o.stall, "held": v.held.len(), "held_p50_s": v.held(0.5),
@@ -292,7 +294,7 @@
     let args = [listed, texts(&["--record", &path])].concat();
     let (list_child, list_address) = child(&args, &dir.join("logs/list.log")).await?;
     let authority = day.tls().then(|| Authority::new("first")).transpose().map_err(no_certificate)?;
-    let script = Script::of(&day, seed);
+    let script = Script::from_day(&day, seed);
     let stage = Rc::new(Stage {
         fair,
         cold,
--- a/crates/nickelgw-cli/src/rehearse/clients.rs
+++ b/crates/nickelgw-cli/src/rehearse/clients.rs
@@ -22,7 +22,7 @@
     let until = t.to_s().min(stage.day.length_s);
     let mut at = t.from_s();
     // Drawn at the day's highest rate, and thinned: a burst changes nothing of the others' chance.
-    let most_rate = stage.script.most_rate();
+    let most_rate = stage.script.max_rate_multiple();
     let begun_unix = unix_now() - stage.begun.elapsed().as_secs_f64();
     let mut clients = Vec::new();
     for k in 0u64.. {
@@ -30,13 +30,13 @@
         if at >= until {
             break;
         }
-        if dice(&mut chance) * most_rate > stage.script.rate(at) {
+        if dice(&mut chance) * most_rate > stage.script.rate_multiple(at) {
             continue;
         }
         rest(at - stage.begun.elapsed().as_secs_f64()).await;
         let Some((node, address)) = stage.node(chance.generate::<u32>() as usize) else { continue };
         let size = t.prompt_tokens() * (0.5 + dice(&mut chance));
-        let hot = dice(&mut chance) < stage.script.hot(at);
+        let hot = dice(&mut chance) < stage.script.hot_key_share(at);
         let shared = hot || t.beginnings() > 0;
         let some = if t.beginnings() > 0 { chance.generate::<u64>() % u64::from(t.beginnings()) } else { 0 };
         // One that all traffic shares, beside those of each kind of it.
@@ -74,7 +74,7 @@
             slow_s: if dice(&mut chance) < t.slow_share() { 0.05 } else { 0.0 },
             ..Ask::default()
         };
-        let abuses = dice(&mut chance) < stage.script.abuse(at);
+        let abuses = dice(&mut chance) < stage.script.retry_abuse_share(at);
         let retry = match abuses {
             true => Retry { most: 5, wait_s: 0.0, impatient: true },
             false => Retry { most: t.retries(), wait_s: t.retry_wait_ms() / 1e3, impatient: t.impatient() },
