--- a/crates/nickelgw-node-core/src/lib.rs
+++ b/crates/nickelgw-node-core/src/lib.rs
@@ -359,10 +359,15 @@
         if over {
             self.ledger.release_all(now, t.serial);
         }
-        let note = if cause == AttemptOutcome::ReservationNotFound { 1.0 } else { end.cached_tokens };
         // Time since the send: the Router learns from it how long reads and streams last.
         let after_s = now - self.router.dispatched_at(RequestHandle(t.slot), send);
-        let ending = AttemptEnd { outcome, elapsed_s: after_s, request_finished: over, note };
+        let ending = AttemptEnd {
+            outcome,
+            elapsed_s: after_s,
+            request_finished: over,
+            cached_tokens: end.cached_tokens,
+            reservation_missing: cause == AttemptOutcome::ReservationNotFound,
+        };
         self.router.attempt_finished(now, RequestHandle(t.slot), send, ending, end.load.as_ref().map(load));
         self.update_release_pending(t);
     }
--- a/crates/nickelgw-node-core/src/trace.rs
+++ b/crates/nickelgw-node-core/src/trace.rs
@@ -175,7 +175,7 @@
             ms(reader_s),
             ms(writer_s)
         ),
-        RejectionReason::ObjectiveUnlikely { open, readers, reader_s, prefill_s: read_s, writer_s } => format!(
+        RejectionReason::ObjectiveUnlikely { admitting: open, prefill_engines: readers, prefill_wait_s: reader_s, prefill_s: read_s, decode_wait_s: writer_s } => format!(
             "a first token in time was unlikely ({open} of {readers} readers open to it, ready in {}, reading for {}, a writer in {})",
             ms(reader_s),
             ms(read_s),
--- a/crates/nickelgw-node/examples/fleet.rs
+++ b/crates/nickelgw-node/examples/fleet.rs
@@ -190,7 +190,8 @@
                     outcome,
                     elapsed_s: after_s,
                     request_finished: outcome == Outcome::Completed,
-                    note: 0.0,
+                    cached_tokens: 0.0,
+                    reservation_missing: false,
                 };
                 self.nodes[node].router.attempt_finished(now, inf, send, end, None);
                 self.decide(node, now);
--- a/crates/nickelgw-simulator-adapter/src/node.rs
+++ b/crates/nickelgw-simulator-adapter/src/node.rs
@@ -119,11 +119,13 @@
             }
             "SETTLED" => {
                 let outcome = outcome(event)?;
+                let remark = number_or(event, "remark", 0.0)?;
                 let ending = AttemptEnd {
                     outcome,
                     elapsed_s: number_or(event, "delay_seen_s", 0.0)?,
                     request_finished: flag(event, "over")?,
-                    note: number_or(event, "remark", 0.0)?,
+                    cached_tokens: remark,
+                    reservation_missing: remark == 1.0,
                 };
                 let load = load(event)?;
                 if let Some((inf, send)) = self.send_of(event)? {
--- /dev/null
+++ b/src/decide/admission.rs
@@ -0,0 +1,47 @@
+//! Arrival of requests, and clients that disconnect.
+
+use super::hash::hash;
+use super::request_table::{Request, Stage};
+use super::Router;
+use crate::interface::{IncomingRequest, RequestHandle};
+
+/// Salts of the hashes of sessions and prefixes.
+const SESSION_SALT: u64 = 1;
+const PREFIX_SALT: u64 = 2;
+
+impl Router {
+    /// Takes in a request: the paper's `OnRequestArrive`.
+    pub fn admit_request(&mut self, now: f64, incoming: &IncomingRequest) -> RequestHandle {
+        self.averages.record_prompt(incoming.prompt_tokens);
+        let route = &self.objectives.routes[incoming.route];
+        let ttft_deadline =
+            now + route.ttft_objective_s + route.ttft_objective_per_token_s * incoming.prompt_tokens;
+        // Background work waits behind the rest, like what is over a quota, and counts against none.
+        let over_quota = incoming.is_background
+            || incoming.tenant.is_some_and(|tenant| self.tenant_quotas.is_over_quota(now, tenant));
+        let mut request = Request {
+            route: incoming.route,
+            arrived_at: now,
+            ttft_deadline,
+            deadline: incoming.deadline,
+            prompt_tokens: incoming.prompt_tokens,
+            prefix_tokens: incoming.prefix_tokens,
+            session_hash: hash(&incoming.session, SESSION_SALT),
+            prefix_hash: incoming.prefix.as_deref().map_or(0, |prefix| hash(prefix, PREFIX_SALT)),
+            over_quota,
+            ..Request::default()
+        };
+        request.affinity_engines = self.affinity_engines(&request);
+        request.slow_start_draw = self.slow_start_draw(now);
+        self.probe_on_arrival(now, request.affinity_engines.first().copied());
+        self.affinity.record_arrival(request.prefix_hash);
+        self.requests.insert(request)
+    }
+
+    /// The client has gone: its request is over.
+    pub fn client_disconnected(&mut self, request: RequestHandle) {
+        if self.requests[request.0 as usize].stage != Stage::Closed {
+            self.finish(request.0 as usize);
+        }
+    }
+}
--- /dev/null
+++ b/src/decide/deadlines.rs
@@ -0,0 +1,66 @@
+//! Deadlines of requests, and attempts that take too long.
+
+use super::request_table::AttemptState;
+use super::Router;
+use crate::interface::{RejectionReason, RequestHandle};
+
+/// Parts of the tightest first-token objective: what an attempt may take beyond the expected, how long an engine
+/// is silent before an attempt is cancelled, and how old a report may be when its engine is overdue.
+const GRACE_PART: f64 = 1.0 / 4.0;
+/// Shortest time to the next round of decisions, in ticks and in seconds.
+const WAKE_TICKS: f64 = 4.0;
+const WAKE_S: f64 = 0.01;
+
+impl Router {
+    /// Rejects what has run out of time, cancels attempts at unreachable engines, and counts overdue ones
+    /// against their engines before their outcome comes.
+    pub(super) fn enforce_deadlines(&mut self, now: f64) {
+        for request in self.requests.open().to_vec() {
+            // The answer goes out a tick before the client's time is up.
+            if now + self.limits.tick_s >= self.requests[request].deadline {
+                self.reject_or_fail(request, RejectionReason::DeadlineExceeded);
+                continue;
+            }
+            for attempt in 0..self.requests[request].attempts.len() {
+                self.check_attempt(now, request, attempt);
+            }
+        }
+    }
+
+    fn check_attempt(&mut self, now: f64, request: usize, number: usize) {
+        let attempt = self.requests[request].attempts[number];
+        if !attempt.is_in_flight() {
+            return;
+        }
+        let engine = &self.engines[attempt.engine];
+        let silent_s = now - attempt.dispatched_at.max(engine.last_response_at);
+        let warmup = self.warmup_fraction(now, attempt.engine);
+        let grace_s = self.objectives.ttft_s * GRACE_PART;
+        let is_cut_off =
+            engine.unreachable_since(attempt.dispatched_at) || self.zone_weights.weight(engine.zone) == 0.0;
+        if self.limits.can_cancel && is_cut_off && silent_s > grace_s {
+            self.decisions.cancelled.push((RequestHandle(request as u32), number as u32));
+        }
+        let is_overdue = silent_s > (attempt.expected_s + grace_s) / warmup;
+        if is_overdue && attempt.state != AttemptState::Overdue {
+            // What is slow fails late: a worse choice at once, and probed; one in slow start rarely.
+            self.requests[request].attempts[number].state = AttemptState::Overdue;
+            self.record_failure(now, attempt.engine);
+            let may_probe_warming = self.random_fraction() < warmup.powi(4);
+            self.probe_if_stale(now, attempt.engine, grace_s, may_probe_warming);
+        }
+    }
+
+    /// When the next round of decisions is due: the last step of Algorithm 1, where a round is also due before
+    /// the first deadline.
+    pub(super) fn next_wake(&self, now: f64) -> Option<f64> {
+        let open_requests = self.requests.open();
+        if open_requests.is_empty() {
+            return self.endpoint_poll.next_at();
+        }
+        // No later than a tick before the first client's time is up.
+        let answer_by = |&request: &usize| self.requests[request].deadline - self.limits.tick_s;
+        let usual = now + (WAKE_TICKS * self.limits.tick_s).max(WAKE_S);
+        Some(open_requests.iter().map(answer_by).fold(usual, f64::min))
+    }
+}
--- /dev/null
+++ b/src/decide/decode_engines.rs
@@ -0,0 +1,125 @@
+//! The choice of a decode engine: the time of its step, the wait for room, and the way to it.
+
+use super::engine_table::Phase;
+use super::request_table::Attempt;
+use super::Router;
+use crate::interface::EngineRole;
+
+/// Share of the TPOT objective that a step takes on an empty decode engine; the rest grows with its load.
+const EMPTY_STEP_SHARE: f64 = 0.4;
+/// Memory share past which a decode engine counts as full: reports are late and noisy.
+pub(super) const FULL_MEMORY_SHARE: f64 = 0.9;
+/// How far a decode engine's load lies from a recent report.
+const LOAD_UNCERTAINTY: f64 = 0.05;
+/// Random part of a choice, in times per output token.
+const JITTER: f64 = 0.1;
+
+/// The decode engines together.
+pub(super) struct DecodeOutlook {
+    /// How long a request prefilled now is likely to wait for one of them.
+    pub(super) wait_s: f64,
+    /// Their mean load, at most 1.
+    pub(super) load: f64,
+}
+
+impl Router {
+    /// Step time E_d of a decode engine: grows with its load; at the TPOT objective it is full (the paper's
+    /// relax = 0).
+    pub(super) fn decode_step_s(&self, engine: usize) -> f64 {
+        let share = EMPTY_STEP_SHARE + (1.0 - EMPTY_STEP_SHARE) * self.estimated_load(engine);
+        self.objectives.tpot_s * share
+    }
+
+    /// Wait for room at a decode engine: memory comes free by the mean duration of a stream. The edge is soft:
+    /// the load is known roughly, the more so the older the report.
+    pub(super) fn decode_wait_s(&self, engine: usize, tokens: f64) -> f64 {
+        let missing_share =
+            self.estimated_load(engine) + tokens / self.engines[engine].memory_tokens - FULL_MEMORY_SHARE;
+        let uncertainty = LOAD_UNCERTAINTY * (2.0 - self.report_confidence(engine));
+        uncertainty * (1.0 + (missing_share / uncertainty).exp()).ln() * self.averages.mean_stream_s
+    }
+
+    /// The wait for a decode engine and the load, over those not held off: between the least and the mean wait,
+    /// since other nodes, too, send to whichever seems free.
+    pub(super) fn decode_outlook(&self, now: f64) -> DecodeOutlook {
+        let usable_until = now + self.objectives.ttft_s;
+        let is_usable = |&engine: &usize| self.engines[engine].available_at < usable_until;
+        let engines: Vec<usize> =
+            self.available_engines(Phase::Decode).into_iter().filter(is_usable).collect();
+        if engines.is_empty() {
+            return DecodeOutlook { wait_s: self.objectives.ttft_s, load: 1.0 };
+        }
+        let waits_s: Vec<f64> =
+            engines.iter().map(|&engine| self.expected_decode_wait_s(now, engine)).collect();
+        let count = waits_s.len() as f64;
+        let least_s = waits_s.iter().copied().fold(f64::INFINITY, f64::min);
+        let mean_s = waits_s.iter().sum::<f64>() / count;
+        let total_load = engines.iter().map(|&engine| self.estimated_load(engine)).sum::<f64>();
+        DecodeOutlook { wait_s: (mean_s + least_s) / 2.0, load: (total_load / count).min(1.0) }
+    }
+
+    fn expected_decode_wait_s(&self, now: f64, engine: usize) -> f64 {
+        let held_off_s = (self.engines[engine].available_at - now).max(0.0);
+        let wait_s = self.decode_wait_s(engine, self.averages.mean_prompt_tokens);
+        held_off_s + wait_s + self.decode_step_s(engine)
+    }
+
+    /// The decode engine that is available first, a transfer out of the cell or zone weighed by its price.
+    pub(super) fn choose_decode_engine(&mut self, now: f64, request: usize) -> Option<usize> {
+        let (mut best_at, mut best) = (f64::INFINITY, None);
+        for engine in self.available_engines(Phase::Decode) {
+            if !self.may_decode_at(now, request, engine) {
+                continue;
+            }
+            let jitter_s = JITTER * self.objectives.tpot_s * self.random_fraction();
+            let start_at = self.decode_start_at(now, request, engine) + jitter_s;
+            if start_at < best_at {
+                (best_at, best) = (start_at, Some(engine));
+            }
+        }
+        best
+    }
+
+    fn may_decode_at(&self, now: f64, request: usize, engine: usize) -> bool {
+        let needs_no_prefill_engine = self.requests[request].reservation.is_some()
+            || self.limits.decode_engines_prefill
+            || self.engines[engine].role == EngineRole::Unified;
+        needs_no_prefill_engine
+            && self.may_retry(now, request, Some(engine))
+            && self.slow_start_admits(now, request, engine)
+    }
+
+    /// When a stream could start at a decode engine, with the costs of failures, distance and earlier attempts.
+    fn decode_start_at(&self, now: f64, request: usize, engine: usize) -> f64 {
+        let prompt_tokens = self.requests[request].prompt_tokens;
+        let start_at = self.engines[engine].available_at.max(now)
+            + self.decode_step_s(engine)
+            + self.decode_wait_s(engine, prompt_tokens)
+            + self.failure_cost_s(now, engine);
+        start_at + self.transfer_cost_s(request, engine) + self.decode_retry_cost_s(request, engine)
+    }
+
+    /// What moving the KV cache from its prefill engine costs.
+    fn transfer_cost_s(&self, request: usize, engine: usize) -> f64 {
+        let engine = &self.engines[engine];
+        match self.requests[request].reservation.map(|holder| &self.engines[holder]) {
+            Some(holder) if holder.zone != engine.zone => {
+                self.locality.cross_cell_cost_s + self.locality.cross_zone_cost_s
+            }
+            Some(holder) if holder.cell != engine.cell => self.locality.cross_cell_cost_s,
+            _ => 0.0,
+        }
+    }
+
+    /// Each earlier attempt there costs an objective. One that was not delivered counts against its whole zone:
+    /// engine by engine, a reservation's time would be gone.
+    fn decode_retry_cost_s(&self, request: usize, engine: usize) -> f64 {
+        let zone = self.engines[engine].zone;
+        let counts = |attempt: &&Attempt| {
+            attempt.engine == engine
+                || attempt.is_undelivered_decode() && self.engines[attempt.engine].zone == zone
+        };
+        let earlier_attempts = self.requests[request].attempts.iter().filter(counts).count();
+        earlier_attempts as f64 * self.objectives.ttft_s
+    }
+}
--- /dev/null
+++ b/src/decide/dispatcher.rs
@@ -0,0 +1,240 @@
+//! The paper's Dispatcher (section 5, Algorithm 1) for the prefill engines.
+
+use super::decode_engines::{DecodeOutlook, FULL_MEMORY_SHARE};
+use super::engine_table::Phase;
+use super::prefill::CACHE_SAVING_WEIGHT;
+use super::request_table::Stage;
+use super::Router;
+use crate::interface::RejectionReason;
+
+/// θ of Algorithm 1: the least probability of a first token in time with which a request is admitted.
+const MIN_TTFT_PROBABILITY: f64 = 0.5;
+/// Loosest objective that the token budget is computed for.
+const MAX_BUDGET_TTFT_S: f64 = 60.0;
+/// Mean wait at the prefill engines past which the fleet is overloaded, in tightest first-token objectives.
+const OVERLOAD_WAIT_PART: f64 = 1.0 / 4.0;
+/// How much longer than at a prefill engine a prefill is expected to take at a decode engine.
+const DECODE_ENGINE_PREFILL_MULTIPLE: f64 = 4.0;
+/// Width of the probability curve in tightest first-token objectives: at idle decode engines, and what is added
+/// at full ones.
+const IDLE_SPREAD: f64 = 0.05;
+const LOAD_SPREAD: f64 = 0.2;
+
+/// What holds for all requests of a round of decisions.
+pub(super) struct Round {
+    now: f64,
+    pub(super) prefill_engines: Vec<usize>,
+    decode: DecodeOutlook,
+    budget_tokens: f64,
+    is_overloaded: bool,
+}
+
+/// What a prefill at the chosen engine would be like.
+struct PrefillEstimate {
+    tokens: f64,
+    wait_s: f64,
+    prefill_s: f64,
+}
+
+/// The prefill engines that a request may go to, and how soon the first of them is available.
+struct Candidates {
+    engines: Vec<usize>,
+    wait_s: f64,
+}
+
+impl Router {
+    /// The request queue Q_R of Algorithm 1: by TPOT objective, then arrival; what is over a tenant's quota last.
+    pub(super) fn queue_by_objective(&self, open_requests: &[usize]) -> Vec<usize> {
+        let is_queued = |request: &usize| self.requests[*request].stage == Stage::Queued;
+        let mut queue: Vec<usize> = open_requests.iter().copied().filter(is_queued).collect();
+        queue.sort_by(|&x, &y| {
+            let key = |index: usize| {
+                let request = &self.requests[index];
+                let tpot_s = self.objectives.routes[request.route].tpot_objective_s;
+                (request.over_quota, tpot_s, request.arrived_at)
+            };
+            key(x).partial_cmp(&key(y)).unwrap().then(x.cmp(&y))
+        });
+        queue
+    }
+
+    pub(super) fn begin_round(&self, now: f64, queue: &[usize]) -> Round {
+        let decode = self.decode_outlook(now);
+        let prefill_engines = self.available_engines(Phase::Prefill);
+        Round {
+            now,
+            budget_tokens: self.prefill_budget(queue),
+            is_overloaded: self.is_overloaded(now, &prefill_engines, &decode),
+            prefill_engines,
+            decode,
+        }
+    }
+
+    /// The token budget of a prefill batch (equation 5 with E_d = 0: prefill engines don't decode): what the
+    /// tightest objective in the queue leaves, without the quadratic term of the cost.
+    fn prefill_budget(&self, queue: &[usize]) -> f64 {
+        let objective_s = |&request: &usize| {
+            let request = &self.requests[request];
+            request.ttft_deadline - request.arrived_at
+        };
+        let tightest_s = queue.iter().map(objective_s).fold(MAX_BUDGET_TTFT_S, f64::min);
+        let [base_s, s_per_1000_tokens, _] = self.prefill_cost.coefficients;
+        ((tightest_s - base_s) / s_per_1000_tokens * 1000.0).max(0.0)
+    }
+
+    /// Whether the engines of one phase are full. Then a late answer would make others late, and the first-token
+    /// objective is the deadline.
+    fn is_overloaded(&self, now: f64, prefill_engines: &[usize], decode: &DecodeOutlook) -> bool {
+        let waits_s = prefill_engines.iter().map(|&engine| self.estimated_availability(now, engine) - now);
+        let mean_wait_s = waits_s.sum::<f64>() / prefill_engines.len().max(1) as f64;
+        decode.load >= FULL_MEMORY_SHARE || mean_wait_s > self.objectives.ttft_s * OVERLOAD_WAIT_PART
+    }
+
+    /// The main loop of Algorithm 1: scans the queue, admits what will likely meet its objective and fits the
+    /// budget, and dispatches it.
+    pub(super) fn admit_and_dispatch(&mut self, round: &Round, queue: &[usize]) {
+        for &request in queue {
+            if self.is_awaiting_probe(round.now, request) || self.requests[request].release_pending {
+                continue;
+            }
+            self.admit_or_reject(round, request);
+        }
+    }
+
+    fn admit_or_reject(&mut self, round: &Round, request: usize) {
+        let candidates = self.earliest_start(round, request);
+        if self.is_too_late(round, request, &candidates) {
+            let reason = RejectionReason::TooLate {
+                admitting: candidates.engines.len() as u32,
+                prefill_engines: round.prefill_engines.len() as u32,
+                prefill_wait_s: candidates.wait_s,
+                decode_wait_s: round.decode.wait_s,
+            };
+            return self.reject_or_fail(request, reason);
+        }
+        if candidates.engines.is_empty() {
+            return self.prefill_at_decode_engine(round.now, request);
+        }
+        if candidates.wait_s > 0.0 {
+            return;
+        }
+        let Some(engine) = self.choose_prefill_engine(round.now, request, &candidates.engines) else {
+            return;
+        };
+        let estimate = self.prefill_estimate(round, request, engine);
+        let fits = self.fits_budget(round, engine, estimate.tokens);
+        if fits && self.ttft_probability(round, request, &estimate) >= MIN_TTFT_PROBABILITY {
+            self.dispatch_prefill(round.now, request, engine);
+        } else if self.requests[request].over_quota || round.is_overloaded {
+            // What is over its quota does not wait for room that others need; under overload nothing waits.
+            let reason = RejectionReason::ObjectiveUnlikely {
+                admitting: candidates.engines.len() as u32,
+                prefill_engines: round.prefill_engines.len() as u32,
+                prefill_wait_s: estimate.wait_s,
+                prefill_s: estimate.prefill_s,
+                decode_wait_s: round.decode.wait_s,
+            };
+            self.reject_or_fail(request, reason);
+        }
+    }
+
+    /// The head of the worker queue Q_W of Algorithm 1, for one request: when a prefill could start at the
+    /// earliest among the engines that slow start leaves to it.
+    fn earliest_start(&self, round: &Round, request: usize) -> Candidates {
+        let now = round.now;
+        let admits = |&engine: &usize| self.slow_start_admits(now, request, engine);
+        let engines: Vec<usize> = round.prefill_engines.iter().copied().filter(admits).collect();
+        let wait_s = |engine: &usize| (self.engines[*engine].available_at - now).max(0.0);
+        let earliest_s = engines.iter().map(wait_s).min_by(f64::total_cmp).unwrap_or(0.0);
+        Candidates { engines, wait_s: earliest_s }
+    }
+
+    /// Whether a request can't be started before its deadline, or has no attempt left: it is rejected unread.
+    fn is_too_late(&self, round: &Round, request: usize, candidates: &Candidates) -> bool {
+        let least_s = candidates.wait_s + self.prefill_cost.of(0.0) + round.decode.wait_s;
+        let state = &self.requests[request];
+        let deadline =
+            if round.is_overloaded { state.ttft_deadline.min(state.deadline) } else { state.deadline };
+        round.now + least_s > deadline || !self.may_retry(round.now, request, None)
+    }
+
+    /// With no prefill engine to go to, a decode engine that can prefills the prompt itself.
+    fn prefill_at_decode_engine(&mut self, now: f64, request: usize) {
+        if let Some(engine) = self.choose_decode_engine(now, request) {
+            let prefill_s = self.prefill_cost.of(self.requests[request].prompt_tokens);
+            self.dispatch_decode(now, request, engine, DECODE_ENGINE_PREFILL_MULTIPLE * prefill_s);
+        }
+    }
+
+    /// Under overload a long uncached prompt takes the engine from several short ones, and weighs as much.
+    fn prefill_estimate(&self, round: &Round, request: usize, engine: usize) -> PrefillEstimate {
+        let tokens = self.uncached_tokens(engine, request);
+        let wait_s = self.estimated_availability(round.now, engine) - round.now;
+        let prefill_s = self.prefill_cost.of(tokens);
+        let prefill_s = if round.is_overloaded { CACHE_SAVING_WEIGHT * prefill_s } else { prefill_s };
+        PrefillEstimate { tokens, wait_s, prefill_s }
+    }
+
+    /// `token_limit` of Algorithm 1: the budget, capped by the engine's free tokens. A prompt beyond the budget
+    /// goes alone to an idle engine.
+    fn fits_budget(&self, round: &Round, engine: usize, tokens: f64) -> bool {
+        let engine = &self.engines[engine];
+        let used_share = engine.reported_load.memory_share.unwrap_or(0.0);
+        let limit = round.budget_tokens.min(engine.memory_tokens * (1.0 - used_share));
+        let is_oversized = tokens > round.budget_tokens;
+        engine.batch_tokens + tokens <= limit || (is_oversized && engine.attempts_in_flight == 0)
+    }
+
+    /// `calculate_p` of Algorithm 1: the probability of a first token in time, less sure the busier the decode
+    /// engines are. Nor may a looser objective fill the decode engines until a tighter one can't be met: half
+    /// the tightest objective is left for them.
+    fn ttft_probability(&self, round: &Round, request: usize, estimate: &PrefillEstimate) -> f64 {
+        let request = &self.requests[request];
+        let tightest_s = self.objectives.ttft_s;
+        let due_at = request.ttft_deadline.min(request.deadline);
+        let remaining_s = due_at - round.now - estimate.wait_s - estimate.prefill_s;
+        let slack_s = remaining_s.min(tightest_s / 2.0) - round.decode.wait_s;
+        let spread_s = tightest_s * (IDLE_SPREAD + LOAD_SPREAD * round.decode.load);
+        1.0 / (1.0 + (-slack_s / spread_s).exp())
+    }
+
+    /// A prefill engine that is available and got nothing takes the oldest waiting request, even below θ. Not so
+    /// when the decode engines are full: what is prefilled then only waits, and makes others wait.
+    pub(super) fn dispatch_to_idle(&mut self, round: &Round, queue: &mut Vec<usize>) {
+        queue.sort_by(|&x, &y| {
+            self.requests[x].arrived_at.total_cmp(&self.requests[y].arrived_at).then(x.cmp(&y))
+        });
+        let decode_has_room = round.decode.wait_s <= self.objectives.ttft_s / 2.0;
+        queue.retain(|&request| decode_has_room && self.requests[request].stage == Stage::Queued);
+        for &request in queue.iter() {
+            let state = &self.requests[request];
+            if state.over_quota || state.release_pending || self.is_awaiting_probe(round.now, request) {
+                continue;
+            }
+            let idle_engines = self.idle_prefill_engines(round, request);
+            if let Some(engine) = self.choose_prefill_engine(round.now, request, &idle_engines) {
+                self.dispatch_prefill(round.now, request, engine);
+            }
+        }
+    }
+
+    fn idle_prefill_engines(&self, round: &Round, request: usize) -> Vec<usize> {
+        let is_idle = |engine: usize| {
+            self.engines[engine].batch_s == 0.0 && self.engines[engine].available_at <= round.now
+        };
+        let may_get = |&engine: &usize| is_idle(engine) && self.slow_start_admits(round.now, request, engine);
+        round.prefill_engines.iter().copied().filter(may_get).collect()
+    }
+
+    /// The update of maturity times in Algorithm 1: a prefill engine is next available when its batch is done.
+    pub(super) fn advance_availability(&mut self, now: f64, prefill_engines: &[usize]) {
+        for &engine in prefill_engines {
+            let engine = &mut self.engines[engine];
+            if engine.batch_s > 0.0 {
+                engine.available_at = engine.available_at.max(now) + engine.batch_s;
+            }
+            engine.batch_s = 0.0;
+            engine.batch_tokens = 0.0;
+        }
+    }
+}
--- /dev/null
+++ b/src/decide/endpoints.rs
@@ -0,0 +1,63 @@
+//! The endpoint list, and polling for it.
+
+use super::Router;
+use crate::interface::{EngineEntry, Lifecycle};
+use std::collections::HashSet;
+
+/// When the endpoint list is to be polled.
+#[derive(Default)]
+pub(super) struct EndpointPoll {
+    is_wanted: bool,
+    not_before: f64,
+}
+
+impl EndpointPoll {
+    pub(super) fn new(is_wanted: bool) -> Self {
+        EndpointPoll { is_wanted, not_before: 0.0 }
+    }
+
+    /// When the next poll is due; `None`: none is wanted.
+    pub(super) fn next_at(&self) -> Option<f64> {
+        self.is_wanted.then_some(self.not_before)
+    }
+}
+
+impl Router {
+    /// Takes in an endpoint list; a full one removes the engines that it leaves out.
+    pub fn update_endpoints(&mut self, now: f64, entries: &[EngineEntry], full: bool) {
+        let listed: HashSet<&str> = entries.iter().map(|entry| &*entry.id).collect();
+        for engine in self.engines.iter_mut().filter(|engine| full && !listed.contains(&*engine.id)) {
+            engine.lifecycle = Lifecycle::Removed;
+        }
+        for entry in entries {
+            self.update_engine(now, entry);
+        }
+    }
+
+    fn update_engine(&mut self, now: f64, entry: &EngineEntry) {
+        let started_at = entry.started_at.unwrap_or(f64::NEG_INFINITY);
+        let index = self.engines.find_or_insert(&entry.id);
+        let engine = &mut self.engines[index];
+        if started_at > engine.started_at || engine.lifecycle == Lifecycle::Removed {
+            engine.reset_process_state(now, entry.started_at.is_none());
+        }
+        engine.zone = entry.zone;
+        engine.cell = entry.cell;
+        engine.role = entry.role;
+        engine.memory_tokens = entry.memory_tokens.max(1.0);
+        engine.lifecycle = entry.lifecycle;
+        engine.started_at = started_at;
+    }
+
+    /// Fetching the list failed: it is polled again after a delay that differs from node to node.
+    pub fn endpoint_poll_failed(&mut self, now: f64) {
+        self.endpoint_poll.is_wanted = true;
+        self.endpoint_poll.not_before = now + self.objectives.ttft_s * (0.5 + self.random_fraction());
+    }
+
+    pub(super) fn poll_endpoints_if_due(&mut self, now: f64) {
+        let is_due = self.endpoint_poll.is_wanted && now >= self.endpoint_poll.not_before;
+        self.decisions.poll_endpoints = is_due;
+        self.endpoint_poll.is_wanted &= !is_due;
+    }
+}
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -1,88 +1,81 @@
-//! Engine health: failures and overdue sends, and silence.
+//! Engine health: failures and overdue attempts, and engines that do not respond.
 
-use super::*;
+use super::engine_table::Engine;
+use super::Router;
+use crate::interface::{EngineHandle, Lifecycle};
+use std::collections::HashSet;
 
-/// Longest hold-off of a struck engine, in tightest first-token targets.
-const LONGEST_HOLD_OFF: f64 = 6.0;
+/// Longest hold-off of an unreachable engine, and decay time of failures, in tightest first-token objectives.
+const MAX_HOLD_OFF: f64 = 6.0;
+/// First hold-off; it doubles with each further time in a row.
+const FIRST_HOLD_OFF: f64 = 0.25;
+/// Times in a row beyond which the hold-off grows no further.
+const MAX_CONSECUTIVE_UNREACHABLE: f64 = 8.0;
 
 impl Router {
     /// A failure makes the engine a worse choice, the more so the more there were lately, but never bars it:
     /// when most of a role fails now and then, all go on. Holds against engines that fail quickly, lose
-    /// answers or die; hurts when a lone error was chance, by half a target for a while.
-    pub(super) fn strike(&mut self, now: f64, e: usize) {
-        (self.engines[e].faults, self.engines[e].fault_at) = (self.faults(now, &self.engines[e]) + 1.0, now);
+    /// answers or die; hurts when a lone error was chance, by half an objective for a while.
+    pub(super) fn record_failure(&mut self, now: f64, engine: usize) {
+        let recent_failures = self.recent_failures(now, &self.engines[engine]) + 1.0;
+        let engine = &mut self.engines[engine];
+        engine.recent_failures = recent_failures;
+        engine.last_failure_at = now;
     }
 
-    pub(crate) fn faults(&self, now: f64, e: &Engine) -> f64 {
-        e.faults * (-(now - e.fault_at) / (LONGEST_HOLD_OFF * self.target)).exp()
+    pub(super) fn recent_failures(&self, now: f64, engine: &Engine) -> f64 {
+        let age_s = now - engine.last_failure_at;
+        engine.recent_failures * (-age_s / (MAX_HOLD_OFF * self.objectives.ttft_s)).exp()
     }
 
-    /// What is likely lost at the engine by failing there.
-    pub(super) fn risk(&self, now: f64, e: usize) -> f64 {
-        self.target * (1.0 - 1.0 / (1.0 + self.faults(now, &self.engines[e])))
+    /// Expected time lost at the engine by failing there.
+    pub(super) fn failure_cost_s(&self, now: f64, engine: usize) -> f64 {
+        let recent_failures = self.recent_failures(now, &self.engines[engine]);
+        self.objectives.ttft_s * (1.0 - 1.0 / (1.0 + recent_failures))
     }
 
-    /// No probe or connection got through: held off, longer each time in a row, until it is heard.
-    pub(super) fn unreached(&mut self, now: f64, e: usize) {
-        let e = &mut self.engines[e];
-        (e.mute, e.strikes) = (now, (e.strikes + 1.0).min(8.0));
-        let off = self.target * (0.25 * 2f64.powf(e.strikes - 1.0)).min(LONGEST_HOLD_OFF);
-        e.matures = e.matures.max(now + off);
+    /// No probe or connection got through: held off, longer each time in a row, until it responds.
+    pub(super) fn record_unreachable(&mut self, now: f64, engine: usize) {
+        let engine = &mut self.engines[engine];
+        engine.unreachable_at = now;
+        engine.consecutive_unreachable =
+            (engine.consecutive_unreachable + 1.0).min(MAX_CONSECUTIVE_UNREACHABLE);
+        let doublings = engine.consecutive_unreachable - 1.0;
+        let hold_off_s = self.objectives.ttft_s * (FIRST_HOLD_OFF * 2f64.powf(doublings)).min(MAX_HOLD_OFF);
+        engine.available_at = engine.available_at.max(now + hold_off_s);
     }
 
-    /// An answer of any kind ends a hold-off that silence brought: a cut that heals is used again at once.
-    pub(super) fn hear(&mut self, now: f64, e: usize) {
-        let e = &mut self.engines[e];
-        if e.mute > e.heard {
-            e.matures = e.matures.min(now);
+    /// Any response ends the hold-off of an unreachable engine: a partition that heals is used again at once.
+    pub(super) fn record_response(&mut self, now: f64, engine: usize) {
+        let engine = &mut self.engines[engine];
+        if engine.unreachable_at > engine.last_response_at {
+            engine.available_at = engine.available_at.min(now);
         }
-        e.strikes = 0.0;
-        e.heard = now;
+        engine.consecutive_unreachable = 0.0;
+        engine.last_response_at = now;
     }
 
-    /// A send long overdue speaks against its engine before its outcome comes.
-    pub(super) fn watch(&mut self, now: f64) {
-        for i in self.open.clone() {
-            // Rule 1: the answer goes out a tick before the client's time is up.
-            if now + self.tick >= self.infs[i].due {
-                self.give_up(i, RejectionReason::DeadlineExceeded);
-                continue;
-            }
-            for n in 0..self.infs[i].sends.len() {
-                let s = self.infs[i].sends[n];
-                let e = &self.engines[s.eng];
-                let quiet = now - s.at.max(e.heard);
-                let grown = self.grown(now, s.eng);
-                let overdue = s.live && quiet > (s.expected + self.target / 4.0) / grown;
-                // Unreachable since the send and not heard again, or its zone left: it goes elsewhere.
-                let shut = e.mute > s.at.max(e.heard) || self.part(e.zone) == 0.0;
-                if s.live && self.cancel && shut && quiet > self.target / 4.0 {
-                    self.todo.cancelled.push((RequestHandle(i as u32), n as u32));
-                }
-                if overdue && !s.late {
-                    // What is slow fails late: a worse choice at once, and asked; a fresh one rarely.
-                    self.infs[i].sends[n].late = true;
-                    self.strike(now, s.eng);
-                    let may = self.dice() < grown.powi(4);
-                    self.ask(now, s.eng, self.target / 4.0, may);
-                }
-            }
-        }
-    }
-
-    /// Engines at which a call that any of them takes is tried, in this order: the one meant, unless it was
-    /// silent since it was heard, then those heard last.
-    pub fn engines_by_last_response(&self, meant: &str, most: usize) -> Vec<EngineHandle> {
-        let able = |&e: &usize| self.engines[e].standing == Lifecycle::Active || self.engines[e].id == meant;
-        let mut all: Vec<usize> = (0..self.engines.len()).filter(able).collect();
-        all.sort_by(|&x, &y| {
-            let key = |e: &Engine| (e.mute > e.heard, e.id != meant, -e.heard);
-            key(&self.engines[x]).partial_cmp(&key(&self.engines[y])).unwrap_or(std::cmp::Ordering::Equal)
+    /// Engines at which to try, in this order, a call that any of them can serve: the preferred one, unless it was
+    /// unreachable since its last response, then those that responded last.
+    pub fn engines_by_last_response(&self, preferred: &str, limit: usize) -> Vec<EngineHandle> {
+        let may_serve = |&index: &usize| {
+            let engine = &self.engines[index];
+            engine.lifecycle == Lifecycle::Active || engine.id == preferred
+        };
+        let mut engines: Vec<usize> = (0..self.engines.len()).filter(may_serve).collect();
+        engines.sort_by(|&x, &y| {
+            let key = |engine: &Engine| {
+                let is_unreachable = engine.unreachable_at > engine.last_response_at;
+                (is_unreachable, engine.id != preferred, -engine.last_response_at)
+            };
+            let order = key(&self.engines[x]).partial_cmp(&key(&self.engines[y]));
+            order.unwrap_or(std::cmp::Ordering::Equal)
         });
         // One of each zone first: what is cut off is a zone more often than not.
         let mut zones = HashSet::new();
         let (first, others): (Vec<usize>, Vec<usize>) =
-            all.into_iter().partition(|&e| zones.insert(self.engines[e].zone));
-        first.into_iter().chain(others).take(most).map(|e| EngineHandle(e as u32)).collect()
+            engines.into_iter().partition(|&engine| zones.insert(self.engines[engine].zone));
+        let ordered = first.into_iter().chain(others).take(limit);
+        ordered.map(|engine| EngineHandle(engine as u32)).collect()
     }
 }
--- /dev/null
+++ b/src/decide/learned_state.rs
@@ -0,0 +1,117 @@
+//! What is handed out for the node's next process and for its operators, and restored.
+
+use super::engine_table::Engine;
+use super::Router;
+use crate::interface::*;
+
+/// Averages that are handed out, and how many of them, the first ones, are never negative.
+const AVERAGE_COUNT: usize = 21;
+const NON_NEGATIVE_COUNT: usize = 6;
+/// Recent failures of an engine below which they are not worth keeping.
+const MIN_FAILURES: f64 = 0.05;
+
+impl Router {
+    /// Why an attempt was dispatched to its engine.
+    pub fn dispatch_rationale(&self, request: RequestHandle, attempt: u32) -> DispatchRationale {
+        let attempt = self.requests[request.0 as usize].attempts[attempt as usize];
+        let engine = &self.engines[attempt.engine];
+        DispatchRationale {
+            requests_ahead: attempt.requests_ahead,
+            expected_s: attempt.expected_s,
+            engine_age_s: attempt.dispatched_at - engine.started_at,
+            unreachable_s: engine.unreachable_at - engine.last_response_at,
+        }
+    }
+
+    /// What is worth keeping for this node's next process.
+    pub fn learned_state(&self, now: f64) -> LearnedState {
+        let mut averages = vec![
+            self.averages.mean_stream_s,
+            self.averages.mean_prompt_tokens,
+            self.averages.batch_cost_per_request_s,
+            self.slow_start.mean_start_gap_s,
+            self.averages.prefill.load,
+            self.averages.decode.load,
+        ];
+        averages.extend(self.prefill_cost.sums.iter().flatten().chain(&self.prefill_cost.coefficients));
+        let learned_engine = |engine: &Engine| LearnedEngine {
+            id: engine.id.clone(),
+            started_at: Some(engine.started_at).filter(|started_at| started_at.is_finite()),
+            recent_failures: self.recent_failures(now, engine),
+            last_failure_at: now,
+        };
+        let has_failed = |engine: &&Engine| {
+            engine.lifecycle == Lifecycle::Active && self.recent_failures(now, engine) > MIN_FAILURES
+        };
+        LearnedState {
+            averages,
+            engines: self.engines.iter().filter(has_failed).map(learned_engine).collect(),
+        }
+    }
+
+    /// Takes over what an earlier process had learned, with a confidence from 0 to 1, after the first endpoint list.
+    /// An engine's failures count only for the process that had them.
+    pub fn restore_learned_state(&mut self, now: f64, state: &LearnedState, confidence: f64) {
+        if !are_averages_valid(&state.averages) {
+            return;
+        }
+        for (current, learned) in self.learned_averages_mut().into_iter().zip(&state.averages) {
+            *current += confidence * (learned - *current);
+        }
+        for learned in &state.engines {
+            self.restore_engine(now, learned, confidence);
+        }
+    }
+
+    /// In the order in which [`Router::learned_state`] hands them out.
+    fn learned_averages_mut(&mut self) -> Vec<&mut f64> {
+        let averages = &mut self.averages;
+        let mut learned = vec![
+            &mut averages.mean_stream_s,
+            &mut averages.mean_prompt_tokens,
+            &mut averages.batch_cost_per_request_s,
+            &mut self.slow_start.mean_start_gap_s,
+            &mut averages.prefill.load,
+            &mut averages.decode.load,
+        ];
+        learned.extend(self.prefill_cost.sums.iter_mut().flatten());
+        learned.extend(&mut self.prefill_cost.coefficients);
+        learned
+    }
+
+    fn restore_engine(&mut self, now: f64, learned: &LearnedEngine, confidence: f64) {
+        let is_valid = is_non_negative(&learned.recent_failures) && learned.last_failure_at <= now;
+        if !is_valid {
+            return;
+        }
+        let Some(index) = self.engines.index_of(&learned.id) else { return };
+        let engine = &mut self.engines[index];
+        let is_same_process = learned.started_at.unwrap_or(f64::NEG_INFINITY) == engine.started_at;
+        if engine.recent_failures == 0.0 && is_same_process {
+            engine.recent_failures = confidence * learned.recent_failures;
+            engine.last_failure_at = learned.last_failure_at;
+        }
+    }
+
+    /// When the engines in service last responded or could not be reached.
+    pub fn engine_observations(&self) -> impl Iterator<Item = EngineObservation<'_>> {
+        let in_service = self.engines.iter().filter(|engine| engine.lifecycle == Lifecycle::Active);
+        in_service.map(|engine| EngineObservation {
+            id: &engine.id,
+            zone: engine.zone,
+            role: engine.role,
+            last_response_at: engine.last_response_at,
+            unreachable_at: engine.unreachable_at,
+        })
+    }
+}
+
+fn are_averages_valid(averages: &[f64]) -> bool {
+    averages.len() == AVERAGE_COUNT
+        && averages[..NON_NEGATIVE_COUNT].iter().all(is_non_negative)
+        && averages.iter().all(|average| average.is_finite())
+}
+
+fn is_non_negative(value: &f64) -> bool {
+    value.is_finite() && *value >= 0.0
+}
--- a/src/decide/tests.rs
+++ b/src/decide/tests.rs
@@ -1,3 +1,7 @@
+use super::engine_table::Phase;
+use super::hash::hash;
+use super::prefix_affinity::RECENT_ARRIVALS;
+use super::request_table::{Attempt, AttemptState, DecodeStart, Request, Stage};
 use super::*;
 use test_case::test_case;
 
@@ -35,7 +39,7 @@
     }
 }
 
-fn line(id: &str, role: EngineRole, zone: u32, cell: u32) -> EngineEntry {
+fn entry(id: &str, role: EngineRole, zone: u32, cell: u32) -> EngineEntry {
     EngineEntry {
         id: id.into(),
         zone,
@@ -51,27 +55,27 @@
 fn router(repeat: Idempotency) -> Router {
     let mut r = Router::new(deployment(repeat));
     let lines = [
-        line("r0", EngineRole::Prefill, 0, 0),
-        line("r1", EngineRole::Prefill, 0, 1),
-        line("w2", EngineRole::Decode, 0, 0),
-        line("w3", EngineRole::Decode, 0, 1),
-        line("w4", EngineRole::Decode, 1, 2),
+        entry("r0", EngineRole::Prefill, 0, 0),
+        entry("r1", EngineRole::Prefill, 0, 1),
+        entry("w2", EngineRole::Decode, 0, 0),
+        entry("w3", EngineRole::Decode, 0, 1),
+        entry("w4", EngineRole::Decode, 1, 2),
     ];
     r.update_endpoints(NOW, &lines, true);
     // All have just reported that they are idle.
-    r.engines.iter_mut().for_each(|e| e.load_at = NOW);
+    r.engines.iter_mut().for_each(|e| e.reported_at = NOW);
     r
 }
 
-fn inference(stage: Stage) -> Inference {
-    Inference {
+fn request(stage: Stage) -> Request {
+    Request {
         stage,
-        arrived: NOW,
-        target: NOW + 1.0,
-        due: NOW + 5.0,
-        prompt: 2000.0,
-        session: 1,
-        ..Inference::default()
+        arrived_at: NOW,
+        ttft_deadline: NOW + 1.0,
+        deadline: NOW + 5.0,
+        prompt_tokens: 2000.0,
+        session_hash: 1,
+        ..Request::default()
     }
 }
 
@@ -89,37 +93,51 @@
 }
 
 /// Puts an inference into the router's tables.
-fn hold(r: &mut Router, inf: Inference) -> usize {
-    let homes = r.homes(&inf);
-    r.keep(Inference { homes, ..inf }).0 as usize
-}
-
-fn sent(r: &mut Router, eng: usize, write: bool) -> Sent {
-    r.engines[eng].out += 1;
-    Sent { eng, at: NOW, there: 0.0, expected: 0.1, write, live: true, late: false, missed: false }
+fn insert(r: &mut Router, inf: Request) -> usize {
+    let affinity_engines = r.affinity_engines(&inf);
+    r.requests.insert(Request { affinity_engines: affinity_engines, ..inf }).0 as usize
+}
+
+/// An attempt of that phase, in flight at the engine.
+fn attempt(r: &mut Router, engine: usize, phase: Phase) -> Attempt {
+    r.engines[engine].attempts_in_flight += 1;
+    Attempt {
+        engine,
+        phase,
+        state: AttemptState::InFlight,
+        dispatched_at: NOW,
+        requests_ahead: 0.0,
+        expected_s: 0.1,
+    }
 }
 
 fn ending(outcome: Outcome) -> AttemptEnd {
-    AttemptEnd { outcome, elapsed_s: 0.1, request_finished: false, note: 0.0 }
+    AttemptEnd {
+        outcome,
+        elapsed_s: 0.1,
+        request_finished: false,
+        cached_tokens: 0.0,
+        reservation_missing: false,
+    }
 }
 
-fn engines_of(todo: &Decisions) -> Vec<u32> {
-    todo.dispatches.iter().map(|s| s.engine.0).collect()
+fn engines_of(decisions: &Decisions) -> Vec<u32> {
+    decisions.dispatches.iter().map(|s| s.engine.0).collect()
 }
 
 #[test]
 fn an_arrival_goes_to_a_matured_reader_at_once() {
     let mut r = router(Idempotency::Idempotent);
-    hold(&mut r, inference(Stage::Queued));
+    insert(&mut r, request(Stage::Queued));
     assert!(engines_of(&r.decide(NOW)).iter().all(|&e| e < 2));
 }
 
 #[test]
 fn the_queue_goes_by_pace_then_arrival() {
     let mut r = router(Idempotency::Idempotent);
-    hold(&mut r, inference(Stage::Queued));
-    hold(&mut r, Inference { arrived: NOW - 0.1, ..inference(Stage::Queued) });
-    hold(&mut r, Inference { route: 1, ..inference(Stage::Queued) });
+    insert(&mut r, request(Stage::Queued));
+    insert(&mut r, Request { arrived_at: NOW - 0.1, ..request(Stage::Queued) });
+    insert(&mut r, Request { route: 1, ..request(Stage::Queued) });
     let order: Vec<u32> = r.decide(NOW).dispatches.iter().map(|s| s.request.0).collect();
     assert_eq!(order, [2, 1, 0]);
 }
@@ -127,53 +145,58 @@
 #[test]
 fn nothing_is_sent_while_no_reader_has_matured() {
     let mut r = router(Idempotency::Idempotent);
-    hold(&mut r, inference(Stage::Queued));
-    r.engines.iter_mut().for_each(|e| e.matures = NOW + 0.3);
+    insert(&mut r, request(Stage::Queued));
+    r.engines.iter_mut().for_each(|e| e.available_at = NOW + 0.3);
     assert!(r.decide(NOW).dispatches.is_empty());
 }
 
 #[test]
 fn a_matured_reader_takes_the_oldest_below_theta() {
     let mut r = router(Idempotency::Idempotent);
-    hold(&mut r, Inference { target: NOW - 1.0, ..inference(Stage::Queued) });
+    insert(&mut r, Request { ttft_deadline: NOW - 1.0, ..request(Stage::Queued) });
     assert_eq!(r.decide(NOW).dispatches.len(), 1);
 }
 
 #[test_case(0.0, 1; "free memory takes it")]
 #[test_case(0.999, 0; "no free tokens hold it")]
-fn the_budget_is_capped_by_free_tokens(held: f64, sends: usize) {
+fn the_budget_is_capped_by_free_tokens(held: f64, attempts: usize) {
     let mut r = router(Idempotency::Idempotent);
-    hold(&mut r, Inference { over_share: true, ..inference(Stage::Queued) });
+    insert(&mut r, Request { over_quota: true, ..request(Stage::Queued) });
     for e in &mut r.engines[..2] {
-        e.load.memory_share = Some(held);
+        e.reported_load.memory_share = Some(held);
     }
-    assert_eq!(r.decide(NOW).dispatches.len(), sends);
+    assert_eq!(r.decide(NOW).dispatches.len(), attempts);
 }
 
 #[test]
 fn an_oversized_prompt_goes_alone_to_an_idle_reader() {
     let mut r = router(Idempotency::Idempotent);
-    let huge = Inference { prompt: 90_000.0, target: NOW + 9.0, due: NOW + 20.0, ..inference(Stage::Queued) };
-    hold(&mut r, huge);
+    let huge = Request {
+        prompt_tokens: 90_000.0,
+        ttft_deadline: NOW + 9.0,
+        deadline: NOW + 20.0,
+        ..request(Stage::Queued)
+    };
+    insert(&mut r, huge);
     assert_eq!(r.decide(NOW).dispatches.len(), 1);
 }
 
 #[test]
 fn kept_text_outweighs_a_short_wait() {
     let mut r = router(Idempotency::Idempotent);
-    let i = hold(&mut r, inference(Stage::Queued));
-    r.read_cost = ReadCost::new(0.001, 0.1);
-    let home = r.infs[i].homes[0];
-    r.engines[home].matures = NOW + 0.01;
-    assert_eq!(r.reader(NOW, i, &[0, 1]), Some(home));
+    let i = insert(&mut r, request(Stage::Queued));
+    r.prefill_cost = PrefillCost::new(0.001, 0.1);
+    let home = r.requests[i].affinity_engines[0];
+    r.engines[home].available_at = NOW + 0.01;
+    assert_eq!(r.choose_prefill_engine(NOW, i, &[0, 1]), Some(home));
 }
 
 #[test]
 fn all_nodes_agree_on_the_hashed_reader() {
     let (a, mut b) = (router(Idempotency::Idempotent), router(Idempotency::Idempotent));
-    b.chance = WyRand::new_seed(99);
-    let inf = inference(Stage::Queued);
-    assert_eq!(a.homes(&inf), b.homes(&inf));
+    b.random = WyRand::new_seed(99);
+    let inf = request(Stage::Queued);
+    assert_eq!(a.affinity_engines(&inf), b.affinity_engines(&inf));
 }
 
 /// In zones of two or three readers, two for a prefix scattered it over the zone, and little was kept.
@@ -184,13 +207,19 @@
 fn a_prefix_is_at_as_many_readers_as_its_part_needs(readers: usize, part: f64, named: usize) {
     let mut r = router(Idempotency::Idempotent);
     for k in 2..readers {
-        r.update_endpoints(NOW, &[line(&format!("more{k}"), EngineRole::Prefill, 0, 0)], false);
+        r.update_endpoints(NOW, &[entry(&format!("more{k}"), EngineRole::Prefill, 0, 0)], false);
+    }
+    r.averages.mean_prompt_tokens = 2000.0;
+    for index in 0..RECENT_ARRIVALS {
+        let is_same = (index as f64) < part * RECENT_ARRIVALS as f64;
+        r.affinity.record_arrival(if is_same { 9 } else { 100 + index as u64 });
     }
-    r.prompt = 2000.0;
-    r.recent.extend((0..RECENT).map(|k| if (k as f64) < part * RECENT as f64 { 9 } else { 100 + k as u64 }));
     let mut seen: Vec<usize> = Vec::new();
     for session in (1..60).map(|k| hash("s", k)) {
-        seen.push(r.homes(&Inference { session, prefix: 9, ..inference(Stage::Queued) })[0]);
+        seen.push(
+            r.affinity_engines(&Request { session_hash: session, prefix_hash: 9, ..request(Stage::Queued) })
+                [0],
+        );
     }
     seen.sort();
     seen.dedup();
@@ -203,11 +232,13 @@
 fn a_text_has_two_readers(texts: u64, named: usize) {
     let mut r = router(Idempotency::Idempotent);
     (2..6).for_each(|k| {
-        r.update_endpoints(NOW, &[line(&format!("more{k}"), EngineRole::Prefill, 0, 0)], false)
+        r.update_endpoints(NOW, &[entry(&format!("more{k}"), EngineRole::Prefill, 0, 0)], false)
     });
-    r.prompt = 2000.0;
-    r.recent.extend((0..RECENT as u64).map(|k| 100 + k % texts));
-    let first = |session| r.homes(&Inference { session, prefix: 9, ..inference(Stage::Queued) })[0];
+    r.averages.mean_prompt_tokens = 2000.0;
+    (0..RECENT_ARRIVALS as u64).for_each(|index| r.affinity.record_arrival(100 + index % texts));
+    let first = |session| {
+        r.affinity_engines(&Request { session_hash: session, prefix_hash: 9, ..request(Stage::Queued) })[0]
+    };
     let mut seen: Vec<usize> = (1..60).map(|k| first(hash("s", k))).collect();
     seen.sort();
     seen.dedup();
@@ -217,16 +248,16 @@
 #[test]
 fn what_is_too_late_to_start_is_shed_unread() {
     let mut r = router(Idempotency::Idempotent);
-    hold(&mut r, Inference { due: NOW + 0.02, ..inference(Stage::Queued) });
-    let todo = r.decide(NOW);
-    assert_eq!((todo.rejected.len(), todo.dispatches.len()), (1, 0));
+    insert(&mut r, Request { deadline: NOW + 0.02, ..request(Stage::Queued) });
+    let decisions = r.decide(NOW);
+    assert_eq!((decisions.rejected.len(), decisions.dispatches.len()), (1, 0));
     assert!(
         matches!(
-            todo.reasons[..],
+            decisions.reasons[..],
             [(RequestHandle(0), RejectionReason::TooLate { admitting: 2, prefill_engines: 2, .. })]
         ),
         "{:?}",
-        todo.reasons
+        decisions.reasons
     );
 }
 
@@ -235,9 +266,9 @@
 #[test_case(1.0, 1; "full")]
 fn with_full_writers_a_missed_target_is_shed(load: f64, shed: usize) {
     let mut r = router(Idempotency::Idempotent);
-    hold(&mut r, Inference { target: NOW - 0.1, ..inference(Stage::Queued) });
+    insert(&mut r, Request { ttft_deadline: NOW - 0.1, ..request(Stage::Queued) });
     for e in &mut r.engines[2..] {
-        e.load.memory_share = Some(load);
+        e.reported_load.memory_share = Some(load);
     }
     assert_eq!(r.decide(NOW).rejected.len(), shed);
 }
@@ -245,49 +276,59 @@
 #[test_case(&[], 2; "the reader's cell")]
 #[test_case(&[2], 3; "then its zone")]
 #[test_case(&[2, 3], 4; "then elsewhere")]
-fn the_migrator_sends_at_once_to_the_nearest_free_writer(full: &[usize], eng: u32) {
+fn the_migrator_sends_at_once_to_the_nearest_free_writer(full: &[usize], engine: u32) {
     let mut r = router(Idempotency::Idempotent);
-    hold(&mut r, Inference { state: Some(0), ..inference(Stage::Held) });
-    full.iter().for_each(|&e| r.engines[e].load.memory_share = Some(1.0));
-    assert_eq!(engines_of(&r.decide(NOW)), [eng]);
+    insert(&mut r, Request { reservation: Some(0), ..request(Stage::Reserved) });
+    full.iter().for_each(|&e| r.engines[e].reported_load.memory_share = Some(1.0));
+    assert_eq!(engines_of(&r.decide(NOW)), [engine]);
 }
 
 /// A day with a cut zone left states pinned at readers that a writer could not reach.
 #[test]
 fn a_state_not_found_is_let_go() {
     let mut r = router(Idempotency::Idempotent);
-    let s = sent(&mut r, 2, true);
-    hold(&mut r, Inference { state: Some(0), sends: vec![s], ..inference(Stage::Writing) });
-    r.attempt_finished(NOW, RequestHandle(0), 0, AttemptEnd { note: 1.0, ..ending(Outcome::Rejected) }, None);
-    assert_eq!((r.todo.released.len(), r.infs[0].stage), (1, Stage::Queued));
+    let s = attempt(&mut r, 2, Phase::Decode);
+    insert(&mut r, Request { reservation: Some(0), attempts: vec![s], ..request(Stage::Decoding) });
+    r.attempt_finished(
+        NOW,
+        RequestHandle(0),
+        0,
+        AttemptEnd { reservation_missing: true, ..ending(Outcome::Rejected) },
+        None,
+    );
+    assert_eq!((r.decisions.released.len(), r.requests[0].stage), (1, Stage::Queued));
 }
 
 /// A state given up while a send was out stayed pinned when that send ended.
 #[test]
 fn letting_go_is_said_again_when_the_last_send_ends() {
     let mut r = router(Idempotency::Idempotent);
-    let s = sent(&mut r, 2, true);
-    hold(&mut r, Inference { state: Some(0), sends: vec![s], ..inference(Stage::Ended) });
+    let s = attempt(&mut r, 2, Phase::Decode);
+    insert(&mut r, Request { reservation: Some(0), attempts: vec![s], ..request(Stage::Finished) });
     r.attempt_finished(NOW, RequestHandle(0), 0, ending(Outcome::Cancelled), None);
-    assert_eq!((r.todo.released.len(), r.todo.closed.len()), (1, 1));
+    assert_eq!((r.decisions.released.len(), r.decisions.closed.len()), (1, 1));
 }
 
 #[test]
 fn a_state_with_no_writer_is_not_kept() {
     let mut r = router(Idempotency::Idempotent);
-    let read = Sent { live: false, ..sent(&mut r, 0, false) };
-    let held =
-        Inference { state: Some(0), held_since: NOW - 0.3, sends: vec![read], ..inference(Stage::Held) };
-    hold(&mut r, held);
-    r.engines[2..].iter_mut().for_each(|e| e.standing = Lifecycle::Draining);
-    let todo = r.decide(NOW);
-    assert_eq!((todo.rejected.len(), todo.released.len()), (1, 1));
+    let read = Attempt { state: AttemptState::Finished, ..attempt(&mut r, 0, Phase::Prefill) };
+    let held = Request {
+        reservation: Some(0),
+        reserved_since: NOW - 0.3,
+        attempts: vec![read],
+        ..request(Stage::Reserved)
+    };
+    insert(&mut r, held);
+    r.engines[2..].iter_mut().for_each(|e| e.lifecycle = Lifecycle::Draining);
+    let decisions = r.decide(NOW);
+    assert_eq!((decisions.rejected.len(), decisions.released.len()), (1, 1));
 }
 
-fn missed(r: &mut Router, eng: usize, outcome: Outcome) -> usize {
-    let s = Sent { at: NOW - 0.25, ..sent(r, eng, true) };
-    let held = Inference { state: Some(0), held_since: NOW - 0.25, ..inference(Stage::Writing) };
-    let i = hold(r, Inference { sends: vec![s], ..held });
+fn missed(r: &mut Router, engine: usize, outcome: Outcome) -> usize {
+    let s = Attempt { dispatched_at: NOW - 0.25, ..attempt(r, engine, Phase::Decode) };
+    let held = Request { reservation: Some(0), reserved_since: NOW - 0.25, ..request(Stage::Decoding) };
+    let i = insert(r, Request { attempts: vec![s], ..held });
     r.attempt_finished(NOW, RequestHandle(i as u32), 0, ending(outcome), None);
     i
 }
@@ -301,11 +342,11 @@
         Router::new(Deployment { connect_timeout_s: connect_s, ..deployment(Idempotency::Idempotent) });
     r.update_endpoints(
         NOW,
-        &[line("r0", EngineRole::Prefill, 0, 0), line("w1", EngineRole::Decode, 0, 0)],
+        &[entry("r0", EngineRole::Prefill, 0, 0), entry("w1", EngineRole::Decode, 0, 0)],
         true,
     );
     let i = missed(&mut r, 1, outcome);
-    assert_eq!(r.infs[i].held_since, NOW - runs_s);
+    assert_eq!(r.requests[i].reserved_since, NOW - runs_s);
 }
 
 /// The writers of the zone were tried one by one, though the first had shown that the way there was shut.
@@ -317,27 +358,24 @@
         reservation_limit_s: hold_limit_s,
         ..deployment(Idempotency::Idempotent)
     };
-    let mut r = Router {
-        hold: d.reservation_limit_s,
-        connect: d.connect_timeout_s,
-        ..router(Idempotency::Idempotent)
-    };
+    let mut r = router(Idempotency::Idempotent);
+    r.limits = Limits::new(&d);
     r.engines[2].zone = 0;
     missed(&mut r, 2, Outcome::ConnectFailed);
-    let todo = r.decide(NOW);
-    assert_eq!(engines_of(&todo), if to == 9 { vec![] } else { vec![to] });
-    assert_eq!(todo.released.len(), (to == 9) as usize);
+    let decisions = r.decide(NOW);
+    assert_eq!(engines_of(&decisions), if to == 9 { vec![] } else { vec![to] });
+    assert_eq!(decisions.released.len(), (to == 9) as usize);
 }
 
 /// Calls that let go were tried at the first engines listed, all in the zone that was cut off.
 #[test]
 fn a_call_that_any_engine_takes_goes_to_one_heard_lately() {
     let mut r = router(Idempotency::Idempotent);
-    (r.engines[0].mute, r.engines[3].mute) = (NOW, NOW);
-    (r.engines[1].heard, r.engines[4].heard) = (NOW - 2.0, NOW - 1.0);
+    (r.engines[0].unreachable_at, r.engines[3].unreachable_at) = (NOW, NOW);
+    (r.engines[1].last_response_at, r.engines[4].last_response_at) = (NOW - 2.0, NOW - 1.0);
     let at = |r: &Router| r.engines_by_last_response("r0", 3).iter().map(|e| e.0).collect::<Vec<_>>();
     assert_eq!(at(&r), [4, 1, 2]);
-    r.engines[0].heard = NOW + 1.0;
+    r.engines[0].last_response_at = NOW + 1.0;
     assert_eq!(at(&r), [0, 4, 1], "the reader meant, while it is heard");
 }
 
@@ -346,15 +384,16 @@
 #[test]
 fn a_reader_that_failed_it_is_not_tried_again_before_others() {
     let mut r = router(Idempotency::Idempotent);
-    let mut inf = Inference { prompt: 9000.0, prefix_tokens: 6000.0, prefix: 3, ..inference(Stage::Queued) };
-    inf.homes = vec![0, 1];
-    let home = hold(&mut r, inf);
-    r.infs[home].homes = vec![0, 1];
-    assert_eq!(r.reader(NOW, home, &[0, 1]), Some(0), "its text is kept there");
-    let s = sent(&mut r, 0, false);
-    r.infs[home].sends.push(s);
+    let mut inf =
+        Request { prompt_tokens: 9000.0, prefix_tokens: 6000.0, prefix_hash: 3, ..request(Stage::Queued) };
+    inf.affinity_engines = vec![0, 1];
+    let home = insert(&mut r, inf);
+    r.requests[home].affinity_engines = vec![0, 1];
+    assert_eq!(r.choose_prefill_engine(NOW, home, &[0, 1]), Some(0), "its text is kept there");
+    let s = attempt(&mut r, 0, Phase::Prefill);
+    r.requests[home].attempts.push(s);
     r.attempt_finished(NOW, RequestHandle(0), 0, ending(Outcome::EngineError), None);
-    assert_eq!(r.reader(NOW, home, &[0, 1]), Some(1));
+    assert_eq!(r.choose_prefill_engine(NOW, home, &[0, 1]), Some(1));
 }
 
 /// The churn day on sockets found a reader 15 s old, with five waiting at it, drawing the texts that its hash named.
@@ -363,21 +402,25 @@
 #[test_case(Some(NOW - 5.0), 800.0, 1968.0; "fresh, and found to keep it once")]
 fn a_reader_is_taken_to_keep_what_it_was_found_to(started_at: Option<f64>, found: f64, unkept: f64) {
     let mut r = router(Idempotency::Idempotent);
-    r.update_endpoints(NOW, &[EngineEntry { started_at, ..line("fresh", EngineRole::Prefill, 0, 0) }], false);
-    let e = r.by_id["fresh"];
-    let s = sent(&mut r, e, false);
-    let i = hold(&mut r, Inference { sends: vec![s], ..inference(Stage::Reading) });
-    r.infs[i].homes = vec![e, 0];
+    r.update_endpoints(
+        NOW,
+        &[EngineEntry { started_at, ..entry("fresh", EngineRole::Prefill, 0, 0) }],
+        false,
+    );
+    let e = r.engines.index_of("fresh").unwrap();
+    let s = attempt(&mut r, e, Phase::Prefill);
+    let i = insert(&mut r, Request { attempts: vec![s], ..request(Stage::Prefilling) });
+    r.requests[i].affinity_engines = vec![e, 0];
     if found > 0.0 {
         r.attempt_finished(
             NOW,
             RequestHandle(i as u32),
             0,
-            AttemptEnd { note: found, ..ending(Outcome::Prefilled) },
+            AttemptEnd { cached_tokens: found, ..ending(Outcome::Prefilled) },
             None,
         );
     }
-    assert!((r.unkept(e, i) - unkept).abs() < 1.0, "{}", r.unkept(e, i));
+    assert!((r.uncached_tokens(e, i) - unkept).abs() < 1.0, "{}", r.uncached_tokens(e, i));
 }
 
 const ZONE: Idempotency = Idempotency::Keyed { scope: IdempotencyScope::Zone, window_s: 5.0 };
@@ -390,11 +433,11 @@
 #[test_case(ZONE, Outcome::EngineError, true; "deduped within its span")]
 fn sending_again_keeps_to_the_kind(repeat: Idempotency, outcome: Outcome, again: bool) {
     let mut r = router(repeat);
-    let s = sent(&mut r, 2, true);
-    hold(&mut r, Inference { state: Some(0), sends: vec![s], ..inference(Stage::Writing) });
+    let s = attempt(&mut r, 2, Phase::Decode);
+    insert(&mut r, Request { reservation: Some(0), attempts: vec![s], ..request(Stage::Decoding) });
     r.attempt_finished(NOW, RequestHandle(0), 0, ending(outcome), None);
-    assert_eq!(r.infs[0].stage == Stage::Held, again);
-    assert_eq!(r.todo.failed.len(), usize::from(!again));
+    assert_eq!(r.requests[0].stage == Stage::Reserved, again);
+    assert_eq!(r.decisions.failed.len(), usize::from(!again));
 }
 
 #[test_case(NOW, 3, 0.0, true; "inside the group")]
@@ -402,11 +445,18 @@
 #[test_case(NOW + 4.5, 3, 0.0, false; "after it forgets")]
 #[test_case(NOW + 3.9, 3, 0.0, true; "well within the span")]
 #[test_case(NOW + 3.9, 3, 0.5, false; "a connection may come up after it")]
-fn deduped_stays_in_its_group_and_span(now: f64, eng: usize, connect: f64, allowed: bool) {
+fn deduped_stays_in_its_group_and_span(now: f64, engine: usize, connect: f64, allowed: bool) {
     let mut r = router(ZONE);
-    r.connect = connect;
-    hold(&mut r, Inference { state: Some(0), ran: Some((2, NOW)), ..inference(Stage::Held) });
-    assert_eq!(r.again(now, 0, Some(eng)), allowed);
+    r.limits.connect_timeout_s = connect;
+    insert(
+        &mut r,
+        Request {
+            reservation: Some(0),
+            first_decode: Some(DecodeStart { engine: 2, at: NOW }),
+            ..request(Stage::Reserved)
+        },
+    );
+    assert_eq!(r.may_retry(now, 0, Some(engine)), allowed);
 }
 
 /// A hunt found a deduped inference read again in another cell after its state was lost.
@@ -414,7 +464,10 @@
 #[test_case(ALL, true; "every engine is in the group")]
 fn a_deduped_prompt_is_read_again_only_inside_its_group(repeat: Idempotency, allowed: bool) {
     let mut r = router(repeat);
-    hold(&mut r, Inference { ran: Some((2, NOW)), ..inference(Stage::Queued) });
+    insert(
+        &mut r,
+        Request { first_decode: Some(DecodeStart { engine: 2, at: NOW }), ..request(Stage::Queued) },
+    );
     assert_eq!(r.decide(NOW).dispatches.len() == 1, allowed);
 }
 
@@ -424,25 +477,25 @@
 #[test_case(Idempotency::NonIdempotent, false)]
 fn giving_up_sheds_only_what_may_be_repeated(repeat: Idempotency, shed: bool) {
     let mut r = router(repeat);
-    let s = sent(&mut r, 2, true);
-    hold(&mut r, Inference { sends: vec![s], ..inference(Stage::Writing) });
-    r.give_up(0, RejectionReason::NoAttemptLeft);
-    assert_eq!((r.todo.rejected.len() == 1, r.todo.failed.len() == 1), (shed, !shed));
-    assert_eq!(r.todo.cancelled, [(RequestHandle(0), 0)]);
+    let s = attempt(&mut r, 2, Phase::Decode);
+    insert(&mut r, Request { attempts: vec![s], ..request(Stage::Decoding) });
+    r.reject_or_fail(0, RejectionReason::NoAttemptLeft);
+    assert_eq!((r.decisions.rejected.len() == 1, r.decisions.failed.len() == 1), (shed, !shed));
+    assert_eq!(r.decisions.cancelled, [(RequestHandle(0), 0)]);
 }
 
 #[test]
 fn the_last_answer_comes_before_the_time_is_up() {
     let mut r = router(Idempotency::Idempotent);
-    let s = sent(&mut r, 0, false);
-    hold(&mut r, Inference { sends: vec![s], due: NOW + 0.003, ..inference(Stage::Reading) });
+    let s = attempt(&mut r, 0, Phase::Prefill);
+    insert(&mut r, Request { attempts: vec![s], deadline: NOW + 0.003, ..request(Stage::Prefilling) });
     assert_eq!(r.decide(NOW).rejected.len(), 1);
 }
 
 #[test]
 fn a_client_that_left_is_owed_nothing() {
     let mut r = router(Idempotency::Idempotent);
-    hold(&mut r, inference(Stage::Queued));
+    insert(&mut r, request(Stage::Queued));
     r.client_disconnected(RequestHandle(0));
     assert!(r.decide(NOW).dispatches.is_empty());
 }
@@ -450,8 +503,8 @@
 #[test]
 fn a_broken_stream_is_over() {
     let mut r = router(Idempotency::NonIdempotent);
-    let s = sent(&mut r, 2, true);
-    hold(&mut r, Inference { sends: vec![s], ..inference(Stage::Streaming) });
+    let s = attempt(&mut r, 2, Phase::Decode);
+    insert(&mut r, Request { attempts: vec![s], ..request(Stage::Streaming) });
     r.attempt_finished(
         NOW,
         RequestHandle(0),
@@ -459,44 +512,47 @@
         AttemptEnd { request_finished: true, ..ending(Outcome::ConnectionLost) },
         None,
     );
-    assert_eq!((r.todo.closed.len(), r.todo.failed.len()), (1, 0));
+    assert_eq!((r.decisions.closed.len(), r.decisions.failed.len()), (1, 0));
 }
 
 #[test_case(Lifecycle::Draining)]
 #[test_case(Lifecycle::Removed)]
-fn nothing_new_goes_to_an_engine_that_leaves(standing: Lifecycle) {
+fn nothing_new_goes_to_an_engine_that_leaves(lifecycle: Lifecycle) {
     let mut r = router(Idempotency::Idempotent);
-    hold(&mut r, inference(Stage::Queued));
-    r.engines[..2].iter_mut().for_each(|e| e.standing = standing);
+    insert(&mut r, request(Stage::Queued));
+    r.engines[..2].iter_mut().for_each(|e| e.lifecycle = lifecycle);
     assert!(r.decide(NOW).dispatches.is_empty());
 }
 
 #[test]
 fn a_full_list_drops_what_it_leaves_out() {
     let mut r = router(Idempotency::Idempotent);
-    r.update_endpoints(NOW, &[line("r1", EngineRole::Prefill, 0, 1)], true);
-    assert_eq!(r.engines.iter().filter(|e| e.standing == Lifecycle::Active).count(), 1);
+    r.update_endpoints(NOW, &[entry("r1", EngineRole::Prefill, 0, 1)], true);
+    assert_eq!(r.engines.iter().filter(|e| e.lifecycle == Lifecycle::Active).count(), 1);
 }
 
 #[test]
 fn a_restart_voids_what_was_known() {
     let mut r = router(Idempotency::Idempotent);
-    r.note_load(NOW - 2.0, 0, EngineLoad { queue_len: Some(9.0), ..EngineLoad::default() });
+    r.record_load(NOW - 2.0, 0, EngineLoad { queue_len: Some(9.0), ..EngineLoad::default() });
     r.update_endpoints(
         NOW,
-        &[EngineEntry { started_at: Some(NOW - 1.0), ..line("r0", EngineRole::Prefill, 0, 0) }],
+        &[EngineEntry { started_at: Some(NOW - 1.0), ..entry("r0", EngineRole::Prefill, 0, 0) }],
         false,
     );
-    assert_eq!((r.engines[0].load, r.engines[0].load_at), (EngineLoad::default(), f64::NEG_INFINITY));
+    assert_eq!(
+        (r.engines[0].reported_load, r.engines[0].reported_at),
+        (EngineLoad::default(), f64::NEG_INFINITY)
+    );
 }
 
 /// A fleet of nodes with 40 readers, of which 24 have just started, all with quick news of each other.
 fn fleet(nodes: u32) -> Vec<Router> {
     let readers = (0..40).map(|k| EngineEntry {
         started_at: (k >= 16).then_some(NOW - 0.1),
-        ..line(&format!("r{k}"), EngineRole::Prefill, 0, 0)
+        ..entry(&format!("r{k}"), EngineRole::Prefill, 0, 0)
     });
-    let lines: Vec<EngineEntry> = readers.chain([line("w", EngineRole::Decode, 0, 0)]).collect();
+    let lines: Vec<EngineEntry> = readers.chain([entry("w", EngineRole::Decode, 0, 0)]).collect();
     let node = |n: u32| {
         let quotas = vec![400.0];
         let d = Deployment {
@@ -508,7 +564,7 @@
         };
         let mut r = Router::new(d);
         r.update_endpoints(NOW, &lines, true);
-        r.engines.iter_mut().for_each(|e| e.load_at = NOW);
+        r.engines.iter_mut().for_each(|e| e.reported_at = NOW);
         r
     };
     (0..nodes).map(node).collect()
@@ -528,24 +584,24 @@
     weight: fn(u32) -> usize,
     full: bool,
 ) {
-    let mut sends = [0; 40];
+    let mut attempts = [0; 40];
     for (n, r) in fleet(nodes).iter_mut().enumerate() {
         for k in 0..each * weight(n as u32) {
             // In the window's course; what was taken before is done with.
             let now = NOW + 0.01 + 2.0 * k as f64 / (each * weight(n as u32)) as f64;
             let session = format!("{n} {k}");
             let waits = if full { 5.0 } else { 0.0 };
-            for (e, eng) in r.engines.iter_mut().enumerate().take(40) {
-                (eng.matures, eng.load_at) = (if e < 16 { now + waits } else { now }, now);
-                eng.told_wait = eng.matures - now;
+            for (e, engine) in r.engines.iter_mut().enumerate().take(40) {
+                (engine.available_at, engine.reported_at) = (if e < 16 { now + waits } else { now }, now);
+                engine.reported_wait_s = engine.available_at - now;
             }
             r.admit_request(now, &IncomingRequest { session, deadline: now + 5.0, ..arrival() });
             for s in r.decide(now).dispatches {
-                sends[s.engine.0 as usize] += 1;
+                attempts[s.engine.0 as usize] += 1;
             }
         }
     }
-    let fresh = &sends[16..];
+    let fresh = &attempts[16..];
     let mean = fresh.iter().sum::<i32>() as f64 / fresh.len() as f64;
     assert!(mean <= 18.0 && fresh.iter().all(|&n| n <= 18 + 13), "{fresh:?}");
     // Turns left them a tenth of their part.
@@ -558,53 +614,55 @@
     let mut r = router(Idempotency::Idempotent);
     r.engines[1].zone = 1;
     let lines: Vec<EngineEntry> =
-        (0..30).map(|k| line(&format!("m{k}"), EngineRole::Prefill, 1, 0)).collect();
+        (0..30).map(|k| entry(&format!("m{k}"), EngineRole::Prefill, 1, 0)).collect();
     r.update_endpoints(NOW, &lines, false);
-    r.engines[0].started = NOW - 0.1;
-    r.survey(NOW);
-    let drawn = |draw| Inference { draw: Some(draw), ..inference(Stage::Queued) };
-    let infs: Vec<usize> = (0..1000).map(|d| hold(&mut r, drawn(d))).collect();
-    let sent = infs.iter().filter(|&&i| r.ration(NOW, i, 0)).count();
-    assert!(r.infs[infs[0]].homes.first() == Some(&0) && sent > 0 && sent < 1000 / 10);
+    r.engines[0].started_at = NOW - 0.1;
+    r.update_averages(NOW);
+    let drawn = |draw| Request { slow_start_draw: Some(draw), ..request(Stage::Queued) };
+    let requests: Vec<usize> = (0..1000).map(|d| insert(&mut r, drawn(d))).collect();
+    let attempt = requests.iter().filter(|&&i| r.slow_start_admits(NOW, i, 0)).count();
+    assert!(
+        r.requests[requests[0]].affinity_engines.first() == Some(&0) && attempt > 0 && attempt < 1000 / 10
+    );
 }
 
 #[test]
 fn silence_moves_maturity_further_each_time() {
     let mut r = router(Idempotency::Idempotent);
-    r.unreached(NOW, 0);
-    let first = r.engines[0].matures;
-    r.unreached(NOW, 0);
-    assert!(first > NOW && r.engines[0].matures > first);
+    r.record_unreachable(NOW, 0);
+    let first = r.engines[0].available_at;
+    r.record_unreachable(NOW, 0);
+    assert!(first > NOW && r.engines[0].available_at > first);
 }
 
 /// Lost answers at most of a fleet held it all off, and everything was shed.
 #[test_case(&[2], 3; "a failing writer is passed over")]
 #[test_case(&[2, 3, 4], 2; "all failing alike are used as before")]
-fn failures_make_a_worse_choice_but_bar_none(failing: &[usize], eng: u32) {
+fn failures_make_a_worse_choice_but_bar_none(failing: &[usize], engine: u32) {
     let mut r = router(Idempotency::Idempotent);
-    hold(&mut r, Inference { state: Some(0), ..inference(Stage::Held) });
-    failing.iter().for_each(|&e| r.strike(NOW, e));
-    assert_eq!(engines_of(&r.decide(NOW)), [eng]);
+    insert(&mut r, Request { reservation: Some(0), ..request(Stage::Reserved) });
+    failing.iter().for_each(|&e| r.record_failure(NOW, e));
+    assert_eq!(engines_of(&r.decide(NOW)), [engine]);
 }
 
 /// Where probes queue like work, busy readers passed for dead, and what they held was called off.
 #[test_case(1.0, Outcome::TimedOut, false; "a queue explains it")]
 #[test_case(0.0, Outcome::TimedOut, true; "nothing explains it")]
 #[test_case(0.0, Outcome::Rejected, false; "full is not silent")]
-fn an_unanswered_probe_is_silence_only_without_a_queue(wait: f64, outcome: Outcome, mute: bool) {
+fn an_unanswered_probe_is_silence_only_without_a_queue(wait: f64, outcome: Outcome, unreachable_at: bool) {
     let mut r = router(Idempotency::Idempotent);
-    (r.engines[0].told_wait, r.engines[0].asked) = (wait, NOW - 0.25);
+    (r.engines[0].reported_wait_s, r.engines[0].probed_at) = (wait, NOW - 0.25);
     r.probe_finished(NOW, "r0", outcome, None);
-    assert_eq!(r.engines[0].mute == NOW, mute);
+    assert_eq!(r.engines[0].unreachable_at == NOW, unreachable_at);
 }
 
 /// Inferences were shed on old news of full writers long after these had room, since nobody asked.
 #[test]
 fn news_is_asked_for_before_anything_is_shed() {
     let mut r = loose_target_in_a_rush();
-    r.engines.iter_mut().for_each(|e| (e.load_at, e.asked) = (NOW - 60.0, NOW - 60.0));
-    let todo = r.decide(NOW);
-    assert!(todo.rejected.is_empty() && todo.probes.iter().any(|e| e.0 < 2));
+    r.engines.iter_mut().for_each(|e| (e.reported_at, e.probed_at) = (NOW - 60.0, NOW - 60.0));
+    let decisions = r.decide(NOW);
+    assert!(decisions.rejected.is_empty() && decisions.probes.iter().any(|e| e.0 < 2));
 }
 
 /// On sockets a round of decisions comes moments after the arrival: no writer was ever asked, and an idle
@@ -612,53 +670,53 @@
 #[test]
 fn an_arrival_asks_writers_however_late_the_round() {
     let mut r = router(Idempotency::Idempotent);
-    r.engines.iter_mut().for_each(|e| (e.load_at, e.asked) = (NOW - 60.0, NOW - 60.0));
+    r.engines.iter_mut().for_each(|e| (e.reported_at, e.probed_at) = (NOW - 60.0, NOW - 60.0));
     r.admit_request(NOW, &arrival());
-    let todo = r.decide(NOW + 0.001);
-    assert!(todo.probes.iter().any(|e| e.0 >= 2));
+    let decisions = r.decide(NOW + 0.001);
+    assert!(decisions.probes.iter().any(|e| e.0 >= 2));
 }
 
 /// Sends were called off and lost their place because their engine was merely busy.
 #[test_case(NOW + 0.5, 0; "heard since")]
 #[test_case(0.0, 1; "unreachable and silent")]
-fn only_silence_calls_a_send_off(heard: f64, cancelled: usize) {
+fn only_silence_calls_a_send_off(last_response_at: f64, cancelled: usize) {
     let mut r = router(Idempotency::Idempotent);
-    let s = sent(&mut r, 0, false);
-    hold(&mut r, Inference { sends: vec![s], ..inference(Stage::Reading) });
-    (r.engines[0].heard, r.engines[0].mute) = (heard, NOW + 0.4);
-    r.watch(NOW + 0.6);
-    assert_eq!(r.todo.cancelled.len(), cancelled);
+    let s = attempt(&mut r, 0, Phase::Prefill);
+    insert(&mut r, Request { attempts: vec![s], ..request(Stage::Prefilling) });
+    (r.engines[0].last_response_at, r.engines[0].unreachable_at) = (last_response_at, NOW + 0.4);
+    r.enforce_deadlines(NOW + 0.6);
+    assert_eq!(r.decisions.cancelled.len(), cancelled);
 }
 
 /// An ageing engine kept its early maturity until it crashed: its sends only came late.
 #[test]
 fn an_overdue_send_counts_as_one_failure() {
     let mut r = router(Idempotency::Idempotent);
-    let s = sent(&mut r, 0, false);
-    hold(&mut r, Inference { sends: vec![s], ..inference(Stage::Reading) });
-    r.watch(NOW + 0.5);
-    r.watch(NOW + 0.5);
-    assert_eq!(r.engines[0].faults, 1.0);
+    let s = attempt(&mut r, 0, Phase::Prefill);
+    insert(&mut r, Request { attempts: vec![s], ..request(Stage::Prefilling) });
+    r.enforce_deadlines(NOW + 0.5);
+    r.enforce_deadlines(NOW + 0.5);
+    assert_eq!(r.engines[0].recent_failures, 1.0);
 }
 
 /// A time-out at an engine that answered others meanwhile counted as a fault.
 #[test_case(NOW + 1.0, 0.0; "busy")]
 #[test_case(NOW - 1.0, 1.0; "silent")]
-fn a_timeout_counts_only_in_silence(heard: f64, faults: f64) {
+fn a_timeout_counts_only_in_silence(last_response_at: f64, recent_failures: f64) {
     let mut r = router(Idempotency::Idempotent);
-    let s = sent(&mut r, 0, false);
-    hold(&mut r, Inference { sends: vec![s], ..inference(Stage::Reading) });
-    r.engines[0].heard = heard;
+    let s = attempt(&mut r, 0, Phase::Prefill);
+    insert(&mut r, Request { attempts: vec![s], ..request(Stage::Prefilling) });
+    r.engines[0].last_response_at = last_response_at;
     r.attempt_finished(NOW + 2.0, RequestHandle(0), 0, ending(Outcome::TimedOut), None);
-    assert_eq!(r.engines[0].faults, faults);
+    assert_eq!(r.engines[0].recent_failures, recent_failures);
 }
 
 /// Readers with long queues of other nodes' reads looked matured.
 #[test]
 fn reported_backlog_moves_a_readers_maturity() {
     let mut r = router(Idempotency::Idempotent);
-    r.note_load(NOW, 0, EngineLoad { pending_prompt_tokens: Some(50_000.0), ..EngineLoad::default() });
-    assert!(r.engines[0].matures > NOW + 0.1);
+    r.record_load(NOW, 0, EngineLoad { pending_prompt_tokens: Some(50_000.0), ..EngineLoad::default() });
+    assert!(r.engines[0].available_at > NOW + 0.1);
 }
 
 /// Queued inferences at a writer were not counted: it looked free.
@@ -669,9 +727,9 @@
 #[test_case(EngineLoad { slot_share: Some(0.6), ..EngineLoad::default() }, 0.6)]
 fn a_writers_load_counts_what_waits(load: EngineLoad, share: f64) {
     let mut r = router(Idempotency::Idempotent);
-    r.prompt = 2000.0;
-    (r.engines[2].load, r.engines[2].load_at) = (load, r.now);
-    assert!((r.load(2) - share).abs() < 1e-9);
+    r.averages.mean_prompt_tokens = 2000.0;
+    (r.engines[2].reported_load, r.engines[2].reported_at) = (load, r.averages.as_of);
+    assert!((r.estimated_load(2) - share).abs() < 1e-9);
 }
 
 /// A writer last heard of when it was over-full was avoided for seconds, and inferences shed meanwhile.
@@ -679,9 +737,9 @@
 #[test_case(60.0, 0.5; "old")]
 fn an_old_report_fades_to_the_usual(age: f64, share: f64) {
     let mut r = router(Idempotency::Idempotent);
-    (r.now, r.life, r.usual[1]) = (NOW + age, 5.0, 0.5);
-    (r.engines[2].load.memory_share, r.engines[2].load_at) = (Some(1.3), NOW);
-    assert!((r.load(2) - share).abs() < 1e-4);
+    (r.averages.as_of, r.averages.mean_stream_s, r.averages.decode.load) = (NOW + age, 5.0, 0.5);
+    (r.engines[2].reported_load.memory_share, r.engines[2].reported_at) = (Some(1.3), NOW);
+    assert!((r.estimated_load(2) - share).abs() < 1e-4);
 }
 
 /// A deployment without reports or probes, 300 nodes: each held what came for a quarter of a second and more, on a calm
@@ -692,19 +750,19 @@
         Router::new(Deployment { node_count: 300, can_probe: false, ..deployment(Idempotency::Idempotent) });
     r.update_endpoints(
         NOW,
-        &[line("r0", EngineRole::Prefill, 0, 0), line("w1", EngineRole::Decode, 0, 0)],
+        &[entry("r0", EngineRole::Prefill, 0, 0), entry("w1", EngineRole::Decode, 0, 0)],
         true,
     );
-    r.engines[1].tokens = 2000.0;
-    r.engines[1].out = 1;
-    hold(&mut r, inference(Stage::Queued));
+    r.engines[1].tokens_in_flight = 2000.0;
+    r.engines[1].attempts_in_flight = 1;
+    insert(&mut r, request(Stage::Queued));
     assert_eq!(engines_of(&r.decide(NOW)), [0]);
 }
 
 /// Other nodes' queues were fitted as read cost, and idle readers held back for them.
 #[test]
 fn long_timings_move_the_read_fit_little() {
-    let (mut up, mut down) = (ReadCost::new(0.02, 0.04), ReadCost::new(0.02, 0.04));
+    let (mut up, mut down) = (PrefillCost::new(0.02, 0.04), PrefillCost::new(0.02, 0.04));
     let was = up.of(2000.0);
     up.add(2000.0, was + 0.05);
     down.add(2000.0, was - 0.05);
@@ -716,8 +774,9 @@
 #[test_case(5.0; "reader with a queue")]
 fn only_reads_that_met_an_idle_reader_are_fitted(there: f64) {
     let mut r = router(Idempotency::Idempotent);
-    let (was, s) = (r.read_cost.of(2000.0), Sent { there, ..sent(&mut r, 0, false) });
-    hold(&mut r, Inference { sends: vec![s], ..inference(Stage::Reading) });
+    let (was, s) =
+        (r.prefill_cost.of(2000.0), Attempt { requests_ahead: there, ..attempt(&mut r, 0, Phase::Prefill) });
+    insert(&mut r, Request { attempts: vec![s], ..request(Stage::Prefilling) });
     r.attempt_finished(
         NOW + 3.0,
         RequestHandle(0),
@@ -725,25 +784,26 @@
         AttemptEnd { elapsed_s: 3.0, ..ending(Outcome::Prefilled) },
         None,
     );
-    assert_eq!(r.read_cost.of(2000.0) > was, there == 0.0);
+    assert_eq!(r.prefill_cost.of(2000.0) > was, there == 0.0);
 }
 
 /// After a cut zone healed, its engines stayed held off for seconds.
 #[test_case(NOW - 1.0, NOW; "silence has ended")]
 #[test_case(NOW - 9.0, NOW + 5.0; "errors go on")]
-fn an_answer_ends_only_a_silent_hold_off(mute: f64, matures: f64) {
+fn an_answer_ends_only_a_silent_hold_off(unreachable_at: f64, available_at: f64) {
     let mut r = router(Idempotency::Idempotent);
-    (r.engines[0].mute, r.engines[0].heard, r.engines[0].matures) = (mute, NOW - 2.0, NOW + 5.0);
-    r.hear(NOW, 0);
-    assert_eq!(r.engines[0].matures, matures);
+    (r.engines[0].unreachable_at, r.engines[0].last_response_at, r.engines[0].available_at) =
+        (unreachable_at, NOW - 2.0, NOW + 5.0);
+    r.record_response(NOW, 0);
+    assert_eq!(r.engines[0].available_at, available_at);
 }
 
 /// A queued inference with a loose target, and writers that are over-full.
 fn loose_target_in_a_rush() -> Router {
     let mut r = router(Idempotency::Idempotent);
-    r.prompt = 2000.0;
-    hold(&mut r, Inference { target: NOW + 4.0, ..inference(Stage::Queued) });
-    r.engines[2..].iter_mut().for_each(|e| (e.load.memory_share, e.load_at) = (Some(1.2), NOW));
+    r.averages.mean_prompt_tokens = 2000.0;
+    insert(&mut r, Request { ttft_deadline: NOW + 4.0, ..request(Stage::Queued) });
+    r.engines[2..].iter_mut().for_each(|e| (e.reported_load.memory_share, e.reported_at) = (Some(1.2), NOW));
     r
 }
 
@@ -763,7 +823,7 @@
 
 #[test]
 fn the_read_fit_learns_a_cost() {
-    let mut fit = ReadCost::new(0.02, 0.04);
+    let mut fit = PrefillCost::new(0.02, 0.04);
     for k in 0..900 {
         let t = (k % 9) as f64;
         fit.add(1000.0 * t, 0.01 + 0.1 * t);
@@ -775,7 +835,7 @@
 #[test]
 fn beyond_its_share_is_admitted_when_there_is_room() {
     let mut r = router(Idempotency::Idempotent);
-    hold(&mut r, Inference { over_share: true, ..inference(Stage::Queued) });
+    insert(&mut r, Request { over_quota: true, ..request(Stage::Queued) });
     assert_eq!(r.decide(NOW).dispatches.len(), 1);
 }
 
@@ -786,32 +846,32 @@
     let mut r = Router::new(Deployment { node_count: 200, ..deployment(Idempotency::Idempotent) });
     let arrival = IncomingRequest { tenant: Some(0), prompt_tokens: 900.0, ..arrival() };
     let last = (0..arrivals).map(|_| r.admit_request(NOW, &arrival)).last().unwrap();
-    assert_eq!(r.infs[last.0 as usize].over_share, over);
+    assert_eq!(r.requests[last.0 as usize].over_quota, over);
 }
 
 #[test]
 fn beyond_its_share_comes_last() {
     let mut r = router(Idempotency::Idempotent);
-    hold(&mut r, Inference { over_share: true, arrived: NOW - 1.0, ..inference(Stage::Queued) });
-    hold(&mut r, inference(Stage::Queued));
+    insert(&mut r, Request { over_quota: true, arrived_at: NOW - 1.0, ..request(Stage::Queued) });
+    insert(&mut r, request(Stage::Queued));
     assert_eq!(r.decide(NOW).dispatches[0].request, RequestHandle(1));
 }
 
 #[test_case(false, 0; "writers that cannot read")]
 #[test_case(true, 1; "writers that can")]
-fn with_no_reader_a_writer_reads_where_it_can(writers_read: bool, sends: usize) {
+fn with_no_reader_a_writer_reads_where_it_can(writers_read: bool, attempts: usize) {
     let mut r = router(Idempotency::Idempotent);
-    r.writers_read = writers_read;
-    hold(&mut r, inference(Stage::Queued));
-    r.engines[..2].iter_mut().for_each(|e| e.standing = Lifecycle::Removed);
-    assert_eq!(r.decide(NOW).dispatches.len(), sends);
+    r.limits.decode_engines_prefill = writers_read;
+    insert(&mut r, request(Stage::Queued));
+    r.engines[..2].iter_mut().for_each(|e| e.lifecycle = Lifecycle::Removed);
+    assert_eq!(r.decide(NOW).dispatches.len(), attempts);
 }
 
 #[test]
 fn equal_state_gives_equal_decisions() {
     let run = || {
         let mut r = router(Idempotency::Idempotent);
-        (0..9).for_each(|_| _ = hold(&mut r, inference(Stage::Queued)));
+        (0..9).for_each(|_| _ = insert(&mut r, request(Stage::Queued)));
         r.decide(NOW)
     };
     assert_eq!(run(), run());
@@ -823,9 +883,9 @@
     let mut r = router(Idempotency::Idempotent);
     for round in 0..4 {
         let id = |k: usize| format!("{}-{}", k + 500 * round, "long".repeat(50));
-        let lines: Vec<_> = (0..2000).map(|k| line(&id(k), EngineRole::Prefill, 0, 0)).collect();
+        let lines: Vec<_> = (0..2000).map(|k| entry(&id(k), EngineRole::Prefill, 0, 0)).collect();
         r.update_endpoints(NOW, &lines, true);
-        assert_eq!(r.stage(true).len(), 2000);
+        assert_eq!(r.available_engines(Phase::Prefill).len(), 2000);
     }
     // Those that are gone make room for new ones.
     assert!(r.engines.len() <= 2000 + 500 + 5, "{}", r.engines.len());
@@ -836,22 +896,26 @@
     let mut r = router(Idempotency::Idempotent);
     r.engines[1].zone = 1;
     r.set_zone_weight(1, 0.0);
-    assert_eq!((r.stage(true), r.stage(false)), (vec![0], vec![2, 3]));
+    assert_eq!(
+        (r.available_engines(Phase::Prefill), r.available_engines(Phase::Decode)),
+        (vec![0], vec![2, 3])
+    );
     r.set_zone_weight(1, 0.25);
-    let drawn = |d: u64| Inference { draw: Some(hash("", d)), ..inference(Stage::Queued) };
-    let infs: Vec<usize> = (0..4000).map(|d| hold(&mut r, drawn(d))).collect();
-    let part = |e: usize| infs.iter().filter(|&&i| r.ration(NOW, i, e)).count() as f64 / 4000.0;
+    let drawn = |d: u64| Request { slow_start_draw: Some(hash("", d)), ..request(Stage::Queued) };
+    let requests: Vec<usize> = (0..4000).map(|d| insert(&mut r, drawn(d))).collect();
+    let part =
+        |e: usize| requests.iter().filter(|&&i| r.slow_start_admits(NOW, i, e)).count() as f64 / 4000.0;
     assert!((part(1) - 0.25).abs() < 0.03, "{}", part(1));
     assert_eq!((part(1), part(0)), (part(4), 1.0), "the same ones for all of a zone");
-    let beyond = hold(&mut r, inference(Stage::Queued));
-    assert!(!r.ration(NOW, beyond, 1), "what may not draw is not of the part");
+    let beyond = insert(&mut r, request(Stage::Queued));
+    assert!(!r.slow_start_admits(NOW, beyond, 1), "what may not draw is not of the part");
 }
 
 #[test]
 fn what_is_out_to_a_zone_that_is_left_goes_elsewhere() {
     let mut r = router(Idempotency::Idempotent);
-    let s = Sent { at: NOW - 0.3, expected: 1.0, ..sent(&mut r, 4, true) };
-    hold(&mut r, Inference { state: Some(0), sends: vec![s], ..inference(Stage::Writing) });
+    let s = Attempt { dispatched_at: NOW - 0.3, expected_s: 1.0, ..attempt(&mut r, 4, Phase::Decode) };
+    insert(&mut r, Request { reservation: Some(0), attempts: vec![s], ..request(Stage::Decoding) });
     assert!(r.decide(NOW).cancelled.is_empty());
     r.set_zone_weight(1, 0.0);
     assert_eq!(r.decide(NOW).cancelled, [(RequestHandle(0), 0)]);
@@ -860,10 +924,10 @@
 #[test]
 fn a_knock_asks_that_engine_of_the_zone_with_the_oldest_news() {
     let mut r = router(Idempotency::Idempotent);
-    r.engines[2].load_at = NOW - 5.0;
+    r.engines[2].reported_at = NOW - 5.0;
     r.set_zone_weight(0, 0.0);
     r.probe_zone(NOW, 0);
-    assert_eq!(r.todo.probes, [EngineHandle(2)]);
+    assert_eq!(r.decisions.probes, [EngineHandle(2)]);
 }
 
 /// Offline work is run in room that live work leaves.
@@ -871,8 +935,8 @@
 fn what_takes_spare_room_alone_waits_behind_the_rest_and_counts_against_no_share() {
     let mut r = router(Idempotency::Idempotent);
     let spare = r.admit_request(NOW, &IncomingRequest { tenant: Some(0), is_background: true, ..arrival() });
-    let left = r.shares[0].bucket.left;
-    assert!(r.infs[spare.0 as usize].over_share && left >= 2.0, "{left}");
+    let left = r.tenant_quotas.tenants[0].bucket.tokens;
+    assert!(r.requests[spare.0 as usize].over_quota && left >= 2.0, "{left}");
     let live = r.admit_request(NOW, &IncomingRequest { tenant: Some(0), ..arrival() });
     let order: Vec<u32> = r.decide(NOW).dispatches.iter().map(|s| s.request.0).collect();
     assert_eq!(order.first(), Some(&live.0));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,5 @@
-//! nickelgw pairs prompt readers with answer writers: the decision module and its plain types.
+//! nickelgw routes language-model requests to prefill and decode engines: the decision module and the types
+//! that its callers exchange with it.
 
 pub mod decide;
 pub mod interface;
-mod kept;
-mod state;
--- a/tests/cold_ramp.rs
+++ b/tests/cold_ramp.rs
@@ -290,7 +290,13 @@
             return;
         }
         self.engines[s.eng].out -= 1;
-        let end = AttemptEnd { outcome, elapsed_s: now - s.sent, request_finished: false, note: 0.0 };
+        let end = AttemptEnd {
+            outcome,
+            elapsed_s: now - s.sent,
+            request_finished: false,
+            cached_tokens: 0.0,
+            reservation_missing: false,
+        };
         let load = self.load(s.eng);
         self.nodes[n].router.attempt_finished(now, s.inf, s.send, end, load);
     }
--- a/tests/shares.rs
+++ b/tests/shares.rs
@@ -275,7 +275,13 @@
         if !self.open[n].contains_key(&s.inf.0) {
             return;
         }
-        let end = AttemptEnd { outcome, elapsed_s: now - s.sent, request_finished: false, note: s.kept };
+        let end = AttemptEnd {
+            outcome,
+            elapsed_s: now - s.sent,
+            request_finished: false,
+            cached_tokens: s.kept,
+            reservation_missing: false,
+        };
         let load = Some(self.load(s.eng));
         self.nodes[n].attempt_finished(now, s.inf, s.send, end, load);
     }
