--- a/crates/nickelgw-cli/src/bench_path.rs
+++ b/crates/nickelgw-cli/src/bench_path.rs
@@ -80,12 +80,12 @@
         ledger.prefill_begins(
             now,
             h,
-            Reservation { name: String::new(), prefill_engine: reader.clone(), named_after_request: false },
+            Reservation { name: "".into(), prefill_engine: reader.clone(), named_after_request: false },
         );
         ledger.prefill_done(now, h);
         black_box(ledger.claim(now, n, 1));
         ledger.claim_served(now, n, 1);
-        black_box(ledger.due(now));
+        black_box(ledger.poll_releases(now));
     });
 }
 
--- a/crates/nickelgw-node-core/src/apply_decisions.rs
+++ b/crates/nickelgw-node-core/src/apply_decisions.rs
@@ -86,7 +86,7 @@
         for inf in &d.closed {
             self.taken[inf.0 as usize] = None;
         }
-        let (calls, let_go_at) = self.ledger.due(now);
+        let (calls, let_go_at) = self.ledger.poll_releases(now);
         for owner in self.ledger.take_expired() {
             if let Some(t) = self.ticket_of(owner) {
                 self.router.reservation_expired(now, RequestHandle(t.slot));
@@ -151,8 +151,11 @@
         let name = name.unwrap_or_else(|| format!("{}-{}-{send}", self.figures.incarnation, ticket.serial));
         let grounds = self.router.dispatch_rationale(inf, send);
         let what = if read {
-            let state =
-                Reservation { name: name.clone(), prefill_engine: eng.clone(), named_after_request: shared };
+            let state = Reservation {
+                name: name.as_str().into(),
+                prefill_engine: eng.clone(),
+                named_after_request: shared,
+            };
             self.ledger.prefill_begins(now, ReservationId { owner: ticket.serial, prefill: send }, state);
             AttemptKind::Prefill
         } else {
--- a/crates/nickelgw-node-core/src/commands.rs
+++ b/crates/nickelgw-node-core/src/commands.rs
@@ -28,7 +28,7 @@
 /// A state that waits at a reader.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reservation {
-    pub name: String,
+    pub name: Rc<str>,
     pub prefill_engine: Rc<Endpoint>,
     /// It bears its request's name: one call, to any engine, lets go of all that is held for the request.
     pub named_after_request: bool,
--- a/crates/nickelgw-node-core/src/lib.rs
+++ b/crates/nickelgw-node-core/src/lib.rs
@@ -4,6 +4,7 @@
 pub mod admission;
 mod apply_decisions;
 pub mod attempt_outcome;
+mod backoff;
 mod commands;
 pub mod guard;
 pub mod ledger;
@@ -35,11 +36,6 @@
 use trace::{RequestTrace, TraceBuffer, TraceEvent};
 use zone_failover::{ZoneFailover, ZoneRound};
 
-/// Gap before the next try of a call that has failed so often: doubled each time, up to the longest.
-fn doubling(first_s: f64, tries: u32, longest_s: f64) -> f64 {
-    (first_s * f64::from(1u32 << tries.min(16))).min(longest_s)
-}
-
 /// Part of its target past which a first token counts as late for the limit: one that waits for misses has had them.
 const IN_GOOD_TIME: f64 = 0.4;
 
--- a/crates/nickelgw-node-core/src/orphan_cleanup.rs
+++ b/crates/nickelgw-node-core/src/orphan_cleanup.rs
@@ -53,7 +53,7 @@
     pub fn release_finished(&mut self, now: f64, address: &str, done: bool) {
         let Some((_, stage)) = self.readers.get_mut(address) else { return };
         let Stage::Called { tries, .. } = *stage else { return };
-        let gap = super::doubling(FIRST_GAP_S, tries, LONGEST_GAP_S);
+        let gap = crate::backoff::exponential_backoff_s(FIRST_GAP_S, tries, LONGEST_GAP_S);
         *stage = match done {
             true => Stage::Done,
             // Past this time the reader's own limit has freed them.
--- a/crates/nickelgw-node-core/src/tests.rs
+++ b/crates/nickelgw-node-core/src/tests.rs
@@ -180,7 +180,7 @@
                     s.answers.push((self.now, answer));
                 }
                 Command::Release { reservation_id: call, reservation: state, .. } => {
-                    self.states.remove(&state.name);
+                    self.states.remove(&*state.name);
                     self.calls.push(call);
                 }
                 Command::Probe(p) => self.probes.push(p.id.clone()),
@@ -206,7 +206,7 @@
                 _ => {}
             }
             if let Some(state) = state {
-                assert!(self.states.contains_key(&state.name), "a state let go is sent on");
+                assert!(self.states.contains_key(&*state.name), "a state let go is sent on");
             }
             // Until an outcome proves otherwise it may have run.
             s.ran.push((o.attempt, self.now, zone_of(&o.engine)));
@@ -321,7 +321,7 @@
     fn begun(&mut self, o: &AttemptRequest) {
         self.seen.get_mut(&o.request).unwrap().begun = true;
         if let AttemptKind::Decode { reservation: Some(s), .. } = &o.kind {
-            self.states.remove(&s.name);
+            self.states.remove(&*s.name);
         }
     }
 
@@ -402,7 +402,7 @@
     let AttemptKind::Decode { reservation: Some(state), .. } = &write.kind else {
         panic!("the state goes to a writer")
     };
-    assert_eq!((&state.name, &state.prefill_engine), (&read.name, &read.engine));
+    assert_eq!((&*state.name, &state.prefill_engine), (read.name.as_str(), &read.engine));
     assert!(c.response_started(1.2, t, write.attempt));
     c.attempt_ended(1.5, t, write.attempt, end(AttemptOutcome::Completed));
     let todo = c.poll_commands(1.5).commands;
@@ -460,7 +460,7 @@
     c.attempt_ended(1.1, t, read.attempt, end(cause));
     let todo = c.poll_commands(1.1).commands;
     let named =
-        |d: &Command| matches!(d, Command::Release { reservation: state, .. } if state.name == read.name);
+        |d: &Command| matches!(d, Command::Release { reservation: state, .. } if *state.name == *read.name);
     assert_eq!(todo.iter().any(named), let_go);
 }
 
--- a/crates/nickelgw-node/src/engines.rs
+++ b/crates/nickelgw-node/src/engines.rs
@@ -44,7 +44,7 @@
 fn transfer(s: &Reservation, grant: &Option<String>) -> KvTransfer {
     KvTransfer {
         do_remote_prefill: true,
-        remote_request_id: Some(s.name.clone()),
+        remote_request_id: Some(s.name.to_string()),
         remote_engine_id: Some(s.prefill_engine.id.clone()),
         remote_host: Some(s.prefill_engine.address.clone()),
         remote_tls_name: s.prefill_engine.tls_name.clone(),
