--- a/crates/nickelgw-cli/src/platform.rs
+++ b/crates/nickelgw-cli/src/platform.rs
@@ -2,29 +2,31 @@
 
 use crate::signals::{Signal, Signals};
 use crate::Unusable;
-use nickelgw_platform::start::{Start, CONFIG};
+use nickelgw_platform::config::{NodeConfig, CONFIG_PATH_VARIABLE};
 use std::net::TcpListener;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+/// Runs a node until a signal ends it.
 pub fn run() -> Result<ExitCode, Unusable> {
-    let env = |name: &str| std::env::var(name).ok();
-    let path = PathBuf::from(env(CONFIG).ok_or_else(|| Unusable(format!("{CONFIG} is not set")))?);
-    let start = Start::read(&path, env).map_err(Unusable)?;
+    let environment = |name: &str| std::env::var(name).ok();
+    let not_set = || Unusable(format!("{CONFIG_PATH_VARIABLE} is not set"));
+    let path = PathBuf::from(environment(CONFIG_PATH_VARIABLE).ok_or_else(not_set)?);
+    let config = NodeConfig::read(&path, environment).map_err(|error| Unusable(error.to_string()))?;
     // Before anybody can connect: a signal that came between the two would end the process with what it had accepted.
     let mut signals = Signals::new()?;
-    let listener = TcpListener::bind(&start.listen)
-        .map_err(|e| Unusable(format!("{}: cannot listen: {e}", start.listen)))?;
-    let (orders, ordered) = nickelgw_platform::orders();
-    let told = async {
+    let listener = TcpListener::bind(&config.listen)
+        .map_err(|error| Unusable(format!("{}: cannot listen: {error}", config.listen)))?;
+    let (sender, receiver) = nickelgw_platform::signal_channel();
+    let forward_signals = async {
         loop {
             match signals.next().await? {
-                Signal::End => orders.shut_down(),
-                Signal::Renew => orders.reload(),
+                Signal::End => sender.request_shutdown(),
+                Signal::Renew => sender.request_reload(),
             }
         }
     };
-    let work = nickelgw_platform::run(listener, start, Some(path), ordered);
-    smol::block_on(futures_lite::future::or(work, told))?;
+    let serve = nickelgw_platform::run(listener, config, Some(path), receiver);
+    smol::block_on(futures_lite::future::or(serve, forward_signals))?;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/nickelgw-cli/tests/platform.rs
+++ b/crates/nickelgw-cli/tests/platform.rs
@@ -180,7 +180,7 @@
     n.child.kill().unwrap();
     let mut log = String::new();
     n.child.stderr.take().unwrap().read_to_string(&mut log).unwrap();
-    assert_eq!(log.matches("what cannot be used was refused").count(), 1, "{log}");
+    assert_eq!(log.matches("malformed message rejected").count(), 1, "{log}");
 }
 
 /// Twenty processes, six of eight engines of each role fresh, twice what a fresh one bears as an even part: what all of
--- a/crates/nickelgw-platform/examples/causes.rs
+++ b/crates/nickelgw-platform/examples/causes.rs
@@ -1,262 +1,355 @@
-//! Why inferences were not served in target, as a table by cause, class and engines: read from the logs of all nodes of a
-//! day (`--log-level debug`).
+//! Why requests were not served within their objective, as a table by cause, route and engines: read from the logs of all
+//! nodes of a day (`--log-level debug`).
 //!
-//!     cargo run --release -p nickelgw-platform --example causes -- LOGS [--fresh SECONDS] [--reads]
+//!     cargo run --release -p nickelgw-platform --example causes -- LOGS [--warmup SECONDS] [--prefills]
 //!
-//! `--fresh`: an engine is called fresh for so long after its start (the settings' warm_within_s). `--reads`: times of reads
-//! that ended, expected and taken, by how many prompts were there before.
+//! `--warmup`: an engine is called warming up for so long after its start (the settings' warm_within_s). `--prefills`: times
+//! of prefills that finished, expected and measured, by how many requests were at the engine before.
 
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::Path;
 
-/// One inference, as its node wrote it down.
+/// Seconds for which an engine warms up, if `--warmup` does not state otherwise.
+const DEFAULT_WARMUP_S: f64 = 13.0;
+/// Names of the rejection reason's fields with the engines that admitted the request, and with all of them.
+const ADMITTING_FIELDS: [&str; 2] = ["admitting", "open"];
+const ENGINES_FIELDS: [&str; 2] = ["prefill_engines", "readers"];
+
+/// One request, as its node logged it.
 #[derive(Default)]
-pub struct Story {
+pub struct RequestTrace {
     route: u32,
-    taken: f64,
-    target: f64,
+    accepted_at: f64,
+    ttft_objective_s: f64,
     /// The client's whole time for a first token.
-    due: f64,
-    sends: Vec<Send>,
-    read: Option<f64>,
-    begun: Option<f64>,
-    whole: bool,
-    gone: bool,
-    reason: Option<String>,
+    timeout_s: f64,
+    attempts: Vec<Attempt>,
+    prefilled_at: Option<f64>,
+    started_at: Option<f64>,
+    finished: bool,
+    disconnected: bool,
+    rejection: Option<String>,
 }
 
-struct Send {
+/// One attempt, as its node logged it.
+struct Attempt {
     at: f64,
-    reads: bool,
-    there: f64,
-    expected: f64,
-    age: f64,
-    silent: f64,
-    ended: Option<String>,
+    is_prefill: bool,
+    requests_ahead: f64,
+    expected_s: f64,
+    engine_age_s: f64,
+    unreachable_s: f64,
+    outcome: Option<String>,
+}
+
+/// A prefill that finished.
+pub struct PrefillTime {
+    expected_s: f64,
+    measured_s: f64,
 }
 
+/// Requests by cause and engines, and by route.
 #[derive(Default)]
-pub struct Table {
-    pub fresh: f64,
+pub struct CauseTable {
+    /// Engines younger than this are warming up.
+    pub warmup_s: f64,
+    /// Requests not served within their objective: by cause and state of the engines, then by route.
     pub rows: BTreeMap<(String, &'static str), BTreeMap<u32, u32>>,
-    pub taken: BTreeMap<u32, u32>,
+    /// Accepted requests by route.
+    pub accepted: BTreeMap<u32, u32>,
+    /// Requests served within their objective by route.
     pub served: BTreeMap<u32, u32>,
-    /// By prompts there before: expected and taken, of reads that ended.
-    pub reads: BTreeMap<u32, Vec<(f64, f64)>>,
+    /// Prefills that finished, by the binary logarithm of the requests ahead.
+    pub prefills: BTreeMap<u32, Vec<PrefillTime>>,
+}
+
+/// What the logs contain.
+#[derive(Default)]
+pub struct LogContents {
+    /// Accepted requests by id.
+    pub requests: BTreeMap<String, RequestTrace>,
+    /// Requests refused before admission, by reason.
+    pub refused: BTreeMap<String, u32>,
 }
 
 /// The value of `name=` in a line, without quotes.
 fn field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
-    let at = line.match_indices(name).find(|(i, _)| {
-        let before = line[..*i].chars().next_back();
-        before.is_none_or(|c| c == ' ') && line[i + name.len()..].starts_with('=')
+    let (start, _) = line.match_indices(name).find(|(start, _)| {
+        let before = line[..*start].chars().next_back();
+        before.is_none_or(|character| character == ' ') && line[start + name.len()..].starts_with('=')
     })?;
-    let rest = &line[at.0 + name.len() + 1..];
-    match rest.strip_prefix('"') {
+    let value = &line[start + name.len() + 1..];
+    match value.strip_prefix('"') {
         Some(quoted) => quoted.split('"').next(),
-        None => rest.split(' ').next(),
+        None => value.split(' ').next(),
     }
 }
 
 fn number(line: &str, name: &str) -> f64 {
-    field(line, name).and_then(|v| v.parse().ok()).unwrap_or(0.0)
+    field(line, name).and_then(|value| value.parse().ok()).unwrap_or(0.0)
+}
+
+impl LogContents {
+    /// Adds one node's log; a request's id is unique across all nodes.
+    pub fn add(&mut self, text: &str) {
+        for line in text.lines() {
+            let Some(message) = line.split(": ").nth(1) else { continue };
+            if message.starts_with("request refused before admission ") {
+                let reason = field(line, "reason").unwrap_or("?").to_string();
+                *self.refused.entry(reason).or_default() += 1;
+            }
+            let Some(id) = field(line, "request") else { continue };
+            if message.starts_with("request accepted ") {
+                self.requests.insert(id.to_string(), RequestTrace::accepted(line));
+            } else if let Some(request) = self.requests.get_mut(id) {
+                request.add(message, line);
+            }
+        }
+    }
 }
 
-/// Reads one node's log; a request's id is its own on all nodes.
-pub fn read(text: &str, stories: &mut BTreeMap<String, Story>, refused: &mut BTreeMap<String, u32>) {
-    for line in text.lines() {
-        let Some(word) = line.split(": ").nth(1) else { continue };
+impl RequestTrace {
+    fn accepted(line: &str) -> RequestTrace {
+        RequestTrace {
+            route: number(line, "route") as u32,
+            accepted_at: number(line, "at"),
+            ttft_objective_s: number(line, "ttft_objective_s"),
+            timeout_s: number(line, "timeout_s"),
+            ..RequestTrace::default()
+        }
+    }
+
+    /// Adds what one line of the log states.
+    fn add(&mut self, message: &str, line: &str) {
         let at = number(line, "at");
-        if word.starts_with("refused ") {
-            *refused.entry(field(line, "word").unwrap_or("?").to_string()).or_default() += 1;
+        if message.starts_with("attempt started ") {
+            self.attempts.push(Attempt::started(line));
+        } else if message.starts_with("prefill finished ") {
+            self.prefilled_at = Some(at);
+            if let Some(attempt) = self.attempts.iter_mut().rev().find(|attempt| attempt.is_prefill) {
+                attempt.outcome = Some("Prefilled".into());
+            }
+        } else if message.starts_with("attempt ended ") {
+            let outcome = field(line, "outcome").unwrap_or("?").to_string();
+            let position = field(line, "attempt").and_then(|number| number.parse::<usize>().ok());
+            if let Some(attempt) = position.and_then(|position| self.attempts.get_mut(position)) {
+                attempt.outcome = Some(outcome);
+            }
+        } else if message.starts_with("stream started ") {
+            self.started_at = Some(at);
+        } else if message.starts_with("stream finished ") {
+            self.finished = true;
+        } else if message.starts_with("client disconnected ") {
+            self.disconnected = true;
+        } else if message.starts_with("request rejected ") {
+            self.rejection = line.split_once("reason=").map(|(_, reason)| reason.to_string());
         }
-        let Some(id) = field(line, "request") else { continue };
-        if word.starts_with("taken ") {
-            let (route, target, due) =
-                (number(line, "route") as u32, number(line, "target_s"), number(line, "due_s"));
-            stories.insert(id.to_string(), Story { route, taken: at, target, due, ..Story::default() });
-            continue;
+    }
+
+    fn started_in_time(&self) -> bool {
+        self.started_at.is_some_and(|started_at| started_at - self.accepted_at <= self.ttft_objective_s)
+    }
+
+    /// The name of the rejection reason.
+    fn rejection_name(&self) -> Option<&str> {
+        self.rejection.as_deref().map(|reason| reason.split(' ').next().unwrap_or(reason))
+    }
+
+    /// A field of the rejection reason, by any of its names.
+    fn rejection_field(&self, names: &[&str]) -> Option<u32> {
+        let reason = self.rejection.as_deref()?;
+        names.iter().find_map(|name| {
+            let (_, value) = reason.split_once(&format!("{name}: "))?;
+            value.split([',', ' ']).next()?.parse().ok()
+        })
+    }
+
+    /// Why the request was not served within its objective.
+    fn cause(&self) -> String {
+        let Some(last) = self.attempts.last() else { return self.cause_without_attempt() };
+        if let Some(started_at) = self.started_at {
+            return self.cause_after_start(started_at, last);
         }
-        let Some(s) = stories.get_mut(id) else { continue };
-        let send = || field(line, "send").and_then(|n| n.parse::<usize>().ok());
-        if word.starts_with("sent ") {
-            s.sends.push(Send {
-                at,
-                reads: field(line, "read") == Some("true"),
-                there: number(line, "there"),
-                expected: number(line, "expected_s"),
-                age: number(line, "age_s"),
-                silent: number(line, "silent_s"),
-                ended: None,
-            });
-        } else if word.starts_with("read ") {
-            s.read = Some(at);
-            s.sends
-                .iter_mut()
-                .rev()
-                .find(|x| x.reads)
-                .into_iter()
-                .for_each(|x| x.ended = Some("Read".into()));
-        } else if word.starts_with("send ended ") {
-            let cause = field(line, "cause").unwrap_or("?").to_string();
-            send().and_then(|n| s.sends.get_mut(n)).into_iter().for_each(|x| x.ended = Some(cause.clone()));
-        } else if word.starts_with("begun ") {
-            s.begun = Some(at);
-        } else if word.starts_with("whole ") {
-            s.whole = true;
-        } else if word.starts_with("its client has gone") {
-            s.gone = true;
-        } else if word.starts_with("given up ") {
-            s.reason = line.split_once("reason=").map(|r| r.1.to_string());
+        let rejection = self.rejection_name();
+        let outcome = match last.outcome.as_deref() {
+            None | Some("Cancelled" | "TimedOut") => "no response",
+            Some("Prefilled") => {
+                let reason = rejection.unwrap_or("client disconnected");
+                return format!("prefilled, no decode engine: {reason}");
+            }
+            Some(outcome) => outcome,
+        };
+        let engine = if last.is_prefill { "a prefill engine" } else { "a decode engine" };
+        let retried = if self.attempts.len() > 2 { ", retried" } else { "" };
+        let disconnected =
+            if self.disconnected && rejection.is_none() { ", client disconnected" } else { "" };
+        format!("attempt failed: {outcome} at {engine}{retried}{disconnected}")
+    }
+
+    fn cause_without_attempt(&self) -> String {
+        match self.rejection_name() {
+            Some(reason) => format!("never dispatched: {reason}"),
+            None if self.disconnected => "never dispatched: client disconnected".into(),
+            None => "never dispatched: node ended".into(),
         }
     }
-}
 
-impl Table {
-    pub fn add(&mut self, s: &Story) {
-        *self.taken.entry(s.route).or_default() += 1;
-        if s.whole && s.begun.is_some_and(|b| b - s.taken <= s.target) {
-            *self.served.entry(s.route).or_default() += 1;
-        } else {
-            // Such clients ask again and again; they are no more than one each.
-            let short =
-                if s.begun.is_none() && s.due < s.target { ", client's time below the target" } else { "" };
-            *self.rows.entry((cause(s) + short, self.engines(s))).or_default().entry(s.route).or_default() +=
-                1;
+    fn cause_after_start(&self, started_at: f64, last: &Attempt) -> String {
+        if self.started_in_time() {
+            let end = if self.disconnected { "client disconnected" } else { "stream broke" };
+            return format!("started in time: {end}");
         }
-        let ended = s.sends.iter().find(|x| x.ended.as_deref() == Some("Read"));
-        if let (Some(x), Some(at)) = (ended, s.read) {
-            let there = if x.there < 1.0 { 0 } else { x.there.log2() as u32 + 1 };
-            self.reads.entry(there).or_default().push((x.expected, at - x.at));
+        let prefilled_at = self.prefilled_at.unwrap_or(last.at);
+        let dispatched_at = self.attempts.first().map_or(last.at, |attempt| attempt.at);
+        let repeated = self.attempts.iter().filter(|attempt| attempt.is_prefill).count() > 1;
+        let prefill = if repeated { "repeated prefill" } else { "queue and prefill at the engine" };
+        let phases = [
+            ("queue at the node", dispatched_at - self.accepted_at),
+            (prefill, prefilled_at - dispatched_at),
+            ("decode engine", started_at - prefilled_at),
+        ];
+        let longest = phases.iter().max_by(|left, right| left.1.total_cmp(&right.1));
+        format!("started late: {}", longest.map_or("", |(phase, _)| phase))
+    }
+
+    /// How the engines of its last attempt were; without an attempt, whether some did not admit it.
+    fn engine_state(&self, warmup_s: f64) -> &'static str {
+        match self.attempts.last() {
+            None => self.admitting_state(),
+            Some(last) if last.unreachable_s > 0.0 || last.outcome.as_deref() == Some("ConnectFailed") => {
+                "unreachable"
+            }
+            Some(last) if last.engine_age_s < warmup_s => "warming up",
+            Some(_) => "healthy",
         }
     }
 
-    /// What its engines were: of those it was sent to the worst off; unsent, whether fresh ones were kept from it.
-    fn engines(&self, s: &Story) -> &'static str {
-        if s.sends.is_empty() {
-            let of = |name: &str| {
-                s.reason
-                    .as_deref()
-                    .and_then(|r| r.split_once(&format!("{name}: ")))
-                    .and_then(|r| r.1.split([',', ' ']).next().and_then(|n| n.parse::<u32>().ok()))
-            };
-            return match (of("open"), of("readers")) {
-                (Some(0), _) => "none open to it",
-                (Some(o), Some(n)) if o < n => "some kept from it",
-                (Some(_), Some(_)) => "all open to it",
-                _ => "",
-            };
+    fn admitting_state(&self) -> &'static str {
+        match (self.rejection_field(&ADMITTING_FIELDS), self.rejection_field(&ENGINES_FIELDS)) {
+            (Some(0), _) => "none admitting",
+            (Some(admitting), Some(engines)) if admitting < engines => "some not admitting",
+            (Some(_), Some(_)) => "all admitting",
+            _ => "",
         }
-        match s.sends.last() {
-            Some(x) if x.silent > 0.0 || x.ended.as_deref() == Some("NoConnection") => "silent",
-            Some(x) if x.age < self.fresh => "fresh",
-            Some(_) => "sound",
-            None => "",
+    }
+
+    /// The prefill that finished last, with its number of requests ahead.
+    fn prefill_time(&self) -> Option<(f64, PrefillTime)> {
+        let prefilled = |attempt: &&Attempt| attempt.outcome.as_deref() == Some("Prefilled");
+        let attempt = self.attempts.iter().find(prefilled)?;
+        let measured_s = self.prefilled_at? - attempt.at;
+        Some((attempt.requests_ahead, PrefillTime { expected_s: attempt.expected_s, measured_s }))
+    }
+}
+
+impl Attempt {
+    fn started(line: &str) -> Attempt {
+        Attempt {
+            at: number(line, "at"),
+            is_prefill: field(line, "prefill") == Some("true"),
+            requests_ahead: number(line, "requests_ahead"),
+            expected_s: number(line, "expected_s"),
+            engine_age_s: number(line, "engine_age_s"),
+            unreachable_s: number(line, "unreachable_s"),
+            outcome: None,
         }
     }
 }
 
-fn cause(s: &Story) -> String {
-    let why = s.reason.as_deref().map(|r| r.split(' ').next().unwrap_or(r));
-    let Some(last) = s.sends.last() else {
-        return match why {
-            Some(why) => format!("unsent: {why}"),
-            None if s.gone => "unsent: client gone".into(),
-            None => "unsent: node ended".into(),
-        };
-    };
-    if let Some(begun) = s.begun {
-        if begun - s.taken <= s.target {
-            return if s.gone { "begun in time: client gone" } else { "begun in time: broke" }.into();
+impl CauseTable {
+    /// Counts one request.
+    pub fn add(&mut self, request: &RequestTrace) {
+        *self.accepted.entry(request.route).or_default() += 1;
+        if request.finished && request.started_in_time() {
+            *self.served.entry(request.route).or_default() += 1;
+        } else {
+            // Such clients repeat their requests; they are no more than one each.
+            let is_short = request.started_at.is_none() && request.timeout_s < request.ttft_objective_s;
+            let short = if is_short { ", client's timeout below the objective" } else { "" };
+            let row = (request.cause() + short, request.engine_state(self.warmup_s));
+            *self.rows.entry(row).or_default().entry(request.route).or_default() += 1;
+        }
+        if let Some((requests_ahead, time)) = request.prefill_time() {
+            let class = if requests_ahead < 1.0 { 0 } else { requests_ahead.log2() as u32 + 1 };
+            self.prefills.entry(class).or_default().push(time);
         }
-        let read = s.read.unwrap_or(last.at);
-        let first = s.sends.first().map_or(last.at, |x| x.at);
-        let again = s.sends.iter().filter(|x| x.reads).count() > 1;
-        let parts = [
-            ("queued at the node", first - s.taken),
-            (if again { "read again" } else { "queue and read at the reader" }, read - first),
-            ("at the writer", begun - read),
-        ];
-        let longest = parts.iter().max_by(|x, y| x.1.total_cmp(&y.1)).map_or("", |p| p.0);
-        return format!("begun late: {longest}");
     }
-    let tried = s.sends.len();
-    let stage = if last.reads { "at a reader" } else { "at a writer" };
-    let how = match (last.ended.as_deref(), why) {
-        (None | Some("CalledOff" | "NoAnswer"), _) => "no answer".to_string(),
-        (Some("Read"), _) => return format!("read, no writer: {}", why.unwrap_or("client gone")),
-        (Some(c), _) => c.to_string(),
-    };
-    let more = if tried > 2 { ", sent again" } else { "" };
-    let gone = if s.gone && why.is_none() { ", client gone" } else { "" };
-    format!("sent: {how} {stage}{more}{gone}")
+
+    fn print(&self, refused: &BTreeMap<String, u32>) {
+        let routes: Vec<String> = self.accepted.keys().map(|route| format!("route {route}")).collect();
+        println!(
+            "| cause | engines | all | {} |\n|{}",
+            routes.join(" | "),
+            " --- |".repeat(routes.len() + 3)
+        );
+        self.print_row("accepted", "", &self.accepted);
+        self.print_row("served within the objective", "", &self.served);
+        let mut rows: Vec<_> = self.rows.iter().collect();
+        rows.sort_by_key(|(_, counts)| std::cmp::Reverse(counts.values().sum::<u32>()));
+        for ((cause, engines), counts) in rows {
+            self.print_row(cause, engines, counts);
+        }
+        println!("refused before admission: {refused:?}");
+    }
+
+    fn print_row(&self, name: &str, engines: &str, counts: &BTreeMap<u32, u32>) {
+        let count = |route: &u32| counts.get(route).copied().unwrap_or(0).to_string();
+        let by_route: Vec<String> = self.accepted.keys().map(count).collect();
+        println!("| {name} | {engines} | {} | {} |", counts.values().sum::<u32>(), by_route.join(" | "));
+    }
+
+    fn print_prefills(&self) {
+        println!("\n| requests ahead | prefills | expected s, median | measured s, median | measured s, 95th |\n| --- | --- | --- | --- | --- |");
+        for (class, times) in &self.prefills {
+            let at_least = if *class == 0 { 0 } else { 1 << (class - 1) };
+            println!(
+                "| {at_least} and more | {} | {:.3} | {:.3} | {:.3} |",
+                times.len(),
+                quantile(times, 0.5, |time| time.expected_s),
+                quantile(times, 0.5, |time| time.measured_s),
+                quantile(times, 0.95, |time| time.measured_s)
+            );
+        }
+    }
+}
+
+fn quantile(times: &[PrefillTime], share: f64, value: fn(&PrefillTime) -> f64) -> f64 {
+    let mut values: Vec<f64> = times.iter().map(value).collect();
+    values.sort_by(f64::total_cmp);
+    values[((values.len() - 1) as f64 * share) as usize]
 }
 
 fn main() -> std::io::Result<()> {
-    let args: Vec<String> = std::env::args().skip(1).collect();
-    let Some(dir) = args.first() else {
-        eprintln!("causes LOGS [--fresh SECONDS] [--reads]");
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let Some(logs) = arguments.first() else {
+        eprintln!("causes LOGS [--warmup SECONDS] [--prefills]");
         std::process::exit(2);
     };
-    let after = |name: &str| args.iter().position(|a| a == name).and_then(|i| args.get(i + 1));
-    let fresh = after("--fresh").and_then(|s| s.parse().ok()).unwrap_or(13.0);
-    let mut table = Table { fresh, ..Table::default() };
-    let mut refused = BTreeMap::new();
-    let mut stories = BTreeMap::new();
-    files(Path::new(dir), &mut |text| read(text, &mut stories, &mut refused))?;
-    stories.values().for_each(|s| table.add(s));
-    show(&table, &refused, args.iter().any(|a| a == "--reads"));
+    let position = arguments.iter().position(|argument| argument == "--warmup");
+    let warmup = position.and_then(|position| arguments.get(position + 1));
+    let warmup_s = warmup.and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_WARMUP_S);
+    let mut table = CauseTable { warmup_s, ..CauseTable::default() };
+    let mut contents = LogContents::default();
+    read_files(Path::new(logs), &mut |text| contents.add(text))?;
+    contents.requests.values().for_each(|request| table.add(request));
+    table.print(&contents.refused);
+    if arguments.iter().any(|argument| argument == "--prefills") {
+        table.print_prefills();
+    }
     Ok(())
 }
 
-fn files(at: &Path, each: &mut impl FnMut(&str)) -> std::io::Result<()> {
-    let mut paths: Vec<_> =
-        fs::read_dir(at)?.collect::<Result<Vec<_>, _>>()?.iter().map(|e| e.path()).collect();
+fn read_files(directory: &Path, read: &mut impl FnMut(&str)) -> std::io::Result<()> {
+    let entries = fs::read_dir(directory)?.collect::<Result<Vec<_>, _>>()?;
+    let mut paths: Vec<_> = entries.iter().map(|entry| entry.path()).collect();
     paths.sort();
-    for p in paths {
-        if p.is_dir() {
-            files(&p, each)?;
+    for path in paths {
+        if path.is_dir() {
+            read_files(&path, read)?;
         } else {
-            each(&String::from_utf8_lossy(&fs::read(&p)?));
+            read(&String::from_utf8_lossy(&fs::read(&path)?));
         }
     }
     Ok(())
 }
-
-fn show(t: &Table, refused: &BTreeMap<String, u32>, reads: bool) {
-    let routes: Vec<u32> = t.taken.keys().copied().collect();
-    let line = |name: &str, engines: &str, of: &BTreeMap<u32, u32>| {
-        let each: Vec<String> = routes.iter().map(|r| of.get(r).copied().unwrap_or(0).to_string()).collect();
-        println!("| {name} | {engines} | {} | {} |", of.values().sum::<u32>(), each.join(" | "));
-    };
-    let heads: Vec<String> = routes.iter().map(|r| format!("route {r}")).collect();
-    println!("| cause | engines | all | {} |\n|{}", heads.join(" | "), " --- |".repeat(routes.len() + 3));
-    line("taken", "", &t.taken);
-    line("served in target", "", &t.served);
-    let mut rows: Vec<_> = t.rows.iter().collect();
-    rows.sort_by_key(|r| std::cmp::Reverse(r.1.values().sum::<u32>()));
-    for ((cause, engines), of) in rows {
-        line(cause, engines, of);
-    }
-    println!("refused at the door, not taken: {refused:?}");
-    if reads {
-        println!("\n| there before | reads | expected s, middle | taken s, middle | taken s, 95th |\n| --- | --- | --- | --- | --- |");
-        for (there, times) in &t.reads {
-            let part = |q: f64, of: fn(&(f64, f64)) -> f64| {
-                let mut all: Vec<f64> = times.iter().map(of).collect();
-                all.sort_by(f64::total_cmp);
-                all[((all.len() - 1) as f64 * q) as usize]
-            };
-            let from = if *there == 0 { 0 } else { 1 << (there - 1) };
-            let middle = (part(0.5, |t| t.0), part(0.5, |t| t.1), part(0.95, |t| t.1));
-            println!(
-                "| {from} and more | {} | {:.3} | {:.3} | {:.3} |",
-                times.len(),
-                middle.0,
-                middle.1,
-                middle.2
-            );
-        }
-    }
-}
--- /dev/null
+++ b/crates/nickelgw-platform/src/clients/mod.rs
@@ -0,0 +1,176 @@
+//! Clients' connections: accepted up to a limit, each carries one request after another.
+
+mod connection_table;
+mod memory;
+mod receive;
+mod response;
+mod serve;
+pub mod socket;
+
+use crate::core::request::KnownNames;
+use crate::node::Node;
+use async_channel::Receiver;
+use bytes::BytesMut;
+use connection_table::{ConnectionEntry, ConnectionTable};
+use futures_lite::future::or;
+pub use memory::MemoryBudget;
+use receive::{receive_request, IdleLimits, NoRequest, REQUEST_TIMEOUT_S};
+use response::{NextStep, NodeResponse};
+use smol::Async;
+use socket::ClientSocket;
+use std::cell::Cell;
+use std::io::ErrorKind;
+use std::net::{TcpListener, TcpStream};
+use std::rc::Rc;
+
+/// A connection that has been idle for so long after a response is closed; sooner where others need its place.
+const KEEP_ALIVE_TIMEOUT_S: f64 = 30.0;
+
+/// The server for clients.
+pub struct ClientServer {
+    node: Rc<Node>,
+    known_names: KnownNames,
+    memory: Rc<MemoryBudget>,
+    table: Rc<ConnectionTable>,
+    /// Each response is the last of its connection.
+    draining: Cell<bool>,
+}
+
+impl ClientServer {
+    /// A server for so many connections at once.
+    pub fn new(
+        node: Rc<Node>,
+        known_names: KnownNames,
+        max_connections: usize,
+        memory: Rc<MemoryBudget>,
+    ) -> Rc<ClientServer> {
+        let table = ConnectionTable::new(max_connections);
+        Rc::new(ClientServer { node, known_names, memory, table, draining: Cell::new(false) })
+    }
+
+    /// Accepts until told to stop, and then what the system has accepted already: a request on such a connection counts as
+    /// received, and the listener closed over it would reset it. While the table is full a new connection waits
+    /// unaccepted: closed unserved, its first request would have failed.
+    pub async fn accept(self: Rc<Self>, listener: Async<TcpListener>, stop: Receiver<()>) {
+        let mut stopping = false;
+        loop {
+            while self.table.is_full() {
+                self.make_room().await;
+            }
+            match listener.get_ref().accept().and_then(|(stream, _)| Async::new(stream)) {
+                Ok(stream) => self.start_connection(stream),
+                Err(error) if error.kind() == ErrorKind::WouldBlock && stopping => return,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                    let stopped = async {
+                        let _ = stop.recv().await;
+                        stopping = true;
+                    };
+                    let ready = async {
+                        let _ = listener.readable().await;
+                    };
+                    or(ready, stopped).await;
+                }
+                Err(error) => {
+                    // Out of descriptors, or the peer disconnected while it waited. The listener stays readable meanwhile,
+                    // so that a repetition at once would spin.
+                    tracing::debug!(at = self.node.now(), %error, "accept failed");
+                    self.make_room().await;
+                }
+            }
+        }
+    }
+
+    async fn make_room(&self) {
+        self.table.make_room(self.node.now());
+        self.table.wait_for_room().await;
+    }
+
+    fn start_connection(self: &Rc<Self>, stream: Async<TcpStream>) {
+        // It is in the table before its task runs: otherwise a whole backlog would be accepted beyond the limit.
+        let (entry, closing) = self.table.insert(self.node.now());
+        let serving = self.clone().serve_connection(stream, entry, closing);
+        self.node.executor().spawn(serving).detach();
+    }
+
+    /// From now on each response is the last of its connection.
+    pub fn begin_drain(&self) {
+        self.draining.set(true);
+    }
+
+    /// Closes connections without an open request.
+    pub fn close_idle(&self) {
+        self.table.close_idle();
+    }
+
+    /// Number of connections.
+    pub fn connections(&self) -> usize {
+        self.table.len()
+    }
+
+    async fn serve_connection(
+        self: Rc<Self>,
+        stream: Async<TcpStream>,
+        entry: ConnectionEntry,
+        closing: Receiver<()>,
+    ) {
+        let socket = ClientSocket::new(stream, &self.memory);
+        let mut buffer = BytesMut::new();
+        let mut limits = IdleLimits { timeout_s: REQUEST_TIMEOUT_S, closing: &closing };
+        loop {
+            let next = self.serve_next_request(&socket, &mut buffer, &entry, &limits).await;
+            if next != NextStep::KeepAlive {
+                self.log_connection_ended(&entry, next);
+            }
+            match next {
+                NextStep::KeepAlive => {}
+                NextStep::Close => return socket.close().await,
+                NextStep::Disconnected => return,
+            }
+            socket.memory.set(buffer.len());
+            if buffer.is_empty() {
+                // Hundreds are idle for long: none keeps a buffer.
+                buffer = BytesMut::new();
+            }
+            limits.timeout_s = KEEP_ALIVE_TIMEOUT_S;
+        }
+    }
+
+    fn log_connection_ended(&self, entry: &ConnectionEntry, next: NextStep) {
+        tracing::debug!(
+            at = self.node.now(),
+            connection = entry.number,
+            carried_request = entry.state.has_carried_request.get(),
+            reason = ?next,
+            "client connection ended"
+        );
+    }
+
+    async fn serve_next_request(
+        self: &Rc<Self>,
+        socket: &Rc<ClientSocket>,
+        buffer: &mut BytesMut,
+        entry: &ConnectionEntry,
+        limits: &IdleLimits<'_>,
+    ) -> NextStep {
+        let state = &entry.state;
+        let received = receive_request(socket, buffer, limits, state, || self.node.now()).await;
+        state.idle_since.set(None);
+        match received {
+            Err(NoRequest::ConnectionEnded) => NextStep::Disconnected,
+            Err(NoRequest::Closing) => NextStep::Close,
+            Err(NoRequest::Refused(status, reason)) => {
+                tracing::debug!(at = self.node.now(), status, reason, "request refused before admission");
+                self.node.log_malformed("client", reason);
+                NodeResponse::new(status, reason, true).write(socket).await
+            }
+            Ok((head, body)) => {
+                state.has_carried_request.set(true);
+                let close = head.closes_connection || self.draining.get();
+                socket.begin_request(body.len(), buffer.split());
+                let next = self.serve_request(socket, head, body, close).await;
+                *buffer = socket.end_request();
+                next
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/nickelgw-platform/src/clients/receive.rs
@@ -0,0 +1,108 @@
+//! Receiving a client's request, within limits of time and memory.
+
+use super::connection_table::ConnectionState;
+use super::socket::ClientSocket;
+use crate::core::request::{self, RequestHead};
+use crate::core::{Framing, MalformedMessage, MAX_BODY_BYTES};
+use crate::stream_io::{read, receive, receive_body, ReceiveError};
+use async_channel::Receiver;
+use bytes::{Buf, Bytes, BytesMut};
+use futures_lite::future::or;
+use nickelgw_node::within;
+
+/// A request arrives whole within this, from its first byte.
+pub const REQUEST_TIMEOUT_S: f64 = 2.4;
+
+/// Why no request came.
+pub enum NoRequest {
+    /// The connection ended.
+    ConnectionEnded,
+    /// The connection is to be closed.
+    Closing,
+    /// It is refused with this status and message.
+    Refused(u16, &'static str),
+}
+
+impl From<ReceiveError> for NoRequest {
+    fn from(error: ReceiveError) -> NoRequest {
+        match error {
+            ReceiveError::ConnectionEnded => NoRequest::ConnectionEnded,
+            ReceiveError::Malformed(MalformedMessage::TooLong) => {
+                NoRequest::Refused(413, "longer than allowed")
+            }
+            ReceiveError::Malformed(MalformedMessage::Length) => {
+                NoRequest::Refused(400, "a length that cannot be used")
+            }
+            ReceiveError::Malformed(_) => NoRequest::Refused(400, "a request that cannot be read"),
+        }
+    }
+}
+
+/// When a connection that waits for a request is closed.
+pub struct IdleLimits<'a> {
+    /// After so long without a byte.
+    pub timeout_s: f64,
+    /// When this channel closes.
+    pub closing: &'a Receiver<()>,
+}
+
+/// Receives the next request. While none has begun to arrive the connection is marked as idle, since `now`.
+pub async fn receive_request(
+    socket: &ClientSocket,
+    buffer: &mut BytesMut,
+    limits: &IdleLimits<'_>,
+    state: &ConnectionState,
+    now: impl Fn() -> f64,
+) -> Result<(RequestHead, Bytes), NoRequest> {
+    if buffer.is_empty() {
+        state.idle_since.set(Some(now()));
+        wait_for_first_byte(socket, buffer, limits).await?;
+    }
+    // From its first byte a request is on its way: its connection is not closed to make room.
+    state.idle_since.set(None);
+    let request = within(REQUEST_TIMEOUT_S, receive_whole_request(socket, buffer)).await;
+    request.unwrap_or(Err(NoRequest::Refused(408, "a request that does not end")))
+}
+
+async fn wait_for_first_byte(
+    socket: &ClientSocket,
+    buffer: &mut BytesMut,
+    limits: &IdleLimits<'_>,
+) -> Result<(), NoRequest> {
+    let first_read = async { Some(within(limits.timeout_s, read(&socket.stream, buffer)).await) };
+    let closing = async {
+        let _ = limits.closing.recv().await;
+        None
+    };
+    match or(first_read, closing).await.flatten() {
+        Some(Ok(length)) if length > 0 => Ok(()),
+        Some(_) => Err(NoRequest::ConnectionEnded),
+        // A request may arrive in the very moment of the close.
+        None if socket.read_before_close(buffer) => Ok(()),
+        None => Err(NoRequest::Closing),
+    }
+}
+
+async fn receive_whole_request(
+    socket: &ClientSocket,
+    buffer: &mut BytesMut,
+) -> Result<(RequestHead, Bytes), NoRequest> {
+    let parse_head = |buffer: &mut BytesMut| {
+        Ok(request::parse_request_head(buffer)?.map(|(head, length)| {
+            buffer.advance(length);
+            head
+        }))
+    };
+    let head = receive(&socket.stream, buffer, parse_head).await?;
+    let expected = match head.framing {
+        Framing::Unspecified => 0,
+        Framing::Length(length) => length.min(MAX_BODY_BYTES),
+        Framing::Chunked => MAX_BODY_BYTES,
+    };
+    if !socket.memory.set(buffer.len().max(expected)) {
+        return Err(NoRequest::Refused(503, "no memory for a request"));
+    }
+    let body = receive_body(&socket.stream, buffer, head.framing, MAX_BODY_BYTES).await?;
+    socket.memory.set(buffer.len() + body.len());
+    Ok((head, body))
+}
--- /dev/null
+++ b/crates/nickelgw-platform/src/clients/serve.rs
@@ -0,0 +1,181 @@
+//! Serving one request: admission, and the response that the node or an engine gives.
+
+use super::response::{connection_header, write_all, NextStep, NodeResponse};
+use super::socket::{ClientSocket, Disconnection};
+use super::ClientServer;
+use crate::core::engine::ForwardedRequest;
+use crate::core::event_stream::StreamPiece;
+use crate::core::request::{RequestHead, CHAT_PATH, READINESS_PATH};
+use crate::node::{Reply, RequestGuard};
+use async_channel::Receiver;
+use bytes::Bytes;
+use nickelgw_node_core::AdmittedRequest;
+use std::rc::Rc;
+
+/// Events that wait are written together, up to so many bytes and one event.
+const MAX_WRITE_BYTES: usize = 64 * 1024;
+
+/// Why a request is not admitted.
+enum NotAdmitted {
+    /// Its client has disconnected.
+    Disconnected,
+    /// It is answered at once.
+    Refused(NodeResponse),
+}
+
+impl ClientServer {
+    /// Answers a request.
+    pub(super) async fn serve_request(
+        self: &Rc<Self>,
+        socket: &Rc<ClientSocket>,
+        head: RequestHead,
+        body: Bytes,
+        close: bool,
+    ) -> NextStep {
+        let response = match (head.method.as_str(), head.path()) {
+            ("GET", READINESS_PATH) => self.readiness(),
+            ("POST", CHAT_PATH) => match self.admit(socket, &head, body, close) {
+                Ok((guard, reply)) => return self.respond(socket, guard, reply, close).await,
+                Err(NotAdmitted::Disconnected) => return NextStep::Disconnected,
+                Err(NotAdmitted::Refused(response)) => response,
+            },
+            (_, CHAT_PATH | READINESS_PATH) => NodeResponse::new(405, "no such call", true),
+            _ => NodeResponse::new(404, "no such call", true),
+        };
+        response.write(socket).await
+    }
+
+    /// Its connection has no further use: hundreds that asked this and stayed filled the table within 2 s.
+    fn readiness(&self) -> NodeResponse {
+        if self.draining.get() {
+            NodeResponse::new(503, "leaving", true)
+        } else {
+            NodeResponse::new(200, "ready", true)
+        }
+    }
+
+    fn admit(
+        &self,
+        socket: &Rc<ClientSocket>,
+        head: &RequestHead,
+        body: Bytes,
+        close: bool,
+    ) -> Result<(RequestGuard, Receiver<Reply>), NotAdmitted> {
+        let request = head.to_admitted(&self.known_names, &body).map_err(|error| {
+            let reason = error.to_string();
+            self.node.log_malformed("client", &reason);
+            NotAdmitted::Refused(NodeResponse::new(400, reason, true))
+        })?;
+        let id = request.name.as_deref().unwrap_or_default();
+        if self.node.is_open(id) {
+            let response = NodeResponse::new(409, "a request with this id is open", true);
+            return Err(NotAdmitted::Refused(response));
+        }
+        if socket.disconnection() == Some(Disconnection::Closed) {
+            // Pipelined by a client that has disconnected meanwhile.
+            return Err(NotAdmitted::Disconnected);
+        }
+        if head.is_resumption() {
+            tracing::debug!(at = self.node.now(), request = id, "stream resumption requested");
+        }
+        self.accept_request(socket, &request, ForwardedRequest::new(head, id, body), close)
+    }
+
+    fn accept_request(
+        &self,
+        socket: &Rc<ClientSocket>,
+        request: &AdmittedRequest,
+        forwarded: ForwardedRequest,
+        close: bool,
+    ) -> Result<(RequestGuard, Receiver<Reply>), NotAdmitted> {
+        self.node.accept(request, forwarded, socket).map_err(|reason| {
+            tracing::debug!(at = self.node.now(), ?reason, "request not admitted");
+            NotAdmitted::Refused(NodeResponse::new(503, "no room", close))
+        })
+    }
+
+    /// Waits for the response and writes it, while observing whether the client stays connected.
+    async fn respond(
+        &self,
+        socket: &ClientSocket,
+        mut guard: RequestGuard,
+        reply: Receiver<Reply>,
+        close: bool,
+    ) -> NextStep {
+        let first = match socket.while_connected(reply.recv()).await {
+            Ok(first) => first,
+            Err(Disconnection::Closed) => return NextStep::Disconnected,
+            Err(Disconnection::PipelineOverflow) => {
+                // Attempts for it are cancelled before its response.
+                drop(guard);
+                return NodeResponse::new(413, "more than one request before its answer", true)
+                    .write(socket)
+                    .await;
+            }
+        };
+        let response = match first {
+            Ok(Reply::Stream(pieces)) => {
+                let forwarded = forward_stream(socket, pieces, close).await;
+                guard.ended = forwarded.is_ok();
+                return forwarded.unwrap_or_else(|broken| broken);
+            }
+            Ok(Reply::Rejected(retry_after_s)) => {
+                let response = NodeResponse::new(503, "no engine has room in time", close);
+                NodeResponse { retry_after_s, ..response }
+            }
+            Ok(Reply::Failed) | Err(_) => NodeResponse::new(504, "no answer began in time", close),
+        };
+        guard.ended = true;
+        // Its id is free with its response.
+        drop(guard);
+        response.write(socket).await
+    }
+}
+
+/// Forwards a stream. An error: it broke, and the connection ends without the last chunk.
+async fn forward_stream(
+    socket: &ClientSocket,
+    pieces: Receiver<StreamPiece>,
+    close: bool,
+) -> Result<NextStep, NextStep> {
+    let connection = connection_header(close);
+    let mut bytes = format!(
+        "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ncache-control: no-cache\r\n{connection}transfer-encoding: chunked\r\n\r\n"
+    )
+    .into_bytes();
+    loop {
+        let first = match socket.while_connected(pieces.recv()).await {
+            Ok(Ok(first)) => first,
+            Ok(Err(_)) | Err(Disconnection::PipelineOverflow) => return Err(NextStep::Close),
+            Err(Disconnection::Closed) => return Err(NextStep::Disconnected),
+        };
+        let is_end = encode_pieces(&mut bytes, first, &pieces);
+        if !write_all(socket, &bytes).await {
+            return Err(NextStep::Disconnected);
+        }
+        if is_end {
+            return Ok(NextStep::after_response(true, close));
+        }
+        bytes.clear();
+    }
+}
+
+/// Appends this piece and those that wait, up to a limit, as chunks. True: the last one ends the stream.
+fn encode_pieces(bytes: &mut Vec<u8>, first: StreamPiece, pieces: &Receiver<StreamPiece>) -> bool {
+    let mut next = Some(first);
+    while let Some(piece) = next {
+        match piece {
+            StreamPiece::Events(events) => {
+                bytes.extend_from_slice(format!("{:x}\r\n", events.len()).as_bytes());
+                bytes.extend_from_slice(&events);
+                bytes.extend_from_slice(b"\r\n");
+            }
+            StreamPiece::End => {
+                bytes.extend_from_slice(b"0\r\n\r\n");
+                return true;
+            }
+        }
+        next = if bytes.len() >= MAX_WRITE_BYTES { None } else { pieces.try_recv().ok() };
+    }
+    false
+}
--- /dev/null
+++ b/crates/nickelgw-platform/src/clients/socket.rs
@@ -0,0 +1,127 @@
+//! A client's socket: whether the client has disconnected, what it sends before its response, and how it is closed.
+
+use super::memory::{MemoryBudget, MemoryUse};
+use crate::core::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
+use crate::stream_io::{read, read_available};
+use bytes::BytesMut;
+use nickelgw_node::within;
+use smol::Async;
+use std::cell::{Cell, RefCell};
+use std::future::Future;
+use std::io::ErrorKind;
+use std::net::{Shutdown, TcpStream};
+use std::rc::Rc;
+
+/// Bytes buffered of a client that does not wait for its response: as many as one request may have. One that sends more
+/// is refused, since unread bytes hide whether it has disconnected.
+const MAX_PIPELINED_BYTES: usize = MAX_BODY_BYTES + MAX_HEAD_BYTES;
+/// After its last response a connection is read on for so long, and for so many bytes: closed over unread ones it would be
+/// reset, and the response lost with it.
+const LINGER_S: f64 = 0.5;
+const LINGER_BYTES: usize = MAX_BODY_BYTES;
+
+/// Why a response is no longer awaited.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Disconnection {
+    /// The client has closed its connection, or its sending direction.
+    Closed,
+    /// It sends more requests than are buffered before its response.
+    PipelineOverflow,
+}
+
+/// The socket of one client's connection.
+pub struct ClientSocket {
+    /// The stream itself.
+    pub stream: Async<TcpStream>,
+    /// What arrived while a response was awaited.
+    pipelined: RefCell<BytesMut>,
+    disconnection: Cell<Option<Disconnection>>,
+    /// The memory that the connection uses.
+    pub memory: MemoryUse,
+    /// Bytes of the open request.
+    open_request_bytes: Cell<usize>,
+}
+
+impl ClientSocket {
+    /// A socket on this stream.
+    pub fn new(stream: Async<TcpStream>, budget: &Rc<MemoryBudget>) -> Rc<ClientSocket> {
+        let _ = stream.get_ref().set_nodelay(true);
+        let memory = MemoryUse::new(budget);
+        Rc::new(ClientSocket {
+            stream,
+            pipelined: RefCell::default(),
+            disconnection: Cell::new(None),
+            memory,
+            open_request_bytes: Cell::new(0),
+        })
+    }
+
+    /// A request of so many bytes is open; what has arrived behind it is buffered.
+    pub fn begin_request(&self, bytes: usize, pipelined: BytesMut) {
+        self.pipelined.replace(pipelined);
+        self.open_request_bytes.set(bytes);
+    }
+
+    /// The response has been written. Returns what arrived meanwhile, the next request.
+    pub fn end_request(&self) -> BytesMut {
+        self.open_request_bytes.set(0);
+        self.pipelined.take()
+    }
+
+    /// Whether the client has disconnected. Reads what is available without waiting: the end of the connection is behind
+    /// whatever was sent before it.
+    pub fn disconnection(&self) -> Option<Disconnection> {
+        while self.disconnection.get().is_none() {
+            let mut pipelined = self.pipelined.borrow_mut();
+            match read_available(self.stream.get_ref(), &mut pipelined) {
+                Ok(0) => self.disconnection.set(Some(Disconnection::Closed)),
+                Ok(_) => {
+                    let fits = self.memory.set(self.open_request_bytes.get() + pipelined.len());
+                    if pipelined.len() > MAX_PIPELINED_BYTES || !fits {
+                        self.disconnection.set(Some(Disconnection::PipelineOverflow));
+                    }
+                }
+                Err(error) if error.kind() == ErrorKind::WouldBlock => break,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(_) => self.disconnection.set(Some(Disconnection::Closed)),
+            }
+        }
+        self.disconnection.get()
+    }
+
+    /// The future's result, unless the client disconnects before.
+    pub async fn while_connected<T>(&self, future: impl Future<Output = T>) -> Result<T, Disconnection> {
+        let disconnected = async {
+            loop {
+                if let Some(disconnection) = self.disconnection() {
+                    return Err(disconnection);
+                }
+                if self.stream.readable().await.is_err() {
+                    return Err(Disconnection::Closed);
+                }
+            }
+        };
+        futures_lite::future::or(async { Ok(future.await) }, disconnected).await
+    }
+
+    /// Reads what arrived in the very moment in which the connection was to be closed: a request that counts as received.
+    pub fn read_before_close(&self, buffer: &mut BytesMut) -> bool {
+        matches!(read_available(self.stream.get_ref(), buffer), Ok(length) if length > 0)
+    }
+
+    /// Closes so that the last response arrives. What is received after this is discarded.
+    pub async fn close(&self) {
+        let _ = self.stream.get_ref().shutdown(Shutdown::Write);
+        let drain = async {
+            let (mut buffer, mut discarded) = (BytesMut::new(), 0);
+            while discarded < LINGER_BYTES {
+                match read(&self.stream, &mut buffer).await {
+                    Ok(length) if length > 0 => discarded += length,
+                    _ => return,
+                }
+                buffer.clear();
+            }
+        };
+        within(LINGER_S, drain).await;
+    }
+}
--- /dev/null
+++ b/crates/nickelgw-platform/src/connection.rs
@@ -0,0 +1,161 @@
+//! One connection to an engine or to discovery, on a plain socket: hyper cannot tell when a request's last byte has been
+//! written, which decides whether the request may have run.
+
+use crate::core::engine::{self, ResponseHead};
+use crate::core::event_stream::{EventStreamDecoder, StreamPiece};
+use crate::core::Framing;
+use crate::stream_io::{receive, receive_body, write_all};
+use bytes::{Buf, Bytes, BytesMut};
+use nickelgw_node_core::AttemptOutcome;
+use smol::Async;
+use std::cell::Cell;
+use std::io::ErrorKind;
+use std::net::{Shutdown, TcpStream};
+use std::rc::Rc;
+use std::time::Instant;
+
+/// Interim responses before the final one.
+const MAX_INTERIM_RESPONSES: usize = 16;
+
+/// A descriptor in use; counted from when its connection is opened, as one that comes up late holds it as well.
+pub(crate) struct DescriptorPermit(Rc<Cell<usize>>);
+
+impl DescriptorPermit {
+    /// Counts one more.
+    pub(crate) fn new(open: &Rc<Cell<usize>>) -> DescriptorPermit {
+        open.set(open.get() + 1);
+        DescriptorPermit(open.clone())
+    }
+}
+
+impl Drop for DescriptorPermit {
+    fn drop(&mut self) {
+        self.0.set(self.0.get().saturating_sub(1));
+    }
+}
+
+/// A connection that this node opened; dropped it closes, by which the far side knows that nobody waits.
+pub struct Connection {
+    pub(crate) address: String,
+    stream: Rc<Async<TcpStream>>,
+    buffer: BytesMut,
+    idle_since: Instant,
+    /// How long it had been idle when it was last seen open.
+    pub(crate) seen_open_after_s: f64,
+    /// How long it had been idle when the current call took it from the pool; none: it is new.
+    idle_s: Option<f64>,
+    _permit: DescriptorPermit,
+}
+
+/// Ends a connection at once, whoever holds it.
+pub struct ConnectionCloser(Rc<Async<TcpStream>>);
+
+impl ConnectionCloser {
+    /// Ends the connection in both directions.
+    pub fn close(&self) {
+        let _ = self.0.get_ref().shutdown(Shutdown::Both);
+    }
+}
+
+impl Connection {
+    /// A new connection on this stream.
+    pub(crate) fn new(address: &str, stream: Async<TcpStream>, permit: DescriptorPermit) -> Connection {
+        Connection {
+            address: address.to_string(),
+            stream: Rc::new(stream),
+            buffer: BytesMut::new(),
+            idle_since: Instant::now(),
+            seen_open_after_s: 0.0,
+            idle_s: None,
+            _permit: permit,
+        }
+    }
+
+    /// How long it had been idle when the current call took it; none: it was opened for this call.
+    pub fn idle_s(&self) -> Option<f64> {
+        self.idle_s
+    }
+
+    /// How long it has been idle in the pool.
+    pub(crate) fn idle_elapsed_s(&self) -> f64 {
+        self.idle_since.elapsed().as_secs_f64()
+    }
+
+    /// A call takes it from the pool, after so long.
+    pub(crate) fn set_in_use(&mut self, idle_s: f64) {
+        self.idle_s = Some(idle_s);
+    }
+
+    /// It goes back to the pool. False: bytes follow the last response, which would be taken for the next one.
+    pub(crate) fn set_idle(&mut self) -> bool {
+        if !self.buffer.is_empty() {
+            return false;
+        }
+        self.buffer = BytesMut::new();
+        self.idle_since = Instant::now();
+        (self.seen_open_after_s, self.idle_s) = (0.0, None);
+        true
+    }
+
+    /// A handle by which another task can end the connection.
+    pub fn closer(&self) -> ConnectionCloser {
+        ConnectionCloser(self.stream.clone())
+    }
+
+    /// Whether nothing has arrived and the stream has not ended while the connection was idle.
+    pub(crate) fn is_reusable(&self) -> bool {
+        loop {
+            return match self.stream.get_ref().peek(&mut [0]) {
+                Err(error) if error.kind() == ErrorKind::Interrupted => continue,
+                Err(error) => self.buffer.is_empty() && error.kind() == ErrorKind::WouldBlock,
+                Ok(_) => false,
+            };
+        }
+    }
+
+    /// Writes a request. Until its last byte is handed to the system the request is known not to have run.
+    pub async fn write(&mut self, bytes: &[u8], delivered: &Cell<bool>) -> Result<(), AttemptOutcome> {
+        // After an error not all of it was accepted by the system.
+        write_all(&self.stream, bytes).await.map_err(|_| AttemptOutcome::ConnectFailed)?;
+        delivered.set(true);
+        Ok(())
+    }
+
+    /// The head of the final response: interim ones before it are skipped.
+    pub async fn response_head(&mut self) -> Result<ResponseHead, AttemptOutcome> {
+        for _ in 0..MAX_INTERIM_RESPONSES {
+            let parse = |buffer: &mut BytesMut| {
+                Ok(engine::parse_response_head(buffer)?.map(|(head, length)| {
+                    buffer.advance(length);
+                    head
+                }))
+            };
+            let head = receive(&self.stream, &mut self.buffer, parse).await?;
+            if head.status >= 200 {
+                return Ok(head);
+            }
+        }
+        Err(AttemptOutcome::Malformed)
+    }
+
+    /// The next piece of a stream of events. Dropped while it waits, it has lost nothing.
+    pub async fn stream_piece(
+        &mut self,
+        decoder: &mut EventStreamDecoder,
+    ) -> Result<StreamPiece, AttemptOutcome> {
+        Ok(receive(&self.stream, &mut self.buffer, |buffer| decoder.next(buffer)).await?)
+    }
+
+    /// A whole body, and whether the connection can carry a further request.
+    pub async fn body(
+        &mut self,
+        head: &ResponseHead,
+        max_bytes: usize,
+    ) -> Result<(Bytes, bool), AttemptOutcome> {
+        if head.status == 204 || head.status == 304 {
+            return Ok((Bytes::new(), !head.closes_connection));
+        }
+        let body = receive_body(&self.stream, &mut self.buffer, head.framing, max_bytes).await?;
+        Ok((body, !head.closes_connection && head.framing != Framing::Unspecified))
+    }
+}
--- /dev/null
+++ b/crates/nickelgw-platform/src/core/chunked.rs
@@ -0,0 +1,123 @@
+//! The chunked transfer coding, decoded incrementally.
+
+use super::{MalformedMessage, MAX_HEADERS};
+use bytes::{Buf, BytesMut};
+
+/// Longest line with a chunk's size.
+const MAX_SIZE_LINE_BYTES: usize = 256;
+/// Longest trailers.
+const MAX_TRAILERS_BYTES: usize = 4096;
+
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum DecoderState {
+    #[default]
+    Size,
+    /// So many bytes of the chunk are still to arrive.
+    Data(usize),
+    /// The line end behind the data.
+    DataEnd,
+    Trailers,
+    Finished,
+}
+
+/// Where decoding stopped.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DecodeStep {
+    /// More bytes are needed.
+    Incomplete,
+    /// A chunk has ended, and bytes may follow it.
+    ChunkEnd,
+    /// The body has ended, trailers included.
+    BodyEnd,
+}
+
+/// Decoder of one chunked body.
+#[derive(Debug, Default)]
+pub struct ChunkedDecoder {
+    state: DecoderState,
+}
+
+impl ChunkedDecoder {
+    /// Moves what has arrived of the body, up to a chunk's end, from `buffer` to the end of `body`. No chunk may be longer
+    /// than `max_chunk_bytes`: one that announces gigabytes is found by its size, not by its end.
+    pub fn decode(
+        &mut self,
+        buffer: &mut BytesMut,
+        body: &mut BytesMut,
+        max_chunk_bytes: usize,
+    ) -> Result<DecodeStep, MalformedMessage> {
+        loop {
+            match self.state {
+                DecoderState::Size => match chunk_size(buffer, max_chunk_bytes)? {
+                    None => return Ok(DecodeStep::Incomplete),
+                    Some((line_length, size)) => {
+                        buffer.advance(line_length);
+                        self.state =
+                            if size == 0 { DecoderState::Trailers } else { DecoderState::Data(size) };
+                    }
+                },
+                DecoderState::Data(remaining) => {
+                    let available = remaining.min(buffer.len());
+                    body.extend_from_slice(&buffer.split_to(available));
+                    if available < remaining {
+                        self.state = DecoderState::Data(remaining - available);
+                        return Ok(DecodeStep::Incomplete);
+                    }
+                    self.state = DecoderState::DataEnd;
+                }
+                DecoderState::DataEnd => return self.decode_line_end(buffer),
+                DecoderState::Trailers => match trailers_length(buffer)? {
+                    None => return Ok(DecodeStep::Incomplete),
+                    Some(length) => {
+                        buffer.advance(length);
+                        self.state = DecoderState::Finished;
+                    }
+                },
+                DecoderState::Finished => return Ok(DecodeStep::BodyEnd),
+            }
+        }
+    }
+
+    fn decode_line_end(&mut self, buffer: &mut BytesMut) -> Result<DecodeStep, MalformedMessage> {
+        match buffer.get(..) {
+            None | Some([]) | Some([b'\r']) => Ok(DecodeStep::Incomplete),
+            Some([b'\r', b'\n', ..]) => {
+                buffer.advance(2);
+                self.state = DecoderState::Size;
+                Ok(DecodeStep::ChunkEnd)
+            }
+            Some(_) => Err(MalformedMessage::Chunk),
+        }
+    }
+
+    /// Whether a chunk has begun and not ended yet.
+    pub fn in_chunk(&self) -> bool {
+        matches!(self.state, DecoderState::Data(_) | DecoderState::DataEnd)
+    }
+}
+
+/// The length of the line with a chunk's size, and that size; none until the line has arrived.
+fn chunk_size(buffer: &[u8], max_chunk_bytes: usize) -> Result<Option<(usize, usize)>, MalformedMessage> {
+    match httparse::parse_chunk_size(buffer) {
+        Err(_) => Err(MalformedMessage::Chunk),
+        Ok(httparse::Status::Partial) if buffer.len() > MAX_SIZE_LINE_BYTES => Err(MalformedMessage::Chunk),
+        Ok(httparse::Status::Partial) => Ok(None),
+        Ok(httparse::Status::Complete((line_length, size))) => match usize::try_from(size) {
+            Ok(size) if size <= max_chunk_bytes && line_length <= MAX_SIZE_LINE_BYTES => {
+                Ok(Some((line_length, size)))
+            }
+            _ => Err(MalformedMessage::TooLong),
+        },
+    }
+}
+
+/// The length of the trailers; none until all of them have arrived.
+fn trailers_length(buffer: &[u8]) -> Result<Option<usize>, MalformedMessage> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    match httparse::parse_headers(buffer, &mut headers) {
+        Err(_) => Err(MalformedMessage::Chunk),
+        Ok(httparse::Status::Partial) if buffer.len() > MAX_TRAILERS_BYTES => Err(MalformedMessage::TooLong),
+        Ok(httparse::Status::Partial) => Ok(None),
+        Ok(httparse::Status::Complete((length, _))) => Ok(Some(length)),
+    }
+}
--- a/crates/nickelgw-platform/src/core/engine.rs
+++ b/crates/nickelgw-platform/src/core/engine.rs
@@ -1,7 +1,7 @@
-//! Towards engines: the request as it is passed on, and what their answers mean.
+//! Messages to and from engines: requests as they are forwarded, and what responses mean for an attempt.
 
-use super::request::Head;
-use super::{closes, framing, head_length, names, Framing, Spoilt, MOST_HEADERS};
+use super::request::RequestHead;
+use super::{closes_connection, framing, head_length, names, Framing, MalformedMessage, MAX_HEADERS};
 use bytes::Bytes;
 use nickelgw_node_core::AttemptOutcome;
 use nickelgw_platform_config::load;
@@ -9,117 +9,141 @@
 use std::collections::BTreeMap;
 use std::convert::Infallible;
 
-/// A client's request, to be passed on as often as it is sent.
-pub struct Passed {
+/// Most values of one load report.
+const MAX_REPORT_VALUES: usize = 16;
+/// Values are tokens, requests and shares: no plausible one is above this.
+const MAX_REPORT_VALUE: f64 = 1e9;
+/// Shortest and longest timeout that an engine is given, in seconds.
+const ATTEMPT_TIMEOUT_RANGE_S: (f64, f64) = (0.001, 86_400.0);
+
+/// A client's request as it is forwarded, in each of its attempts.
+pub struct ForwardedRequest {
+    /// The request's id.
     pub id: String,
-    line: String,
+    request_line: String,
     headers: Vec<u8>,
+    /// The body, unchanged.
     pub body: Bytes,
 }
 
-impl Passed {
-    pub fn new(head: &Head, id: &str, body: Bytes) -> Passed {
-        let line = format!("{} {} HTTP/1.1\r\n", head.method, head.target);
-        Passed { id: id.to_string(), line, headers: head.passed.clone(), body }
+impl ForwardedRequest {
+    /// The request with this head, id and body.
+    pub fn new(head: &RequestHead, id: &str, body: Bytes) -> ForwardedRequest {
+        let request_line = format!("{} {} HTTP/1.1\r\n", head.method, head.target);
+        ForwardedRequest { id: id.to_string(), request_line, headers: head.forwarded_headers.clone(), body }
     }
 
-    /// The bytes of one send, for which so long is waited.
-    pub fn bytes(&self, address: &str, patience_s: f64) -> Vec<u8> {
-        let ms = (patience_s.clamp(0.001, 86_400.0) * 1e3).ceil() as u64;
-        let mut out = format!("{}host: {address}\r\n", self.line).into_bytes();
-        out.extend_from_slice(&self.headers);
-        let own = format!(
-            "{}: {ms}\r\ncontent-type: application/json\r\ncontent-length: {}\r\n\r\n",
-            names::BUDGET,
+    /// The bytes of one attempt at the engine of this address, with its timeout.
+    pub fn encode(&self, address: &str, timeout_s: f64) -> Vec<u8> {
+        let timeout_s = timeout_s.clamp(ATTEMPT_TIMEOUT_RANGE_S.0, ATTEMPT_TIMEOUT_RANGE_S.1);
+        let timeout_ms = (timeout_s * 1e3).ceil() as u64;
+        let mut bytes = format!("{}host: {address}\r\n", self.request_line).into_bytes();
+        bytes.extend_from_slice(&self.headers);
+        let attempt_headers = format!(
+            "{}: {timeout_ms}\r\ncontent-type: application/json\r\ncontent-length: {}\r\n\r\n",
+            names::TIMEOUT,
             self.body.len()
         );
-        out.extend_from_slice(own.as_bytes());
-        out.extend_from_slice(&self.body);
-        out
+        bytes.extend_from_slice(attempt_headers.as_bytes());
+        bytes.extend_from_slice(&self.body);
+        bytes
     }
 }
 
-/// A call without a body.
-pub fn short(method: &str, target: &str, address: &str) -> Vec<u8> {
+/// The bytes of a request without a body.
+pub fn encode_bodiless_request(method: &str, target: &str, address: &str) -> Vec<u8> {
     format!("{method} {target} HTTP/1.1\r\nhost: {address}\r\n\r\n").into_bytes()
 }
 
-/// The head of an engine's answer, as far as it counts.
+/// The head of an engine's response, as far as it is used.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
+pub struct ResponseHead {
+    /// The status code.
     pub status: u16,
+    /// How the body is delimited.
     pub framing: Framing,
-    pub close: bool,
+    /// The connection closes after the response.
+    pub closes_connection: bool,
+    /// The engine states that it has not begun with the request.
     pub rejected: bool,
-    pub events: bool,
-    pub report: Option<LoadReport>,
+    /// The body is a stream of events.
+    pub is_event_stream: bool,
+    /// The engine's load.
+    pub load: Option<LoadReport>,
 }
 
-/// Takes an answer's head off the front of the bytes, with its length; none until it is whole.
-pub fn answer(bytes: &[u8]) -> Result<Option<(Answer, usize)>, Spoilt> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
-    let mut r = httparse::Response::new(&mut headers);
-    let Some(n) = head_length(r.parse(bytes), bytes.len())? else { return Ok(None) };
-    let named = |name: &str| r.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
-    let told = |name: &str| named(name).and_then(|h| std::str::from_utf8(h.value).ok()).map(str::trim);
-    let answer = Answer {
-        status: r.code.ok_or(Spoilt::Head)?,
-        framing: framing(r.headers)?,
-        close: r.version != Some(1) || closes(r.headers),
-        rejected: told(names::REJECTED) == Some("1"),
-        events: told("content-type").is_some_and(|t| t.starts_with("text/event-stream")),
-        report: told(names::REPORT).and_then(report),
+/// Parses a response's head at the front of the bytes, with its length; none until all of it has arrived.
+pub fn parse_response_head(bytes: &[u8]) -> Result<Option<(ResponseHead, usize)>, MalformedMessage> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut response = httparse::Response::new(&mut headers);
+    let Some(length) = head_length(response.parse(bytes), bytes.len())? else { return Ok(None) };
+    let header = |name: &str| response.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
+    let value =
+        |name: &str| header(name).and_then(|header| std::str::from_utf8(header.value).ok()).map(str::trim);
+    let head = ResponseHead {
+        status: response.code.ok_or(MalformedMessage::Head)?,
+        framing: framing(response.headers)?,
+        closes_connection: response.version != Some(1) || closes_connection(response.headers),
+        rejected: value(names::REJECTED) == Some("1"),
+        is_event_stream: value("content-type").is_some_and(|text| text.starts_with("text/event-stream")),
+        load: value(names::LOAD_REPORT).and_then(parse_load_report),
     };
-    Ok(Some((answer, n)))
+    Ok(Some((head, length)))
 }
 
-/// `x0=0.4,x1=2.5`. One that cannot be read is as none: it rides on an answer that counts without it.
-pub fn report(text: &str) -> Option<LoadReport> {
+/// Parses a report like `x0=0.4,x1=2.5`. A malformed one is ignored: it is an addition to a response that is valid without
+/// it.
+pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut values: BTreeMap<&str, f64> = BTreeMap::new();
-    for pair in text.split(',').take(16) {
+    for pair in text.split(',').take(MAX_REPORT_VALUES) {
         let (name, value) = pair.trim().split_once('=')?;
         let value: f64 = value.trim().parse().ok()?;
-        // Values are tokens, requests and shares: nothing sound is past this.
-        if !(0.0..=1e9).contains(&value) {
+        if !(0.0..=MAX_REPORT_VALUE).contains(&value) {
             return None;
         }
         values.insert(name.trim(), value);
     }
-    let Ok(l) = load(|name: &str| Ok::<_, Infallible>(values.get(name).copied()));
-    let named = [(PRESENT, l.inflight), (WAITING, l.queue_len), (UNREAD, l.pending_prompt_tokens)];
-    let named = named.into_iter().filter_map(|(name, v)| Some((name.to_string(), v?)));
+    let Ok(engine_load) = load(|name: &str| Ok::<_, Infallible>(values.get(name).copied()));
+    let named = [
+        (PRESENT, engine_load.inflight),
+        (WAITING, engine_load.queue_len),
+        (UNREAD, engine_load.pending_prompt_tokens),
+    ];
+    let named = named.into_iter().filter_map(|(name, value)| Some((name.to_string(), value?)));
     Some(LoadReport {
-        mem_utilization: l.memory_share,
-        application_utilization: l.slot_share,
+        mem_utilization: engine_load.memory_share,
+        application_utilization: engine_load.slot_share,
         named_metrics: named.collect(),
     })
 }
 
-/// The report that a stream's closing comment carries.
-pub fn comment(data: &[u8]) -> Option<LoadReport> {
-    let lines = data.split(|b| *b == b'\n').filter(|l| l.first() == Some(&b':'));
-    lines.filter_map(|l| std::str::from_utf8(l).ok()).find_map(|l| {
-        let (name, value) = l[1..].trim().split_once(':')?;
-        name.trim().eq_ignore_ascii_case(names::REPORT).then(|| report(value.trim()))?
+/// The load report in a stream's closing comment.
+pub fn load_report_in_comment(events: &[u8]) -> Option<LoadReport> {
+    let comments = events.split(|byte| *byte == b'\n').filter(|line| line.first() == Some(&b':'));
+    comments.filter_map(|line| std::str::from_utf8(line).ok()).find_map(|line| {
+        let (name, value) = line[1..].trim().split_once(':')?;
+        let is_report = name.trim().eq_ignore_ascii_case(names::LOAD_REPORT);
+        is_report.then(|| parse_load_report(value.trim()))?
     })
 }
 
-/// What an answer that is no stream means for a send.
-pub fn cause(a: &Answer, read: bool) -> AttemptOutcome {
-    match a.status {
-        202 if read => AttemptOutcome::Prefilled,
-        410 if a.rejected && !read => AttemptOutcome::ReservationNotFound,
-        503 | 504 if a.rejected => AttemptOutcome::Rejected,
+/// What a response that is no stream means for an attempt; `is_prefill`: it was sent to a prefill engine.
+pub fn unary_outcome(head: &ResponseHead, is_prefill: bool) -> AttemptOutcome {
+    match head.status {
+        202 if is_prefill => AttemptOutcome::Prefilled,
+        410 if head.rejected && !is_prefill => AttemptOutcome::ReservationNotFound,
+        503 | 504 if head.rejected => AttemptOutcome::Rejected,
         200..=299 => AttemptOutcome::Malformed,
         status => AttemptOutcome::ErrorStatus(status),
     }
 }
 
-/// Prompt tokens that a reader found kept.
-pub fn kept(body: &[u8]) -> f64 {
+/// Prompt tokens that a prefill engine found in its cache, from the body of its response.
+pub fn cached_tokens(body: &[u8]) -> f64 {
     #[derive(serde::Deserialize)]
-    struct Read {
+    struct PrefillResponse {
         cached_tokens: f64,
     }
-    serde_json::from_slice::<Read>(body).map_or(0.0, |r| r.cached_tokens.clamp(0.0, 1e9))
+    let response = serde_json::from_slice::<PrefillResponse>(body);
+    response.map_or(0.0, |response| response.cached_tokens.clamp(0.0, 1e9))
 }
--- a/crates/nickelgw-platform/src/core/tests.rs
+++ b/crates/nickelgw-platform/src/core/tests.rs
@@ -1,47 +1,54 @@
-use super::chunks::{Chunked, Step};
-use super::engine::{answer, cause, comment, report, Passed};
-use super::events::{Events, Piece};
-use super::list::{News, Roll};
-use super::request::{head, Names};
+use super::chunked::{ChunkedDecoder, DecodeStep};
+use super::endpoint_list::{DiscoveredEndpoints, DiscoveryUpdate};
+use super::engine::{
+    load_report_in_comment, parse_load_report, parse_response_head, unary_outcome, ForwardedRequest,
+};
+use super::event_stream::{EventStreamDecoder, StreamPiece};
+use super::request::{parse_request_head, KnownNames};
 use super::*;
 use bytes::{Bytes, BytesMut};
 use nickelgw::interface::EngineRole;
-use nickelgw_node_core::AttemptOutcome;
+use nickelgw_node_core::{AdmittedRequest, AttemptOutcome};
+use nickelgw_protocol::list::EngineState;
 use nickelgw_protocol::load::UNREAD;
 use proptest::prelude::*;
 use test_case::test_case;
 
-const GOOD: &str = "POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: 9b1f03aa\r\n\
+const VALID_HEAD: &str = "POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: 9b1f03aa\r\n\
 X-Call-Class: chat\r\nX-Caller: acme\r\nX-Route-Hash: 7f3a\r\nX-Budget-Ms: 4800\r\n\
 X-Call-Info: prefix=5c0f,prompt_len=12,prefix_len=4,max_out=800\r\nContent-Length: 20\r\n\r\n";
 
-fn names() -> Names {
-    Names { routes: vec!["doc".into(), "chat".into()], tenants: vec!["acme".into()] }
+fn known_names() -> KnownNames {
+    KnownNames { routes: vec!["doc".into(), "chat".into()], tenants: vec!["acme".into()] }
 }
 
-fn asked(text: &str) -> Result<nickelgw_node_core::AdmittedRequest, String> {
-    let (h, _) = head(text.as_bytes()).map_err(|e| e.to_string())?.ok_or("not whole")?;
-    h.ask(&names(), br#"{"model":"chat","x":"0123456789"}"#).map_err(str::to_string)
+/// The request with this head, as it is admitted.
+fn admitted(text: &str) -> Result<AdmittedRequest, String> {
+    let parsed = parse_request_head(text.as_bytes()).map_err(|error| error.to_string())?;
+    let (head, _) = parsed.ok_or("the head is incomplete")?;
+    let body = br#"{"model":"chat","x":"0123456789"}"#;
+    head.to_admitted(&known_names(), body).map_err(|error| error.to_string())
 }
 
 #[test]
-fn a_request_is_taken_as_its_head_says() {
-    let ask = asked(GOOD).unwrap();
-    assert_eq!((ask.route, ask.tenant, ask.timeout_s), (1, Some(0), 4.8));
-    assert_eq!((ask.prompt_tokens, ask.prefix_tokens), (12.0, 4.0));
+fn request_is_admitted_as_its_head_states() {
+    let request = admitted(VALID_HEAD).unwrap();
+    assert_eq!((request.route, request.tenant, request.timeout_s), (1, Some(0), 4.8));
+    assert_eq!((request.prompt_tokens, request.prefix_tokens), (12.0, 4.0));
     assert_eq!(
-        (&*ask.session, ask.prefix.as_deref(), ask.name.as_deref()),
+        (&*request.session, request.prefix.as_deref(), request.name.as_deref()),
         ("7f3a", Some("5c0f"), Some("9b1f03aa"))
     );
-    let (h, n) = head(GOOD.as_bytes()).unwrap().unwrap();
+    let (head, length) = parse_request_head(VALID_HEAD.as_bytes()).unwrap().unwrap();
     assert_eq!(
-        (n, h.framing, h.target.as_str()),
-        (GOOD.len(), Framing::Length(20), "/v1/chat/completions?x=1")
+        (length, head.framing, head.target.as_str()),
+        (VALID_HEAD.len(), Framing::Length(20), "/v1/chat/completions?x=1")
     );
-    assert!(head(&GOOD.as_bytes()[..GOOD.len() - 1]).unwrap().is_none());
+    let incomplete = &VALID_HEAD.as_bytes()[..VALID_HEAD.len() - 1];
+    assert!(parse_request_head(incomplete).unwrap().is_none());
 }
 
-// Clients that send what cannot be used: each refused at the door, none reaches the module or an engine.
+// Unusable requests: each is refused before admission, none reaches the decision module or an engine.
 #[test_case("X-Call-Id: 9b1f03aa\r\n", ""; "no id")]
 #[test_case("9b1f03aa", "../x"; "an id that would change a path")]
 #[test_case("X-Caller: acme", "X-Call-Id: other"; "two ids")]
@@ -58,130 +65,132 @@
 #[test_case("Content-Length: 20", "Transfer-Encoding: gzip, chunked"; "other coding")]
 #[test_case("HTTP/1.1", "HTTP/9"; "no such version")]
 #[test_case("Host: app.svc", "Ho st: app.svc"; "a header that cannot be read")]
-fn what_cannot_be_used_is_refused(part: &str, by: &str) {
-    assert!(GOOD.contains(part));
-    assert!(asked(&GOOD.replacen(part, by, 1)).is_err());
+fn unusable_request_is_refused(part: &str, replacement: &str) {
+    assert!(VALID_HEAD.contains(part));
+    assert!(admitted(&VALID_HEAD.replacen(part, replacement, 1)).is_err());
 }
 
-/// Another deployment's key of a deduped class is a header that this one's page does not name.
+/// Another deployment's key of a deduplicated class is a header that this one's page does not name.
 #[test]
-fn a_head_is_passed_on_whole_but_for_what_is_of_its_connection() {
-    let text = GOOD.replacen(
+fn head_is_forwarded_without_the_headers_of_its_connection() {
+    let text = VALID_HEAD.replacen(
         "Host: app.svc",
         "Host: app.svc\r\nX-Dedupe: k 1\r\nX-Twice: a\r\nx-twice: b\r\nX-Raw: \u{e9}\r\nTE: trailers\r\n\
          Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nExpect: 100-continue",
         1,
     );
-    let (h, _) = head(text.as_bytes()).unwrap().unwrap();
-    let wanted = "X-Dedupe: k 1\r\nX-Twice: a\r\nx-twice: b\r\nX-Raw: \u{e9}\r\nX-Call-Id: 9b1f03aa\r\n\
-                  X-Call-Class: chat\r\nX-Caller: acme\r\nX-Route-Hash: 7f3a\r\n\
-                  X-Call-Info: prefix=5c0f,prompt_len=12,prefix_len=4,max_out=800\r\n";
-    assert_eq!(std::str::from_utf8(&h.passed), Ok(wanted));
-    let sent = Passed::new(&h, "9b1f03aa", Bytes::from_static(b"{}")).bytes("e:1", 1.5);
-    let sent = String::from_utf8(sent).unwrap();
-    assert!(sent.starts_with("POST /v1/chat/completions?x=1 HTTP/1.1\r\nhost: e:1\r\nX-Dedupe: k 1\r\n"));
+    let (head, _) = parse_request_head(text.as_bytes()).unwrap().unwrap();
+    let expected = "X-Dedupe: k 1\r\nX-Twice: a\r\nx-twice: b\r\nX-Raw: \u{e9}\r\nX-Call-Id: 9b1f03aa\r\n\
+                    X-Call-Class: chat\r\nX-Caller: acme\r\nX-Route-Hash: 7f3a\r\n\
+                    X-Call-Info: prefix=5c0f,prompt_len=12,prefix_len=4,max_out=800\r\n";
+    assert_eq!(std::str::from_utf8(&head.forwarded_headers), Ok(expected));
+    let forwarded = ForwardedRequest::new(&head, "9b1f03aa", Bytes::from_static(b"{}"));
+    let bytes = String::from_utf8(forwarded.encode("e:1", 1.5)).unwrap();
+    assert!(bytes.starts_with("POST /v1/chat/completions?x=1 HTTP/1.1\r\nhost: e:1\r\nX-Dedupe: k 1\r\n"));
     assert!(
-        sent.ends_with("x-budget-ms: 1500\r\ncontent-type: application/json\r\ncontent-length: 2\r\n\r\n{}")
+        bytes.ends_with("x-budget-ms: 1500\r\ncontent-type: application/json\r\ncontent-length: 2\r\n\r\n{}")
     );
 }
 
 #[test]
-fn a_head_without_end_is_refused() {
-    let long = format!("GET / HTTP/1.1\r\nx: {}", "y".repeat(MOST_HEAD));
-    assert_eq!(head(long.as_bytes()), Err(Spoilt::Long));
+fn head_without_end_is_refused() {
+    let endless = format!("GET / HTTP/1.1\r\nx: {}", "y".repeat(MAX_HEAD_BYTES));
+    assert_eq!(parse_request_head(endless.as_bytes()), Err(MalformedMessage::TooLong));
 }
 
 fn chunk(data: &str) -> String {
     format!("{:x}\r\n{data}\r\n", data.len())
 }
 
-fn data(text: &str) -> Piece {
-    Piece::Data(Bytes::from(text.to_string()))
+fn events(text: &str) -> StreamPiece {
+    StreamPiece::Events(Bytes::from(text.to_string()))
 }
 
-/// What is taken of these bytes, each part as it comes.
-fn pieces_of(parts: &[&[u8]]) -> (Vec<Piece>, Result<(), Spoilt>) {
-    let (mut events, mut buf, mut all) = (Events::default(), BytesMut::new(), Vec::new());
+/// The pieces decoded from these bytes, which arrive part by part.
+fn decode_parts(parts: &[&[u8]]) -> (Vec<StreamPiece>, Result<(), MalformedMessage>) {
+    let (mut decoder, mut buffer) = (EventStreamDecoder::default(), BytesMut::new());
+    let mut pieces = Vec::new();
     for part in parts {
-        buf.extend_from_slice(part);
+        buffer.extend_from_slice(part);
         loop {
-            match events.next(&mut buf) {
+            match decoder.next(&mut buffer) {
                 Ok(None) => break,
-                Ok(Some(Piece::Last)) => {
-                    all.push(Piece::Last);
-                    return (all, Ok(()));
+                Ok(Some(StreamPiece::End)) => {
+                    pieces.push(StreamPiece::End);
+                    return (pieces, Ok(()));
                 }
-                Ok(Some(p)) => all.push(p),
-                Err(why) => return (all, Err(why)),
+                Ok(Some(piece)) => pieces.push(piece),
+                Err(error) => return (pieces, Err(error)),
             }
         }
     }
-    (all, Ok(()))
+    (pieces, Ok(()))
 }
 
-fn pieces(bytes: &[u8]) -> (Vec<Piece>, Result<(), Spoilt>) {
-    pieces_of(&[bytes])
+fn decode(bytes: &[u8]) -> (Vec<StreamPiece>, Result<(), MalformedMessage>) {
+    decode_parts(&[bytes])
 }
 
-const ONE: &str = "data: 1\n\n";
+const EVENT: &str = "data: 1\n\n";
 
 #[test]
-fn events_come_whole_and_as_soon_as_they_are() {
-    let whole = format!("{}0\r\n\r\n", chunk(ONE));
-    assert_eq!(pieces(whole.as_bytes()), (vec![data(ONE), Piece::Last], Ok(())));
-    // Before its chunk is.
-    assert_eq!(pieces(b"9\r\ndata: 1\n\n").0, [data(ONE)]);
-    assert_eq!(pieces(b"20\r\ndata: 1\n\ndata: 2").0, [data(ONE)]);
-    // Not by its half, whole as that chunk may be.
-    let halves = [chunk("data: "), chunk("1\n"), chunk("\n")];
-    assert_eq!(pieces(halves[0].as_bytes()).0, []);
-    assert_eq!(pieces(halves[..2].concat().as_bytes()).0, []);
-    assert_eq!(pieces(halves.concat().as_bytes()).0, [data(ONE)]);
-    // Other ends of lines, several at once, and what the end of the stream ends.
-    assert_eq!(pieces(chunk("data: 1\r\n\r\n").as_bytes()).0, [data("data: 1\r\n\r\n")]);
-    assert_eq!(pieces(chunk("data: 1\n\ndata: 2\n\nda").as_bytes()).0, [data("data: 1\n\ndata: 2\n\n")]);
-    assert_eq!(pieces(chunk(ONE).repeat(2).as_bytes()).0, [data(ONE), data(ONE)], "chunk by chunk");
+fn events_are_decoded_whole_and_as_soon_as_they_are_complete() {
+    let stream = format!("{}0\r\n\r\n", chunk(EVENT));
+    assert_eq!(decode(stream.as_bytes()), (vec![events(EVENT), StreamPiece::End], Ok(())));
+    // Before its chunk is complete.
+    assert_eq!(decode(b"9\r\ndata: 1\n\n").0, [events(EVENT)]);
+    assert_eq!(decode(b"20\r\ndata: 1\n\ndata: 2").0, [events(EVENT)]);
+    // Not its half, even if that chunk is complete.
+    let parts = [chunk("data: "), chunk("1\n"), chunk("\n")];
+    assert_eq!(decode(parts[0].as_bytes()).0, []);
+    assert_eq!(decode(parts[..2].concat().as_bytes()).0, []);
+    assert_eq!(decode(parts.concat().as_bytes()).0, [events(EVENT)]);
+    // Other line ends, several at once, and what the end of the stream ends.
+    assert_eq!(decode(chunk("data: 1\r\n\r\n").as_bytes()).0, [events("data: 1\r\n\r\n")]);
+    let two_and_a_part = chunk("data: 1\n\ndata: 2\n\nda");
+    assert_eq!(decode(two_and_a_part.as_bytes()).0, [events("data: 1\n\ndata: 2\n\n")]);
+    assert_eq!(decode(chunk(EVENT).repeat(2).as_bytes()).0, [events(EVENT), events(EVENT)], "chunk by chunk");
     let comment = format!("{}0\r\n\r\n", chunk(": X-Load-Report: x0=1"));
-    assert_eq!(pieces(comment.as_bytes()).0, [data(": X-Load-Report: x0=1"), Piece::Last]);
+    assert_eq!(decode(comment.as_bytes()).0, [events(": X-Load-Report: x0=1"), StreamPiece::End]);
 }
 
-// Streams that arrive spoilt: found before anything of the event is passed on.
-#[test_case(b"zz\r\nab\r\n", Spoilt::Chunk; "no size")]
-#[test_case(b"2\r\nabc\r\n", Spoilt::Chunk; "too small a size")]
-#[test_case(b"4\r\nab\r\n4\r\n", Spoilt::Chunk; "too large a size")]
-#[test_case(b"c0000000\r\nab", Spoilt::Long; "3 GB")]
-#[test_case(b"fffffffffffffffff\r\nab", Spoilt::Chunk; "past all numbers")]
-#[test_case(b"0\r\nno trailer\r\n\r\n", Spoilt::Chunk; "bad trailers")]
-#[test_case(b"9\r\nnoise: \n\n\r\n", Spoilt::Events; "no event")]
-fn spoilt_chunks_are_found(bytes: &[u8], why: Spoilt) {
-    assert_eq!(pieces(bytes), (vec![], Err(why)));
+// Malformed streams: found before anything of the event is forwarded.
+#[test_case(b"zz\r\nab\r\n", MalformedMessage::Chunk; "no size")]
+#[test_case(b"2\r\nabc\r\n", MalformedMessage::Chunk; "too small a size")]
+#[test_case(b"4\r\nab\r\n4\r\n", MalformedMessage::Chunk; "too large a size")]
+#[test_case(b"c0000000\r\nab", MalformedMessage::TooLong; "3 GB")]
+#[test_case(b"fffffffffffffffff\r\nab", MalformedMessage::Chunk; "past all numbers")]
+#[test_case(b"0\r\nno trailer\r\n\r\n", MalformedMessage::Chunk; "bad trailers")]
+#[test_case(b"9\r\nnoise: \n\n\r\n", MalformedMessage::Events; "no event")]
+fn malformed_chunk_is_detected(bytes: &[u8], error: MalformedMessage) {
+    assert_eq!(decode(bytes), (vec![], Err(error)));
 }
 
-/// The next chunk's line in the data: the first event is whole, and nothing behind it is passed on.
+/// The next chunk's line in the data: the first event is complete, and nothing behind it is forwarded.
 #[test]
-fn a_size_that_takes_in_the_next_chunk_ends_the_stream() {
-    let bytes = format!("40\r\n{ONE}\r\n{}{}", chunk(ONE), chunk(&"data: 22\n\n".repeat(9)));
-    let (all, end) = pieces_of(&[&bytes.as_bytes()[..13], &bytes.as_bytes()[13..]]);
-    assert_eq!((all, end), (vec![data(ONE)], Err(Spoilt::Events)));
+fn size_that_includes_the_next_chunk_ends_the_stream() {
+    let bytes = format!("40\r\n{EVENT}\r\n{}{}", chunk(EVENT), chunk(&"data: 22\n\n".repeat(9)));
+    let (pieces, end) = decode_parts(&[&bytes.as_bytes()[..13], &bytes.as_bytes()[13..]]);
+    assert_eq!((pieces, end), (vec![events(EVENT)], Err(MalformedMessage::Events)));
 }
 
 #[test]
-fn an_event_without_end_is_bounded() {
-    let line = chunk(&format!("data: {}", "x".repeat(MOST_BODY / 2)));
-    assert_eq!(pieces(line.repeat(3).as_bytes()), (vec![], Err(Spoilt::Long)));
+fn event_without_end_is_bounded() {
+    let line = chunk(&format!("data: {}", "x".repeat(MAX_BODY_BYTES / 2)));
+    assert_eq!(decode(line.repeat(3).as_bytes()), (vec![], Err(MalformedMessage::TooLong)));
 }
 
 #[test]
-fn a_chunked_body_longer_than_allowed_is_found() {
-    let (mut body, mut c) = (BytesMut::new(), Chunked::default());
+fn chunk_longer_than_allowed_is_detected() {
+    let (mut body, mut decoder) = (BytesMut::new(), ChunkedDecoder::default());
     let mut bytes = BytesMut::from(format!("{}0\r\n\r\n", chunk("abc").repeat(3)).as_bytes());
-    for step in [Step::Chunk, Step::Chunk, Step::Chunk, Step::Whole] {
-        assert_eq!(c.decode(&mut bytes, &mut body, 4), Ok(step));
+    for step in [DecodeStep::ChunkEnd, DecodeStep::ChunkEnd, DecodeStep::ChunkEnd, DecodeStep::BodyEnd] {
+        assert_eq!(decoder.decode(&mut bytes, &mut body, 4), Ok(step));
     }
-    assert_eq!(&body[..], b"abcabcabc", "the sum is the caller's to bound");
+    assert_eq!(&body[..], b"abcabcabc", "the sum is the caller's to limit");
     assert_eq!(
-        Chunked::default().decode(&mut BytesMut::from(&b"5\r\n"[..]), &mut body, 4),
-        Err(Spoilt::Long)
+        ChunkedDecoder::default().decode(&mut BytesMut::from(&b"5\r\n"[..]), &mut body, 4),
+        Err(MalformedMessage::TooLong)
     );
 }
 
@@ -192,120 +201,126 @@
 #[test_case("504 Late\r\nX-Rejected: 1", false, AttemptOutcome::Rejected; "too late")]
 #[test_case("503 Full", false, AttemptOutcome::ErrorStatus(503); "a bare 503 proves nothing")]
 #[test_case("500 Error", true, AttemptOutcome::ErrorStatus(500); "error")]
-fn answers_mean(head: &str, read: bool, wanted: AttemptOutcome) {
-    let (a, _) = answer(format!("HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n").as_bytes()).unwrap().unwrap();
-    assert_eq!(cause(&a, read), wanted);
+fn response_status_decides_the_outcome(head: &str, is_prefill: bool, expected: AttemptOutcome) {
+    let bytes = format!("HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n");
+    let (response, _) = parse_response_head(bytes.as_bytes()).unwrap().unwrap();
+    assert_eq!(unary_outcome(&response, is_prefill), expected);
 }
 
 #[test]
-fn a_head_that_does_not_end_in_place_is_spoilt() {
+fn head_that_does_not_end_in_place_is_malformed() {
     let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n9\r\ndata: 1\n\n\r\n";
-    assert!(answer(head).is_err());
-    assert!(answer(b"\x00\x07noise").is_err());
+    assert!(parse_response_head(head).is_err());
+    assert!(parse_response_head(b"\x00\x07noise").is_err());
 }
 
 #[test]
-fn reports_are_read_or_passed_over() {
-    let r = report("x0=0.4,x1=2.5").unwrap();
-    assert_eq!((r.mem_utilization, r.named(UNREAD)), (Some(0.4), Some(2500.0)));
-    for bad in ["x0=NaN", "x0", "x0=-1", "x0=1e99", "\u{0}"] {
-        assert!(report(bad).is_none(), "{bad}");
+fn malformed_load_report_is_ignored() {
+    let report = parse_load_report("x0=0.4,x1=2.5").unwrap();
+    assert_eq!((report.mem_utilization, report.named(UNREAD)), (Some(0.4), Some(2500.0)));
+    for malformed in ["x0=NaN", "x0", "x0=-1", "x0=1e99", "\u{0}"] {
+        assert!(parse_load_report(malformed).is_none(), "{malformed}");
     }
-    assert_eq!(comment(b"data: [DONE]\n\n: X-Load-Report: x0=0.4,x1=2.5\n\n"), Some(r));
-    assert_eq!(comment(b"data: {\"a\": \": X-Load-Report: x0=1\"}\n\n"), None);
+    let closing_comment = b"data: [DONE]\n\n: X-Load-Report: x0=0.4,x1=2.5\n\n";
+    assert_eq!(load_report_in_comment(closing_comment), Some(report));
+    assert_eq!(load_report_in_comment(b"data: {\"a\": \": X-Load-Report: x0=1\"}\n\n"), None);
 }
 
 #[test]
-fn the_list_is_told_whole_or_by_its_changes() {
-    let kinds =
+fn endpoint_list_is_replaced_or_updated() {
+    let machine_kinds =
         vec![("m1".to_string(), EngineRole::Prefill, 9.0), ("m2".to_string(), EngineRole::Decode, 9.0)];
-    let mut roll = Roll::new(kinds);
-    let entry = |id: &str, state: &str| {
+    let mut endpoints = DiscoveredEndpoints::new(machine_kinds);
+    let entry = |id: &str, lifecycle: &str| {
         format!(
             r#"{{"instanceId":"{id}","hostPort":"127.0.0.1:{}","zone":"a","machineType":"m1","cell":3,
-            "lifecycle":"{state}","weight":1.0,"startedAtMs":0}}"#,
+            "lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":0}}"#,
             id.len()
         )
     };
-    let news = |reset: bool, entries: &[String]| {
+    let update = |reset: bool, entries: &[String]| {
         let text = format!(r#"{{"generation":4,"reset":{reset},"instances":[{}]}}"#, entries.join(","));
-        News::parse(text.as_bytes()).unwrap()
+        DiscoveryUpdate::parse(text.as_bytes()).unwrap()
     };
-    roll.hear(news(true, &[entry("a", "up"), entry("bb", "up")]));
-    roll.hear(news(false, &[entry("a", "removed"), entry("bb", "draining")]));
-    let list = roll.list();
+    endpoints.apply(update(true, &[entry("a", "up"), entry("bb", "up")]));
+    endpoints.apply(update(false, &[entry("a", "removed"), entry("bb", "draining")]));
+    let list = endpoints.snapshot();
     assert_eq!(list.revision, 2);
-    let told: Vec<_> = list.engines.iter().map(|l| (&*l.id, l.state, l.started_at)).collect();
-    assert_eq!(told, [("bb", nickelgw_protocol::list::EngineState::Draining, None)]);
+    let engines: Vec<_> =
+        list.engines.iter().map(|engine| (&*engine.id, engine.state, engine.started_at)).collect();
+    assert_eq!(engines, [("bb", EngineState::Draining, None)]);
 }
 
 proptest! {
-    // Bytes from outside never fail more than their connection.
+    // Bytes from outside never cost more than their connection.
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
-        let _ = head(&bytes);
-        let _ = answer(&bytes);
-        let _ = pieces(&bytes);
-        let _ = News::parse(&bytes);
-        let _ = std::str::from_utf8(&bytes).map(report);
-        let _ = comment(&bytes);
+    fn any_bytes_are_parsed_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
+        let _ = parse_request_head(&bytes);
+        let _ = parse_response_head(&bytes);
+        let _ = decode(&bytes);
+        let _ = DiscoveryUpdate::parse(&bytes);
+        let _ = std::str::from_utf8(&bytes).map(parse_load_report);
+        let _ = load_report_in_comment(&bytes);
     }
 
     #[test]
-    fn chunks_are_the_same_however_they_arrive(data in proptest::collection::vec(any::<u8>(), 1..300), cut in 0usize..400) {
+    fn chunks_are_decoded_the_same_however_they_arrive(
+        data in proptest::collection::vec(any::<u8>(), 1..300),
+        cut in 0usize..400,
+    ) {
         let mut bytes = format!("{:x}\r\n", data.len()).into_bytes();
         bytes.extend_from_slice(&data);
         bytes.extend_from_slice(b"\r\n0\r\n\r\n");
         let cut = cut.min(bytes.len());
-        let (mut chunked, mut body) = (Chunked::default(), BytesMut::new());
-        let mut buf = BytesMut::from(&bytes[..cut]);
-        let mut all = |buf: &mut BytesMut| loop {
-            match chunked.decode(buf, &mut body, MOST_BODY).unwrap() {
-                Step::Chunk => {}
+        let (mut decoder, mut body) = (ChunkedDecoder::default(), BytesMut::new());
+        let mut buffer = BytesMut::from(&bytes[..cut]);
+        let mut decode_all = |buffer: &mut BytesMut| loop {
+            match decoder.decode(buffer, &mut body, MAX_BODY_BYTES).unwrap() {
+                DecodeStep::ChunkEnd => {}
                 step => return step,
             }
         };
-        prop_assert_eq!(all(&mut buf) == Step::Whole, cut == bytes.len());
-        buf.extend_from_slice(&bytes[cut..]);
-        prop_assert_eq!(all(&mut buf), Step::Whole);
+        prop_assert_eq!(decode_all(&mut buffer) == DecodeStep::BodyEnd, cut == bytes.len());
+        buffer.extend_from_slice(&bytes[cut..]);
+        prop_assert_eq!(decode_all(&mut buffer), DecodeStep::BodyEnd);
         prop_assert_eq!(&body[..], &data[..]);
-        prop_assert!(buf.is_empty());
+        prop_assert!(buffer.is_empty());
     }
 
-    // Whatever the chunks, and however they come: all of it, unchanged, each part whole events.
+    // Whatever the chunks, and however they arrive: all of it, unchanged, each piece complete events.
     #[test]
-    fn events_are_the_same_whatever_the_chunks(
+    fn events_are_decoded_the_same_whatever_the_chunks(
         texts in proptest::collection::vec("[a-z0-9 :]{0,12}", 1..12),
         sizes in proptest::collection::vec(1usize..40, 1..30),
         cuts in proptest::collection::vec(1usize..50, 1..30),
     ) {
-        let all: String = texts.iter().map(|t| format!("data: {t}\n\n")).collect();
-        let (mut bytes, mut rest) = (String::new(), &all[..]);
+        let all: String = texts.iter().map(|text| format!("data: {text}\n\n")).collect();
+        let (mut bytes, mut remaining) = (String::new(), &all[..]);
         for size in sizes.iter().cycle() {
-            let (one, more) = rest.split_at((*size).min(rest.len()));
-            bytes += &chunk(one);
-            rest = more;
-            if rest.is_empty() {
+            let (data, behind) = remaining.split_at((*size).min(remaining.len()));
+            bytes += &chunk(data);
+            remaining = behind;
+            if remaining.is_empty() {
                 break;
             }
         }
         bytes += "0\r\n\r\n";
-        let (mut parts, mut rest) = (Vec::new(), bytes.as_bytes());
+        let (mut parts, mut remaining) = (Vec::new(), bytes.as_bytes());
         for cut in cuts.iter().cycle() {
-            let (one, more) = rest.split_at((*cut).min(rest.len()));
-            parts.push(one);
-            rest = more;
-            if rest.is_empty() {
+            let (part, behind) = remaining.split_at((*cut).min(remaining.len()));
+            parts.push(part);
+            remaining = behind;
+            if remaining.is_empty() {
                 break;
             }
         }
-        let (mut got, end) = pieces_of(&parts);
-        prop_assert_eq!((got.pop(), end), (Some(Piece::Last), Ok(())));
+        let (mut pieces, end) = decode_parts(&parts);
+        prop_assert_eq!((pieces.pop(), end), (Some(StreamPiece::End), Ok(())));
         let mut text = Vec::new();
-        for p in got {
-            let Piece::Data(d) = p else { panic!("one end") };
-            prop_assert!(d.ends_with(b"\n\n"));
-            text.extend_from_slice(&d);
+        for piece in pieces {
+            let StreamPiece::Events(data) = piece else { panic!("one end") };
+            prop_assert!(data.ends_with(b"\n\n"));
+            text.extend_from_slice(&data);
         }
         prop_assert_eq!(text, all.into_bytes());
     }
--- a/crates/nickelgw-platform/src/counters.rs
+++ b/crates/nickelgw-platform/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of the node, told to the log: once a minute while they change, and as the process ends.
+//! The node's counters in the log: once a minute while they change, and as the process exits.
 
 use crate::node::Node;
 use nickelgw_node::seconds;
@@ -6,10 +6,10 @@
 use std::rc::Rc;
 
 /// Seconds between two lines.
-const EVERY_S: f64 = 60.0;
+const LOG_INTERVAL_S: f64 = 60.0;
 
-/// Writes one line with all counters: requests by how they ended, KV reservations by what became of them.
-pub fn write(node: &Node) {
+/// Logs one line with all counters: requests by how they ended, reservations by what became of them.
+pub fn log(node: &Node) {
     let core = node.core.borrow();
     let (requests, reservations) = (core.counters, core.ledger.counters);
     tracing::info!(
@@ -25,17 +25,17 @@
     );
 }
 
-/// Writes the line again and again, until dropped.
-pub async fn write_regularly(node: Rc<Node>) {
-    let mut last = None;
+/// Logs the line regularly, until dropped.
+pub async fn log_regularly(node: Rc<Node>) {
+    let mut logged = None;
     loop {
-        Timer::after(seconds(EVERY_S)).await;
-        let now = {
+        Timer::after(seconds(LOG_INTERVAL_S)).await;
+        let counters = {
             let core = node.core.borrow();
             (core.counters, core.ledger.counters)
         };
-        if last.replace(now) != Some(now) {
-            write(&node);
+        if logged.replace(counters) != Some(counters) {
+            log(&node);
         }
     }
 }
--- /dev/null
+++ b/crates/nickelgw-platform/src/node/attempts.rs
@@ -0,0 +1,255 @@
+//! Attempts at engines: the exchange with a prefill engine, and with a decode engine up to the end of its stream.
+
+use super::{Node, Reply};
+use crate::clients::socket::ClientSocket;
+use crate::core::engine::{self, ForwardedRequest, ResponseHead};
+use crate::core::event_stream::{EventStreamDecoder, StreamPiece};
+use crate::core::{Framing, MAX_BODY_BYTES};
+use crate::pool::{Connection, ConnectionCloser, ConnectionUse};
+use async_channel::Sender;
+use bytes::Bytes;
+use nickelgw_node::within;
+use nickelgw_node_core::{AttemptKind, AttemptOutcome, AttemptRequest, AttemptResult};
+use nickelgw_protocol::load::LoadReport;
+use std::cell::{Cell, RefCell};
+
+/// Pieces of a stream that wait for a slow client before reading from its engine pauses.
+const MAX_QUEUED_PIECES: usize = 32;
+/// How long the first event waits for the rest of its chunk. Events are to be forwarded within 0.3 s (the platform's page).
+const FIRST_EVENT_DELAY_S: f64 = 0.1;
+
+/// How far an attempt has come, for the one that cancels it.
+#[derive(Default)]
+pub(super) struct AttemptProgress {
+    /// The request's last byte has been written.
+    pub(super) delivered: Cell<bool>,
+    /// The connection that it is written to.
+    pub(super) connection: RefCell<Option<ConnectionCloser>>,
+}
+
+impl AttemptProgress {
+    /// The result of an attempt whose time is up.
+    fn timed_out(&self) -> AttemptResult {
+        if self.delivered.get() {
+            ended_by(AttemptOutcome::TimedOut)
+        } else {
+            ended_by(AttemptOutcome::ConnectFailed)
+        }
+    }
+}
+
+/// A stream whose first event has arrived.
+struct StartedStream {
+    connection: Connection,
+    decoder: EventStreamDecoder,
+    first: Bytes,
+    /// What arrived behind it while the rest of its chunk was awaited.
+    next: Option<StreamPiece>,
+    /// The connection can carry a further request.
+    reusable: bool,
+    load: Option<LoadReport>,
+}
+
+fn ended_by(outcome: AttemptOutcome) -> AttemptResult {
+    AttemptResult { outcome, ..AttemptResult::default() }
+}
+
+impl Node {
+    /// Carries out an attempt to its end.
+    pub(super) async fn execute_attempt(
+        &self,
+        attempt: &AttemptRequest,
+        forwarded: &ForwardedRequest,
+        client: &ClientSocket,
+        progress: &AttemptProgress,
+    ) -> AttemptResult {
+        // The timeout counts from here, not from each step.
+        let timeout_s = attempt.timeout_s;
+        match attempt.kind {
+            AttemptKind::Prefill => within(timeout_s, self.prefill(attempt, forwarded, client, progress))
+                .await
+                .unwrap_or_else(|| progress.timed_out()),
+            AttemptKind::Decode { idle_timeout_s, .. } => {
+                match within(timeout_s, self.read_stream_head(attempt, forwarded, client, progress)).await {
+                    None => progress.timed_out(),
+                    Some(Err(result)) => result,
+                    Some(Ok(stream)) => self.forward_stream(attempt, stream, idle_timeout_s).await,
+                }
+            }
+        }
+    }
+
+    async fn prefill(
+        &self,
+        attempt: &AttemptRequest,
+        forwarded: &ForwardedRequest,
+        client: &ClientSocket,
+        progress: &AttemptProgress,
+    ) -> AttemptResult {
+        match self.send_request(attempt, forwarded, client, progress).await {
+            Err(outcome) => ended_by(outcome),
+            Ok((_, head)) if head.is_event_stream => ended_by(AttemptOutcome::Malformed),
+            Ok((connection, head)) => self.read_unary_body(connection, head, true).await,
+        }
+    }
+
+    /// Writes the request and reads the head of the response.
+    async fn send_request(
+        &self,
+        attempt: &AttemptRequest,
+        forwarded: &ForwardedRequest,
+        client: &ClientSocket,
+        progress: &AttemptProgress,
+    ) -> Result<(Connection, ResponseHead), AttemptOutcome> {
+        let started_at = self.now();
+        let pool = &self.parts.pool;
+        let usage = if attempt.runs_once { ConnectionUse::SingleAttempt } else { ConnectionUse::Attempt };
+        let mut connection = pool.connection(&attempt.engine.address, usage).await?;
+        // The connection may have come up late: the attempt begins only now.
+        if client.disconnection().is_some() {
+            pool.put_idle(connection);
+            return Err(AttemptOutcome::NotDelivered);
+        }
+        // Nothing new begins at an engine that was announced as draining meanwhile: as if it had rejected the request.
+        if !self.endpoints.borrow().is_active(&attempt.engine.id) {
+            return Err(AttemptOutcome::Rejected);
+        }
+        progress.connection.replace(Some(connection.closer()));
+        // The connection may have taken a while: the engine receives the time that remains now.
+        let remaining_s = attempt.timeout_s - (self.now() - started_at);
+        let bytes = forwarded.encode(&attempt.engine.address, remaining_s);
+        connection.write(&bytes, &progress.delivered).await?;
+        tracing::debug!(
+            at = self.now(),
+            request = %forwarded.id,
+            attempt = attempt.attempt,
+            idle_s = connection.idle_s(),
+            "attempt written"
+        );
+        let head = connection.response_head().await;
+        if head.is_ok() || head == Err(AttemptOutcome::ConnectionLost) {
+            pool.record_use(&connection, head.is_ok());
+        }
+        Ok((connection, head?))
+    }
+
+    /// Reads a response that is no stream to its end.
+    async fn read_unary_body(
+        &self,
+        mut connection: Connection,
+        head: ResponseHead,
+        is_prefill: bool,
+    ) -> AttemptResult {
+        let outcome = engine::unary_outcome(&head, is_prefill);
+        // The status has decided the outcome: a body that breaks off affects only the connection.
+        let cached_tokens = match connection.body(&head, MAX_BODY_BYTES).await {
+            Ok((body, reusable)) => {
+                if reusable {
+                    self.parts.pool.put_idle(connection);
+                }
+                engine::cached_tokens(&body)
+            }
+            Err(_) => 0.0,
+        };
+        AttemptResult { outcome, load: head.load, cached_tokens }
+    }
+
+    /// Sends the request and reads up to the first event of the stream, which is complete before any of it is forwarded.
+    async fn read_stream_head(
+        &self,
+        attempt: &AttemptRequest,
+        forwarded: &ForwardedRequest,
+        client: &ClientSocket,
+        progress: &AttemptProgress,
+    ) -> Result<StartedStream, AttemptResult> {
+        let sent = self.send_request(attempt, forwarded, client, progress).await;
+        let (mut connection, head) = sent.map_err(ended_by)?;
+        if head.status != 200 {
+            return Err(self.read_unary_body(connection, head, false).await);
+        }
+        if !head.is_event_stream || head.framing != Framing::Chunked {
+            return Err(ended_by(AttemptOutcome::Malformed));
+        }
+        let mut decoder = EventStreamDecoder::default();
+        let piece = connection.stream_piece(&mut decoder).await.map_err(ended_by)?;
+        let StreamPiece::Events(first) = piece else {
+            return Err(ended_by(AttemptOutcome::Malformed));
+        };
+        let reusable = !head.closes_connection;
+        let mut stream = StartedStream { connection, decoder, first, next: None, reusable, load: head.load };
+        // A chunk that breaks off or does not match its size is found, mostly, before any of it is forwarded.
+        if stream.decoder.in_chunk() {
+            let next = stream.connection.stream_piece(&mut stream.decoder);
+            match within(FIRST_EVENT_DELAY_S, next).await {
+                None => {}
+                Some(next) => stream.next = Some(next.map_err(ended_by)?),
+            }
+        }
+        Ok(stream)
+    }
+
+    /// Makes the stream the response to its client, and forwards it.
+    async fn forward_stream(
+        &self,
+        attempt: &AttemptRequest,
+        stream: StartedStream,
+        idle_timeout_s: f64,
+    ) -> AttemptResult {
+        if !self.core.borrow_mut().response_started(self.now(), attempt.request, attempt.attempt) {
+            return ended_by(AttemptOutcome::Cancelled);
+        }
+        self.wake();
+        tracing::debug!(at = self.now(), request = %attempt.name, "stream started");
+        let Some(pending) = self.pending.borrow_mut().remove(&attempt.request) else {
+            return ended_by(AttemptOutcome::Cancelled);
+        };
+        let (sender, receiver) = async_channel::bounded(MAX_QUEUED_PIECES);
+        let _ = pending.reply.try_send(Reply::Stream(receiver));
+        self.forward_pieces(attempt, stream, idle_timeout_s, sender).await
+    }
+
+    /// Forwards a stream as it arrives, and returns how it ended.
+    async fn forward_pieces(
+        &self,
+        attempt: &AttemptRequest,
+        mut stream: StartedStream,
+        idle_timeout_s: f64,
+        sender: Sender<StreamPiece>,
+    ) -> AttemptResult {
+        let mut load = stream.load.take();
+        let mut next = Ok(StreamPiece::Events(std::mem::take(&mut stream.first)));
+        loop {
+            let piece = match next {
+                Ok(piece) => piece,
+                Err(outcome) => return ended_by(outcome),
+            };
+            if let StreamPiece::Events(events) = &piece {
+                load = engine::load_report_in_comment(events).or(load);
+            }
+            let is_end = piece == StreamPiece::End;
+            if sender.send(piece).await.is_err() {
+                return ended_by(AttemptOutcome::Cancelled);
+            }
+            if is_end {
+                tracing::debug!(at = self.now(), request = %attempt.name, "stream finished");
+                if stream.reusable {
+                    self.parts.pool.put_idle(stream.connection);
+                }
+                return AttemptResult { outcome: AttemptOutcome::Completed, load, cached_tokens: 0.0 };
+            }
+            next = stream.next_piece(idle_timeout_s).await;
+        }
+    }
+}
+
+impl StartedStream {
+    async fn next_piece(&mut self, idle_timeout_s: f64) -> Result<StreamPiece, AttemptOutcome> {
+        match self.next.take() {
+            Some(piece) => Ok(piece),
+            None => {
+                let piece = self.connection.stream_piece(&mut self.decoder);
+                within(idle_timeout_s, piece).await.unwrap_or(Err(AttemptOutcome::TimedOut))
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/nickelgw-platform/src/node/commands.rs
@@ -0,0 +1,221 @@
+//! The event loop: runs the core's commands whenever something has happened or its time has come.
+
+use super::attempts::AttemptProgress;
+use super::{Node, Reply, RunningAttempt};
+use crate::clients::socket::ClientSocket;
+use crate::core::engine::ForwardedRequest;
+use crate::pool::ConnectionCloser;
+use nickelgw_node::seconds;
+use nickelgw_node_core::ledger::ReservationId;
+use nickelgw_node_core::{
+    AttemptKind, AttemptOutcome, AttemptRequest, AttemptResult, Command, CommandBatch, Endpoint, FinalAnswer,
+    RequestId, Reservation,
+};
+use smol::Timer;
+use std::rc::Rc;
+
+impl Node {
+    /// Runs the core's commands until dropped.
+    pub async fn run_event_loop(self: Rc<Self>) {
+        let mut wake_at = None;
+        loop {
+            let timer = match wake_at {
+                Some(wake_at) => Timer::after(seconds(wake_at - self.now())),
+                None => Timer::never(),
+            };
+            let woken = async {
+                let _ = self.woken.recv().await;
+            };
+            let timed_out = async {
+                timer.await;
+            };
+            futures_lite::future::or(woken, timed_out).await;
+            wake_at = self.run_commands();
+        }
+    }
+
+    /// Runs commands until there are none. Returns when the core is to be polled again, if nothing happens before.
+    fn run_commands(self: &Rc<Self>) -> Option<f64> {
+        let now = self.now();
+        loop {
+            let batch = self.core.borrow_mut().poll_commands(now);
+            self.log_batch(now, &batch);
+            let mut poll_again = false;
+            for command in batch.commands {
+                poll_again |= self.run_command(now, command);
+            }
+            if !poll_again {
+                return batch.wake_at;
+            }
+        }
+    }
+
+    fn log_batch(&self, now: f64, batch: &CommandBatch) {
+        for (request, reason) in &batch.reasons {
+            if let Some(pending) = self.pending.borrow().get(request) {
+                tracing::debug!(at = now, request = %pending.forwarded.id, ?reason, "request rejected");
+            }
+        }
+        for (violation, request) in &batch.violations {
+            tracing::error!(
+                at = now,
+                rule = violation.name(),
+                request,
+                "invariant violated or attempt blocked"
+            );
+        }
+        for transition in &batch.transitions {
+            tracing::debug!(
+                at = now,
+                request = %transition.name,
+                prefill = transition.id.prefill,
+                from = ?transition.from,
+                to = ?transition.to,
+                after_s = transition.after_s,
+                "reservation"
+            );
+        }
+    }
+
+    /// Runs one command. True: the core has received an event meanwhile and is to be polled at once.
+    fn run_command(self: &Rc<Self>, now: f64, command: Command) -> bool {
+        match command {
+            Command::StartAttempt(attempt) => return !self.start_attempt(now, attempt),
+            Command::CancelAttempt { request, attempt } => return self.cancel_attempt(now, request, attempt),
+            Command::Answer { ticket: request, answer } => self.answer(request, answer),
+            Command::Release { reservation_id, reservation, endpoints } => {
+                self.start_release(reservation_id, reservation, endpoints);
+            }
+            Command::Probe(endpoint) => self.executor().spawn(self.clone().probe(endpoint)).detach(),
+            // Reservations of earlier processes are released by the platform, and the list comes unasked.
+            Command::ReleaseOrphans(_) | Command::PollEndpoints => {}
+        }
+        false
+    }
+
+    /// Starts an attempt. False: its client has gone, and the core knows that it was not delivered.
+    fn start_attempt(self: &Rc<Self>, now: f64, attempt: AttemptRequest) -> bool {
+        let (request, number) = (attempt.request, attempt.attempt);
+        let Some((forwarded, client)) = self.connected_client(request) else {
+            self.core.borrow_mut().attempt_ended(now, request, number, AttemptResult::default());
+            return false;
+        };
+        log_attempt_started(now, &attempt, &forwarded);
+        let progress = Rc::new(AttemptProgress::default());
+        let run = self.clone().run_attempt(attempt, forwarded, client, progress.clone());
+        let task = self.executor().spawn(run);
+        self.attempts.borrow_mut().insert((request, number), RunningAttempt { task, progress });
+        true
+    }
+
+    /// Carries out an attempt and passes its result to the core.
+    async fn run_attempt(
+        self: Rc<Self>,
+        attempt: AttemptRequest,
+        forwarded: Rc<ForwardedRequest>,
+        client: Rc<ClientSocket>,
+        progress: Rc<AttemptProgress>,
+    ) {
+        let result = self.execute_attempt(&attempt, &forwarded, &client, &progress).await;
+        let (request, number) = (attempt.request, attempt.attempt);
+        // It cannot be cancelled any more: it ends by itself.
+        if let Some(running) = self.attempts.borrow_mut().remove(&(request, number)) {
+            running.task.detach();
+        }
+        log_attempt_ended(self.now(), &attempt, &forwarded, &result);
+        if result.outcome == AttemptOutcome::Malformed {
+            self.log_malformed("engine", &attempt.engine.id);
+        }
+        self.core.borrow_mut().attempt_ended(self.now(), request, number, result);
+        self.wake();
+    }
+
+    /// The client's side of a request, if the client is still connected.
+    fn connected_client(&self, request: RequestId) -> Option<(Rc<ForwardedRequest>, Rc<ClientSocket>)> {
+        let (forwarded, client) = self
+            .pending
+            .borrow()
+            .get(&request)
+            .map(|pending| (pending.forwarded.clone(), pending.client.clone()))?;
+        // The socket knows before the connection's task does, which may be late under load.
+        client.disconnection().is_none().then_some((forwarded, client))
+    }
+
+    fn cancel_attempt(&self, now: f64, request: RequestId, number: u32) -> bool {
+        let Some(RunningAttempt { task, progress }) = self.attempts.borrow_mut().remove(&(request, number))
+        else {
+            return false;
+        };
+        // The executor drops a task some time later; what follows may be sent before that.
+        progress.connection.take().inspect(ConnectionCloser::close);
+        drop(task);
+        let outcome =
+            if progress.delivered.get() { AttemptOutcome::Cancelled } else { AttemptOutcome::ConnectFailed };
+        tracing::debug!(at = now, request = request.serial, attempt = number, ?outcome, "attempt cancelled");
+        let result = AttemptResult { outcome, ..AttemptResult::default() };
+        self.core.borrow_mut().attempt_ended(now, request, number, result);
+        true
+    }
+
+    fn answer(&self, request: RequestId, answer: FinalAnswer) {
+        // A stream that has begun was ended where its end was received.
+        let Some(pending) = self.pending.borrow_mut().remove(&request) else { return };
+        tracing::debug!(at = self.now(), request = %pending.forwarded.id, ?answer, "response sent");
+        let message = match answer {
+            FinalAnswer::Rejected { retry_after_s } => Reply::Rejected(retry_after_s),
+            FinalAnswer::Failed(_) | FinalAnswer::Completed => Reply::Failed,
+        };
+        let _ = pending.reply.try_send(message);
+    }
+
+    fn start_release(
+        self: &Rc<Self>,
+        reservation_id: ReservationId,
+        reservation: Reservation,
+        endpoints: Vec<Rc<Endpoint>>,
+    ) {
+        let node = self.clone();
+        let task = async move {
+            let released = node.clone().release(&reservation.name, &endpoints).await;
+            node.core.borrow_mut().release_finished(node.now(), reservation_id, released);
+            node.wake();
+        };
+        self.executor().spawn(task).detach();
+    }
+}
+
+fn log_attempt_started(now: f64, attempt: &AttemptRequest, forwarded: &ForwardedRequest) {
+    let rationale = &attempt.rationale;
+    tracing::debug!(
+        at = now,
+        request = %forwarded.id,
+        attempt = attempt.attempt,
+        engine = %attempt.engine.id,
+        prefill = matches!(attempt.kind, AttemptKind::Prefill),
+        requests_ahead = rationale.requests_ahead,
+        expected_s = rationale.expected_s,
+        engine_age_s = rationale.engine_age_s,
+        unreachable_s = rationale.unreachable_s,
+        "attempt started"
+    );
+}
+
+fn log_attempt_ended(
+    now: f64,
+    attempt: &AttemptRequest,
+    forwarded: &ForwardedRequest,
+    result: &AttemptResult,
+) {
+    let (request, engine) = (&forwarded.id, &attempt.engine.id);
+    match result.outcome {
+        AttemptOutcome::Completed => {}
+        AttemptOutcome::Prefilled => {
+            let cached_tokens = result.cached_tokens;
+            tracing::debug!(at = now, %request, %engine, cached_tokens, "prefill finished");
+        }
+        outcome => {
+            let number = attempt.attempt;
+            tracing::debug!(at = now, %request, attempt = number, %engine, ?outcome, "attempt ended");
+        }
+    }
+}
--- /dev/null
+++ b/crates/nickelgw-platform/src/node/mod.rs
@@ -0,0 +1,199 @@
+//! The node's core on the platform's sockets. This module has the node's state and passes events to the core; `commands`
+//! runs what the core then orders, `attempts` carries out attempts at engines, and `control_calls` probes engines and
+//! releases reservations. Everything runs on one thread.
+
+mod attempts;
+mod commands;
+mod control_calls;
+
+use crate::clients::socket::ClientSocket;
+use crate::core::endpoint_list::{DiscoveredEndpoints, DiscoveryUpdate};
+use crate::core::engine::ForwardedRequest;
+use crate::core::event_stream::StreamPiece;
+use crate::core::log_limiter::LogRateLimiter;
+use crate::pool::ConnectionPool;
+use async_channel::{Receiver, Sender};
+use attempts::AttemptProgress;
+use nickelgw_node_core::{AdmittedRequest, NodeCore, RejectReason, RequestId};
+use smol::{LocalExecutor, Task};
+use std::cell::RefCell;
+use std::collections::{HashMap, HashSet};
+use std::rc::Rc;
+use std::time::Instant;
+
+/// The client's side of a request whose response has not begun.
+struct PendingRequest {
+    forwarded: Rc<ForwardedRequest>,
+    reply: Sender<Reply>,
+    client: Rc<ClientSocket>,
+}
+
+/// How a request is answered.
+pub enum Reply {
+    /// The stream's pieces; it is complete only if [`StreamPiece::End`] ends it.
+    Stream(Receiver<StreamPiece>),
+    /// Rejected: a retry is harmless, after so long if that is stated.
+    Rejected(Option<f64>),
+    /// No response began in time.
+    Failed,
+}
+
+/// An attempt that has not ended; dropping its task cancels it.
+struct RunningAttempt {
+    task: Task<()>,
+    progress: Rc<AttemptProgress>,
+}
+
+/// What a node is made of, besides its core and the endpoint list.
+pub struct NodeParts {
+    /// Runs the tasks of attempts, probes and releases.
+    pub executor: Rc<LocalExecutor<'static>>,
+    /// Connections to engines.
+    pub pool: Rc<ConnectionPool>,
+    /// Zero of the node's clock.
+    pub started_at: Instant,
+    /// Timeout of a probe or a release call.
+    pub control_timeout_s: f64,
+    /// Path that probes ask for.
+    pub probe_path: &'static str,
+}
+
+/// One node: its core, the requests that are open, and the attempts that run for them.
+pub struct Node {
+    /// The state machine that decides.
+    pub core: RefCell<NodeCore>,
+    endpoints: RefCell<DiscoveredEndpoints>,
+    log_limiter: RefCell<LogRateLimiter>,
+    parts: NodeParts,
+    pending: RefCell<HashMap<RequestId, PendingRequest>>,
+    attempts: RefCell<HashMap<(RequestId, u32), RunningAttempt>>,
+    /// Ids of the open requests.
+    open_ids: RefCell<HashSet<String>>,
+    wake: Sender<()>,
+    woken: Receiver<()>,
+}
+
+/// An admitted request. Dropped before it has ended, it reports to the core that its client has disconnected.
+pub struct RequestGuard {
+    node: Rc<Node>,
+    id: String,
+    request: RequestId,
+    /// The request has been answered.
+    pub ended: bool,
+}
+
+impl Drop for RequestGuard {
+    fn drop(&mut self) {
+        self.node.open_ids.borrow_mut().remove(&self.id);
+        if !self.ended {
+            tracing::debug!(at = self.node.now(), request = %self.id, "client disconnected");
+            self.node.pending.borrow_mut().remove(&self.request);
+            self.node.core.borrow_mut().client_disconnected(self.node.now(), self.request);
+            self.node.wake();
+        }
+    }
+}
+
+impl Node {
+    /// A node that knows no open request.
+    pub fn new(core: NodeCore, endpoints: DiscoveredEndpoints, parts: NodeParts) -> Rc<Node> {
+        let (wake, woken) = async_channel::bounded(1);
+        Rc::new(Node {
+            core: RefCell::new(core),
+            endpoints: RefCell::new(endpoints),
+            log_limiter: RefCell::default(),
+            parts,
+            pending: RefCell::default(),
+            attempts: RefCell::default(),
+            open_ids: RefCell::default(),
+            wake,
+            woken,
+        })
+    }
+
+    /// Seconds since the process started.
+    pub fn now(&self) -> f64 {
+        self.parts.started_at.elapsed().as_secs_f64()
+    }
+
+    /// The executor of all of the node's tasks.
+    pub fn executor(&self) -> &LocalExecutor<'static> {
+        &self.parts.executor
+    }
+
+    /// Logs bytes that cannot be used: they cost their connection alone, and the log one line a minute of each source.
+    pub fn log_malformed(&self, source: &'static str, reason: &str) {
+        if let Some(occurrences) = self.log_limiter.borrow_mut().record(self.now(), source) {
+            tracing::warn!(source, reason, occurrences, "malformed message rejected");
+        }
+    }
+
+    /// Lets the core decide again, once all tasks that are ready have passed their events to it.
+    pub fn wake(&self) {
+        let _ = self.wake.try_send(());
+    }
+
+    /// Applies what discovery announces.
+    pub fn apply_update(&self, update: DiscoveryUpdate) {
+        if update.is_empty() {
+            return;
+        }
+        self.endpoints.borrow_mut().apply(update);
+        let list = self.endpoints.borrow().snapshot();
+        self.core.borrow_mut().update_endpoints(self.now(), &list);
+        self.wake();
+    }
+
+    /// Whether a request with this id is open: engines could not distinguish the two.
+    pub fn is_open(&self, id: &str) -> bool {
+        self.open_ids.borrow().contains(id)
+    }
+
+    /// Admits a request, or states why it is not admitted.
+    pub fn accept(
+        self: &Rc<Self>,
+        request: &AdmittedRequest,
+        forwarded: ForwardedRequest,
+        client: &Rc<ClientSocket>,
+    ) -> Result<(RequestGuard, Receiver<Reply>), RejectReason> {
+        let request_id = self.core.borrow_mut().accept_request(self.now(), request)?;
+        let (reply, replied) = async_channel::bounded(1);
+        let id = forwarded.id.clone();
+        tracing::debug!(
+            at = self.now(),
+            request = %id,
+            route = request.route,
+            timeout_s = request.timeout_s,
+            ttft_objective_s = self.core.borrow().ttft_objective_s(request),
+            prompt_tokens = request.prompt_tokens,
+            body_bytes = forwarded.body.len(),
+            "request accepted"
+        );
+        self.open_ids.borrow_mut().insert(id.clone());
+        let pending = PendingRequest { forwarded: Rc::new(forwarded), reply, client: client.clone() };
+        self.pending.borrow_mut().insert(request_id, pending);
+        self.wake();
+        Ok((RequestGuard { node: self.clone(), id, request: request_id, ended: false }, replied))
+    }
+
+    /// Fails all requests whose response has not begun; streams go on.
+    pub fn fail_unstarted(&self) {
+        self.core.borrow_mut().fail_unstarted(self.now());
+        self.wake();
+    }
+
+    /// The process is about to exit.
+    pub fn process_exiting(&self) {
+        self.core.borrow_mut().process_exiting();
+    }
+
+    /// Number of open requests.
+    pub fn open_requests(&self) -> usize {
+        self.core.borrow().open()
+    }
+
+    /// Whether no attempt is under way and no reservation remains to be released.
+    pub fn is_quiet(&self) -> bool {
+        self.core.borrow().is_quiet()
+    }
+}
--- /dev/null
+++ b/crates/nickelgw-platform/src/pool.rs
@@ -0,0 +1,230 @@
+//! Pool of connections to engines and discovery, bounded by descriptors.
+
+use crate::connection::DescriptorPermit;
+pub use crate::connection::{Connection, ConnectionCloser};
+use crate::core::discovery_timing::ResponseTimeouts;
+use crate::core::engine::{self, ResponseHead};
+use bytes::Bytes;
+use nickelgw_node::{seconds, within};
+use nickelgw_node_core::AttemptOutcome;
+use smol::{Async, Timer};
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
+
+/// An attempt that may not be repeated takes a connection that has been idle for no longer than this part of the idle
+/// timeout that its engine was observed to have.
+const SINGLE_ATTEMPT_IDLE_SHARE: f64 = 0.5;
+/// Engines whose idle timeouts are remembered.
+const MAX_OBSERVED_ENGINES: usize = 2048;
+/// Seconds between two checks of idle connections.
+const IDLE_CHECK_INTERVAL_S: f64 = 1.0;
+
+/// What a connection is for. Attempts leave some descriptors to calls that release reservations and probe engines.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectionUse {
+    /// An attempt that may be repeated.
+    Attempt,
+    /// An attempt that may not: a request that crosses the far side's close is reset, and may have run.
+    SingleAttempt,
+    /// A probe, a release, or a call to discovery.
+    Control,
+    /// A control call that does not use an idle connection, since those may be silent.
+    NewConnection,
+}
+
+/// A call without a body, whose response is short.
+pub struct ShortCall<'a> {
+    /// The method.
+    pub method: &'a str,
+    /// Path and query.
+    pub target: &'a str,
+    /// Host and port.
+    pub address: &'a str,
+    /// Which connections it may use.
+    pub usage: ConnectionUse,
+    /// Timeouts of the response.
+    pub timeouts: ResponseTimeouts,
+    /// Longest body of the response.
+    pub max_body_bytes: usize,
+}
+
+/// Limits of a pool.
+#[derive(Clone, Copy, Debug)]
+pub struct PoolLimits {
+    /// Timeout of opening a connection.
+    pub connect_timeout_s: f64,
+    /// Longest time that a connection is kept idle: engines close theirs at a time of their own.
+    pub max_idle_s: f64,
+    /// Most connections.
+    pub max_connections: usize,
+    /// So many of them are reserved for calls other than attempts.
+    pub reserved_for_control: usize,
+}
+
+/// Idle connections by address, the most recently used last.
+pub struct ConnectionPool {
+    idle: RefCell<BTreeMap<String, Vec<Connection>>>,
+    /// How long an engine was observed to keep idle connections, where one of them has ended.
+    observed_idle_timeout_s: RefCell<BTreeMap<String, f64>>,
+    open: Rc<Cell<usize>>,
+    limits: PoolLimits,
+}
+
+impl ConnectionPool {
+    /// A pool without connections.
+    pub fn new(limits: PoolLimits) -> Rc<ConnectionPool> {
+        Rc::new(ConnectionPool {
+            idle: RefCell::default(),
+            observed_idle_timeout_s: RefCell::default(),
+            open: Rc::default(),
+            limits,
+        })
+    }
+
+    /// An idle connection, or a new one.
+    pub async fn connection(
+        &self,
+        address: &str,
+        usage: ConnectionUse,
+    ) -> Result<Connection, AttemptOutcome> {
+        if let Some(connection) = self.reusable_connection(address, usage) {
+            return Ok(connection);
+        }
+        let max_open = self.max_open(usage);
+        if self.open.get() >= max_open {
+            self.close_idle();
+        }
+        let socket_address: SocketAddr = address.parse().map_err(|_| AttemptOutcome::ConnectFailed)?;
+        if self.open.get() >= max_open {
+            return Err(AttemptOutcome::ConnectFailed);
+        }
+        let permit = DescriptorPermit::new(&self.open);
+        let connect = Async::<TcpStream>::connect(socket_address);
+        let connected = within(self.limits.connect_timeout_s, connect).await;
+        let stream = connected.and_then(Result::ok).ok_or(AttemptOutcome::ConnectFailed)?;
+        let _ = stream.get_ref().set_nodelay(true);
+        Ok(Connection::new(address, stream, permit))
+    }
+
+    fn reusable_connection(&self, address: &str, usage: ConnectionUse) -> Option<Connection> {
+        let max_idle_s = self.limits.max_idle_s;
+        match usage {
+            ConnectionUse::NewConnection => None,
+            ConnectionUse::Attempt | ConnectionUse::Control => self.idle_connection(address, max_idle_s),
+            ConnectionUse::SingleAttempt => {
+                let observed_s =
+                    *self.observed_idle_timeout_s.borrow().get(address).unwrap_or(&f64::INFINITY);
+                self.idle_connection(address, max_idle_s.min(SINGLE_ATTEMPT_IDLE_SHARE * observed_s))
+            }
+        }
+    }
+
+    fn max_open(&self, usage: ConnectionUse) -> usize {
+        match usage {
+            ConnectionUse::Control | ConnectionUse::NewConnection => self.limits.max_connections,
+            ConnectionUse::Attempt | ConnectionUse::SingleAttempt => {
+                self.limits.max_connections.saturating_sub(self.limits.reserved_for_control)
+            }
+        }
+    }
+
+    /// A connection that has been idle for less than so long, and is not known to have ended.
+    fn idle_connection(&self, address: &str, max_idle_s: f64) -> Option<Connection> {
+        loop {
+            let mut connection = self.idle.borrow_mut().get_mut(address).and_then(Vec::pop)?;
+            let idle_s = connection.idle_elapsed_s();
+            if !connection.is_reusable() {
+                self.record_idle_close(&connection, idle_s);
+            } else if idle_s < max_idle_s {
+                connection.set_in_use(idle_s);
+                return Some(connection);
+            }
+        }
+    }
+
+    /// Learns from a call on a connection how long its engine keeps idle ones: it was answered, or the connection broke.
+    pub fn record_use(&self, connection: &Connection, answered: bool) {
+        let Some(idle_s) = connection.idle_s() else { return };
+        if !answered {
+            return self.record_idle_timeout(&connection.address, idle_s);
+        }
+        if let Some(timeout_s) = self.observed_idle_timeout_s.borrow_mut().get_mut(&connection.address) {
+            *timeout_s = timeout_s.max(idle_s);
+        }
+    }
+
+    /// It has ended while it was idle: since it was last seen open, at a time that is not known.
+    fn record_idle_close(&self, connection: &Connection, idle_s: f64) {
+        self.record_idle_timeout(&connection.address, connection.seen_open_after_s.max(idle_s / 2.0));
+    }
+
+    fn record_idle_timeout(&self, address: &str, observed_s: f64) {
+        let mut engines = self.observed_idle_timeout_s.borrow_mut();
+        // Engines come and go; what is forgotten is observed again.
+        if engines.len() >= MAX_OBSERVED_ENGINES && !engines.contains_key(address) {
+            engines.clear();
+        }
+        let timeout_s = engines.entry(address.to_string()).or_insert(f64::INFINITY);
+        *timeout_s = timeout_s.min(observed_s);
+    }
+
+    /// Keeps a connection whose last response was read to its end for the next call.
+    pub fn put_idle(&self, mut connection: Connection) {
+        if connection.set_idle() {
+            self.idle.borrow_mut().entry(connection.address.clone()).or_default().push(connection);
+        }
+    }
+
+    fn close_idle(&self) {
+        self.idle.borrow_mut().clear();
+    }
+
+    /// Closes connections that have been idle for too long, or have ended, until dropped.
+    pub async fn close_expired(self: Rc<Self>) {
+        loop {
+            Timer::after(seconds(IDLE_CHECK_INTERVAL_S)).await;
+            self.idle.borrow_mut().retain(|_, connections| {
+                connections.retain_mut(|connection| self.may_stay_idle(connection));
+                !connections.is_empty()
+            });
+        }
+    }
+
+    fn may_stay_idle(&self, connection: &mut Connection) -> bool {
+        let idle_s = connection.idle_elapsed_s();
+        if idle_s >= self.limits.max_idle_s {
+            return false;
+        }
+        let reusable = connection.is_reusable();
+        if reusable {
+            connection.seen_open_after_s = idle_s;
+        } else {
+            self.record_idle_close(connection, idle_s);
+        }
+        reusable
+    }
+
+    /// A call without a body: its whole response, or an error once a timeout has passed.
+    pub async fn call(&self, call: &ShortCall<'_>) -> Result<(ResponseHead, Bytes), AttemptOutcome> {
+        let exchange = async {
+            let head = within(call.timeouts.head_s, self.call_head(call)).await;
+            let (mut connection, head) = head.unwrap_or(Err(AttemptOutcome::TimedOut))?;
+            let (body, reusable) = connection.body(&head, call.max_body_bytes).await?;
+            if reusable {
+                self.put_idle(connection);
+            }
+            Ok((head, body))
+        };
+        within(call.timeouts.total_s, exchange).await.unwrap_or(Err(AttemptOutcome::TimedOut))
+    }
+
+    async fn call_head(&self, call: &ShortCall<'_>) -> Result<(Connection, ResponseHead), AttemptOutcome> {
+        let mut connection = self.connection(call.address, call.usage).await?;
+        let bytes = engine::encode_bodiless_request(call.method, call.target, call.address);
+        connection.write(&bytes, &Cell::new(false)).await?;
+        let head = connection.response_head().await?;
+        Ok((connection, head))
+    }
+}
--- a/crates/nickelgw-platform/tests/cases/close.rs
+++ b/crates/nickelgw-platform/tests/cases/close.rs
@@ -43,7 +43,7 @@
         let mut rest = world.client();
         rest.write_all(ask("da01").as_bytes()).unwrap();
         assert!(answer(&mut rest).ends_with("0\r\n\r\n"));
-        world.orders.shut_down();
+        world.signals.request_shutdown();
         // Resting connections are closed half a second after the order.
         sleep(Duration::from_micros(497_000 + 1_000 * k));
         let sent = rest.write_all(ask("da02").as_bytes()).is_ok();
--- a/crates/nickelgw-platform/tests/cases/shutdown.rs
+++ b/crates/nickelgw-platform/tests/cases/shutdown.rs
@@ -33,15 +33,15 @@
 /// Words in one queue: the shutdown did not fit behind reloads that nobody had read yet.
 #[test]
 fn a_shutdown_is_taken_however_many_reloads_stand_before_it() {
-    let (orders, ordered) = nickelgw_platform::orders();
+    let (signals, ordered) = nickelgw_platform::signal_channel();
     for _ in 0..1000 {
-        orders.reload();
+        signals.request_reload();
     }
-    orders.shut_down();
+    signals.request_shutdown();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let known = list(&[], &[]);
     let told = config(&listener.local_addr().unwrap().to_string(), &silent().address.to_string(), known);
-    let start = nickelgw_platform::start::Start::parse(&told, |_| None).map_err(|e| e.0).unwrap();
+    let start = nickelgw_platform::config::NodeConfig::parse(&told, |_| None).map_err(|e| e.0).unwrap();
     let work = move || smol::block_on(nickelgw_platform::run(listener, start, None, ordered)).unwrap();
     let began = Instant::now();
     std::thread::spawn(work).join().unwrap();
@@ -64,11 +64,11 @@
     let old = silent();
     let world = node(&old, &[&r], &[&w0], Some(path.clone()));
     let mut c = world.open("ha01", &r);
-    world.orders.shut_down();
+    world.signals.request_shutdown();
     // It refuses readiness: the order has been taken.
     while !world.say(b"GET /healthz HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503") {}
     std::fs::write(&path, config("x", &new.address.to_string(), Value::Null).to_string()).unwrap();
-    world.orders.reload();
+    world.signals.request_reload();
     new.wait("GET /v1/servers?since=3");
     gate.close();
     let got = answer(&mut c);
@@ -86,7 +86,7 @@
     std::fs::write(&path, &all[..all.len() / 2]).unwrap();
     let world = node(&first, &[], &[], Some(path.clone()));
     first.wait("GET /v1/servers");
-    world.orders.reload();
+    world.signals.request_reload();
     sleep(Duration::from_millis(300));
     assert!(other.seen("GET").is_empty());
     std::fs::write(&path, &all).unwrap();
@@ -116,7 +116,7 @@
         sleep(Duration::from_millis(5));
     }
     let waiting: Vec<TcpStream> = (27..33).map(open).collect();
-    world.orders.shut_down();
+    world.signals.request_shutdown();
     sleep(Duration::from_millis(900));
     gate.close();
     let all: Vec<_> =
@@ -141,7 +141,7 @@
         });
         let mut c = world.open("hc01", &r);
         let began = Instant::now();
-        world.orders.shut_down();
+        world.signals.request_shutdown();
         let got = answer(&mut c);
         assert!(began.elapsed().as_secs_f64() < s + 0.7, "{:?}", began.elapsed());
         assert!(got.starts_with("HTTP/1.1 503"), "{got}");
@@ -167,7 +167,7 @@
     let mut at = listener.accept().unwrap().0;
     at.set_read_timeout(Some(LONG)).unwrap();
     assert!(at.read(&mut [0; 4096]).unwrap() > 0);
-    world.orders.shut_down();
+    world.signals.request_shutdown();
     assert!(answer(&mut c).starts_with("HTTP/1.1 503"));
     // Without waiting: the end is there.
     at.set_nonblocking(true).unwrap();
--- a/crates/nickelgw-platform/tests/cases/told.rs
+++ b/crates/nickelgw-platform/tests/cases/told.rs
@@ -201,7 +201,7 @@
     sleep(Duration::from_millis(700));
     let new = discovery(&agent(d.after.clone()));
     std::fs::write(&path, config("x", &new.address.to_string(), Value::Null).to_string()).unwrap();
-    world.orders.reload();
+    world.signals.request_reload();
     let took = d.told_in_s(&world);
     std::fs::remove_file(path).unwrap();
     assert!(took < 1.0);
--- a/crates/nickelgw-platform/tests/common/mod.rs
+++ b/crates/nickelgw-platform/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A node on loopback, and engines and a discovery that answer as each test says. Every wait ends by itself.
 
-use nickelgw_platform::start::Start;
-use nickelgw_platform::Orders;
+use nickelgw_platform::config::NodeConfig;
+use nickelgw_platform::SignalSender;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -177,7 +177,7 @@
 
 pub struct World {
     pub node: SocketAddr,
-    pub orders: Orders,
+    pub signals: SignalSender,
     pub ended: std::thread::JoinHandle<()>,
 }
 
@@ -233,10 +233,10 @@
     let node = listener.local_addr().unwrap();
     let mut told = config(&node.to_string(), &discovery.address.to_string(), known);
     but(&mut told);
-    let start = Start::parse(&told, |_| None).map_err(|e| e.0).unwrap();
-    let (orders, told) = nickelgw_platform::orders();
+    let start = NodeConfig::parse(&told, |_| None).map_err(|e| e.0).unwrap();
+    let (orders, told) = nickelgw_platform::signal_channel();
     let work = move || smol::block_on(nickelgw_platform::run(listener, start, path, told)).unwrap();
-    World { node, orders, ended: std::thread::spawn(work) }
+    World { node, signals: orders, ended: std::thread::spawn(work) }
 }
 
 /// A discovery that tells nothing new.
--- a/crates/nickelgw-platform/tests/sockets.rs
+++ b/crates/nickelgw-platform/tests/sockets.rs
@@ -168,7 +168,7 @@
     assert!(world.say(ask("aa12").as_bytes()).starts_with("HTTP/1.1 503"), "no engine is known yet");
     std::fs::write(&path, config("x", &other.address.to_string(), serde_json::Value::Null).to_string())
         .unwrap();
-    world.orders.reload();
+    world.signals.request_reload();
     other.wait("GET /v1/servers?since=3&timeout_ms=");
     let got = world.say(ask("aa13").as_bytes());
     assert!(got.ends_with("0\r\n\r\n"), "{got}");
@@ -187,7 +187,7 @@
     );
     let world = node(&silent(), &[&r], &[&w], None);
     let mut c = world.open("aa14", &w);
-    world.orders.shut_down();
+    world.signals.request_shutdown();
     // New connections still come for a while.
     let ready = b"GET /healthz HTTP/1.1\r\n\r\n";
     assert!(world.say(ready).starts_with("HTTP/1.1 "));
