--- a/crates/nickelgw-node/tests/stored_records.rs
+++ b/crates/nickelgw-node/tests/stored_records.rs
@@ -75,17 +75,17 @@
 fn deferred_requests_of_an_earlier_release_are_read() {
     let records = restore("deferred.store");
     let requests: Vec<DeferredRecord> =
-        records.iter().map(|record| DeferredRecord::read(&record.value).unwrap()).collect();
+        records.iter().map(|record| DeferredRecord::decode(&record.value).unwrap()).collect();
     assert_eq!(requests.len(), 2);
     let [waiting, answered] = &requests[..] else { unreachable!() };
-    assert_eq!((waiting.model.as_str(), &waiting.state), ("chat", &DeferredState::Parked));
+    assert_eq!((waiting.model.as_str(), &waiting.state), ("chat", &DeferredState::Queued));
     assert!(std::str::from_utf8(&waiting.body).unwrap().contains(r#""content":"waiting""#));
-    assert!((waiting.until - waiting.parked_at - 86_000.0).abs() < 1e-3);
-    let DeferredState::Ended { answer, .. } = &answered.state else { panic!("{:?}", answered.state) };
+    assert!((waiting.deadline - waiting.queued_at - 86_000.0).abs() < 1e-3);
+    let DeferredState::Finished { answer, .. } = &answered.state else { panic!("{:?}", answered.state) };
     assert_eq!(answer.status, 200);
     assert!(std::str::from_utf8(&answer.body).unwrap().contains("w0 w1 w2 w3 w4 w5 w6 w7"));
     for (record, request) in records.iter().zip(&requests) {
-        assert_eq!(request.bytes(), record.value, "written again it is the same");
+        assert_eq!(request.encode(), record.value, "written again it is the same");
     }
 }
 
