--- a/crates/nickelgw-chat/src/core/grant.rs
+++ b/crates/nickelgw-chat/src/core/grant.rs
@@ -1,23 +1,41 @@
-//! Tickets for held states: a writer may fetch only what a node granted it, not altered, not expired, once.
-//! Keyed BLAKE3 over what is granted; two keys are good at once while they rotate.
+//! Grants for KV cache states: a decode engine may fetch only a state that a node granted it, unaltered, not expired, and
+//! once. A grant is authenticated by keyed BLAKE3; while keys rotate, several are valid at once.
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use zeroize::Zeroize;
 
+/// Separates these keys from others derived from the same secret; part of the wire format.
+const KEY_CONTEXT: &str = "nickelgw state tickets v1";
+/// Bytes of a secret, at least.
+const MIN_SECRET_BYTES: usize = 16;
+/// Used grants that are remembered, at most; each is until it would have expired.
+const MAX_USED_GRANTS: usize = 65_536;
+
 /// A key and its public number.
 #[derive(Clone)]
 pub struct GrantKey {
+    /// Names the key in the grants that are made with it.
     pub number: u32,
     secret: [u8; 32],
 }
 
 impl GrantKey {
-    /// The secret as the settings give it; any length above 16 bytes.
+    /// Derives the key from the secret in the settings. None: the secret is shorter than 16 bytes.
     pub fn of(number: u32, secret: &str) -> Option<GrantKey> {
-        (secret.len() >= 16).then(|| GrantKey {
-            number,
-            secret: blake3::derive_key("nickelgw state tickets v1", secret.as_bytes()),
-        })
+        (secret.len() >= MIN_SECRET_BYTES)
+            .then(|| GrantKey { number, secret: blake3::derive_key(KEY_CONTEXT, secret.as_bytes()) })
+    }
+
+    fn authentication_code(&self, claims: &GrantClaims, expires_at_ms: u64) -> blake3::Hash {
+        let mut hasher = blake3::Hasher::new_keyed(&self.secret);
+        for claim in [claims.reservation, claims.prefill_engine, claims.decode_engine] {
+            // With its length before each claim, no two sets of claims have the same bytes.
+            hasher.update(&(claim.len() as u64).to_le_bytes());
+            hasher.update(claim.as_bytes());
+        }
+        hasher.update(&expires_at_ms.to_le_bytes());
+        hasher.update(&self.number.to_le_bytes());
+        hasher.finalize()
     }
 }
 
@@ -30,167 +48,138 @@
 /// What is granted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GrantClaims<'a> {
+    /// Name of the reservation, and so of the state.
     pub reservation: &'a str,
+    /// The engine that holds the state.
     pub prefill_engine: &'a str,
+    /// The engine that may fetch it.
     pub decode_engine: &'a str,
-    /// Seconds since 1970.
+    /// Unix time, in seconds.
     pub expires_at: f64,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a grant is not accepted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GrantError {
-    /// Not of the form that tickets have.
+    /// It does not have the form of a grant.
+    #[error("malformed grant")]
     Malformed,
+    /// The key that it names is not valid here.
+    #[error("grant of an unknown key")]
     UnknownKey,
-    /// The code does not fit: altered, forged, for another state, reader or writer.
+    /// The authentication code does not fit: altered, forged, or for another state or engine.
+    #[error("altered grant")]
     Altered,
+    /// Its time has passed.
+    #[error("expired grant")]
     Expired,
-    /// Used before.
+    /// It was used before.
+    #[error("replayed grant")]
     Replayed,
 }
 
-fn code(key: &GrantKey, g: &GrantClaims, until_ms: u64) -> blake3::Hash {
-    let mut h = blake3::Hasher::new_keyed(&key.secret);
-    for part in [g.reservation, g.prefill_engine, g.decode_engine] {
-        // Lengths first: no two grants have the same bytes.
-        h.update(&(part.len() as u64).to_le_bytes()).update(part.as_bytes());
-    }
-    h.update(&until_ms.to_le_bytes()).update(&key.number.to_le_bytes());
-    h.finalize()
+/// Makes a grant: `KEY.EXPIRY.CODE`, the number of the key, Unix milliseconds, and 64 hexadecimal digits.
+pub fn grant(key: &GrantKey, claims: &GrantClaims) -> String {
+    let expires_at_ms = to_ms(claims.expires_at);
+    let code = key.authentication_code(claims, expires_at_ms);
+    format!("{}.{expires_at_ms}.{}", key.number, code.to_hex())
 }
 
-/// `KEY.UNTIL.CODE`: key number, milliseconds since 1970, 64 hex digits.
-pub fn grant(key: &GrantKey, g: &GrantClaims) -> String {
-    let until_ms = (g.expires_at.max(0.0) * 1e3) as u64;
-    format!("{}.{until_ms}.{}", key.number, code(key, g, until_ms).to_hex())
+/// A grant taken apart.
+struct ParsedGrant {
+    key_number: u32,
+    expires_at_ms: u64,
+    code: blake3::Hash,
 }
 
-/// Tickets used are remembered until they would have expired, these many at most.
-const MOST_USED: usize = 65_536;
+impl ParsedGrant {
+    fn parse(text: &str) -> Option<ParsedGrant> {
+        let mut parts = text.splitn(3, '.');
+        let key_number = parts.next()?.parse().ok()?;
+        let expires_at_ms = parts.next()?.parse().ok()?;
+        let code = blake3::Hash::from_hex(parts.next()?).ok()?;
+        Some(ParsedGrant { key_number, expires_at_ms, code })
+    }
+}
 
-/// The reader's side.
+/// Checks grants at the engine that holds the states.
 pub struct GrantChecker {
     keys: BTreeMap<u32, GrantKey>,
-    used: BTreeMap<[u8; 32], ()>,
-    order: VecDeque<(u64, [u8; 32])>,
+    used: UsedGrants,
 }
 
 impl GrantChecker {
+    /// Accepts grants made with any of these keys.
     pub fn new(keys: impl IntoIterator<Item = GrantKey>) -> Self {
-        let keys = keys.into_iter().map(|k| (k.number, k)).collect();
-        GrantChecker { keys, used: BTreeMap::new(), order: VecDeque::new() }
+        GrantChecker { keys: by_number(keys), used: UsedGrants::default() }
     }
 
-    /// Old and new keys are both good while they rotate; tickets of one left out are refused from now on.
+    /// Replaces the keys. Old and new ones are given together while they rotate; grants of one that is left out are rejected
+    /// from now on.
     pub fn rotate(&mut self, keys: impl IntoIterator<Item = GrantKey>) {
-        self.keys = keys.into_iter().map(|k| (k.number, k)).collect();
+        self.keys = by_number(keys);
     }
 
-    /// Looks at a ticket that came for a state, and marks it as used. `now` in seconds since 1970; `g.until` counts
-    /// for nothing, the ticket's own is read.
-    pub fn check(&mut self, now: f64, ticket: &str, g: &GrantClaims) -> Result<(), GrantError> {
-        let mut parts = ticket.splitn(3, '.');
-        let (number, until, mac) = (parts.next(), parts.next(), parts.next());
-        let number: u32 = number.and_then(|n| n.parse().ok()).ok_or(GrantError::Malformed)?;
-        let until_ms: u64 = until.and_then(|n| n.parse().ok()).ok_or(GrantError::Malformed)?;
-        let mac = mac.and_then(|m| blake3::Hash::from_hex(m).ok()).ok_or(GrantError::Malformed)?;
-        let key = self.keys.get(&number).ok_or(GrantError::UnknownKey)?;
-        // Compared in constant time, as `Hash` does.
-        if code(key, g, until_ms) != mac {
+    /// Checks the grant that came with a request for a state, and marks it as used. `now`: Unix seconds;
+    /// `claims.expires_at` is ignored, the expiry is in the grant.
+    pub fn check(&mut self, now: f64, text: &str, claims: &GrantClaims) -> Result<(), GrantError> {
+        let grant = ParsedGrant::parse(text).ok_or(GrantError::Malformed)?;
+        let key = self.keys.get(&grant.key_number).ok_or(GrantError::UnknownKey)?;
+        // The comparison of hashes takes constant time.
+        if key.authentication_code(claims, grant.expires_at_ms) != grant.code {
             return Err(GrantError::Altered);
         }
-        let now_ms = (now.max(0.0) * 1e3) as u64;
-        if now_ms > until_ms {
+        let now_ms = to_ms(now);
+        if now_ms > grant.expires_at_ms {
             return Err(GrantError::Expired);
         }
-        while let Some(&(end, old)) = self.order.front() {
-            if end >= now_ms && self.order.len() < MOST_USED {
-                break;
-            }
-            self.order.pop_front();
-            self.used.remove(&old);
-        }
-        if self.used.insert(*mac.as_bytes(), ()).is_some() {
-            return Err(GrantError::Replayed);
-        }
-        self.order.push_back((until_ms, *mac.as_bytes()));
-        Ok(())
+        self.used.insert(now_ms, &grant)
     }
 
+    /// Used grants that are remembered.
     pub fn remembered(&self) -> usize {
-        self.order.len()
+        self.used.by_arrival.len()
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-    use proptest::test_runner::RngSeed;
-
-    fn key(n: u32) -> GrantKey {
-        GrantKey::of(n, &format!("a secret of some length {n}")).unwrap()
-    }
-
-    const G: GrantClaims =
-        GrantClaims { reservation: "s1", prefill_engine: "r1", decode_engine: "w1", expires_at: 100.0 };
-
-    #[test]
-    fn a_ticket_is_good_once_for_what_it_was_granted() {
-        let mut c = GrantChecker::new([key(1)]);
-        let t = grant(&key(1), &G);
-        for other in [
-            GrantClaims { reservation: "s2", ..G },
-            GrantClaims { prefill_engine: "r2", ..G },
-            GrantClaims { decode_engine: "w2", ..G },
-        ] {
-            assert_eq!(c.check(50.0, &t, &other), Err(GrantError::Altered));
-        }
-        assert_eq!(c.check(50.0, &t, &G), Ok(()));
-        assert_eq!(c.check(50.0, &t, &G), Err(GrantError::Replayed));
-        assert_eq!(c.check(101.0, &grant(&key(1), &G), &G), Err(GrantError::Expired));
-        // Parts moved over a border are another grant.
-        let moved = GrantClaims { reservation: "s", prefill_engine: "1r1", ..G };
-        assert_eq!(c.check(50.0, &grant(&key(1), &moved), &G), Err(GrantError::Altered));
-        assert!(GrantKey::of(1, "short").is_none());
-    }
-
-    #[test]
-    fn old_and_new_keys_are_good_while_they_rotate() {
-        let mut c = GrantChecker::new([key(1)]);
-        let (old, new) = (grant(&key(1), &G), grant(&key(2), &GrantClaims { reservation: "s2", ..G }));
-        let second = GrantClaims { reservation: "s2", ..G };
-        assert_eq!(c.check(1.0, &new, &second), Err(GrantError::UnknownKey));
-        c.rotate([key(1), key(2)]);
-        assert_eq!((c.check(1.0, &old, &G), c.check(1.0, &new, &second)), (Ok(()), Ok(())));
-        c.rotate([key(2)]);
-        assert_eq!(c.check(1.0, &grant(&key(1), &G), &G), Err(GrantError::UnknownKey));
-    }
+/// Codes of the grants that were used and would not have expired yet.
+#[derive(Default)]
+struct UsedGrants {
+    codes: BTreeSet<[u8; 32]>,
+    /// Expiry and code, in the order of use.
+    by_arrival: VecDeque<(u64, [u8; 32])>,
+}
 
-    #[test]
-    fn used_tickets_are_remembered_no_longer_than_they_live() {
-        let mut c = GrantChecker::new([key(1)]);
-        for n in 0..100 {
-            let g = GrantClaims { expires_at: f64::from(n) + 1.0, ..G };
-            assert_eq!(c.check(f64::from(n), &grant(&key(1), &g), &g), Ok(()));
-            assert!(c.remembered() <= 3);
+impl UsedGrants {
+    fn insert(&mut self, now_ms: u64, grant: &ParsedGrant) -> Result<(), GrantError> {
+        self.make_room(now_ms);
+        let code = *grant.code.as_bytes();
+        if !self.codes.insert(code) {
+            return Err(GrantError::Replayed);
         }
+        self.by_arrival.push_back((grant.expires_at_ms, code));
+        Ok(())
     }
 
-    proptest! {
-        #![proptest_config(ProptestConfig { cases: 512, rng_seed: RngSeed::Fixed(2), failure_persistence: None, ..ProptestConfig::default() })]
-        #[test]
-        fn no_change_to_a_ticket_is_let_through(at in 0usize..90, to in any::<char>(), junk in ".{0,40}") {
-            let t = grant(&key(1), &G);
-            let mut chars: Vec<char> = t.chars().collect();
-            let n = at % chars.len();
-            let same = chars[n].eq_ignore_ascii_case(&to);
-            chars[n] = to;
-            let mut c = GrantChecker::new([key(1)]);
-            if !same {
-                prop_assert!(c.check(1.0, &chars.iter().collect::<String>(), &G).is_err());
+    fn make_room(&mut self, now_ms: u64) {
+        while let Some(&(expires_at_ms, code)) = self.by_arrival.front() {
+            if expires_at_ms >= now_ms && self.by_arrival.len() < MAX_USED_GRANTS {
+                break;
             }
-            prop_assert!(c.check(1.0, &junk, &G).is_err());
+            self.by_arrival.pop_front();
+            self.codes.remove(&code);
         }
     }
 }
+
+fn by_number(keys: impl IntoIterator<Item = GrantKey>) -> BTreeMap<u32, GrantKey> {
+    keys.into_iter().map(|key| (key.number, key)).collect()
+}
+
+fn to_ms(seconds: f64) -> u64 {
+    (seconds.max(0.0) * 1e3) as u64
+}
+
+#[cfg(test)]
+#[path = "grant_tests.rs"]
+mod tests;
--- a/crates/nickelgw-chat/src/core/idempotency.rs
+++ b/crates/nickelgw-chat/src/core/idempotency.rs
@@ -1,324 +1,366 @@
-//! Repeated requests: the same `Idempotency-Key` joins what still runs, or gets the answer that was recorded. One
-//! that may have had an effect is never run again by a repeat. Bounded in entries, bytes and time.
+//! The table of idempotency keys: a request with the key of one that still runs joins it, and one with the key of a finished
+//! request gets the recorded answer. A request that may have had an effect is never run again by a duplicate. Bounded in
+//! entries, bytes and time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Bounds of the table.
 #[derive(Clone, Debug)]
 pub struct IdempotencyConfig {
-    pub most_entries: usize,
-    /// Bytes of answers recorded, in all and for one.
-    pub most_bytes: usize,
-    pub most_bytes_each: usize,
-    /// How long an answer is kept after its end.
-    pub keep_s: f64,
-    /// How long what runs is kept running when its last client has gone: the repeat may be on its way.
+    /// Keys remembered.
+    pub max_entries: usize,
+    /// Bytes of all recorded answers.
+    pub max_bytes: usize,
+    /// Bytes of one recorded answer.
+    pub max_bytes_per_entry: usize,
+    /// How long an entry is kept after its end.
+    pub retention_s: f64,
+    /// How long a request goes on without a client: a duplicate may be on its way.
     pub takeover_s: f64,
 }
 
 impl Default for IdempotencyConfig {
     fn default() -> Self {
         IdempotencyConfig {
-            most_entries: 16_384,
-            most_bytes: 64 << 20,
-            most_bytes_each: 256 << 10,
-            keep_s: 60.0,
+            max_entries: 16_384,
+            max_bytes: 64 << 20,
+            max_bytes_per_entry: 256 << 10,
+            retention_s: 60.0,
             takeover_s: 2.0,
         }
     }
 }
 
-/// Tenant and key in one digest: fixed in size, and the key itself is not kept.
+/// Digest of a tenant and its key: of fixed size, and the key itself is not kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Key(pub [u8; 32]);
+pub struct IdempotencyKey(pub [u8; 32]);
 
-impl Key {
-    pub fn of(tenant: &str, key: &str) -> Key {
-        let mut h = blake3::Hasher::new();
-        h.update(&(tenant.len() as u64).to_le_bytes()).update(tenant.as_bytes()).update(key.as_bytes());
-        Key(*h.finalize().as_bytes())
+impl IdempotencyKey {
+    /// The key as this tenant sent it.
+    pub fn new(tenant: &str, key: &str) -> IdempotencyKey {
+        let mut hasher = blake3::Hasher::new();
+        hasher.update(&(tenant.len() as u64).to_le_bytes());
+        hasher.update(tenant.as_bytes());
+        hasher.update(key.as_bytes());
+        IdempotencyKey(*hasher.finalize().as_bytes())
     }
 }
 
-/// Names an entry; never used twice.
+/// Identifies an entry; never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Serial(pub u64);
+pub struct EntryId(pub u64);
 
+/// What is to be done with a request that has a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyLookup {
-    /// Not seen: it runs, as this entry.
-    New(Serial),
-    /// The same still runs: its answer is this one's too, from the beginning.
-    Join(Serial),
-    /// It has ended, and its answer is here.
-    Recorded(Serial),
-    /// It has ended or runs, may have had its effect, and its answer is too long to have been kept.
-    NotKept,
+    /// The key is new: the request runs, as this entry.
+    New(EntryId),
+    /// The first request still runs: this one gets the same answer, from its beginning.
+    Join(EntryId),
+    /// The first request has finished, and its answer is recorded.
+    Recorded(EntryId),
+    /// The first request may have had its effect, and its answer was not recorded.
+    NotRecorded,
     /// The key was used with another body.
     Mismatch,
-    /// No place is left in which a repeat of it would be known.
+    /// The table is full, so that a duplicate of the request would not be recognized.
     Full,
-    /// No place is left, but it may run again: it runs unrecorded.
+    /// The request may run again, and runs without being recorded.
     Unrecorded,
 }
 
-/// How an entry ended.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum RunOutcome {
+    /// It has its whole answer.
     Completed,
-    /// Nothing has run: a repeat runs anew.
+    /// It was rejected before it ran: a duplicate runs.
     Rejected,
+    /// It failed, and may have run.
     Failed,
-    /// Called off, as no client was left.
+    /// It was cancelled, since no client was left.
     Cancelled,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Stage {
-    /// Clients that hear it, and since when there are none.
+enum EntryState {
     Running {
-        heard_by: usize,
-        alone_since: f64,
+        /// Clients that receive the answer.
+        listeners: usize,
+        /// When the last of them left.
+        unattended_since: f64,
     },
-    Done {
+    Finished {
         at: f64,
-        how: Ended,
+        outcome: RunOutcome,
     },
 }
 
 struct Entry {
-    key: Key,
+    key: IdempotencyKey,
     body: [u8; 32],
     may_repeat: bool,
-    stage: Stage,
+    state: EntryState,
+    /// Bytes recorded of the answer.
     bytes: usize,
-    /// The record is whole so far.
-    whole: bool,
+    /// All of the answer so far is recorded.
+    is_recorded: bool,
 }
 
+/// What the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Do {
-    /// Nobody has come for it: it is called off.
-    CallOff(Serial),
-    /// Its record is dropped.
-    Forget(Serial),
+pub enum IdempotencyCommand {
+    /// Cancel the run: no client has come for it.
+    Cancel(EntryId),
+    /// Drop what is recorded of the answer.
+    Forget(EntryId),
 }
 
+/// The table of a node.
 pub struct IdempotencyTable {
-    figures: IdempotencyConfig,
-    by_key: BTreeMap<Key, Serial>,
-    entries: BTreeMap<Serial, Entry>,
-    /// Entries by the time, in microseconds, when they are to be looked at: forgotten, or called off.
-    poll_commands: BTreeSet<(i64, Serial)>,
-    /// Ended ones that may run again: what goes first when there is no room.
-    spare: BTreeSet<Serial>,
+    config: IdempotencyConfig,
+    by_key: BTreeMap<IdempotencyKey, EntryId>,
+    entries: BTreeMap<EntryId, Entry>,
+    /// When entries are to be forgotten or cancelled, in microseconds.
+    timers: BTreeSet<(i64, EntryId)>,
+    /// Finished entries that may be forgotten early, since their requests may run again.
+    evictable: BTreeSet<EntryId>,
+    /// Bytes of all recorded answers.
     bytes: usize,
-    next: u64,
-    ready: Vec<Do>,
+    last_id: u64,
+    pending_commands: Vec<IdempotencyCommand>,
+    /// Requests that joined a running one, since the start.
     pub joined: u64,
+    /// Requests that got a recorded answer, since the start.
     pub replayed: u64,
 }
 
 impl IdempotencyTable {
-    pub fn new(figures: IdempotencyConfig) -> Self {
+    /// An empty table.
+    pub fn new(config: IdempotencyConfig) -> Self {
         IdempotencyTable {
-            figures,
+            config,
             by_key: BTreeMap::new(),
             entries: BTreeMap::new(),
-            poll_commands: BTreeSet::new(),
-            spare: BTreeSet::new(),
+            timers: BTreeSet::new(),
+            evictable: BTreeSet::new(),
             bytes: 0,
-            next: 0,
-            ready: Vec::new(),
+            last_id: 0,
+            pending_commands: Vec::new(),
             joined: 0,
             replayed: 0,
         }
     }
 
+    /// Keys remembered.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
+    /// Whether no key is remembered.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
+    /// Bytes of all recorded answers.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// A request with a key. `body`: digest of what is asked. `may_repeat`: its model route may run again.
-    pub fn look_up(&mut self, now: f64, key: Key, body: [u8; 32], may_repeat: bool) -> KeyLookup {
+    /// A request with a key has come. `body`: digest of the request; `may_repeat`: its model route is idempotent.
+    pub fn look_up(&mut self, now: f64, key: IdempotencyKey, body: [u8; 32], may_repeat: bool) -> KeyLookup {
         self.expire(now);
-        if let Some(&serial) = self.by_key.get(&key) {
-            if let Some(e) = self.entries.get_mut(&serial) {
-                if e.body != body {
-                    return KeyLookup::Mismatch;
-                }
-                match &mut e.stage {
-                    Stage::Running { .. } if e.whole => {
-                        self.heard(now, serial, 1);
-                        self.joined += 1;
-                        return KeyLookup::Join(serial);
-                    }
-                    Stage::Done { .. } if e.whole => {
-                        self.replayed += 1;
-                        return KeyLookup::Recorded(serial);
-                    }
-                    // What is not whole cannot be heard from its beginning. Where it may, it runs anew beside.
-                    _ if e.may_repeat => return KeyLookup::Unrecorded,
-                    _ => return KeyLookup::NotKept,
-                }
-            }
+        let known = self.by_key.get(&key).copied();
+        if let Some(found) = known.and_then(|id| self.look_up_entry(now, id, body)) {
+            return found;
         }
-        if self.entries.len() >= self.figures.most_entries && !self.make_room() {
+        if self.entries.len() >= self.config.max_entries && !self.make_room() {
             return if may_repeat { KeyLookup::Unrecorded } else { KeyLookup::Full };
         }
-        self.next += 1;
-        let serial = Serial(self.next);
-        let stage = Stage::Running { heard_by: 1, alone_since: now };
-        self.by_key.insert(key, serial);
-        self.entries.insert(serial, Entry { key, body, may_repeat, stage, bytes: 0, whole: true });
-        KeyLookup::New(serial)
+        let state = EntryState::Running { listeners: 1, unattended_since: now };
+        KeyLookup::New(self.insert(Entry { key, body, may_repeat, state, bytes: 0, is_recorded: true }))
     }
 
-    /// One that an earlier process of the node took at `at`, on a route that may not run again: whether it ended, and
-    /// how, is not known, so that a repeat of it does not run.
-    pub fn restore(&mut self, at: f64, key: Key, body: [u8; 32]) {
-        if self.entries.len() >= self.figures.most_entries || self.by_key.contains_key(&key) {
+    fn look_up_entry(&mut self, now: f64, id: EntryId, body: [u8; 32]) -> Option<KeyLookup> {
+        let entry = self.entries.get(&id)?;
+        if entry.body != body {
+            return Some(KeyLookup::Mismatch);
+        }
+        if !entry.is_recorded {
+            // Its answer cannot be sent from the beginning. Where it may, the duplicate runs separately.
+            let may_repeat = entry.may_repeat;
+            return Some(if may_repeat { KeyLookup::Unrecorded } else { KeyLookup::NotRecorded });
+        }
+        Some(match entry.state {
+            EntryState::Running { .. } => {
+                self.change_listeners(now, id, 1);
+                self.joined += 1;
+                KeyLookup::Join(id)
+            }
+            EntryState::Finished { .. } => {
+                self.replayed += 1;
+                KeyLookup::Recorded(id)
+            }
+        })
+    }
+
+    /// A request that an earlier process accepted at this time, on a route that is not idempotent. Whether and how it ended is
+    /// not known, so that a duplicate does not run.
+    pub fn restore(&mut self, at: f64, key: IdempotencyKey, body: [u8; 32]) {
+        if self.entries.len() >= self.config.max_entries || self.by_key.contains_key(&key) {
             return;
         }
-        self.next += 1;
-        let stage = Stage::Done { at, how: Ended::Failed };
-        self.by_key.insert(key, Serial(self.next));
-        let entry = Entry { key, body, may_repeat: false, stage, bytes: 0, whole: false };
-        self.entries.insert(Serial(self.next), entry);
-        self.filed(Serial(self.next), true);
+        let state = EntryState::Finished { at, outcome: RunOutcome::Failed };
+        let id = self.insert(Entry { key, body, may_repeat: false, state, bytes: 0, is_recorded: false });
+        self.schedule(id);
     }
 
-    /// The oldest ended one that may repeat goes first: forgetting it costs work, never a second effect. One that
-    /// may not repeat stays until its time is up.
+    fn insert(&mut self, entry: Entry) -> EntryId {
+        self.last_id += 1;
+        let id = EntryId(self.last_id);
+        self.by_key.insert(entry.key, id);
+        self.entries.insert(id, entry);
+        id
+    }
+
+    /// Forgets the oldest finished entry whose request may run again: that costs work, never a second effect. The others stay
+    /// until their time is up.
     fn make_room(&mut self) -> bool {
-        let oldest = self.spare.first().copied();
-        oldest.is_some_and(|s| {
-            self.forget(s);
-            true
-        })
+        let Some(oldest) = self.evictable.first().copied() else { return false };
+        self.forget(oldest);
+        true
     }
 
-    /// Puts an entry into the tables by time, or takes it out of them: around each change of its stage.
-    fn filed(&mut self, serial: Serial, is: bool) {
-        let Some(e) = self.entries.get(&serial) else { return };
-        let at = match e.stage {
-            Stage::Running { heard_by: 0, alone_since } => alone_since + self.figures.takeover_s,
-            Stage::Running { .. } => return,
-            Stage::Done { at, .. } => at + self.figures.keep_s,
-        };
-        let (at, done) = ((at * 1e6) as i64, matches!(e.stage, Stage::Done { .. }));
-        if is {
-            self.poll_commands.insert((at, serial));
-            if done && e.may_repeat {
-                self.spare.insert(serial);
+    /// When an entry is to be forgotten or cancelled; never while it has listeners.
+    fn timer_of(&self, entry: &Entry) -> Option<i64> {
+        let at = match entry.state {
+            EntryState::Running { listeners: 0, unattended_since } => {
+                unattended_since + self.config.takeover_s
             }
-        } else {
-            self.poll_commands.remove(&(at, serial));
-            self.spare.remove(&serial);
+            EntryState::Running { .. } => return None,
+            EntryState::Finished { at, .. } => at + self.config.retention_s,
+        };
+        Some(to_micros(at))
+    }
+
+    /// Adds an entry to the timers and the evictable ones, after its state has changed.
+    fn schedule(&mut self, id: EntryId) {
+        let Some(entry) = self.entries.get(&id) else { return };
+        let Some(timer) = self.timer_of(entry) else { return };
+        let is_finished = matches!(entry.state, EntryState::Finished { .. });
+        let is_evictable = is_finished && entry.may_repeat;
+        self.timers.insert((timer, id));
+        if is_evictable {
+            self.evictable.insert(id);
         }
     }
 
-    fn forget(&mut self, serial: Serial) {
-        self.filed(serial, false);
-        if let Some(e) = self.entries.remove(&serial) {
-            self.bytes -= e.bytes;
-            if self.by_key.get(&e.key) == Some(&serial) {
-                self.by_key.remove(&e.key);
-            }
-            self.ready.push(Do::Forget(serial));
+    /// Removes an entry from the timers and the evictable ones, before its state changes.
+    fn unschedule(&mut self, id: EntryId) {
+        let Some(entry) = self.entries.get(&id) else { return };
+        let Some(timer) = self.timer_of(entry) else { return };
+        self.timers.remove(&(timer, id));
+        self.evictable.remove(&id);
+    }
+
+    fn forget(&mut self, id: EntryId) {
+        self.unschedule(id);
+        let Some(entry) = self.entries.remove(&id) else { return };
+        self.bytes -= entry.bytes;
+        if self.by_key.get(&entry.key) == Some(&id) {
+            self.by_key.remove(&entry.key);
         }
+        self.pending_commands.push(IdempotencyCommand::Forget(id));
     }
 
-    /// More of an answer has come. False: it is not recorded (any more), and what was is dropped.
-    pub fn record(&mut self, serial: Serial, bytes: usize) -> bool {
-        let f = &self.figures;
-        let Some(e) = self.entries.get_mut(&serial).filter(|e| e.whole) else { return false };
-        if e.bytes + bytes > f.most_bytes_each || self.bytes + bytes > f.most_bytes {
-            e.whole = false;
-            self.bytes -= e.bytes;
-            e.bytes = 0;
+    /// More of an answer has come. False: it is not recorded, and what was recorded of it is dropped.
+    pub fn record(&mut self, id: EntryId, bytes: usize) -> bool {
+        let Some(entry) = self.entries.get_mut(&id).filter(|entry| entry.is_recorded) else { return false };
+        let exceeds_entry = entry.bytes + bytes > self.config.max_bytes_per_entry;
+        if exceeds_entry || self.bytes + bytes > self.config.max_bytes {
+            entry.is_recorded = false;
+            self.bytes -= entry.bytes;
+            entry.bytes = 0;
             return false;
         }
-        e.bytes += bytes;
+        entry.bytes += bytes;
         self.bytes += bytes;
         true
     }
 
-    /// A client that heard it has gone.
-    pub fn listener_left(&mut self, now: f64, serial: Serial) {
-        self.heard(now, serial, -1);
+    /// A client that received the answer has disconnected.
+    pub fn listener_left(&mut self, now: f64, id: EntryId) {
+        self.change_listeners(now, id, -1);
     }
 
-    fn heard(&mut self, now: f64, serial: Serial, more: isize) {
-        self.filed(serial, false);
-        if let Some(Stage::Running { heard_by, alone_since }) =
-            self.entries.get_mut(&serial).map(|e| &mut e.stage)
-        {
-            *heard_by = heard_by.saturating_add_signed(more);
-            if *heard_by == 0 {
-                *alone_since = now;
+    fn change_listeners(&mut self, now: f64, id: EntryId, change: isize) {
+        self.unschedule(id);
+        let state = self.entries.get_mut(&id).map(|entry| &mut entry.state);
+        if let Some(EntryState::Running { listeners, unattended_since }) = state {
+            *listeners = listeners.saturating_add_signed(change);
+            if *listeners == 0 {
+                *unattended_since = now;
             }
         }
-        self.filed(serial, true);
+        self.schedule(id);
     }
 
-    /// It has ended. What a repeat may run again is kept only if its answer is whole and good.
-    pub fn response_ended(&mut self, now: f64, serial: Serial, how: Ended) {
-        self.filed(serial, false);
-        let Some(e) = self.entries.get_mut(&serial) else { return };
-        e.stage = Stage::Done { at: now, how };
-        let again = match how {
-            Ended::Rejected => true,
-            Ended::Completed => e.may_repeat && !e.whole,
-            Ended::Failed | Ended::Cancelled => e.may_repeat,
+    /// A request has ended. Where it may run again, its entry is kept only if its answer is recorded and complete.
+    pub fn response_ended(&mut self, now: f64, id: EntryId, outcome: RunOutcome) {
+        self.unschedule(id);
+        let Some(entry) = self.entries.get_mut(&id) else { return };
+        entry.state = EntryState::Finished { at: now, outcome };
+        let is_forgotten = match outcome {
+            RunOutcome::Rejected => true,
+            RunOutcome::Completed => entry.may_repeat && !entry.is_recorded,
+            RunOutcome::Failed | RunOutcome::Cancelled => entry.may_repeat,
         };
-        // Called off, nothing of an answer is there to be heard.
-        if how == Ended::Cancelled {
-            e.whole = false;
+        if outcome == RunOutcome::Cancelled {
+            entry.is_recorded = false;
         }
-        if again {
-            self.forget(serial);
+        if is_forgotten {
+            self.forget(id);
         } else {
-            self.filed(serial, true);
+            self.schedule(id);
         }
     }
 
-    pub fn outcome(&self, serial: Serial) -> Option<Ended> {
-        match self.entries.get(&serial)?.stage {
-            Stage::Done { how, .. } => Some(how),
-            Stage::Running { .. } => None,
+    /// How a request ended; none while it runs.
+    pub fn outcome(&self, id: EntryId) -> Option<RunOutcome> {
+        match self.entries.get(&id)?.state {
+            EntryState::Finished { outcome, .. } => Some(outcome),
+            EntryState::Running { .. } => None,
         }
     }
 
-    /// Forgets what has been kept for its time. Looks at nothing else: every request comes through here.
+    /// Runs the timers that have passed. This looks at nothing else, since every request comes through here.
     fn expire(&mut self, now: f64) {
-        let now = (now * 1e6) as i64;
-        while let Some(&(_, s)) = self.poll_commands.first().filter(|d| d.0 <= now) {
-            match self.entries.get(&s).map(|e| e.stage) {
-                Some(Stage::Done { .. }) => self.forget(s),
-                // Nobody has come for it.
-                _ => {
-                    self.filed(s, false);
-                    self.ready.push(Do::CallOff(s));
+        let now = to_micros(now);
+        while let Some(&(_, id)) = self.timers.first().filter(|timer| timer.0 <= now) {
+            match self.entries.get(&id).map(|entry| entry.state) {
+                Some(EntryState::Finished { .. }) => self.forget(id),
+                Some(EntryState::Running { .. }) | None => {
+                    self.unschedule(id);
+                    self.pending_commands.push(IdempotencyCommand::Cancel(id));
                 }
             }
         }
     }
 
-    /// What to do now, and when to look again.
-    pub fn due(&mut self, now: f64) -> (Vec<Do>, Option<f64>) {
+    /// What to do now, and when to poll again.
+    pub fn poll_commands(&mut self, now: f64) -> (Vec<IdempotencyCommand>, Option<f64>) {
         self.expire(now);
-        (std::mem::take(&mut self.ready), self.poll_commands.first().map(|d| d.0 as f64 / 1e6))
+        let next_timer = self.timers.first().map(|timer| timer.0 as f64 / MICROS_PER_SECOND);
+        (std::mem::take(&mut self.pending_commands), next_timer)
     }
 }
 
+const MICROS_PER_SECOND: f64 = 1e6;
+
+fn to_micros(seconds: f64) -> i64 {
+    (seconds * MICROS_PER_SECOND) as i64
+}
+
 #[cfg(test)]
 #[path = "idempotency_tests.rs"]
 mod tests;
--- a/crates/nickelgw-chat/src/core/idempotency_tests.rs
+++ b/crates/nickelgw-chat/src/core/idempotency_tests.rs
@@ -4,146 +4,153 @@
 use std::collections::BTreeSet;
 use test_case::test_case;
 
-fn figures() -> IdempotencyConfig {
+fn config() -> IdempotencyConfig {
     IdempotencyConfig {
-        most_entries: 4,
-        most_bytes: 300,
-        most_bytes_each: 100,
-        keep_s: 10.0,
+        max_entries: 4,
+        max_bytes: 300,
+        max_bytes_per_entry: 100,
+        retention_s: 10.0,
         takeover_s: 2.0,
     }
 }
 
-fn key(n: u8) -> Key {
-    Key::of("t", &n.to_string())
+fn key(n: u8) -> IdempotencyKey {
+    IdempotencyKey::new("t", &n.to_string())
 }
 
-fn new(r: &mut IdempotencyTable, now: f64, n: u8, may_repeat: bool) -> Serial {
-    match r.look_up(now, key(n), [n; 32], may_repeat) {
-        KeyLookup::New(s) => s,
+fn start(table: &mut IdempotencyTable, now: f64, n: u8, may_repeat: bool) -> EntryId {
+    match table.look_up(now, key(n), [n; 32], may_repeat) {
+        KeyLookup::New(id) => id,
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn a_repeat_joins_what_runs_and_hears_what_was_recorded() {
-    let mut r = IdempotencyTable::new(figures());
-    let s = new(&mut r, 0.0, 1, true);
-    assert!(r.record(s, 50));
-    assert_eq!(r.look_up(1.0, key(1), [1; 32], true), KeyLookup::Join(s));
-    r.response_ended(2.0, s, Ended::Completed);
-    assert_eq!(r.look_up(3.0, key(1), [1; 32], true), KeyLookup::Recorded(s));
-    assert_eq!(r.look_up(3.0, key(1), [9; 32], true), KeyLookup::Mismatch);
-    // Another tenant's key of the same text is another key.
-    assert!(matches!(r.look_up(3.0, Key::of("u", "1"), [1; 32], true), KeyLookup::New(_)));
-    assert!(matches!(r.look_up(12.1, key(1), [1; 32], true), KeyLookup::New(_)), "its time is up");
+fn duplicate_joins_a_running_request_and_gets_a_recorded_answer() {
+    let mut table = IdempotencyTable::new(config());
+    let id = start(&mut table, 0.0, 1, true);
+    assert!(table.record(id, 50));
+    assert_eq!(table.look_up(1.0, key(1), [1; 32], true), KeyLookup::Join(id));
+    table.response_ended(2.0, id, RunOutcome::Completed);
+    assert_eq!(table.look_up(3.0, key(1), [1; 32], true), KeyLookup::Recorded(id));
+    assert_eq!(table.look_up(3.0, key(1), [9; 32], true), KeyLookup::Mismatch);
+    // The same text is another key for another tenant.
+    assert!(matches!(table.look_up(3.0, IdempotencyKey::new("u", "1"), [1; 32], true), KeyLookup::New(_)));
+    assert!(matches!(table.look_up(12.1, key(1), [1; 32], true), KeyLookup::New(_)), "its retention is over");
 }
 
-#[test_case(Ended::Rejected, false, true; "shed, it has not run")]
-#[test_case(Ended::Failed, true, true; "errored, it may run again")]
-#[test_case(Ended::Failed, false, false; "errored, it may not")]
-#[test_case(Ended::Cancelled, true, true; "called off, it may run again")]
-#[test_case(Ended::Cancelled, false, false; "called off, it may not")]
-fn a_repeat_after_the_end_runs_anew_only_where_that_is_harmless(how: Ended, may_repeat: bool, anew: bool) {
-    let mut r = IdempotencyTable::new(figures());
-    let s = new(&mut r, 0.0, 1, may_repeat);
-    r.response_ended(1.0, s, how);
-    let again = r.look_up(2.0, key(1), [1; 32], may_repeat);
-    assert_eq!(matches!(again, KeyLookup::New(_)), anew, "{again:?}");
+#[test_case(RunOutcome::Rejected, false, true; "a rejected request has not run")]
+#[test_case(RunOutcome::Failed, true, true; "a failed request may run again")]
+#[test_case(RunOutcome::Failed, false, false; "a failed request may not run again")]
+#[test_case(RunOutcome::Cancelled, true, true; "a cancelled request may run again")]
+#[test_case(RunOutcome::Cancelled, false, false; "a cancelled request may not run again")]
+fn duplicate_of_a_finished_request_runs_only_where_it_may(outcome: RunOutcome, may_repeat: bool, runs: bool) {
+    let mut table = IdempotencyTable::new(config());
+    let id = start(&mut table, 0.0, 1, may_repeat);
+    table.response_ended(1.0, id, outcome);
+    let found = table.look_up(2.0, key(1), [1; 32], may_repeat);
+    assert_eq!(matches!(found, KeyLookup::New(_)), runs, "{found:?}");
 }
 
 #[test]
-fn an_answer_too_long_to_keep_is_no_reason_for_a_second_effect() {
-    let mut r = IdempotencyTable::new(figures());
-    let s = new(&mut r, 0.0, 1, false);
-    assert!(r.record(s, 90) && !r.record(s, 20));
-    assert_eq!((r.bytes(), r.look_up(1.0, key(1), [1; 32], false)), (0, KeyLookup::NotKept));
-    r.response_ended(2.0, s, Ended::Completed);
-    assert_eq!(r.look_up(3.0, key(1), [1; 32], false), KeyLookup::NotKept);
+fn request_whose_answer_is_too_long_to_record_does_not_run_again() {
+    let mut table = IdempotencyTable::new(config());
+    let id = start(&mut table, 0.0, 1, false);
+    assert!(table.record(id, 90) && !table.record(id, 20));
+    assert_eq!((table.bytes(), table.look_up(1.0, key(1), [1; 32], false)), (0, KeyLookup::NotRecorded));
+    table.response_ended(2.0, id, RunOutcome::Completed);
+    assert_eq!(table.look_up(3.0, key(1), [1; 32], false), KeyLookup::NotRecorded);
 }
 
 #[test]
-fn what_nobody_hears_is_called_off_unless_a_repeat_comes_in_time() {
-    let mut r = IdempotencyTable::new(figures());
-    let s = new(&mut r, 0.0, 1, true);
-    r.listener_left(1.0, s);
-    assert_eq!(r.due(1.0), (vec![], Some(3.0)));
-    assert_eq!(r.look_up(2.0, key(1), [1; 32], true), KeyLookup::Join(s));
-    assert_eq!(r.due(4.0).0, vec![]);
-    r.listener_left(5.0, s);
-    assert_eq!(r.due(7.0).0, vec![Do::CallOff(s)]);
+fn request_without_listeners_is_cancelled_unless_a_duplicate_joins_in_time() {
+    let mut table = IdempotencyTable::new(config());
+    let id = start(&mut table, 0.0, 1, true);
+    table.listener_left(1.0, id);
+    assert_eq!(table.poll_commands(1.0), (vec![], Some(3.0)));
+    assert_eq!(table.look_up(2.0, key(1), [1; 32], true), KeyLookup::Join(id));
+    assert_eq!(table.poll_commands(4.0).0, vec![]);
+    table.listener_left(5.0, id);
+    assert_eq!(table.poll_commands(7.0).0, vec![IdempotencyCommand::Cancel(id)]);
 }
 
 #[test]
-fn a_full_table_forgets_only_what_is_harmless() {
-    let mut r = IdempotencyTable::new(figures());
-    let all: Vec<Serial> = (0..4).map(|n| new(&mut r, 0.0, n, n % 2 == 0)).collect();
-    assert_eq!(r.look_up(1.0, key(9), [9; 32], true), KeyLookup::Unrecorded);
-    assert_eq!(r.look_up(1.0, key(9), [9; 32], false), KeyLookup::Full);
-    all.iter().for_each(|&s| r.response_ended(2.0, s, Ended::Completed));
-    assert!(matches!(r.look_up(3.0, key(9), [9; 32], false), KeyLookup::New(_)));
-    assert!(matches!(r.look_up(3.0, key(8), [8; 32], false), KeyLookup::New(_)));
-    // What is left may not repeat.
-    assert_eq!(r.look_up(3.0, key(7), [7; 32], false), KeyLookup::Full);
-    assert_eq!(r.look_up(3.0, key(1), [1; 32], false), KeyLookup::Recorded(all[1]));
+fn full_table_evicts_only_requests_that_may_run_again() {
+    let mut table = IdempotencyTable::new(config());
+    let all: Vec<EntryId> = (0..4).map(|n| start(&mut table, 0.0, n, n % 2 == 0)).collect();
+    assert_eq!(table.look_up(1.0, key(9), [9; 32], true), KeyLookup::Unrecorded);
+    assert_eq!(table.look_up(1.0, key(9), [9; 32], false), KeyLookup::Full);
+    all.iter().for_each(|&id| table.response_ended(2.0, id, RunOutcome::Completed));
+    assert!(matches!(table.look_up(3.0, key(9), [9; 32], false), KeyLookup::New(_)));
+    assert!(matches!(table.look_up(3.0, key(8), [8; 32], false), KeyLookup::New(_)));
+    // The others may not run again.
+    assert_eq!(table.look_up(3.0, key(7), [7; 32], false), KeyLookup::Full);
+    assert_eq!(table.look_up(3.0, key(1), [1; 32], false), KeyLookup::Recorded(all[1]));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: RngSeed::Fixed(8), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn nothing_that_may_not_repeat_runs_twice_within_its_time(
+    fn request_that_may_not_repeat_runs_once_within_its_retention(
         steps in prop::collection::vec((0u8..6, 0u8..7, 0.0..1.5f64), 1..150),
     ) {
-        let f = figures();
-        let mut r = IdempotencyTable::new(f.clone());
+        let config = config();
+        let mut table = IdempotencyTable::new(config.clone());
         let mut now = 0.0;
-        // By key: when a run began that may have had an effect, and still counts.
-        let mut ran: std::collections::BTreeMap<u8, (Serial, Option<f64>)> = Default::default();
-        let mut running: Vec<(u8, Serial)> = Vec::new();
-        let mut known: BTreeSet<Serial> = BTreeSet::new();
-        for (what, n, dt) in steps {
-            now += dt;
+        // By key: the run that may have had an effect, and when it ended.
+        let mut ran: std::collections::BTreeMap<u8, (EntryId, Option<f64>)> = Default::default();
+        let mut running: Vec<(u8, EntryId)> = Vec::new();
+        let mut known: BTreeSet<EntryId> = BTreeSet::new();
+        for (step, n, elapsed_s) in steps {
+            now += elapsed_s;
             let may_repeat = n % 2 == 0;
-            match what {
-                0..=2 => if let KeyLookup::New(s) = r.look_up(now, key(n), [n; 32], may_repeat) {
-                    prop_assert!(known.insert(s));
+            match step {
+                0..=2 => if let KeyLookup::New(id) = table.look_up(now, key(n), [n; 32], may_repeat) {
+                    prop_assert!(known.insert(id));
                     if !may_repeat {
                         if let Some((_, ended)) = ran.get(&n) {
-                            prop_assert!(ended.is_some_and(|at| now - at >= f.keep_s), "run twice");
+                            prop_assert!(ended.is_some_and(|at| now - at >= config.retention_s), "run twice");
                         }
-                        ran.insert(n, (s, None));
+                        ran.insert(n, (id, None));
                     }
-                    running.push((n, s));
+                    running.push((n, id));
                 },
                 3 if !running.is_empty() => {
-                    let (n, s) = running.remove(n as usize % running.len());
-                    let how = [Ended::Completed, Ended::Failed, Ended::Cancelled][(now * 10.0) as usize % 3];
-                    r.response_ended(now, s, how);
-                    if let Some(x) = ran.get_mut(&n).filter(|x| x.0 == s) {
-                        x.1 = Some(now);
+                    let (n, id) = running.remove(n as usize % running.len());
+                    let outcome = [RunOutcome::Completed, RunOutcome::Failed, RunOutcome::Cancelled][(now * 10.0) as usize % 3];
+                    table.response_ended(now, id, outcome);
+                    if let Some(run) = ran.get_mut(&n).filter(|run| run.0 == id) {
+                        run.1 = Some(now);
                     }
                 }
                 4 if !running.is_empty() => {
-                    let s = running[n as usize % running.len()].1;
-                    r.record(s, 10 * n as usize);
+                    let id = running[n as usize % running.len()].1;
+                    table.record(id, 10 * n as usize);
                 }
-                5 if !running.is_empty() => r.listener_left(now, running[n as usize % running.len()].1),
-                _ => drop(r.due(now)),
+                5 if !running.is_empty() => table.listener_left(now, running[n as usize % running.len()].1),
+                _ => drop(table.poll_commands(now)),
             }
-            prop_assert!(r.len() <= f.most_entries && r.bytes() <= f.most_bytes);
+            prop_assert!(table.len() <= config.max_entries && table.bytes() <= config.max_bytes);
         }
-        running.iter().for_each(|(_, s)| r.response_ended(now, *s, Ended::Failed));
-        r.due(now + f.keep_s + 1.0);
-        prop_assert_eq!((r.len(), r.bytes()), (0, 0));
+        running.iter().for_each(|(_, id)| table.response_ended(now, *id, RunOutcome::Failed));
+        table.poll_commands(now + config.retention_s + 1.0);
+        prop_assert_eq!((table.len(), table.bytes()), (0, 0));
     }
 }
 
 #[test]
-fn what_an_earlier_process_took_is_known_and_does_not_run() {
-    let mut r = IdempotencyTable::new(IdempotencyConfig::default());
-    r.restore(-20.0, Key::of("t", "k"), [1; 32]);
-    assert_eq!(r.look_up(0.0, Key::of("t", "k"), [1; 32], false), KeyLookup::NotKept);
-    assert_eq!(r.look_up(0.0, Key::of("t", "k"), [2; 32], false), KeyLookup::Mismatch);
-    // Its time counts from when it was taken.
-    assert!(matches!(r.look_up(41.0, Key::of("t", "k"), [1; 32], false), KeyLookup::New(_)));
+fn request_of_an_earlier_process_is_known_and_does_not_run_again() {
+    let mut table = IdempotencyTable::new(IdempotencyConfig::default());
+    table.restore(-20.0, IdempotencyKey::new("t", "k"), [1; 32]);
+    assert_eq!(table.look_up(0.0, IdempotencyKey::new("t", "k"), [1; 32], false), KeyLookup::NotRecorded);
+    assert_eq!(table.look_up(0.0, IdempotencyKey::new("t", "k"), [2; 32], false), KeyLookup::Mismatch);
+    // Its retention counts from when it was accepted.
+    assert!(matches!(table.look_up(41.0, IdempotencyKey::new("t", "k"), [1; 32], false), KeyLookup::New(_)));
+}
+
+/// Keys are stored on disk while a node is upgraded.
+#[test]
+fn keys_are_hashed_as_by_earlier_releases() {
+    let digits: String = IdempotencyKey::new("t", "k").0.iter().map(|byte| format!("{byte:02x}")).collect();
+    assert_eq!(digits, "65192b58672d3ff70e93548c483528ef98e42f1a10646b8bd70bf6d15bd5e41f");
 }
--- a/crates/nickelgw-chat/src/lib.rs
+++ b/crates/nickelgw-chat/src/lib.rs
@@ -1,3 +1,3 @@
-//! What a node decides about repeated requests, retries and grants of held states. No I/O.
+//! What a node decides about duplicate requests, retries, and grants for KV cache states. Only a [`core`] without I/O.
 
 pub mod core;
--- a/crates/nickelgw-cli/src/bench_path.rs
+++ b/crates/nickelgw-cli/src/bench_path.rs
@@ -5,7 +5,7 @@
 use crate::Unusable;
 use hdrhistogram::Histogram;
 use nickelgw_chat::core::grant::{grant, GrantChecker, GrantClaims, GrantKey};
-use nickelgw_chat::core::idempotency::{self, Ended, IdempotencyTable, Key, KeyLookup};
+use nickelgw_chat::core::idempotency::{self, IdempotencyKey, IdempotencyTable, KeyLookup, RunOutcome};
 use nickelgw_chat::core::retry_budget::{self, RetryBudget};
 use nickelgw_node_core::ledger::{Ledger, ReservationId};
 use nickelgw_node_core::{Endpoint, Reservation};
@@ -64,14 +64,14 @@
     });
     let mut table = IdempotencyTable::new(idempotency::IdempotencyConfig::default());
     ns("a key entered and its run ended", |n| {
-        let key = Key::of("tenant", &n.to_string());
+        let key = IdempotencyKey::new("tenant", &n.to_string());
         if let KeyLookup::New(s) = table.look_up(n as f64 * 1e-3, key, [1; 32], true) {
-            table.response_ended(n as f64 * 1e-3, s, Ended::Completed);
+            table.response_ended(n as f64 * 1e-3, s, RunOutcome::Completed);
         }
     });
-    let mut budget = RetryBudget::new(retry_budget::Figures::default(), 1);
+    let mut budget = RetryBudget::new(retry_budget::RetryBudgetConfig::default(), 1);
     ns("a retry judged", |n| {
-        black_box(budget.judge(n as f64 * 1e-3, 0, 0, Some((n % 4) as u32), [0; 16]));
+        black_box(budget.admit(n as f64 * 1e-3, 0, 0, Some((n % 4) as u32), [0; 16]));
     });
     let mut ledger = Ledger::new(0.5, 5.0);
     let reader = Rc::new(Endpoint { id: "r".into(), address: "a".into(), tls_name: None });
--- a/crates/nickelgw-cli/src/start.rs
+++ b/crates/nickelgw-cli/src/start.rs
@@ -2,8 +2,8 @@
 
 use crate::Unusable;
 use nickelgw_chat::core::grant::GrantKey;
-use nickelgw_chat::core::idempotency::IdempotencyConfig as RepeatFigures;
-use nickelgw_chat::core::retry_budget::Figures as RetryFigures;
+use nickelgw_chat::core::idempotency::IdempotencyConfig;
+use nickelgw_chat::core::retry_budget::RetryBudgetConfig;
 use nickelgw_deferred::core::DeferredLimits;
 use nickelgw_gossip::core::record::{NodeRecord, SharedKey};
 use nickelgw_gossip::core::{Gossip, GossipConfig as AccordFigures};
@@ -65,26 +65,26 @@
 /// Readers listed within this time of the start may hold states that an earlier process left.
 const SWEEP_S: f64 = 60.0;
 
-fn repeats(n: &Node) -> RepeatFigures {
+fn repeats(n: &Node) -> IdempotencyConfig {
     let r = n.repeats.unwrap_or_default();
-    RepeatFigures {
-        most_entries: r.most_entries() as usize,
-        most_bytes: r.most_bytes() as usize,
-        most_bytes_each: r.most_bytes_each() as usize,
-        keep_s: r.keep_ms() / 1e3,
+    IdempotencyConfig {
+        max_entries: r.most_entries() as usize,
+        max_bytes: r.most_bytes() as usize,
+        max_bytes_per_entry: r.most_bytes_each() as usize,
+        retention_s: r.keep_ms() / 1e3,
         takeover_s: r.takeover_ms() / 1e3,
     }
 }
 
-fn retries(n: &Node) -> RetryFigures {
+fn retries(n: &Node) -> RetryBudgetConfig {
     let r = n.retries.unwrap_or_default();
-    RetryFigures {
-        share: r.share(),
+    RetryBudgetConfig {
+        retry_ratio: r.share(),
         burst: r.burst(),
-        by_body: r.by_body(),
-        first_come_back_s: r.first_come_back_ms() / 1e3,
-        longest_come_back_s: r.longest_come_back_ms() / 1e3,
-        ..RetryFigures::default()
+        detect_by_body: r.by_body(),
+        min_retry_after_s: r.first_come_back_ms() / 1e3,
+        max_retry_after_s: r.longest_come_back_ms() / 1e3,
+        ..RetryBudgetConfig::default()
     }
 }
 
--- a/crates/nickelgw-node/src/idempotency.rs
+++ b/crates/nickelgw-node/src/idempotency.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use hyper::body::{Body, Frame};
 use nickelgw_chat::core::idempotency::{
-    Do, Ended, IdempotencyConfig, IdempotencyTable, Key, KeyLookup, Serial,
+    EntryId, IdempotencyCommand, IdempotencyConfig, IdempotencyKey, IdempotencyTable, KeyLookup, RunOutcome,
 };
 use nickelgw_protocol::chat::ApiError;
 use nickelgw_protocol::sse;
@@ -78,8 +78,8 @@
 /// The table, and the runs behind it.
 pub struct ResponseSharing {
     table: RefCell<IdempotencyTable>,
-    relays: RefCell<HashMap<Serial, Rc<Relay>>>,
-    runs: RefCell<HashMap<Serial, Task<()>>>,
+    relays: RefCell<HashMap<EntryId, Rc<Relay>>>,
+    runs: RefCell<HashMap<EntryId, Task<()>>>,
 }
 
 impl ResponseSharing {
@@ -91,22 +91,22 @@
     /// One that an earlier process took, and that may not run again.
     pub fn restore(&self, now: f64, key: &[u8], body: &[u8]) {
         if let (Ok(key), Ok(body)) = (key.try_into(), body.try_into()) {
-            self.table.borrow_mut().restore(now, Key(key), body);
+            self.table.borrow_mut().restore(now, IdempotencyKey(key), body);
         }
     }
 
     fn act(&self, now: f64) {
-        let (todo, _) = self.table.borrow_mut().due(now);
+        let (todo, _) = self.table.borrow_mut().poll_commands(now);
         for d in todo {
             match d {
-                Do::CallOff(s) => {
+                IdempotencyCommand::Cancel(s) => {
                     // Dropping the run tells the core that the client has gone.
                     let run = self.runs.borrow_mut().remove(&s);
                     drop(run);
-                    self.table.borrow_mut().response_ended(now, s, Ended::Cancelled);
+                    self.table.borrow_mut().response_ended(now, s, RunOutcome::Cancelled);
                     self.relays.borrow_mut().remove(&s);
                 }
-                Do::Forget(s) => drop(self.relays.borrow_mut().remove(&s)),
+                IdempotencyCommand::Forget(s) => drop(self.relays.borrow_mut().remove(&s)),
             }
         }
     }
@@ -120,14 +120,14 @@
 /// A client that hears a run; dropped, it has left.
 struct Hearer {
     server: Rc<Server>,
-    serial: Serial,
+    serial: EntryId,
     relay: Rc<Relay>,
     n: u64,
     bell: Pin<Box<Receiver<()>>>,
 }
 
 impl Hearer {
-    fn new(server: Rc<Server>, serial: Serial, relay: Rc<Relay>) -> Hearer {
+    fn new(server: Rc<Server>, serial: EntryId, relay: Rc<Relay>) -> Hearer {
         let (ring, bell) = bounded(1);
         let mut s = relay.said.borrow_mut();
         s.next += 1;
@@ -207,7 +207,7 @@
     /// A request that carries a key: it runs once, and each repeat hears that run.
     pub async fn keyed(self: Rc<Self>, a: Asked, key: &str) -> Result<Answer, ApiError> {
         let tenant = a.ask.tenant.map_or("", |t| &self.door.tenants[t].name);
-        let key = Key::of(tenant, key);
+        let key = IdempotencyKey::new(tenant, key);
         let may_repeat = self.door.models[a.ask.route].is_idempotent;
         let now = self.clock.now();
         let entered = self.repeats.table.borrow_mut().look_up(now, key, a.digest, may_repeat);
@@ -215,7 +215,7 @@
             KeyLookup::Join(s) | KeyLookup::Recorded(s) => s,
             KeyLookup::New(s) => {
                 if let Err(e) = self.judge(&a) {
-                    self.repeats.table.borrow_mut().response_ended(now, s, Ended::Rejected);
+                    self.repeats.table.borrow_mut().response_ended(now, s, RunOutcome::Rejected);
                     return Err(e);
                 }
                 // Known to the next process before it can have an effect: a crash must not let a repeat run.
@@ -223,7 +223,7 @@
                     let kept = !self.keeper.is_released()
                         && self.keeper.put_and_wait(RecordKind::IdempotencyKey, &key.0, &a.digest).await;
                     if !kept {
-                        self.repeats.table.borrow_mut().response_ended(now, s, Ended::Rejected);
+                        self.repeats.table.borrow_mut().response_ended(now, s, RunOutcome::Rejected);
                         let word = "this request may not run twice, and cannot be remembered now";
                         return Err(self.full(word));
                     }
@@ -243,7 +243,7 @@
                 let word = "this idempotency key was used with another body";
                 return Err(refused(422, "idempotency_key_reused", word));
             }
-            KeyLookup::NotKept => {
+            KeyLookup::NotRecorded => {
                 let word = "this request was taken before; its answer is not kept, and it does not run again";
                 return Err(refused(409, "already_taken", word));
             }
@@ -264,23 +264,29 @@
     }
 
     /// Runs it, and says what comes of it to all who hear.
-    async fn relay(self: Rc<Self>, a: Asked, serial: Serial, relay: Rc<Relay>, kept: Option<Key>) {
+    async fn relay(
+        self: Rc<Self>,
+        a: Asked,
+        serial: EntryId,
+        relay: Rc<Relay>,
+        kept: Option<IdempotencyKey>,
+    ) {
         let how = match self.run(a).await {
             Err(e) | Ok((Reply::Error(e), _)) => {
                 // Refused or shed, nothing of it has run.
                 let harmless = matches!(e.code, "shed" | "node_full" | "node_stopping");
                 relay.said.borrow_mut().head = Some(Head::Error(e));
                 if harmless {
-                    Ended::Rejected
+                    RunOutcome::Rejected
                 } else {
-                    Ended::Failed
+                    RunOutcome::Failed
                 }
             }
             Ok((Reply::Unary(body), mut gone)) => {
                 gone.ticket = None;
                 self.repeats.table.borrow_mut().record(serial, body.len());
                 relay.said.borrow_mut().head = Some(Head::Whole(body));
-                Ended::Completed
+                RunOutcome::Completed
             }
             Ok((Reply::Stream(from), mut gone)) => {
                 relay.said.borrow_mut().head = Some(Head::Stream);
@@ -295,9 +301,9 @@
                 // The sender has gone: the core has given its final answer.
                 gone.ticket = gone.ticket.filter(|_| !from.is_closed());
                 if whole {
-                    Ended::Completed
+                    RunOutcome::Completed
                 } else {
-                    Ended::Failed
+                    RunOutcome::Failed
                 }
             }
         };
@@ -305,7 +311,7 @@
         relay.ring();
         self.repeats.table.borrow_mut().response_ended(self.clock.now(), serial, how);
         // Nothing of it has run: its key is free again.
-        if let Some(key) = kept.filter(|_| how == Ended::Rejected) {
+        if let Some(key) = kept.filter(|_| how == RunOutcome::Rejected) {
             self.keeper.remove(RecordKind::IdempotencyKey, &key.0);
         }
         // Its own task is at its end: dropping the handle here would cancel nothing.
@@ -315,7 +321,7 @@
     }
 
     /// One more event; false when a hearer stalls for too long where nothing is recorded.
-    async fn hear(&self, serial: Serial, relay: &Rc<Relay>, event: Bytes) -> bool {
+    async fn hear(&self, serial: EntryId, relay: &Rc<Relay>, event: Bytes) -> bool {
         let kept = self.repeats.table.borrow_mut().record(serial, event.len());
         {
             let mut s = relay.said.borrow_mut();
--- a/crates/nickelgw-node/src/lib.rs
+++ b/crates/nickelgw-node/src/lib.rs
@@ -81,7 +81,7 @@
     pub latency: Option<Arc<Mutex<LatencyMetrics>>>,
     pub tls: TlsOptions,
     pub idempotency: IdempotencyConfig,
-    pub retry_budget: retry_budget::Figures,
+    pub retry_budget: retry_budget::RetryBudgetConfig,
     pub shutdown: nickelgw_node_core::shutdown::ShutdownConfig,
     /// What the process is told to do, in service.
     pub signals: async_channel::Receiver<ProcessSignal>,
--- a/crates/nickelgw-node/src/server.rs
+++ b/crates/nickelgw-node/src/server.rs
@@ -414,12 +414,12 @@
         let mut body = [0; 16];
         body.copy_from_slice(&a.digest[..16]);
         let tenant = a.ask.tenant.unwrap_or(usize::MAX);
-        let verdict = self.budget.borrow_mut().judge(self.clock.now(), tenant, a.ask.route, a.marked, body);
+        let verdict = self.budget.borrow_mut().admit(self.clock.now(), tenant, a.ask.route, a.marked, body);
         match verdict {
             RetryVerdict::FirstAttempt | RetryVerdict::Retry => Ok(()),
-            RetryVerdict::Rejected { come_back_s } => {
+            RetryVerdict::Rejected { retry_after_s } => {
                 let word = "too many retries of late; come back later";
-                Err(ApiError::new(429, "rate_limit_error", "retry_budget", word).after(come_back_s))
+                Err(ApiError::new(429, "rate_limit_error", "retry_budget", word).after(retry_after_s))
             }
         }
     }
@@ -446,7 +446,7 @@
         gone.ticket = ticket.recv().await.ok();
         let reply = replied.recv().await.map_err(|_| lost())?;
         if !matches!(reply, Reply::Error(_)) {
-            self.budget.borrow_mut().answered(tenant, route);
+            self.budget.borrow_mut().response_started(tenant, route);
         }
         Ok((reply, gone))
     }
--- a/crates/nickelgw-node/tests/repeats.rs
+++ b/crates/nickelgw-node/tests/repeats.rs
@@ -117,7 +117,7 @@
 
 #[test]
 fn an_answer_too_long_to_keep_streams_on_but_is_not_repeated() {
-    let w = world(|s| s.idempotency.most_bytes_each = 300);
+    let w = world(|s| s.idempotency.max_bytes_per_entry = 300);
     let (key, b) = (idem("long"), body("booking", "tell all", true));
     let first = ask(&w, "a", &key, &b, 2.0);
     assert!(first.contains("[DONE]"), "{first}");
@@ -127,7 +127,7 @@
 
 #[test]
 fn a_storm_of_retries_is_sent_away_with_times_to_come_back() {
-    let w = world(|s| (s.retry_budget.burst, s.retry_budget.share) = (3.0, 0.2));
+    let w = world(|s| (s.retry_budget.burst, s.retry_budget.retry_ratio) = (3.0, 0.2));
     let mut refused = 0;
     for n in 0..12 {
         let marked = format!("x-stainless-retry-count: {}\r\n", 1 + n % 3);
