--- a/crates/nickelgw-background-tasks/src/lib.rs
+++ b/crates/nickelgw-background-tasks/src/lib.rs
@@ -1,3 +1,4 @@
-//! Scheduling of work that no request waits for. The caller runs what [`core::Scheduler`] names.
+//! Scheduling of background tasks, for which no request waits. Only a [`core`] without I/O: the caller runs the tasks that
+//! [`core::Scheduler`] names.
 
 pub mod core;
--- a/crates/nickelgw-node/src/background.rs
+++ b/crates/nickelgw-node/src/background.rs
@@ -3,7 +3,7 @@
 
 use crate::Clock;
 use async_channel::{bounded, Receiver, Sender};
-use nickelgw_background_tasks::core::{Figures, Scheduler, TaskCommand, TaskId, TaskSpec};
+use nickelgw_background_tasks::core::{RunResult, Scheduler, SchedulerConfig, TaskCommand, TaskId, TaskSpec};
 use smol::{LocalExecutor, Task};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -49,7 +49,7 @@
 impl Background {
     pub fn new(ex: Rc<LocalExecutor<'static>>, clock: Clock, seed: u64) -> Rc<Background> {
         Rc::new(Background {
-            scheduler: RefCell::new(Scheduler::new(Figures::default(), seed)),
+            scheduler: RefCell::new(Scheduler::new(SchedulerConfig::default(), seed)),
             works: RefCell::default(),
             runs: RefCell::default(),
             bell: bounded(1),
@@ -79,12 +79,12 @@
     /// Seconds that all runs have taken so far.
     pub fn took_s(&self) -> f64 {
         let s = self.scheduler.borrow();
-        (0..self.works.borrow().len()).map(|n| s.account(TaskId(n)).took_s).sum()
+        (0..self.works.borrow().len()).map(|n| s.counters(TaskId(n)).took_s).sum()
     }
 
     pub async fn run(self: Rc<Self>) {
         loop {
-            let (todo, wake) = self.scheduler.borrow_mut().due(self.clock.now());
+            let (todo, wake) = self.scheduler.borrow_mut().poll_commands(self.clock.now());
             for d in todo {
                 match d {
                     TaskCommand::Run(id) => self.begin(id),
@@ -105,7 +105,8 @@
         let (me, took) = (self.clone(), Rc::new(Cell::new(0.0)));
         let run = self.ex.spawn(async move {
             let end = Timed { inner: Box::pin(work()), took: took.clone() }.await;
-            me.scheduler.borrow_mut().ended(me.clock.now(), id, took.get(), end.bytes, end.done);
+            let result = RunResult { took_s: took.get(), bytes: end.bytes, succeeded: end.done };
+            me.scheduler.borrow_mut().run_ended(me.clock.now(), id, result);
             let _ = me.bell.0.try_send(());
             // Its own handle: it is at its end.
             if let Some(run) = me.runs.borrow_mut().remove(&id) {
--- a/crates/nickelgw-node/src/lib.rs
+++ b/crates/nickelgw-node/src/lib.rs
@@ -358,13 +358,13 @@
     reload_s: f64,
 ) {
     use background::Done;
-    let spec = |class, every_s| TaskSpec {
+    let spec = |class, interval_s| TaskSpec {
         class,
-        every_s: Some(every_s),
-        deadline_s: every_s,
-        most_s: 10.0,
-        takes_s: 1e-4,
-        bytes: 0.0,
+        interval_s: Some(interval_s),
+        deadline_s: interval_s,
+        timeout_s: 10.0,
+        estimated_s: 1e-4,
+        estimated_bytes: 0.0,
     };
     let of = server.clone();
     behind.add("repeats", spec(TaskClass::Required, 0.1), move || {
