--- a/crates/nickelgw-cli/src/start.rs
+++ b/crates/nickelgw-cli/src/start.rs
@@ -6,7 +6,7 @@
 use nickelgw_chat::core::retry_budget::RetryBudgetConfig;
 use nickelgw_deferred::core::DeferredLimits;
 use nickelgw_gossip::core::record::{NodeRecord, SharedKey};
-use nickelgw_gossip::core::{Gossip, GossipConfig as AccordFigures};
+use nickelgw_gossip::core::{Gossip, GossipConfig};
 use nickelgw_node::discovery::RegistryOptions;
 use nickelgw_node::{
     DeferredQueueConfig, EndpointSource, GossipOptions, GossipSockets, LatencyMetrics, Limits, NodeOptions,
@@ -147,7 +147,7 @@
         zone_reports: Vec::new(),
         deferred_by_tenant: Vec::new(),
     };
-    let figures = AccordFigures { round_s, ..AccordFigures::default() };
+    let figures = GossipConfig { round_s, ..GossipConfig::default() };
     let seed = n.seed() ^ epoch.to_bits();
     Some(GossipOptions {
         gossip: Gossip::new(figures, SharedKey::from_secret(&a.key), own, a.peer.clone(), seed),
--- a/crates/nickelgw-node/examples/fleet.rs
+++ b/crates/nickelgw-node/examples/fleet.rs
@@ -7,7 +7,7 @@
 use nickelgw::decide::Router;
 use nickelgw::interface::*;
 use nickelgw_gossip::core::record::{NodeRecord, SharedKey};
-use nickelgw_gossip::core::{Gossip, GossipConfig as AccordFigures, OutgoingDatagram};
+use nickelgw_gossip::core::{Gossip, GossipConfig, OutgoingDatagram};
 use nickelgw_node_core::zone_failover::ZoneFailover;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -285,7 +285,7 @@
         };
         let peers = if exchange { vec!["n0:1".into(), "n1:1".into(), "n2:1".into()] } else { vec![] };
         let key = SharedKey::from_secret("a key for the fleet in one process");
-        let accord = Gossip::new(AccordFigures::default(), key, own, peers, n as u64);
+        let accord = Gossip::new(GossipConfig::default(), key, own, peers, n as u64);
         let together = ZoneFailover::new(zones, &name, Default::default(), 0.1, n as u64);
         nodes.push(Node {
             router,
