--- a/crates/nickelgw-cli/src/bench_fleet.rs
+++ b/crates/nickelgw-cli/src/bench_fleet.rs
@@ -5,7 +5,7 @@
 use crate::Unusable;
 use hdrhistogram::Histogram;
 use nickelgw_protocol::list::{self, EndpointEntry, EngineState};
-use nickelgw_registry::core::view::{EndpointView, Event, Figures};
+use nickelgw_registry::core::endpoint_view::{EndpointView, EndpointViewConfig, RegistryEvent};
 use nickelgw_test_servers::model::{Figures as EngineFigures, Role};
 use nickelgw_test_servers::{client, Record};
 use serde_json::json;
@@ -46,7 +46,7 @@
         let lines: Vec<EndpointEntry> =
             (0..n).map(|k| line(k, &format!("10.0.{}.{}:80", k / 250, k % 250))).collect();
         let bytes = serde_json::to_vec(&lines).map_or(0, |b| b.len());
-        let mut v = EndpointView::new(Figures::default());
+        let mut v = EndpointView::new(EndpointViewConfig::default());
         let (mut full, mut change) = (Vec::new(), Vec::new());
         for r in 0..9u64 {
             let (again, from) = (lines.clone(), Instant::now());
@@ -55,7 +55,7 @@
             let mut l = lines[n / 2].clone();
             l.state = if r.is_multiple_of(2) { EngineState::Draining } else { EngineState::Active };
             let from = Instant::now();
-            v.apply_events(r as f64, 2 * r + 2, vec![Event::Put(l)]);
+            v.apply_events(r as f64, 2 * r + 2, vec![RegistryEvent::Put(l)]);
             v.take_changes();
             change.push(from.elapsed().as_secs_f64() * 1e6);
         }
--- a/crates/nickelgw-cli/src/start.rs
+++ b/crates/nickelgw-cli/src/start.rs
@@ -14,8 +14,8 @@
 };
 use nickelgw_node_core::admission::{Model, Tenant};
 use nickelgw_node_core::{Admission, CoreConfig, FairShareConfig, GrantConfig};
-use nickelgw_registry::core::member::Figures as MemberFigures;
-use nickelgw_registry::core::view::Figures as ViewFigures;
+use nickelgw_registry::core::endpoint_view::EndpointViewConfig;
+use nickelgw_registry::core::membership::MembershipConfig;
 use nickelgw_settings::{check, Node, Problem};
 use nickelgw_test_servers::record::unix_now;
 use nickelgw_tls::{Files, TlsEvent, Versions};
@@ -38,11 +38,11 @@
             engines: r.engines_prefix().into(),
             nodes: Some(r.nodes_prefix().to_string()).filter(|p| !p.is_empty()),
             user: r.user.clone().zip(r.password.clone()),
-            member: MemberFigures {
+            member: MembershipConfig {
                 lease_s,
                 margin_s: lease_s / 5.0,
-                look_s: lease_s / 2.0,
-                ..MemberFigures::default()
+                max_staleness_s: lease_s / 2.0,
+                ..MembershipConfig::default()
             },
         });
     }
@@ -52,13 +52,13 @@
     }
 }
 
-fn doubt(n: &Node) -> ViewFigures {
+fn doubt(n: &Node) -> EndpointViewConfig {
     let d = n.doubt.unwrap_or_default();
-    ViewFigures {
-        doubt_share: d.share(),
-        doubt_least: d.least() as usize,
-        doubt_s: d.doubt_ms() / 1e3,
-        ..ViewFigures::default()
+    EndpointViewConfig {
+        max_removal_share: d.share(),
+        max_unsuspected_removals: d.least() as usize,
+        suspicion_timeout_s: d.doubt_ms() / 1e3,
+        ..EndpointViewConfig::default()
     }
 }
 
--- a/crates/nickelgw-node/src/discovery.rs
+++ b/crates/nickelgw-node/src/discovery.rs
@@ -12,9 +12,9 @@
 use hyper::Method;
 use nickelgw_node_core::Endpoint;
 use nickelgw_protocol::list::{EndpointEntry, EndpointList};
-use nickelgw_registry::core::follow::{self, ReadVerdict, RegistryWatch};
-use nickelgw_registry::core::member::{self, FleetPosition, Member};
-use nickelgw_registry::core::view::EndpointView;
+use nickelgw_registry::core::endpoint_view::EndpointView;
+use nickelgw_registry::core::membership::{FleetPosition, Membership, MembershipCommand, MembershipConfig};
+use nickelgw_registry::core::registry_watch::{self, ReadVerdict, RegistryWatch, RegistryWatchConfig};
 use nickelgw_registry::wire;
 use serde_json::{json, Value};
 use smol::{LocalExecutor, Timer};
@@ -47,7 +47,7 @@
         let probes = {
             let mut v = self.view.borrow_mut();
             v.tick(self.clock.now());
-            v.to_probe()
+            v.take_probes()
         };
         for l in probes {
             let me = self.clone();
@@ -55,7 +55,7 @@
                 let place = Endpoint { id: l.id, address: l.address, tls_name: l.tls_name };
                 // Twice, as one lost word must not take an engine away.
                 let answers = me.engines.answers(&place).await || me.engines.answers(&place).await;
-                me.view.borrow_mut().probed(me.clock.now(), &place.id, answers);
+                me.view.borrow_mut().probe_finished(me.clock.now(), &place.id, answers);
                 me.tell().await;
             };
             self.ex.spawn(probe).detach();
@@ -71,7 +71,7 @@
         let list = EndpointList { revision: self.told.get(), engines };
         let bytes = serde_json::to_vec(&list).unwrap_or_default();
         let list_number = list.revision;
-        let renewed = self.view.borrow_mut().renewed();
+        let renewed = self.view.borrow_mut().take_replaced();
         if self.words.send(TimedEvent::new(Event::EndpointsUpdated { list, renewed })).await.is_err() {
             return;
         }
@@ -133,7 +133,7 @@
     /// Where nodes take their places; none: number and count of the settings stand.
     pub nodes: Option<String>,
     pub user: Option<(String, String)>,
-    pub member: member::Figures,
+    pub member: MembershipConfig,
 }
 
 pub struct RegistryClient {
@@ -168,13 +168,13 @@
             return Ok(());
         }
         let body = json!({"name": name, "password": password});
-        let v: Value = wire::plain(&self.raw(endpoint, "/v3/auth/authenticate", &body).await?)?;
+        let v: Value = wire::parse_response(&self.raw(endpoint, "/v3/auth/authenticate", &body).await?)?;
         *self.token.borrow_mut() = v["token"].as_str().map(String::from);
         Ok(())
     }
 
     async fn raw(&self, endpoint: usize, path: &str, body: &Value) -> Result<Bytes, wire::RegistryError> {
-        let wrong = |word: String| wire::RegistryError::Said(word);
+        let wrong = |word: String| wire::RegistryError::Failed(word);
         let request = self.request(endpoint, path, body).ok_or_else(|| wrong("no such endpoint".into()))?;
         match within(CALL_S, self.fleet.engines.pool.fetch(self.peer(endpoint), &request)).await {
             None => Err(wrong("no answer in time".into())),
@@ -184,7 +184,7 @@
                 if status == 401 {
                     *self.token.borrow_mut() = None;
                 }
-                Err(wire::failure(&body))
+                Err(wire::error_of_body(&body))
             }
         }
     }
@@ -197,19 +197,19 @@
     /// Follows the engines until dropped.
     pub async fn follow(self: Rc<Self>, seed: u64) {
         let clock = self.fleet.clock;
-        let mut f = RegistryWatch::new(follow::Figures::default(), self.registry.endpoints.len(), seed);
+        let mut f = RegistryWatch::new(RegistryWatchConfig::default(), self.registry.endpoints.len(), seed);
         loop {
-            let (todo, wake) = f.due(clock.now());
+            let (todo, wake) = f.poll_commands(clock.now());
             // What is done takes its time, a watch hours: when to look again is asked anew after it.
             let idle = todo.is_empty();
             for d in todo {
                 match d {
-                    follow::WatchCommand::Read { endpoint } => self.read(&mut f, endpoint).await,
-                    follow::WatchCommand::Watch { endpoint, from } => {
+                    registry_watch::WatchCommand::Read { endpoint } => self.read(&mut f, endpoint).await,
+                    registry_watch::WatchCommand::Watch { endpoint, from } => {
                         self.watch(&mut f, endpoint, from).await
                     }
                     // What was out has been given up with its future.
-                    follow::WatchCommand::CloseWatch => {}
+                    registry_watch::WatchCommand::CloseWatch => {}
                 }
             }
             if idle {
@@ -221,12 +221,12 @@
     async fn read(&self, f: &mut RegistryWatch, endpoint: usize) {
         let clock = self.fleet.clock;
         let prefix = &self.registry.engines;
-        let answer = self.call(endpoint, "/v3/kv/range", &wire::range(prefix)).await;
-        match answer.and_then(|b| wire::plain::<wire::Ranged>(&b)) {
+        let answer = self.call(endpoint, "/v3/kv/range", &wire::range_request(prefix)).await;
+        match answer.and_then(|b| wire::parse_response::<wire::RangeResponse>(&b)) {
             Ok(r) => {
                 let revision = r.header.revision.max(0) as u64;
-                let worth = f.read(clock.now(), revision, &r.header.cluster_id);
-                let (lines, bad) = wire::engines(prefix, &r.kvs);
+                let worth = f.read_finished(clock.now(), revision, &r.header.cluster_id);
+                let (lines, bad) = wire::endpoint_entries(prefix, &r.kvs);
                 if bad > 0 {
                     tracing::warn!(bad, "lines in the registry that cannot be read are left out");
                 }
@@ -244,8 +244,8 @@
     /// Watches until the watch breaks, is silent, or its revision was compacted away.
     async fn watch(&self, f: &mut RegistryWatch, endpoint: usize, from: u64) {
         let clock = self.fleet.clock;
-        let silent_s = follow::Figures::default().silent_s;
-        let body = wire::watch(&self.registry.engines, from);
+        let silent_s = RegistryWatchConfig::default().idle_timeout_s;
+        let body = wire::watch_request(&self.registry.engines, from);
         let signed = self.sign_in(endpoint).await.is_ok();
         let request = self.request(endpoint, "/v3/watch", &body).filter(|_| signed);
         let Some(request) = request else { return f.failed(clock.now()) };
@@ -266,7 +266,9 @@
             }
             while let Some(end) = buffer.iter().position(|b| *b == b'\n') {
                 let line: Vec<u8> = buffer.drain(..=end).collect();
-                let Ok(w) = wire::streamed::<wire::Watched>(&line) else { return f.failed(clock.now()) };
+                let Ok(w) = wire::parse_stream_message::<wire::WatchResponse>(&line) else {
+                    return f.failed(clock.now());
+                };
                 if w.compact_revision > 0 {
                     return f.was_compacted(clock.now());
                 }
@@ -274,7 +276,7 @@
                     return f.failed(clock.now());
                 }
                 let revision = w.header.revision.max(0) as u64;
-                if !f.is_same(clock.now(), &w.header.cluster_id) {
+                if !f.is_same_cluster(clock.now(), &w.header.cluster_id) {
                     return;
                 }
                 if w.created && revision >= f.revision() {
@@ -282,15 +284,15 @@
                     continue;
                 }
                 if w.events.is_empty() {
-                    if !f.heard(clock.now(), revision) {
+                    if !f.watch_progressed(clock.now(), revision) {
                         return;
                     }
-                    self.fleet.view.borrow_mut().progress(revision);
+                    self.fleet.view.borrow_mut().advance_revision(revision);
                     continue;
                 }
-                let events = wire::events(&self.registry.engines, &w.events);
+                let events = wire::endpoint_events(&self.registry.engines, &w.events);
                 self.fleet.view.borrow_mut().apply_events(clock.now(), revision, events);
-                if !f.heard(clock.now(), revision) {
+                if !f.watch_progressed(clock.now(), revision) {
                     return;
                 }
                 self.fleet.settle().await;
@@ -302,38 +304,42 @@
     pub async fn hold_place(self: Rc<Self>, seed: u64) {
         let Some(prefix) = self.registry.nodes.clone() else { return };
         let (clock, figures) = (self.fleet.clock, self.registry.member);
-        let mut m = Member::new(figures, &self.name);
+        let mut m = Membership::new(figures, &self.name);
         let (mut lease, mut endpoint, mut look_at) = (None::<i64>, seed as usize, 0.0);
-        let mut part = FleetPosition { number: None, of: None };
+        let mut part = FleetPosition::NONE;
         loop {
             if clock.now() >= look_at {
-                look_at = clock.now() + figures.look_s / 4.0;
+                look_at = clock.now() + figures.max_staleness_s / 4.0;
                 let asked_at = clock.now();
-                let answer = self.call(endpoint, "/v3/kv/range", &wire::range(&prefix)).await;
-                match answer.and_then(|b| wire::plain::<wire::Ranged>(&b)) {
-                    Ok(r) => m.nodes(asked_at, wire::places(&prefix, &r.kvs)),
+                let answer = self.call(endpoint, "/v3/kv/range", &wire::range_request(&prefix)).await;
+                match answer.and_then(|b| wire::parse_response::<wire::RangeResponse>(&b)) {
+                    Ok(r) => m.update_registrations(asked_at, wire::node_registrations(&prefix, &r.kvs)),
                     Err(_) => endpoint += 1,
                 }
             }
-            let (todo, _) = m.due(clock.now());
+            let (todo, _) = m.poll_commands(clock.now());
             for d in todo {
                 let asked_at = clock.now();
                 match d {
-                    member::MemberCommand::KeepAlive => {
+                    MembershipCommand::KeepAlive => {
                         let done = match lease {
                             None => self
-                                .call(endpoint, "/v3/lease/grant", &wire::grant(figures.lease_s))
+                                .call(
+                                    endpoint,
+                                    "/v3/lease/grant",
+                                    &wire::lease_grant_request(figures.lease_s),
+                                )
                                 .await
-                                .and_then(|b| wire::plain::<wire::Leased>(&b)),
+                                .and_then(|b| wire::parse_response::<wire::LeaseResponse>(&b)),
                             Some(id) => self
-                                .call(endpoint, "/v3/lease/keepalive", &wire::keep_alive(id))
+                                .call(endpoint, "/v3/lease/keepalive", &wire::lease_keep_alive_request(id))
                                 .await
-                                .and_then(|b| wire::streamed::<wire::Leased>(&b)),
+                                .and_then(|b| wire::parse_stream_message::<wire::LeaseResponse>(&b)),
                         };
                         match done {
                             Ok(l) if l.ttl > 0 => {
                                 lease = Some(lease.unwrap_or(l.id));
-                                m.kept(asked_at, l.ttl as f64);
+                                m.lease_renewed(asked_at, l.ttl as f64);
                             }
                             Ok(_) => {
                                 tracing::warn!("this node's lease is over; it takes a place anew");
@@ -343,26 +349,26 @@
                             Err(_) => endpoint += 1,
                         }
                     }
-                    member::MemberCommand::Claim(number) => {
+                    MembershipCommand::Claim(number) => {
                         let key = format!("{prefix}{number}");
-                        let body = wire::claim(&key, &self.name, lease.unwrap_or(0));
+                        let body = wire::claim_request(&key, &self.name, lease.unwrap_or(0));
                         let answer = match lease {
-                            None => Err(wire::RegistryError::Said("no lease yet".into())),
+                            None => Err(wire::RegistryError::Failed("no lease yet".into())),
                             Some(_) => self.call(endpoint, "/v3/kv/txn", &body).await,
                         };
-                        let tried = answer.and_then(|b| wire::plain::<wire::Tried>(&b));
-                        m.claimed(clock.now(), number, tried.is_ok_and(|t| t.succeeded));
+                        let tried = answer.and_then(|b| wire::parse_response::<wire::TxnResponse>(&b));
+                        m.claim_finished(clock.now(), number, tried.is_ok_and(|t| t.succeeded));
                         look_at = 0.0;
                     }
-                    member::MemberCommand::GiveUp(number) => {
+                    MembershipCommand::Release(number) => {
                         tracing::warn!(number, "another node has this number since earlier")
                     }
                 }
             }
-            let now_part = m.part(clock.now());
+            let now_part = m.position(clock.now());
             if now_part != part {
                 part = now_part;
-                tracing::info!(number = ?part.number, of = ?part.of, "this node's part");
+                tracing::info!(number = ?part.number, of = ?part.node_count, "this node's part");
                 if self.fleet.words.send(TimedEvent::new(Event::FleetPosition(part))).await.is_err() {
                     return;
                 }
--- a/crates/nickelgw-node/src/event_loop.rs
+++ b/crates/nickelgw-node/src/event_loop.rs
@@ -20,7 +20,7 @@
 use nickelgw_protocol::list::EndpointList;
 use nickelgw_protocol::load::LoadReport;
 use nickelgw_protocol::sse;
-use nickelgw_registry::core::member::FleetPosition;
+use nickelgw_registry::core::membership::FleetPosition;
 use smol::{LocalExecutor, Task, Timer};
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -406,7 +406,7 @@
             Event::OrphanCleanupFinished { place, done } => {
                 self.core.orphan_cleanup_finished(now, &place.address, done)
             }
-            Event::FleetPosition(p) => self.core.set_fleet_position(now, p.number.zip(p.of)),
+            Event::FleetPosition(p) => self.core.set_fleet_position(now, p.number.zip(p.node_count)),
             Event::ZoneRound { others, to } => {
                 let Some(round) = self.core.zone_round(now, &others) else { return };
                 self.core.zone_failover.iter().for_each(|t| t.log_transitions(&round.transitions));
--- a/crates/nickelgw-node/src/lib.rs
+++ b/crates/nickelgw-node/src/lib.rs
@@ -28,7 +28,7 @@
 use nickelgw_chat::core::retry_budget;
 use nickelgw_node_core::shutdown::ProcessLifecycle;
 use nickelgw_node_core::{Admission, CoreConfig, NodeCore};
-use nickelgw_registry::core::view::EndpointView;
+use nickelgw_registry::core::endpoint_view::EndpointView;
 use nickelgw_store::core::{retention, RecordKind};
 use nickelgw_tls::core::pool;
 use smol::{LocalExecutor, Timer};
@@ -86,7 +86,7 @@
     /// What the process is told to do, in service.
     pub signals: async_channel::Receiver<ProcessSignal>,
     /// What is doubted of the fleet.
-    pub view_config: nickelgw_registry::core::view::Figures,
+    pub view_config: nickelgw_registry::core::endpoint_view::EndpointViewConfig,
     /// Called once, when it can serve.
     pub on_serving: Option<Box<dyn FnOnce() + Send>>,
     /// Where offline inferences are kept; none: they are not taken.
--- a/crates/nickelgw-node/tests/registry.rs
+++ b/crates/nickelgw-node/tests/registry.rs
@@ -6,7 +6,7 @@
 use nickelgw_node::discovery::RegistryOptions;
 use nickelgw_node::EndpointSource;
 use nickelgw_protocol::list::{EndpointEntry, EngineState};
-use nickelgw_registry::core::member;
+use nickelgw_registry::core::membership::MembershipConfig;
 use nickelgw_test_servers::client;
 use serde_json::{json, Value};
 use std::path::PathBuf;
@@ -21,8 +21,12 @@
 }
 
 fn source_of(endpoints: &[&str], user: Option<(String, String)>) -> EndpointSource {
-    let member =
-        member::Figures { lease_s: LEASE_S, margin_s: 0.5, look_s: 1.0, ..member::Figures::default() };
+    let member = MembershipConfig {
+        lease_s: LEASE_S,
+        margin_s: 0.5,
+        max_staleness_s: 1.0,
+        ..MembershipConfig::default()
+    };
     EndpointSource::Registry(RegistryOptions {
         endpoints: endpoints.iter().map(|e| e.to_string()).collect(),
         tls_name: None,
--- a/crates/nickelgw-registry/src/core/mod.rs
+++ b/crates/nickelgw-registry/src/core/mod.rs
@@ -1,5 +1,8 @@
-//! What is heard of the fleet and what is believed of it; who this node is among the nodes. No I/O.
+//! State machines of service discovery: following the registry, the view of the endpoints, this node's membership among
+//! the nodes. No I/O: times and answers come in, commands go out.
 
-pub mod follow;
-pub mod member;
-pub mod view;
+pub mod endpoint_view;
+mod endpoint_view_config;
+mod flap_damping;
+pub mod membership;
+pub mod registry_watch;
--- /dev/null
+++ b/crates/nickelgw-registry/src/core/registry_watch.rs
@@ -0,0 +1,253 @@
+//! Following the registry: a full read, then a watch from the next revision on, and what to do when the watch breaks, is
+//! silent, was compacted, or the registry's revision goes back. Registry servers take turns, with jittered backoff.
+
+use nanorand::{Rng, WyRand};
+
+/// Timeouts of a [`RegistryWatch`].
+#[derive(Clone, Copy, Debug)]
+pub struct RegistryWatchConfig {
+    /// A watch without any message, not even progress, for so long is taken for dead.
+    pub idle_timeout_s: f64,
+    /// Backoff after the first failure; doubles with each further one.
+    pub initial_backoff_s: f64,
+    /// Longest backoff.
+    pub max_backoff_s: f64,
+    /// A revision lower than known counts only if two servers report it, or a lone one twice over this time.
+    pub rollback_confirmation_s: f64,
+}
+
+impl Default for RegistryWatchConfig {
+    fn default() -> Self {
+        RegistryWatchConfig {
+            idle_timeout_s: 4.0,
+            initial_backoff_s: 0.1,
+            max_backoff_s: 2.0,
+            rollback_confirmation_s: 1.0,
+        }
+    }
+}
+
+/// Doublings of the backoff after which it grows no further.
+const MAX_BACKOFF_DOUBLINGS: u32 = 10;
+/// Part of the backoff that is kept for the first try at another server: one server's failure should cost little.
+const FIRST_FAILOVER_SHARE: f64 = 0.1;
+
+/// What the caller does next. `endpoint` is the number of a registry server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum WatchCommand {
+    /// Read everything.
+    Read {
+        /// At this server.
+        endpoint: usize,
+    },
+    /// Watch for changes.
+    Watch {
+        /// At this server.
+        endpoint: usize,
+        /// The first revision of interest.
+        from: u64,
+    },
+    /// Cancel the open watch.
+    CloseWatch,
+}
+
+/// How a full read relates to what is known.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReadVerdict {
+    /// As new as what is known, or newer.
+    Good,
+    /// The registry has gone back, and that is confirmed.
+    RolledBack,
+    /// Older than what is known: that server lags.
+    Stale,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum State {
+    Backoff { until: f64 },
+    Reading,
+    Watching { last_message_at: f64 },
+}
+
+/// A report of a lower revision that is not confirmed yet.
+#[derive(Clone, Copy, Debug)]
+struct SuspectedRollback {
+    endpoint: usize,
+    since: f64,
+}
+
+/// The state of following one prefix of the registry.
+pub struct RegistryWatch {
+    config: RegistryWatchConfig,
+    endpoints: usize,
+    endpoint: usize,
+    state: State,
+    consecutive_failures: u32,
+    /// The newest revision known.
+    revision: u64,
+    /// Whether the next step is a full read.
+    needs_read: bool,
+    /// The cluster that the revisions belong to; empty: not known.
+    cluster: String,
+    suspected_rollback: Option<SuspectedRollback>,
+    random: WyRand,
+    /// Watches and reads that failed.
+    pub breaks: u64,
+    /// Watches whose revision was compacted away.
+    pub compacted: u64,
+}
+
+impl RegistryWatch {
+    /// Follows a registry of so many servers. Nodes with different seeds begin at different servers.
+    pub fn new(config: RegistryWatchConfig, endpoints: usize, seed: u64) -> RegistryWatch {
+        let mut random = WyRand::new_seed(seed);
+        let endpoints = endpoints.max(1);
+        let endpoint = random.generate_range(0..endpoints);
+        RegistryWatch {
+            config,
+            endpoints,
+            endpoint,
+            state: State::Backoff { until: 0.0 },
+            consecutive_failures: 0,
+            revision: 0,
+            needs_read: true,
+            cluster: String::new(),
+            suspected_rollback: None,
+            random,
+            breaks: 0,
+            compacted: 0,
+        }
+    }
+
+    /// The newest revision known.
+    pub fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    fn is_other_cluster(&self, cluster: &str) -> bool {
+        !cluster.is_empty() && !self.cluster.is_empty() && self.cluster != cluster
+    }
+
+    /// Whether a message is of the cluster that is followed. Another id is that of a restored cluster, whose revisions
+    /// are unrelated, be they higher or lower: everything is read again.
+    pub fn is_same_cluster(&mut self, now: f64, cluster: &str) -> bool {
+        if !self.is_other_cluster(cluster) {
+            return true;
+        }
+        self.read_again(now);
+        false
+    }
+
+    fn read_again(&mut self, now: f64) {
+        self.needs_read = true;
+        self.state = State::Backoff { until: now };
+    }
+
+    /// A full read succeeded.
+    pub fn read_finished(&mut self, now: f64, revision: u64, cluster: &str) -> ReadVerdict {
+        let is_other_cluster = self.is_other_cluster(cluster);
+        if !cluster.is_empty() {
+            self.cluster = cluster.into();
+        }
+        let is_older = revision < self.revision && !is_other_cluster;
+        if is_older && !self.confirms_rollback(now) {
+            self.suspected_rollback.get_or_insert(SuspectedRollback { endpoint: self.endpoint, since: now });
+            // Another server may know better.
+            self.back_off(now);
+            self.needs_read = true;
+            return ReadVerdict::Stale;
+        }
+        self.revision = revision;
+        self.suspected_rollback = None;
+        self.needs_read = false;
+        self.consecutive_failures = 0;
+        self.state = State::Backoff { until: now };
+        if is_other_cluster || is_older {
+            return ReadVerdict::RolledBack;
+        }
+        ReadVerdict::Good
+    }
+
+    /// Whether a report of a lower revision by the present server confirms an earlier one.
+    fn confirms_rollback(&self, now: f64) -> bool {
+        self.suspected_rollback.is_some_and(|suspected| {
+            let is_lone_server = self.endpoints == 1;
+            let is_long_ago = now >= suspected.since + self.config.rollback_confirmation_s;
+            suspected.endpoint != self.endpoint || (is_lone_server && is_long_ago)
+        })
+    }
+
+    /// Events or progress up to a revision came over the watch. False: it is lower than what is known, so the server
+    /// lags or the registry went back; everything is read again to tell which.
+    pub fn watch_progressed(&mut self, now: f64, revision: u64) -> bool {
+        if revision < self.revision {
+            self.read_again(now);
+            return false;
+        }
+        if let State::Watching { last_message_at } = &mut self.state {
+            *last_message_at = now;
+            self.consecutive_failures = 0;
+            self.revision = revision;
+        }
+        true
+    }
+
+    /// The read or watch failed. A watch resumes at the next revision, without a full read.
+    pub fn failed(&mut self, now: f64) {
+        self.breaks += 1;
+        self.back_off(now);
+    }
+
+    /// The revision to resume from was compacted away: everything is read again.
+    pub fn was_compacted(&mut self, now: f64) {
+        self.compacted += 1;
+        self.read_again(now);
+    }
+
+    fn back_off(&mut self, now: f64) {
+        let config = self.config;
+        let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
+        let backoff_s = (config.initial_backoff_s * f64::from(1u32 << doublings)).min(config.max_backoff_s);
+        let jitter = self.random.generate::<u32>() as f64 / u32::MAX as f64;
+        let is_first_failover = self.consecutive_failures == 0 && self.endpoints > 1;
+        let backoff_s = if is_first_failover { FIRST_FAILOVER_SHARE * backoff_s } else { backoff_s };
+        self.consecutive_failures += 1;
+        self.endpoint = (self.endpoint + 1) % self.endpoints;
+        self.state = State::Backoff { until: now + backoff_s * (0.5 + 0.5 * jitter) };
+    }
+
+    /// What to do now, and when to poll again.
+    pub fn poll_commands(&mut self, now: f64) -> (Vec<WatchCommand>, f64) {
+        let mut commands = Vec::new();
+        if let State::Watching { last_message_at } = self.state {
+            if now >= last_message_at + self.config.idle_timeout_s {
+                self.failed(now);
+                commands.push(WatchCommand::CloseWatch);
+            }
+        }
+        let idle_timeout_s = self.config.idle_timeout_s;
+        match self.state {
+            State::Backoff { until } if now >= until => {
+                commands.push(self.next_step(now));
+                (commands, now + idle_timeout_s)
+            }
+            State::Backoff { until } => (commands, until),
+            State::Reading => (commands, now + idle_timeout_s),
+            State::Watching { last_message_at } => (commands, last_message_at + idle_timeout_s),
+        }
+    }
+
+    fn next_step(&mut self, now: f64) -> WatchCommand {
+        let endpoint = self.endpoint;
+        if self.needs_read {
+            self.state = State::Reading;
+            return WatchCommand::Read { endpoint };
+        }
+        self.state = State::Watching { last_message_at: now };
+        WatchCommand::Watch { endpoint, from: self.revision + 1 }
+    }
+}
+
+#[cfg(test)]
+#[path = "registry_watch_tests.rs"]
+mod tests;
--- a/crates/nickelgw-registry/src/lib.rs
+++ b/crates/nickelgw-registry/src/lib.rs
@@ -1,4 +1,5 @@
-//! Who is in the fleet. [`core`] decides what is believed; [`wire`] has the published messages of etcd's JSON gateway.
+//! Service discovery by a registry. [`core`] decides which endpoints and nodes count; [`wire`] has the messages of etcd's
+//! v3 JSON gateway.
 
 pub mod core;
 pub mod wire;
--- a/crates/nickelgw-registry/src/wire.rs
+++ b/crates/nickelgw-registry/src/wire.rs
@@ -1,151 +1,185 @@
-//! Messages of etcd's JSON gateway, v3, as published: whole numbers of 64 bits as text, keys and values in base64.
+//! Messages of etcd's v3 JSON gateway, as published: 64-bit integers are text, keys and values are base64.
 
-use crate::core::member::NodePlace;
-use crate::core::view::Event;
+use crate::core::endpoint_view::RegistryEvent;
+use crate::core::membership::NodeRegistration;
 use base64::prelude::{Engine, BASE64_STANDARD};
 use nickelgw_protocol::list::EndpointEntry;
-use serde::Deserialize;
+use serde::de::Error;
+use serde::{Deserialize, Deserializer};
 use serde_json::{json, Value};
 
+/// Why a call to the registry has no usable response.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RegistryError {
+    /// The response is not a published message.
     #[error("not the JSON that is published: {0}")]
-    Json(String),
+    Malformed(String),
+    /// The registry reported an error, or was not reached.
     #[error("{0}")]
-    Said(String),
+    Failed(String),
 }
 
-/// A number that the gateway writes as text, and other writers as a number; left out it is 0.
-fn number<'de, D: serde::Deserializer<'de>>(d: D) -> Result<i64, D::Error> {
-    match Value::deserialize(d)? {
-        Value::String(s) => s.parse().map_err(serde::de::Error::custom),
-        Value::Number(n) => n.as_i64().ok_or_else(|| serde::de::Error::custom("not a whole number")),
+/// Longest error message that is kept, in characters.
+const MAX_ERROR_CHARS: usize = 200;
+
+/// The gateway writes an integer as text, other servers as a number; an omitted one is 0.
+fn integer<'de, D: Deserializer<'de>>(deserializer: D) -> Result<i64, D::Error> {
+    match Value::deserialize(deserializer)? {
+        Value::String(text) => text.parse().map_err(D::Error::custom),
+        Value::Number(number) => number.as_i64().ok_or_else(|| D::Error::custom("not a whole number")),
         Value::Null => Ok(0),
-        _ => Err(serde::de::Error::custom("not a number")),
+        _ => Err(D::Error::custom("not a number")),
     }
 }
 
-/// An id that does not fit a signed number: kept as it was written.
-fn text<'de, D: serde::Deserializer<'de>>(d: D) -> Result<String, D::Error> {
-    match Value::deserialize(d)? {
-        Value::String(s) => Ok(s),
-        Value::Number(n) => Ok(n.to_string()),
+/// An id that may not fit a signed integer: kept as it was written.
+fn id_text<'de, D: Deserializer<'de>>(deserializer: D) -> Result<String, D::Error> {
+    match Value::deserialize(deserializer)? {
+        Value::String(text) => Ok(text),
+        Value::Number(number) => Ok(number.to_string()),
         _ => Ok(String::new()),
     }
 }
 
-fn bytes<'de, D: serde::Deserializer<'de>>(d: D) -> Result<Vec<u8>, D::Error> {
-    let text = String::deserialize(d)?;
-    BASE64_STANDARD.decode(text).map_err(serde::de::Error::custom)
+fn base64_bytes<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<u8>, D::Error> {
+    let text = String::deserialize(deserializer)?;
+    BASE64_STANDARD.decode(text).map_err(D::Error::custom)
 }
 
+/// What every response begins with.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Header {
-    #[serde(deserialize_with = "number")]
+    /// The newest revision of the registry.
+    #[serde(deserialize_with = "integer")]
     pub revision: i64,
-    /// Another after a restore, which begins a new cluster; empty: not said.
-    #[serde(deserialize_with = "text")]
+    /// Changes with a restore, which begins a new cluster; empty: not reported.
+    #[serde(deserialize_with = "id_text")]
     pub cluster_id: String,
 }
 
+/// A key and its value.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct Pair {
-    #[serde(deserialize_with = "bytes")]
+pub struct KeyValue {
+    /// The key.
+    #[serde(deserialize_with = "base64_bytes")]
     pub key: Vec<u8>,
-    #[serde(deserialize_with = "bytes")]
+    /// The value.
+    #[serde(deserialize_with = "base64_bytes")]
     pub value: Vec<u8>,
-    #[serde(deserialize_with = "number")]
+    /// The revision at which the key was created.
+    #[serde(deserialize_with = "integer")]
     pub create_revision: i64,
-    #[serde(deserialize_with = "number")]
+    /// The revision of its last change.
+    #[serde(deserialize_with = "integer")]
     pub mod_revision: i64,
 }
 
+/// The response to [`range_request`].
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct Ranged {
+pub struct RangeResponse {
+    /// See [`Header`].
     pub header: Header,
-    pub kvs: Vec<Pair>,
+    /// What was found.
+    pub kvs: Vec<KeyValue>,
+    /// Whether the response was cut short.
     pub more: bool,
 }
 
+/// One event of a watch.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct Change {
-    /// Left out: a put.
+pub struct WatchEvent {
+    /// `DELETE`, or a put, for which it may be omitted.
     #[serde(rename = "type")]
     pub kind: String,
-    pub kv: Pair,
+    /// What it is about.
+    pub kv: KeyValue,
 }
 
+/// A message of a watch.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct Watched {
+pub struct WatchResponse {
+    /// See [`Header`].
     pub header: Header,
+    /// The first message of a watch.
     pub created: bool,
+    /// The watch has ended.
     pub canceled: bool,
-    #[serde(deserialize_with = "number")]
+    /// Above 0: the revision asked for was compacted away; the oldest one kept.
+    #[serde(deserialize_with = "integer")]
     pub compact_revision: i64,
-    pub events: Vec<Change>,
+    /// What changed; empty for progress.
+    pub events: Vec<WatchEvent>,
 }
 
+/// The response to [`lease_grant_request`] and [`lease_keep_alive_request`].
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct Leased {
-    #[serde(rename = "ID", deserialize_with = "number")]
+pub struct LeaseResponse {
+    /// Identifies the lease.
+    #[serde(rename = "ID", deserialize_with = "integer")]
     pub id: i64,
-    /// 0: the lease is over.
-    #[serde(rename = "TTL", deserialize_with = "number")]
+    /// 0: the lease has expired.
+    #[serde(rename = "TTL", deserialize_with = "integer")]
     pub ttl: i64,
 }
 
+/// The response to [`claim_request`].
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct Tried {
+pub struct TxnResponse {
+    /// See [`Header`].
     pub header: Header,
+    /// Whether the condition held.
     pub succeeded: bool,
 }
 
-/// An answer of a stream, or of a plain call that failed.
+/// A message of a stream, or the response of a call that failed.
 #[derive(Deserialize)]
-struct Streamed<T> {
+struct StreamMessage<T> {
     result: Option<T>,
     error: Option<Value>,
 }
 
-fn said(v: &Value) -> RegistryError {
-    let text = v["message"].as_str().or_else(|| v.as_str()).unwrap_or("an error without words");
-    RegistryError::Said(text.chars().take(200).collect())
+fn reported_error(error: &Value) -> RegistryError {
+    let text = error["message"].as_str().or_else(|| error.as_str()).unwrap_or("an error without words");
+    RegistryError::Failed(text.chars().take(MAX_ERROR_CHARS).collect())
 }
 
-pub fn plain<T: for<'a> Deserialize<'a>>(body: &[u8]) -> Result<T, RegistryError> {
-    serde_json::from_slice(body).map_err(|e| RegistryError::Json(e.to_string()))
+/// Parses the response of a call.
+pub fn parse_response<T: for<'a> Deserialize<'a>>(body: &[u8]) -> Result<T, RegistryError> {
+    serde_json::from_slice(body).map_err(|error| RegistryError::Malformed(error.to_string()))
 }
 
-pub fn streamed<T: for<'a> Deserialize<'a>>(line: &[u8]) -> Result<T, RegistryError> {
-    let s: Streamed<T> = plain(line)?;
-    match (s.result, s.error) {
-        (Some(r), _) => Ok(r),
-        (None, Some(e)) => Err(said(&e)),
-        (None, None) => Err(RegistryError::Json("neither a result nor an error".into())),
+/// Parses one message of a stream.
+pub fn parse_stream_message<T: for<'a> Deserialize<'a>>(line: &[u8]) -> Result<T, RegistryError> {
+    let message: StreamMessage<T> = parse_response(line)?;
+    match (message.result, message.error) {
+        (Some(result), _) => Ok(result),
+        (None, Some(error)) => Err(reported_error(&error)),
+        (None, None) => Err(RegistryError::Malformed("neither a result nor an error".into())),
     }
 }
 
-/// The words of a call that failed.
-pub fn failure(body: &[u8]) -> RegistryError {
+/// The error in the body of a call that failed.
+pub fn error_of_body(body: &[u8]) -> RegistryError {
     match serde_json::from_slice::<Value>(body) {
-        Ok(v) => said(if v["error"].is_object() { &v["error"] } else { &v }),
-        Err(_) => RegistryError::Said("no words that can be read".into()),
+        Ok(value) if value["error"].is_object() => reported_error(&value["error"]),
+        Ok(value) => reported_error(&value),
+        Err(_) => RegistryError::Failed("no words that can be read".into()),
     }
 }
 
-fn b64(bytes: &[u8]) -> String {
+fn base64_text(bytes: &[u8]) -> String {
     BASE64_STANDARD.encode(bytes)
 }
 
-/// The first key after all that begin with the prefix.
-pub fn after(prefix: &[u8]) -> Vec<u8> {
+/// The first key after all keys that begin with the prefix.
+pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
         if last < 0xff {
@@ -156,108 +190,77 @@
     vec![0]
 }
 
-pub fn range(prefix: &str) -> Value {
-    json!({"key": b64(prefix.as_bytes()), "range_end": b64(&after(prefix.as_bytes()))})
+/// Reads all keys with a prefix.
+pub fn range_request(prefix: &str) -> Value {
+    let prefix = prefix.as_bytes();
+    json!({"key": base64_text(prefix), "range_end": base64_text(&prefix_end(prefix))})
 }
 
-pub fn watch(prefix: &str, from: u64) -> Value {
-    json!({"create_request": {"key": b64(prefix.as_bytes()), "range_end": b64(&after(prefix.as_bytes())),
-        "start_revision": from.to_string(), "progress_notify": true}})
+/// Watches all keys with a prefix from a revision on.
+pub fn watch_request(prefix: &str, from_revision: u64) -> Value {
+    let prefix = prefix.as_bytes();
+    json!({"create_request": {"key": base64_text(prefix), "range_end": base64_text(&prefix_end(prefix)),
+        "start_revision": from_revision.to_string(), "progress_notify": true}})
 }
 
-pub fn grant(ttl_s: f64) -> Value {
+/// Requests a lease.
+pub fn lease_grant_request(ttl_s: f64) -> Value {
     json!({"TTL": format!("{}", ttl_s.ceil().max(1.0)), "ID": "0"})
 }
 
-pub fn keep_alive(lease: i64) -> Value {
+/// Renews a lease.
+pub fn lease_keep_alive_request(lease: i64) -> Value {
     json!({"ID": lease.to_string()})
 }
 
 /// Puts a key under a lease if it does not exist.
-pub fn claim(key: &str, value: &str, lease: i64) -> Value {
-    let key = b64(key.as_bytes());
+pub fn claim_request(key: &str, value: &str, lease: i64) -> Value {
+    let key = base64_text(key.as_bytes());
+    let value = base64_text(value.as_bytes());
     json!({"compare": [{"result": "EQUAL", "target": "CREATE", "key": key, "create_revision": "0"}],
-        "success": [{"request_put": {"key": key, "value": b64(value.as_bytes()), "lease": lease.to_string()}}]})
+        "success": [{"request_put": {"key": key, "value": value, "lease": lease.to_string()}}]})
+}
+
+/// The endpoint entries among the keys of a prefix, and the number of values that are none.
+pub fn endpoint_entries(prefix: &str, pairs: &[KeyValue]) -> (Vec<EndpointEntry>, usize) {
+    let entries: Vec<EndpointEntry> = pairs.iter().filter_map(|pair| endpoint_entry(prefix, pair)).collect();
+    let malformed = pairs.len() - entries.len();
+    (entries, malformed)
 }
 
-/// Engines are JSON lines, as in the list; a value that is none is passed over and counted.
-pub fn engines(prefix: &str, kvs: &[Pair]) -> (Vec<EndpointEntry>, usize) {
-    let all: Vec<Option<EndpointEntry>> = kvs.iter().map(|p| engine(prefix, p)).collect();
-    let sound = all.iter().flatten().count();
-    (all.iter().flatten().cloned().collect(), all.len() - sound)
+/// The key holds the endpoint's id, so that a value cannot speak for another endpoint.
+fn endpoint_entry(prefix: &str, pair: &KeyValue) -> Option<EndpointEntry> {
+    let id = suffix(prefix, &pair.key)?;
+    let entry: EndpointEntry = serde_json::from_slice(&pair.value).ok()?;
+    let has_memory = entry.memory_tokens.is_finite() && entry.memory_tokens > 0.0;
+    (entry.id == id && has_memory && !entry.address.is_empty()).then_some(entry)
 }
 
-/// The key's name is the engine's: a value cannot speak for another.
-fn engine(prefix: &str, p: &Pair) -> Option<EndpointEntry> {
-    let id = std::str::from_utf8(p.key.strip_prefix(prefix.as_bytes())?).ok()?;
-    let line: EndpointEntry = serde_json::from_slice(&p.value).ok()?;
-    let sound = line.memory_tokens.is_finite() && line.memory_tokens > 0.0 && !line.address.is_empty();
-    (line.id == id && sound).then_some(line)
+fn suffix<'a>(prefix: &str, key: &'a [u8]) -> Option<&'a str> {
+    std::str::from_utf8(key.strip_prefix(prefix.as_bytes())?).ok()
 }
 
-pub fn events(prefix: &str, changes: &[Change]) -> Vec<Event> {
-    let event = |c: &Change| {
-        if c.kind == "DELETE" {
-            let id = std::str::from_utf8(c.kv.key.strip_prefix(prefix.as_bytes())?).ok()?;
-            return Some(Event::Gone(id.into()));
+/// The endpoint events among the events of a watch; malformed ones are skipped.
+pub fn endpoint_events(prefix: &str, events: &[WatchEvent]) -> Vec<RegistryEvent> {
+    let to_event = |event: &WatchEvent| {
+        if event.kind == "DELETE" {
+            return suffix(prefix, &event.kv.key).map(|id| RegistryEvent::Delete(id.into()));
         }
-        engine(prefix, &c.kv).map(Event::Put)
+        endpoint_entry(prefix, &event.kv).map(RegistryEvent::Put)
     };
-    changes.iter().filter_map(event).collect()
+    events.iter().filter_map(to_event).collect()
 }
 
-pub fn places(prefix: &str, kvs: &[Pair]) -> Vec<NodePlace> {
-    let place = |p: &Pair| {
-        let number = std::str::from_utf8(p.key.strip_prefix(prefix.as_bytes())?).ok()?.parse().ok()?;
-        let name = String::from_utf8(p.value.clone()).ok()?;
-        Some(NodePlace { number, name, since: p.create_revision.max(0) as u64 })
+/// The registrations of nodes among the keys of a prefix; malformed ones are skipped.
+pub fn node_registrations(prefix: &str, pairs: &[KeyValue]) -> Vec<NodeRegistration> {
+    let to_registration = |pair: &KeyValue| {
+        let number = suffix(prefix, &pair.key)?.parse().ok()?;
+        let name = String::from_utf8(pair.value.clone()).ok()?;
+        Some(NodeRegistration { number, name, created_revision: pair.create_revision.max(0) as u64 })
     };
-    kvs.iter().filter_map(place).collect()
+    pairs.iter().filter_map(to_registration).collect()
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-    use proptest::test_runner::RngSeed;
-
-    #[test]
-    fn published_messages_are_read() {
-        let line = r#"{"id":"e1","address":"h:1","zone":"a","role":"read","memory_tokens":5,"state":"in"}"#;
-        let pair = json!({"key": b64(b"eng/e1"), "value": b64(line.as_bytes()), "create_revision": "4", "mod_revision": "9"});
-        let text = json!({"header": {"cluster_id": "14841639068965178418", "revision": "12"}, "kvs": [pair, {"key": b64(b"eng/e2"), "value": b64(line.as_bytes())}]});
-        let r: Ranged = plain(text.to_string().as_bytes()).unwrap();
-        let (lines, bad) = engines("eng/", &r.kvs);
-        assert_eq!((r.header.revision, lines.len(), bad, lines[0].id.as_str()), (12, 1, 1, "e1"));
-        let text = json!({"result": {"header": {"revision": "13"}, "events": [{"kv": pair}, {"type": "DELETE", "kv": {"key": b64(b"eng/e9")}}]}});
-        let w: Watched = streamed(text.to_string().as_bytes()).unwrap();
-        assert_eq!(events("eng/", &w.events), vec![Event::Put(lines[0].clone()), Event::Gone("e9".into())]);
-        let gone = br#"{"result":{"canceled":true,"compact_revision":"7"}}"#;
-        assert_eq!(streamed::<Watched>(gone).unwrap().compact_revision, 7);
-        let wrong =
-            br#"{"error":{"grpc_code":5,"http_code":404,"message":"etcdserver: requested lease not found"}}"#;
-        assert_eq!(
-            streamed::<Leased>(wrong).unwrap_err(),
-            RegistryError::Said("etcdserver: requested lease not found".into())
-        );
-        assert_eq!(
-            (after(b"eng/"), after(b"a\xff"), after(b"\xff")),
-            (b"eng0".to_vec(), b"b".to_vec(), vec![0])
-        );
-    }
-
-    proptest! {
-        #![proptest_config(ProptestConfig { cases: 512, rng_seed: RngSeed::Fixed(95), failure_persistence: None, ..ProptestConfig::default() })]
-        #[test]
-        fn no_bytes_make_it_fail(junk in prop::collection::vec(any::<u8>(), 0..200), text in "[{}\\[\\]\":a-z0-9,]{0,80}") {
-            for bytes in [&junk[..], text.as_bytes()] {
-                let _ = plain::<Ranged>(bytes);
-                let _ = streamed::<Watched>(bytes);
-                let _ = streamed::<Leased>(bytes);
-                failure(bytes);
-            }
-            let p = Pair { key: junk.clone(), value: junk.clone(), ..Pair::default() };
-            prop_assert!(engines("", std::slice::from_ref(&p)).0.is_empty() && places("", &[p]).is_empty());
-        }
-    }
-}
+#[path = "wire_tests.rs"]
+mod tests;
