--- a/crates/nickelgw-cli/src/bench.rs
+++ b/crates/nickelgw-cli/src/bench.rs
@@ -14,7 +14,7 @@
 use nickelgw_protocol::sse::{Event, Events};
 use nickelgw_protocol::{REQUEST_ID, SEND_ID};
 use nickelgw_test_servers::model::Figures;
-use nickelgw_tls::core::pool::Figures as PoolFigures;
+use nickelgw_tls::core::pool::PoolConfig;
 use serde_json::{json, Value};
 use smol::process::Child;
 use smol::LocalExecutor;
@@ -267,12 +267,12 @@
     let args = if quiet { args } else { [args, texts(&["--log", "json", "--log-level", "info"])].concat() };
     let (node, address) = child(&args, &dir.join("log")).await?;
     rest(0.3).await;
-    let wide = PoolFigures {
-        at_once: 4096,
-        at_once_engine: 4096,
-        most_waiting: 20_000,
-        most_idle: 4096,
-        ..PoolFigures::default()
+    let wide = PoolConfig {
+        max_handshakes: 4096,
+        max_handshakes_per_engine: 4096,
+        max_waiting: 20_000,
+        max_idle: 4096,
+        ..PoolConfig::default()
     };
     let pool = Pool::new(ex.clone(), 2.0, wide, None);
     let lane = Rc::new(Lane { pool, node: address, readers, writers, turn: Cell::new(0) });
--- a/crates/nickelgw-cli/src/bench_tls.rs
+++ b/crates/nickelgw-cli/src/bench_tls.rs
@@ -11,7 +11,7 @@
 use nickelgw_test_servers::model::{Figures, Role, TlsFiles};
 use nickelgw_test_servers::record::unix_now;
 use nickelgw_test_servers::Record;
-use nickelgw_tls::core::pool::Figures as PoolFigures;
+use nickelgw_tls::core::pool::PoolConfig;
 use nickelgw_tls::{Client, Files, Server, Versions};
 use rustls::pki_types::ServerName;
 use rustls::{ClientConnection, HandshakeKind, ServerConnection};
@@ -72,7 +72,7 @@
     fn client(&self, resume: bool) -> Client {
         let mut c = Client::new(self.files("node0"), Versions::Only13, 600.0);
         c.resume = resume;
-        c.look(unix_now());
+        c.reload_if_changed(unix_now());
         c
     }
 
@@ -88,7 +88,7 @@
 fn handshakes(c: &Certs, resume: bool, seconds: f64) -> Result<(f64, f64, bool), Unusable> {
     let client = c.client(resume);
     let mut server = Server::new(c.files("node0"), Versions::Only13, 0.0, true);
-    server.look(unix_now());
+    server.reload_if_changed(unix_now());
     let (Some((client, _)), Some(server)) = (client.config(), server.config()) else {
         return Err(Unusable("keys and trust were refused".into()));
     };
@@ -158,7 +158,12 @@
         kept.push(child);
         addresses.push((address, tls.is_some().then(|| format!("{id}.example.org"))));
     }
-    let figures = PoolFigures { at_once: 4096, at_once_engine: 4096, most_idle, ..PoolFigures::default() };
+    let figures = PoolConfig {
+        max_handshakes: 4096,
+        max_handshakes_per_engine: 4096,
+        max_idle: most_idle,
+        ..PoolConfig::default()
+    };
     let client = tls.map(|resume| Tls(Arc::new(Mutex::new(c.client(resume)))));
     let pool = Pool::new(ex.clone(), 2.0, figures, client);
     let (writer, reader) = (addresses.pop(), addresses.pop());
@@ -250,7 +255,7 @@
     let pool = Pool::new(
         ex.clone(),
         2.0,
-        PoolFigures { at_once: 4096, at_once_engine: 4096, ..Default::default() },
+        PoolConfig { max_handshakes: 4096, max_handshakes_per_engine: 4096, ..Default::default() },
         None,
     );
     let lane = Rc::new(Lane { pool, node: address, readers: vec![], writers: vec![], turn: Cell::new(0) });
--- a/crates/nickelgw-cli/src/start.rs
+++ b/crates/nickelgw-cli/src/start.rs
@@ -108,7 +108,7 @@
         let files = Files { chain: path(&t.chain), key: path(&t.key), trust: Some((&t.trust).into()) };
         let mut c = nickelgw_tls::Client::new(files, versions(t.allow_tls12()), t.trust_overlap_ms() / 1e3);
         c.resume = t.resume();
-        let said = c.look(unix_now());
+        let said = c.reload_if_changed(unix_now());
         sound(said, c.config().is_some())?;
         out = TlsOptions {
             engines: Some(c),
@@ -124,7 +124,7 @@
         let files = Files { chain, key, trust: path(&t.client_trust) };
         let mutual = t.client_trust.is_some();
         let mut s = nickelgw_tls::Server::new(files, versions(t.allow_tls12()), OVERLAP_S, mutual);
-        let said = s.look(unix_now());
+        let said = s.reload_if_changed(unix_now());
         sound(said, s.config().is_some())?;
         out.chat = Some(s);
     }
--- a/crates/nickelgw-node/src/client.rs
+++ b/crates/nickelgw-node/src/client.rs
@@ -13,9 +13,9 @@
 use hyper::{Request, Response};
 use nickelgw_node_core::AttemptOutcome;
 use nickelgw_tls::core::pool::{
-    self, Checkout, ConnectFailure, ConnectionId, Figures, PoolCommand, WaiterId,
+    self, Checkout, ConnectFailure, ConnectionId, PoolCommand, PoolConfig, WaiterId,
 };
-use nickelgw_tls::{why, TlsEvent, TlsFailure};
+use nickelgw_tls::{classify_error, TlsEvent, TlsFailure};
 use smol::net::TcpStream;
 use smol::{LocalExecutor, Task, Timer};
 use smol_hyper::rt::FuturesIo;
@@ -102,7 +102,7 @@
         self.pool.waiting.borrow_mut().remove(&asker);
         match self.told.as_ref().and_then(|t| t.try_recv().ok()) {
             Some(Checkout::Reuse(id)) => self.pool.core.borrow_mut().returned(now, self.lane, id),
-            _ => self.pool.core.borrow_mut().gave_up(now, asker),
+            _ => self.pool.core.borrow_mut().abandon(now, asker),
         }
         self.pool.settle();
     }
@@ -123,7 +123,7 @@
     pub fn new(
         ex: Rc<LocalExecutor<'static>>,
         connect_s: f64,
-        figures: Figures,
+        figures: PoolConfig,
         tls: Option<Tls>,
     ) -> Rc<Pool> {
         let mut core = pool::Pool::new(figures);
@@ -147,14 +147,14 @@
     /// Handshakes made, connections reused, askers refused.
     pub fn counts(&self) -> (u64, u64, u64) {
         let c = self.core.borrow();
-        (c.handshakes, c.reuses, c.refused)
+        (c.handshakes, c.reuses, c.rejected)
     }
 
     /// Looks after time's own matters: idle connections, rotations, files. Runs until dropped.
     /// Looks at the files of keys and trust.
     pub async fn look(&self) {
         let Some(tls) = self.tls.clone() else { return };
-        let said = looked("engines", tls.0.clone(), nickelgw_tls::Client::look).await;
+        let said = looked("engines", tls.0.clone(), nickelgw_tls::Client::reload_if_changed).await;
         if let Some((_, generation)) = tls.config() {
             if said.iter().any(|s| !matches!(s, TlsEvent::Unreadable(_) | TlsEvent::Refused(_))) {
                 self.core.borrow_mut().rotate(self.now(), generation);
@@ -164,7 +164,7 @@
 
     pub async fn tend(self: Rc<Self>) {
         loop {
-            let (todo, wake) = self.core.borrow_mut().due(self.now());
+            let (todo, wake) = self.core.borrow_mut().poll_commands(self.now());
             self.act(todo);
             let wake = wake.map_or(0.25, |w| (w - self.now()).clamp(0.01, 0.25));
             Timer::after(seconds(wake)).await;
@@ -172,7 +172,7 @@
     }
 
     fn settle(&self) {
-        let todo = self.core.borrow_mut().ready();
+        let todo = self.core.borrow_mut().take_commands();
         self.act(todo);
     }
 
@@ -193,14 +193,14 @@
 
     /// Addresses that are no longer listed keep nothing open.
     pub fn forget_others(&self, wanted: impl Fn(&str) -> bool) {
-        self.core.borrow_mut().keep_only(|lane| wanted(lane.split(' ').next().unwrap_or(lane)));
+        self.core.borrow_mut().retain_engines(|lane| wanted(lane.split(' ').next().unwrap_or(lane)));
         self.settle();
     }
 
     async fn connection(self: &Rc<Self>, peer: Peer<'_>) -> Result<Connection, AttemptOutcome> {
         let lane = peer.lane();
         let asker = WaiterId(self.next.replace(self.next.get() + 1));
-        let mut answer = self.core.borrow_mut().want(self.now(), &lane, asker);
+        let mut answer = self.core.borrow_mut().checkout(self.now(), &lane, asker);
         let mut asking = Asking { pool: self, lane: &lane, asker: Some(asker), told: None };
         if answer == Checkout::Wait {
             let (to, from) = async_channel::bounded(1);
@@ -236,7 +236,7 @@
                 asking.asker = None;
                 match opened {
                     Ok(inner) => {
-                        let id = self.core.borrow_mut().opened(self.now(), asker, generation);
+                        let id = self.core.borrow_mut().handshake_succeeded(self.now(), asker, generation);
                         self.settle();
                         let id = id.ok_or(AttemptOutcome::ConnectFailed)?;
                         drop(asking);
@@ -244,7 +244,7 @@
                     }
                     Err(why) => {
                         tracing::debug!(engine = lane, ?why, "no connection");
-                        self.core.borrow_mut().failed(self.now(), asker, why.failure());
+                        self.core.borrow_mut().handshake_failed(self.now(), asker, why.connect_failure());
                         self.settle();
                         Err(AttemptOutcome::ConnectFailed)
                     }
@@ -259,13 +259,13 @@
 
     /// Connects, and verifies: no byte of a request leaves before that.
     async fn open(&self, peer: Peer<'_>) -> Result<Inner, TlsFailure> {
-        let io = |e: std::io::Error| why(&e);
+        let io = |e: std::io::Error| classify_error(&e);
         let stream = TcpStream::connect(peer.address).await.map_err(io)?;
         stream.set_nodelay(true).map_err(io)?;
         // Buffers that fit a few events: thousands of streams hold one each.
         let mut http = Builder::new();
         http.read_buf_exact_size(Some(READ_BUFFER));
-        let gone = |e: hyper::Error| why(&e);
+        let gone = |e: hyper::Error| classify_error(&e);
         let Some(name) = peer.name else {
             let (sender, conn) = http.handshake(FuturesIo::new(stream)).await.map_err(gone)?;
             let _task = self.ex.spawn(async move { drop(conn.await) });
@@ -274,7 +274,7 @@
         let config = self.tls.as_ref().and_then(Tls::config);
         let (config, _) = config.ok_or_else(|| TlsFailure::Protocol("no keys and trust in force".into()))?;
         let name = ServerName::try_from(name.to_string());
-        let name = name.map_err(|_| TlsFailure::Certificate("the engine's name is none".into()))?;
+        let name = name.map_err(|_| TlsFailure::PeerCertificate("the engine's name is none".into()))?;
         let stream = TlsConnector::from(config).connect(name, stream).await.map_err(io)?;
         let (sender, conn) = http.handshake(FuturesIo::new(stream)).await.map_err(gone)?;
         let _task = self.ex.spawn(async move { drop(conn.await) });
@@ -317,8 +317,11 @@
             };
             // TLS 1.3: the far side verifies us after we may have written. Its certificate alert says that its
             // handshake never ended, so it has read nothing of what came after: proven not to have run.
-            if conn.fresh && peer.name.is_some() && matches!(why(&e), TlsFailure::OursRefused(_)) {
-                self.core.borrow_mut().broke(self.now(), &conn.lane, ConnectFailure::Untrusted);
+            if conn.fresh
+                && peer.name.is_some()
+                && matches!(classify_error(&e), TlsFailure::OwnCertificate(_))
+            {
+                self.core.borrow_mut().connection_failed(self.now(), &conn.lane, ConnectFailure::Untrusted);
                 tracing::warn!(engine = conn.lane, "our certificate is not accepted, or missing");
                 return Err(AttemptOutcome::ConnectFailed);
             }
--- a/crates/nickelgw-node/src/lib.rs
+++ b/crates/nickelgw-node/src/lib.rs
@@ -162,14 +162,14 @@
     let limits = Rc::new(start.limits);
     let tls = start.tls.engines.map(|c| client::Tls(Arc::new(Mutex::new(c))));
     let plain = tls.is_none();
-    let figures = pool::Figures {
+    let figures = pool::PoolConfig {
         // A connection without a handshake costs little; engines' own limits bound it.
-        at_once: if plain { 1024 } else { start.tls.max_handshakes },
-        at_once_engine: if plain { 256 } else { start.tls.max_handshakes_per_engine },
-        most_idle: limits.max_idle_connections,
-        idle_s: limits.idle_timeout_s,
-        retire_gap_s: start.tls.retire_gap_s,
-        ..pool::Figures::default()
+        max_handshakes: if plain { 1024 } else { start.tls.max_handshakes },
+        max_handshakes_per_engine: if plain { 256 } else { start.tls.max_handshakes_per_engine },
+        max_idle: limits.max_idle_connections,
+        idle_timeout_s: limits.idle_timeout_s,
+        retire_interval_s: start.tls.retire_gap_s,
+        ..pool::PoolConfig::default()
     };
     let connections = client::Pool::new(ex.clone(), limits.connect_timeout_s, figures, tls);
     let reload_s = start.tls.reload_s;
--- a/crates/nickelgw-node/src/server.rs
+++ b/crates/nickelgw-node/src/server.rs
@@ -280,7 +280,7 @@
 /// Looks at the chat port's files; connections that stand keep what they began with.
 pub async fn look(server: Rc<Server>) {
     let Some(tls) = server.tls.clone() else { return };
-    looked("chat", tls, nickelgw_tls::Server::look).await;
+    looked("chat", tls, nickelgw_tls::Server::reload_if_changed).await;
 }
 
 /// A request that has passed the door.
--- a/crates/nickelgw-node/tests/tls.rs
+++ b/crates/nickelgw-node/tests/tls.rs
@@ -53,7 +53,7 @@
         let files =
             Files { chain: of("node0.pem"), key: of("node0.key"), trust: Some(self.path("root.pem")) };
         let mut c = Client::new(files, Versions::Only13, 600.0);
-        c.look(nickelgw_test_servers::record::unix_now());
+        c.reload_if_changed(nickelgw_test_servers::record::unix_now());
         assert!(c.config().is_some());
         c
     }
@@ -351,7 +351,7 @@
     let [chain, key] = c.make("chat", "localhost", Fault::None);
     let mut server =
         Server::new(Files { chain: Some(chain), key: Some(key), trust: None }, Versions::Only13, 0.0, false);
-    server.look(nickelgw_test_servers::record::unix_now());
+    server.reload_if_changed(nickelgw_test_servers::record::unix_now());
     let w = World::with(vec![figures("r0a"), figures("w0a")], |s| s.tls.chat = Some(server));
     let answer = smol::block_on(https(&w.node, &c.path("root.pem"), "localhost", &w.ask("q", "chat").body()));
     assert!(answer.contains("200 OK") && answer.contains("[DONE]"), "{answer}");
@@ -362,7 +362,7 @@
 async fn https(address: &str, root: &Path, name: &str, body: &[u8]) -> String {
     use futures_lite::{AsyncReadExt, AsyncWriteExt};
     let mut c = Client::new(Files { trust: Some(root.into()), ..Files::default() }, Versions::Only13, 0.0);
-    c.look(nickelgw_test_servers::record::unix_now());
+    c.reload_if_changed(nickelgw_test_servers::record::unix_now());
     let stream = smol::net::TcpStream::connect(address).await.unwrap();
     let name = futures_rustls::pki_types::ServerName::try_from(name.to_string()).unwrap();
     let connector = futures_rustls::TlsConnector::from(c.config().unwrap().0);
--- a/crates/nickelgw-test-servers/src/tls.rs
+++ b/crates/nickelgw-test-servers/src/tls.rs
@@ -47,14 +47,14 @@
         let trust = f.mutual.then(|| f.trust.clone());
         let files = Files { chain: Some(f.chain.clone()), key: Some(f.key.clone()), trust: trust.clone() };
         let mut sound = Server::new(files, Versions::From12, 0.0, f.mutual);
-        sound.look(unix_now());
+        sound.reload_if_changed(unix_now());
         let config = sound.config().or_else(|| unsound(&f));
         let said = json!({"chain": f.chain, "served": config.is_some()});
         self.record.note("certificate", said);
         *self.config.borrow_mut() = config;
         let own = Files { chain: Some(f.chain), key: Some(f.key), trust: Some(f.trust) };
         let mut client = Client::new(own, Versions::From12, 0.0);
-        client.look(unix_now());
+        client.reload_if_changed(unix_now());
         *self.client.borrow_mut() = client;
     }
 
--- a/crates/nickelgw-tls/src/core/generation.rs
+++ b/crates/nickelgw-tls/src/core/generation.rs
@@ -1,301 +1,238 @@
-//! Generations of key, chain and trust. A new one is checked whole before it is used; refused, the old one stays.
+//! Generations of key, chain and trust. New key material is checked whole before it comes into force; if it is refused, the
+//! generation in force stays.
 
-use std::fmt;
+pub use super::key_check::{Certificate, KeyMaterial, KeyMaterialError};
 
-/// What is known of a certificate. Times are seconds since 1970.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Cert {
-    /// Digest of its bytes: two are the same if these are.
-    pub id: [u8; 32],
-    pub subject: String,
-    pub issuer: String,
-    pub not_before: f64,
-    pub not_after: f64,
-    /// DNS names and addresses it stands for.
-    pub names: Vec<String>,
-    pub is_ca: bool,
-    /// Whether its signature is that of the next one's key in the chain, or (the last one's) of a trusted root's;
-    /// `None` where no issuer was found.
-    pub signed: Option<bool>,
-}
-
-/// What was read from the files, all of it from one reading.
-#[derive(Clone, Debug, PartialEq)]
-pub struct KeyMaterial {
-    /// Leaf first; empty where no certificate of one's own is used.
-    pub chain: Vec<Cert>,
-    /// Whether the key fits the leaf; `None` without a key.
-    pub key_fits: Option<bool>,
-    pub key_open_to_others: bool,
-    /// Trusted roots; empty where nobody is verified.
-    pub roots: Vec<Cert>,
-    /// Digest of all files: a reading that changes nothing is no new generation.
-    pub digest: [u8; 32],
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub enum KeyMaterialError {
-    /// A chain without its key, or a key without its chain.
-    Half,
-    KeyDoesNotFit,
-    KeyOpenToOthers,
-    Expired {
-        subject: String,
-        since_s: f64,
-    },
-    NotYetValid {
-        subject: String,
-        in_s: f64,
-    },
-    BrokenChain {
-        subject: String,
-    },
-    NoNames {
-        subject: String,
-    },
-    NotAnAuthority {
-        subject: String,
-    },
-    NoTrust,
-}
-
-impl fmt::Display for KeyMaterialError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            KeyMaterialError::Half => write!(f, "a key and a chain belong together, one of them is missing"),
-            KeyMaterialError::KeyDoesNotFit => {
-                write!(f, "the key does not fit the certificate: rotated by half?")
-            }
-            KeyMaterialError::KeyOpenToOthers => {
-                write!(f, "the key's file can be read by others; wanted: mode 0600")
-            }
-            KeyMaterialError::Expired { subject, since_s } => write!(f, "{subject} ended {since_s:.0} s ago"),
-            KeyMaterialError::NotYetValid { subject, in_s } => {
-                write!(f, "{subject} begins in {in_s:.0} s only")
-            }
-            KeyMaterialError::BrokenChain { subject } => {
-                write!(f, "{subject} is not signed by what follows it")
-            }
-            KeyMaterialError::NoNames { subject } => write!(f, "{subject} stands for no name"),
-            KeyMaterialError::NotAnAuthority { subject } => {
-                write!(f, "{subject} is trusted or signs, but is no authority")
-            }
-            KeyMaterialError::NoTrust => write!(f, "the trust bundle holds no certificate"),
-        }
-    }
-}
-
-/// How long the leaf lasts.
+/// How long the leaf certificate lasts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Term {
+pub enum Validity {
     /// No certificate of one's own.
     None,
-    Fresh {
-        left_s: f64,
+    /// Far from its end.
+    Valid {
+        /// Seconds until it expires.
+        remaining_s: f64,
     },
+    /// Within the first warning step of its end.
     Expiring {
-        left_s: f64,
+        /// Seconds until it expires.
+        remaining_s: f64,
     },
-    /// It goes on being shown: the other side verifies, and the clock that is wrong may be ours.
-    Ended {
+    /// It is still presented: the other side verifies, and the clock that is wrong may be ours.
+    Expired {
+        /// Seconds since it expired.
         since_s: f64,
     },
 }
 
-/// Said once for each step passed.
+/// A warning for operators, given once for each step passed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
+    /// The leaf certificate expires soon.
     Expires {
+        /// Subject of the certificate.
         subject: String,
-        left_s: f64,
+        /// Seconds until it expires.
+        remaining_s: f64,
     },
-    Ended {
+    /// The leaf certificate has expired.
+    Expired {
+        /// Subject of the certificate.
         subject: String,
     },
+    /// A trusted root expires soon.
     RootExpires {
+        /// Subject of the root.
         subject: String,
-        left_s: f64,
+        /// Seconds until it expires.
+        remaining_s: f64,
     },
-    /// Roots that a bundle had left out are no longer trusted.
+    /// Roots that a new bundle had left out are no longer trusted.
     OverlapEnded {
+        /// Their number.
         roots: usize,
     },
 }
 
-/// Warnings come when so much is left: 30 days, 7 days, a day, an hour.
-const STEPS_S: [f64; 4] = [30.0 * 86_400.0, 7.0 * 86_400.0, 86_400.0, 3_600.0];
-/// A certificate may begin so much later than now by our clock: clocks differ.
-const SKEW_S: f64 = 60.0;
-/// Roots kept at most, old ones in their overlap included.
-const MOST_ROOTS: usize = 512;
+const HOUR_S: f64 = 3_600.0;
+const DAY_S: f64 = 86_400.0;
+/// Remaining lifetimes at which a warning is given.
+const WARNING_STEPS_S: [f64; 4] = [30.0 * DAY_S, 7.0 * DAY_S, DAY_S, HOUR_S];
+/// Interval of checks if nothing is due before.
+const MAX_CHECK_INTERVAL_S: f64 = HOUR_S;
+/// Roots trusted at most, those in their overlap included.
+const MAX_ROOTS: usize = 512;
+
+/// A root of an earlier bundle that is trusted for a while still.
+#[derive(Clone, Debug)]
+pub struct RetiringRoot {
+    /// The root.
+    pub certificate: Certificate,
+    /// When it ceases to be trusted.
+    pub trusted_until: f64,
+}
 
 /// The generation in force.
 #[derive(Clone, Debug)]
 pub struct KeyGeneration {
+    /// Counts from 1.
     pub number: u64,
+    /// What it consists of.
     pub material: KeyMaterial,
-    /// Roots of earlier bundles, and until when they are trusted too.
-    pub old_roots: Vec<(Cert, f64)>,
-    /// Steps of expiry already told.
-    told: usize,
-    ended_told: bool,
+    /// Roots of earlier bundles in their overlap.
+    pub retiring_roots: Vec<RetiringRoot>,
+    /// Warning steps already passed.
+    warned_steps: usize,
+    warned_of_expiry: bool,
 }
 
-/// Keys and trust of one side: what is in force, what was refused, what is to be said.
+/// Keys and trust of one side: what is in force, what was refused, which warnings are due.
 pub struct Keyring {
-    now: Option<KeyGeneration>,
+    current: Option<KeyGeneration>,
     overlap_s: f64,
     needs_trust: bool,
-    numbers: u64,
-    refused: Option<KeyMaterialError>,
+    last_number: u64,
+    refusal: Option<KeyMaterialError>,
 }
 
 impl Keyring {
     /// `overlap_s`: how long roots that a new bundle leaves out stay trusted. `needs_trust`: this side verifies.
     pub fn new(overlap_s: f64, needs_trust: bool) -> Self {
-        Keyring { now: None, overlap_s, needs_trust, numbers: 0, refused: None }
+        Keyring { current: None, overlap_s, needs_trust, last_number: 0, refusal: None }
     }
 
+    /// The generation in force.
     pub fn current(&self) -> Option<&KeyGeneration> {
-        self.now.as_ref()
+        self.current.as_ref()
     }
 
     /// Why the newest files are not in force, if they are not.
     pub fn refusal(&self) -> Option<&KeyMaterialError> {
-        self.refused.as_ref()
+        self.refusal.as_ref()
     }
 
-    /// Takes new material into force, or refuses it and leaves all as it is. `Ok(false)`: nothing is new.
-    pub fn offer(&mut self, now: f64, m: KeyMaterial) -> Result<bool, KeyMaterialError> {
-        if self.now.as_ref().is_some_and(|g| g.material.digest == m.digest) {
-            self.refused = None;
+    /// Puts new material into force, or refuses it and leaves all as it is. `Ok(false)`: nothing has changed.
+    pub fn offer(&mut self, now: f64, material: KeyMaterial) -> Result<bool, KeyMaterialError> {
+        self.refusal = None;
+        if self.current.as_ref().is_some_and(|current| current.material.digest == material.digest) {
             return Ok(false);
         }
-        if let Err(why) = self.check(now, &m) {
-            self.refused = Some(why.clone());
-            return Err(why);
+        if let Err(error) = material.check(now, self.needs_trust) {
+            self.refusal = Some(error.clone());
+            return Err(error);
         }
-        self.refused = None;
-        self.numbers += 1;
-        let mut old_roots = Vec::new();
-        if let Some(old) = self.now.take() {
-            let until = now + self.overlap_s;
-            let before = old.material.roots.into_iter().map(|r| (r, until)).chain(old.old_roots);
-            // A root that is back is a root of the new bundle; one that left earlier keeps its earlier end.
-            old_roots =
-                before.filter(|(r, end)| *end > now && !m.roots.iter().any(|n| n.id == r.id)).collect();
-            old_roots.sort_by(|a, b| a.0.id.cmp(&b.0.id).then(a.1.total_cmp(&b.1)));
-            old_roots.dedup_by(|a, b| a.0.id == b.0.id);
-            old_roots.truncate(MOST_ROOTS.saturating_sub(m.roots.len()));
-        }
-        let told = m.chain.first().map_or(0, |c| Self::steps(now, c));
-        self.now =
-            Some(KeyGeneration { number: self.numbers, material: m, old_roots, told, ended_told: false });
+        self.last_number += 1;
+        let previous = self.current.take();
+        let retiring_roots =
+            previous.map_or_else(Vec::new, |previous| self.retire_roots(now, previous, &material));
+        let warned_steps = material.chain.first().map_or(0, |leaf| passed_steps(now, leaf));
+        self.current = Some(KeyGeneration {
+            number: self.last_number,
+            material,
+            retiring_roots,
+            warned_steps,
+            warned_of_expiry: false,
+        });
         Ok(true)
     }
 
-    fn check(&self, now: f64, m: &KeyMaterial) -> Result<(), KeyMaterialError> {
-        match (m.chain.first(), m.key_fits) {
-            (None, None) => {}
-            (Some(_), Some(true)) => {}
-            (Some(_), Some(false)) => return Err(KeyMaterialError::KeyDoesNotFit),
-            _ => return Err(KeyMaterialError::Half),
-        }
-        if m.key_open_to_others {
-            return Err(KeyMaterialError::KeyOpenToOthers);
-        }
-        for (n, c) in m.chain.iter().enumerate() {
-            let subject = c.subject.clone();
-            if now > c.not_after {
-                return Err(KeyMaterialError::Expired { subject, since_s: now - c.not_after });
-            }
-            if now + SKEW_S < c.not_before {
-                return Err(KeyMaterialError::NotYetValid { subject, in_s: c.not_before - now });
-            }
-            if n > 0 && !c.is_ca {
-                return Err(KeyMaterialError::NotAnAuthority { subject });
-            }
-            if c.signed == Some(false) || (c.signed.is_none() && n + 1 < m.chain.len()) {
-                return Err(KeyMaterialError::BrokenChain { subject });
-            }
-        }
-        if let Some(leaf) = m.chain.first().filter(|c| c.names.is_empty()) {
-            return Err(KeyMaterialError::NoNames { subject: leaf.subject.clone() });
-        }
-        if self.needs_trust && m.roots.is_empty() {
-            return Err(KeyMaterialError::NoTrust);
-        }
-        // A bundle may hold ended roots beside good ones, as real bundles do; not only those.
-        if let Some(r) = m.roots.iter().find(|r| !r.is_ca) {
-            return Err(KeyMaterialError::NotAnAuthority { subject: r.subject.clone() });
-        }
-        match m.roots.iter().map(|r| r.not_after).reduce(f64::max) {
-            Some(last) if last < now => {
-                Err(KeyMaterialError::Expired { subject: m.roots[0].subject.clone(), since_s: now - last })
-            }
-            _ => Ok(()),
-        }
-    }
-
-    fn steps(now: f64, c: &Cert) -> usize {
-        STEPS_S.iter().filter(|&&s| c.not_after - now <= s).count()
+    /// Roots of the previous generation that the new bundle leaves out, for their overlap. A root that had been left out
+    /// earlier keeps its earlier end.
+    fn retire_roots(&self, now: f64, previous: KeyGeneration, next: &KeyMaterial) -> Vec<RetiringRoot> {
+        let trusted_until = now + self.overlap_s;
+        let newly_retired = previous.material.roots.into_iter();
+        let newly_retired = newly_retired.map(|certificate| RetiringRoot { certificate, trusted_until });
+        let is_in_bundle = |root: &RetiringRoot| next.roots.iter().any(|new| new.id == root.certificate.id);
+        let mut retiring: Vec<RetiringRoot> = newly_retired
+            .chain(previous.retiring_roots)
+            .filter(|root| root.trusted_until > now && !is_in_bundle(root))
+            .collect();
+        retiring.sort_by(|x, y| {
+            let by_id = x.certificate.id.cmp(&y.certificate.id);
+            by_id.then(x.trusted_until.total_cmp(&y.trusted_until))
+        });
+        retiring.dedup_by(|x, y| x.certificate.id == y.certificate.id);
+        retiring.truncate(MAX_ROOTS.saturating_sub(next.roots.len()));
+        retiring
     }
 
-    pub fn term(&self, now: f64) -> Term {
-        let leaf = self.now.as_ref().and_then(|g| g.material.chain.first());
-        match leaf.map(|c| c.not_after - now) {
-            None => Term::None,
-            Some(left) if left <= 0.0 => Term::Ended { since_s: -left },
-            Some(left_s) if left_s <= STEPS_S[0] => Term::Expiring { left_s },
-            Some(left_s) => Term::Fresh { left_s },
+    /// How long the leaf certificate in force lasts.
+    pub fn validity(&self, now: f64) -> Validity {
+        let leaf = self.current.as_ref().and_then(|current| current.material.chain.first());
+        match leaf.map(|leaf| leaf.not_after - now) {
+            None => Validity::None,
+            Some(remaining_s) if remaining_s <= 0.0 => Validity::Expired { since_s: -remaining_s },
+            Some(remaining_s) if remaining_s <= WARNING_STEPS_S[0] => Validity::Expiring { remaining_s },
+            Some(remaining_s) => Validity::Valid { remaining_s },
         }
     }
 
-    /// Roots trusted now: the bundle's, and earlier ones in their overlap.
+    /// Digests of the roots trusted now: the bundle's, and earlier ones in their overlap.
     pub fn roots(&self, now: f64) -> Vec<[u8; 32]> {
-        let Some(g) = &self.now else { return Vec::new() };
-        let old = g.old_roots.iter().filter(|r| r.1 > now).map(|r| r.0.id);
-        g.material.roots.iter().map(|r| r.id).chain(old).collect()
+        let Some(current) = &self.current else { return Vec::new() };
+        let retiring = current.retiring_roots.iter().filter(|root| root.trusted_until > now);
+        let bundle = current.material.roots.iter().map(|root| root.id);
+        bundle.chain(retiring.map(|root| root.certificate.id)).collect()
     }
 
-    /// What is to be said now, and when to look again. After `OverlapEnded` the trust in use is to be made anew.
-    pub fn watch(&mut self, now: f64) -> (Vec<Notice>, f64) {
-        let mut out = Vec::new();
-        let mut again = now + 3_600.0;
-        let Some(g) = &mut self.now else { return (out, again) };
-        if let Some(leaf) = g.material.chain.first() {
-            let passed = Self::steps(now, leaf);
-            let left_s = leaf.not_after - now;
-            if passed > g.told && left_s > 0.0 {
-                out.push(Notice::Expires { subject: leaf.subject.clone(), left_s });
-            }
-            g.told = g.told.max(passed);
-            if left_s <= 0.0 && !g.ended_told {
-                g.ended_told = true;
-                out.push(Notice::Ended { subject: leaf.subject.clone() });
-            }
-            let next = STEPS_S.iter().chain([&0.0]).map(|s| leaf.not_after - s).filter(|&at| at > now);
-            again = next.fold(again, f64::min);
+    /// The warnings that are due, and when to poll again. After [`Notice::OverlapEnded`] the trust in use is to be
+    /// rebuilt.
+    pub fn poll_notices(&mut self, now: f64) -> (Vec<Notice>, f64) {
+        let mut notices = Vec::new();
+        let mut poll_at = now + MAX_CHECK_INTERVAL_S;
+        let Some(current) = &mut self.current else { return (notices, poll_at) };
+        current.check_leaf(now, &mut notices, &mut poll_at);
+        current.check_roots(now, &mut notices);
+        current.end_overlaps(now, &mut notices, &mut poll_at);
+        (notices, poll_at)
+    }
+}
+
+impl KeyGeneration {
+    fn check_leaf(&mut self, now: f64, notices: &mut Vec<Notice>, poll_at: &mut f64) {
+        let Some(leaf) = self.material.chain.first() else { return };
+        let passed = passed_steps(now, leaf);
+        let remaining_s = leaf.not_after - now;
+        if passed > self.warned_steps && remaining_s > 0.0 {
+            notices.push(Notice::Expires { subject: leaf.subject.clone(), remaining_s });
         }
-        for r in &g.material.roots {
-            let left_s = r.not_after - now;
-            if left_s > 0.0 && left_s <= STEPS_S[0] && passed_today(left_s) {
-                out.push(Notice::RootExpires { subject: r.subject.clone(), left_s });
+        self.warned_steps = self.warned_steps.max(passed);
+        if remaining_s <= 0.0 && !self.warned_of_expiry {
+            self.warned_of_expiry = true;
+            notices.push(Notice::Expired { subject: leaf.subject.clone() });
+        }
+        let steps = WARNING_STEPS_S.iter().chain([&0.0]);
+        let next_steps = steps.map(|step_s| leaf.not_after - step_s).filter(|&at| at > now);
+        *poll_at = next_steps.fold(*poll_at, f64::min);
+    }
+
+    fn check_roots(&self, now: f64, notices: &mut Vec<Notice>) {
+        for root in &self.material.roots {
+            let remaining_s = root.not_after - now;
+            if remaining_s > 0.0 && remaining_s <= WARNING_STEPS_S[0] && is_daily_warning(remaining_s) {
+                notices.push(Notice::RootExpires { subject: root.subject.clone(), remaining_s });
             }
         }
-        let before = g.old_roots.len();
-        g.old_roots.retain(|r| r.1 > now);
-        if g.old_roots.len() < before {
-            out.push(Notice::OverlapEnded { roots: before - g.old_roots.len() });
+    }
+
+    fn end_overlaps(&mut self, now: f64, notices: &mut Vec<Notice>, poll_at: &mut f64) {
+        let before = self.retiring_roots.len();
+        self.retiring_roots.retain(|root| root.trusted_until > now);
+        let ended = before - self.retiring_roots.len();
+        if ended > 0 {
+            notices.push(Notice::OverlapEnded { roots: ended });
         }
-        again = g.old_roots.iter().map(|r| r.1).fold(again, f64::min);
-        (out, again)
+        *poll_at = self.retiring_roots.iter().map(|root| root.trusted_until).fold(*poll_at, f64::min);
     }
 }
 
-/// Whole days left, told within the first hour of each: a root is not so urgent as to be told hourly.
-fn passed_today(left_s: f64) -> bool {
-    left_s % 86_400.0 > 86_400.0 - 3_600.0
+fn passed_steps(now: f64, certificate: &Certificate) -> usize {
+    WARNING_STEPS_S.iter().filter(|&&step_s| certificate.not_after - now <= step_s).count()
+}
+
+/// Within the first hour of each whole day left: a root is not so urgent as to warn hourly.
+fn is_daily_warning(remaining_s: f64) -> bool {
+    remaining_s % DAY_S > DAY_S - HOUR_S
 }
 
 #[cfg(test)]
--- a/crates/nickelgw-tls/src/core/pool.rs
+++ b/crates/nickelgw-tls/src/core/pool.rs
@@ -1,359 +1,390 @@
-//! Connections to engines as a budgeted resource: when to reuse one, to open one, to wait, to let one go. Handshakes
-//! are dear to both sides: after a rotation, a zone's return or a node's start, all engines would be asked for one
-//! at once.
+//! Connections to engines as a budgeted resource: when to reuse one, open one, wait, or close one. Handshakes are costly to
+//! both sides: after a rotation, a zone's recovery or a node's start every engine would otherwise be asked for one at once.
 
+pub use super::pool_config::PoolConfig;
 use std::collections::{BTreeMap, VecDeque};
 
-#[derive(Clone, Debug)]
-pub struct Figures {
-    /// Handshakes under way at once: of the node, and towards one engine.
-    pub at_once: usize,
-    pub at_once_engine: usize,
-    /// Askers that may wait for a connection; one more is refused.
-    pub most_waiting: usize,
-    /// Unused connections kept to an engine, and for how long.
-    pub most_idle: usize,
-    pub idle_s: f64,
-    /// After a rotation: gap between two closings of an engine's older unused connections.
-    pub retire_gap_s: f64,
-    /// After a failed handshake an engine is left alone for so long, twice as long each time in a row.
-    pub first_rest_s: f64,
-    pub longest_rest_s: f64,
-}
+/// Failures in a row after which the backoff grows no further.
+const MAX_COUNTED_FAILURES: u32 = 16;
+/// An untrusted certificate is not replaced within moments: its backoff is longer by this factor.
+const UNTRUSTED_BACKOFF_FACTOR: f64 = 4.0;
+/// Engines are spread over this many phases of the retire interval.
+const RETIRE_PHASES: usize = 16;
 
-impl Default for Figures {
-    fn default() -> Self {
-        Figures {
-            at_once: 16,
-            at_once_engine: 2,
-            most_waiting: 4096,
-            most_idle: 64,
-            idle_s: 15.0,
-            retire_gap_s: 0.2,
-            first_rest_s: 0.1,
-            longest_rest_s: 5.0,
-        }
-    }
-}
-
-/// A connection that stands.
+/// Identifies an established connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// Somebody who wants one.
+/// Identifies who wants a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WaiterId(pub u64);
 
+/// The answer to [`Pool::checkout`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Checkout {
+    /// Use this connection.
     Reuse(ConnectionId),
-    /// Make a handshake, and tell how it went.
+    /// Make a handshake, and report how it ended.
     Open,
-    /// An answer comes by [`Pool::due`].
+    /// A [`PoolCommand::Notify`] follows.
     Wait,
-    /// The engine is left alone after failures, or too many wait.
+    /// The engine is in backoff, or too many wait.
     Rejected,
 }
 
+/// What the caller does next.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PoolCommand {
+    /// The answer for one that was told to wait.
     Notify(WaiterId, Checkout),
+    /// Close an idle connection.
     Close(ConnectionId),
 }
 
 /// Why a handshake failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectFailure {
-    /// Not reached, or not in time: the module judges silence by itself, a short rest is enough.
+    /// Not reached, or not in time: the router judges that by itself, a short backoff is enough.
     Unreachable,
-    /// Its certificate is not accepted: that does not mend within moments.
+    /// A certificate is not accepted.
     Untrusted,
 }
 
-struct Idle {
-    conn: ConnectionId,
+struct IdleConnection {
+    id: ConnectionId,
     generation: u64,
     since: f64,
 }
 
+/// The connections of one engine.
 #[derive(Default)]
-struct Lane {
-    /// Most lately used last.
-    idle: Vec<Idle>,
-    /// Handed out, and of which generation.
-    busy: BTreeMap<ConnectionId, u64>,
-    opening: usize,
-    failures: u32,
-    rest_until: f64,
+struct EngineConnections {
+    /// Most recently used last.
+    idle: Vec<IdleConnection>,
+    /// Checked out, and of which generation.
+    in_use: BTreeMap<ConnectionId, u64>,
+    handshakes: usize,
+    consecutive_failures: u32,
+    backoff_until: f64,
     /// When the next older connection may be closed after a rotation.
     retire_at: f64,
 }
 
+impl EngineConnections {
+    fn is_unused(&self) -> bool {
+        self.in_use.is_empty() && self.handshakes == 0
+    }
+
+    fn reset_backoff(&mut self) {
+        self.consecutive_failures = 0;
+        self.backoff_until = 0.0;
+    }
+}
+
+struct Waiter {
+    id: WaiterId,
+    engine: String,
+}
+
+/// The node's connections to all engines.
 pub struct Pool {
-    figures: Figures,
+    config: PoolConfig,
     generation: u64,
-    lanes: BTreeMap<String, Lane>,
-    opening: usize,
-    /// First come first served, but for engines that are at their own limit.
-    waiting: VecDeque<(WaiterId, String)>,
-    openers: BTreeMap<WaiterId, String>,
-    ready: Vec<PoolCommand>,
-    next: u64,
-    pub refused: u64,
+    engines: BTreeMap<String, EngineConnections>,
+    handshakes_in_flight: usize,
+    /// First come first served, but for engines at their own limit.
+    waiting: VecDeque<Waiter>,
+    /// Who makes a handshake, and with which engine.
+    opening: BTreeMap<WaiterId, String>,
+    commands: Vec<PoolCommand>,
+    last_connection: u64,
+    /// Checkouts that were rejected.
+    pub rejected: u64,
+    /// Handshakes begun.
     pub handshakes: u64,
+    /// Checkouts served by an idle connection.
     pub reuses: u64,
 }
 
 impl Pool {
-    pub fn new(figures: Figures) -> Self {
+    /// A pool without connections.
+    pub fn new(config: PoolConfig) -> Self {
         Pool {
-            figures,
+            config,
             generation: 0,
-            lanes: BTreeMap::new(),
-            opening: 0,
+            engines: BTreeMap::new(),
+            handshakes_in_flight: 0,
             waiting: VecDeque::new(),
-            openers: BTreeMap::new(),
-            ready: Vec::new(),
-            next: 0,
-            refused: 0,
+            opening: BTreeMap::new(),
+            commands: Vec::new(),
+            last_connection: 0,
+            rejected: 0,
             handshakes: 0,
             reuses: 0,
         }
     }
 
+    /// Handshakes in flight.
     pub fn opening(&self) -> usize {
-        self.opening
+        self.handshakes_in_flight
     }
 
+    /// Number of waiters.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
+    /// Number of idle connections to an engine.
     pub fn idle(&self, engine: &str) -> usize {
-        self.lanes.get(engine).map_or(0, |l| l.idle.len())
+        self.engines.get(engine).map_or(0, |connections| connections.idle.len())
+    }
+
+    fn has_waiter_for(&self, engine: &str) -> bool {
+        self.waiting.iter().any(|waiter| waiter.engine == engine)
     }
 
-    /// A connection is wanted. Work that an open connection can take waits for no handshake.
-    pub fn want(&mut self, now: f64, engine: &str, asker: WaiterId) -> Checkout {
-        if let Some(conn) = self.reuse(now, engine) {
-            return Checkout::Reuse(conn);
+    /// A connection is wanted. An idle one is used before any handshake is made.
+    pub fn checkout(&mut self, now: f64, engine: &str, waiter: WaiterId) -> Checkout {
+        if let Some(connection) = self.reuse(now, engine) {
+            return Checkout::Reuse(connection);
         }
-        let lane = self.lanes.entry(engine.to_string()).or_default();
-        if now < lane.rest_until {
-            self.refused += 1;
+        let connections = self.engines.entry(engine.to_string()).or_default();
+        if now < connections.backoff_until {
+            self.rejected += 1;
             return Checkout::Rejected;
         }
-        let ahead = self.waiting.iter().any(|w| w.1 == engine);
-        if !ahead && self.may_open(now, engine) {
-            self.open(engine, asker);
+        if !self.has_waiter_for(engine) && self.may_open(now, engine) {
+            self.begin_handshake(engine, waiter);
             return Checkout::Open;
         }
-        if self.waiting.len() >= self.figures.most_waiting {
-            self.refused += 1;
+        if self.waiting.len() >= self.config.max_waiting {
+            self.rejected += 1;
             return Checkout::Rejected;
         }
-        self.waiting.push_back((asker, engine.to_string()));
+        self.waiting.push_back(Waiter { id: waiter, engine: engine.to_string() });
         Checkout::Wait
     }
 
-    /// The most lately used unused connection, one of the generation in force before older ones.
+    /// The most recently used idle connection, one of the current generation before older ones.
     fn reuse(&mut self, now: f64, engine: &str) -> Option<ConnectionId> {
-        let (generation, idle_s) = (self.generation, self.figures.idle_s);
-        let lane = self.lanes.get_mut(engine)?;
-        let fresh = |i: &Idle| now - i.since < idle_s;
-        let newest = lane.idle.iter().rposition(|i| fresh(i) && i.generation == generation);
-        let n = newest.or_else(|| lane.idle.iter().rposition(fresh))?;
-        let i = lane.idle.remove(n);
-        lane.busy.insert(i.conn, i.generation);
+        let (generation, idle_timeout_s) = (self.generation, self.config.idle_timeout_s);
+        let connections = self.engines.get_mut(engine)?;
+        let is_alive = |idle: &IdleConnection| now - idle.since < idle_timeout_s;
+        let is_current = |idle: &IdleConnection| is_alive(idle) && idle.generation == generation;
+        let current = connections.idle.iter().rposition(is_current);
+        let n = current.or_else(|| connections.idle.iter().rposition(is_alive))?;
+        let idle = connections.idle.remove(n);
+        connections.in_use.insert(idle.id, idle.generation);
         self.reuses += 1;
-        Some(i.conn)
+        Some(idle.id)
     }
 
     fn may_open(&self, now: f64, engine: &str) -> bool {
-        let lane = self.lanes.get(engine);
-        let (opening, rest, failures) = lane.map_or((0, 0.0, 0), |l| (l.opening, l.rest_until, l.failures));
-        // One that failed is tried by one at a time, and takes no more of the node's budget.
-        let most = if failures > 0 { 1 } else { self.figures.at_once_engine };
-        now >= rest && opening < most && self.opening < self.figures.at_once
+        if self.handshakes_in_flight >= self.config.max_handshakes {
+            return false;
+        }
+        let Some(connections) = self.engines.get(engine) else {
+            return now >= 0.0 && self.config.max_handshakes_per_engine > 0;
+        };
+        // An engine that failed is tried by one handshake at a time, and takes no more of the node's budget.
+        let has_failed = connections.consecutive_failures > 0;
+        let max_handshakes = if has_failed { 1 } else { self.config.max_handshakes_per_engine };
+        now >= connections.backoff_until && connections.handshakes < max_handshakes
     }
 
-    fn open(&mut self, engine: &str, asker: WaiterId) {
-        self.opening += 1;
+    fn begin_handshake(&mut self, engine: &str, waiter: WaiterId) {
+        self.handshakes_in_flight += 1;
         self.handshakes += 1;
-        self.openers.insert(asker, engine.to_string());
-        self.lanes.entry(engine.to_string()).or_default().opening += 1;
+        self.opening.insert(waiter, engine.to_string());
+        self.engines.entry(engine.to_string()).or_default().handshakes += 1;
     }
 
-    fn close_opening(&mut self, asker: WaiterId) -> Option<String> {
-        let engine = self.openers.remove(&asker)?;
-        self.opening -= 1;
-        if let Some(lane) = self.lanes.get_mut(&engine) {
-            lane.opening -= 1;
+    fn end_handshake(&mut self, waiter: WaiterId) -> Option<String> {
+        let engine = self.opening.remove(&waiter)?;
+        self.handshakes_in_flight -= 1;
+        if let Some(connections) = self.engines.get_mut(&engine) {
+            connections.handshakes -= 1;
         }
         Some(engine)
     }
 
-    /// The handshake that the asker was told to make stands; the connection is its own from now on.
-    pub fn opened(&mut self, now: f64, asker: WaiterId, generation: u64) -> Option<ConnectionId> {
-        let engine = self.close_opening(asker)?;
-        self.next += 1;
-        let conn = ConnectionId(self.next);
-        if let Some(lane) = self.lanes.get_mut(&engine) {
-            (lane.failures, lane.rest_until) = (0, 0.0);
-            lane.busy.insert(conn, generation);
+    /// The waiter's handshake succeeded; the connection is checked out by it.
+    pub fn handshake_succeeded(
+        &mut self,
+        now: f64,
+        waiter: WaiterId,
+        generation: u64,
+    ) -> Option<ConnectionId> {
+        let engine = self.end_handshake(waiter)?;
+        self.last_connection += 1;
+        let connection = ConnectionId(self.last_connection);
+        if let Some(connections) = self.engines.get_mut(&engine) {
+            connections.reset_backoff();
+            connections.in_use.insert(connection, generation);
         }
-        self.serve(now);
-        Some(conn)
+        self.serve_waiters(now);
+        Some(connection)
     }
 
-    /// It failed. Who waits for that engine waits for nothing better.
-    pub fn failed(&mut self, now: f64, asker: WaiterId, why: ConnectFailure) {
-        let Some(engine) = self.close_opening(asker) else { return };
-        self.rest(now, &engine, why);
-        let (gone, rest): (VecDeque<_>, VecDeque<_>) = self.waiting.drain(..).partition(|w| w.1 == engine);
-        self.waiting = rest;
-        self.refused += gone.len() as u64;
-        self.ready.extend(gone.into_iter().map(|w| PoolCommand::Notify(w.0, Checkout::Rejected)));
-        self.serve(now);
+    /// The waiter's handshake failed. Others that wait for that engine are rejected.
+    pub fn handshake_failed(&mut self, now: f64, waiter: WaiterId, failure: ConnectFailure) {
+        let Some(engine) = self.end_handshake(waiter) else { return };
+        self.back_off(now, &engine, failure);
+        let (rejected, others): (VecDeque<_>, VecDeque<_>) =
+            self.waiting.drain(..).partition(|waiter| waiter.engine == engine);
+        self.waiting = others;
+        self.rejected += rejected.len() as u64;
+        let notify = |waiter: Waiter| PoolCommand::Notify(waiter.id, Checkout::Rejected);
+        self.commands.extend(rejected.into_iter().map(notify));
+        self.serve_waiters(now);
     }
 
-    /// A connection of the engine was refused after it stood: TLS 1.3 lets the far side verify us last.
-    pub fn broke(&mut self, now: f64, engine: &str, why: ConnectFailure) {
-        self.rest(now, engine, why);
+    /// An engine rejected an established connection: in TLS 1.3 the far side verifies our certificate last.
+    pub fn connection_failed(&mut self, now: f64, engine: &str, failure: ConnectFailure) {
+        self.back_off(now, engine, failure);
     }
 
-    fn rest(&mut self, now: f64, engine: &str, why: ConnectFailure) {
-        let f = &self.figures;
-        if let Some(lane) = self.lanes.get_mut(engine) {
-            lane.failures = (lane.failures + 1).min(16);
-            let rest = f.first_rest_s * f64::from(1u32 << (lane.failures - 1));
-            let rest = if why == ConnectFailure::Untrusted { 4.0 * rest } else { rest };
-            lane.rest_until = lane.rest_until.max(now + rest.min(f.longest_rest_s));
-        }
+    fn back_off(&mut self, now: f64, engine: &str, failure: ConnectFailure) {
+        let Some(connections) = self.engines.get_mut(engine) else { return };
+        connections.consecutive_failures = (connections.consecutive_failures + 1).min(MAX_COUNTED_FAILURES);
+        let doublings = connections.consecutive_failures - 1;
+        let backoff_s = self.config.initial_backoff_s * f64::from(1u32 << doublings);
+        let backoff_s = match failure {
+            ConnectFailure::Untrusted => UNTRUSTED_BACKOFF_FACTOR * backoff_s,
+            ConnectFailure::Unreachable => backoff_s,
+        };
+        let until = now + backoff_s.min(self.config.max_backoff_s);
+        connections.backoff_until = connections.backoff_until.max(until);
     }
 
-    /// The asker no longer wants one: it waited, or was opening one.
-    pub fn gave_up(&mut self, now: f64, asker: WaiterId) {
-        self.waiting.retain(|w| w.0 != asker);
-        if self.close_opening(asker).is_some() {
-            self.serve(now);
+    /// A waiter no longer wants a connection, whether it waited or made a handshake.
+    pub fn abandon(&mut self, now: f64, waiter: WaiterId) {
+        self.waiting.retain(|waiting| waiting.id != waiter);
+        if self.end_handshake(waiter).is_some() {
+            self.serve_waiters(now);
         }
     }
 
-    /// A connection whose last answer was read to its end comes back.
-    pub fn returned(&mut self, now: f64, engine: &str, conn: ConnectionId) {
-        let (generation, most) = (self.generation, self.figures.most_idle);
-        let Some(lane) = self.lanes.get_mut(engine) else {
-            self.ready.push(PoolCommand::Close(conn));
+    /// A connection is no longer used; its last response was read to the end.
+    pub fn returned(&mut self, now: f64, engine: &str, connection: ConnectionId) {
+        let is_wanted = self.has_waiter_for(engine);
+        let Some(connections) = self.engines.get_mut(engine) else {
+            self.commands.push(PoolCommand::Close(connection));
             return;
         };
-        let Some(g) = lane.busy.remove(&conn) else { return };
-        // Of an older generation it is not kept, unless somebody waits who would need a handshake otherwise.
-        let wanted = self.waiting.iter().any(|w| w.1 == engine);
-        if (g != generation && !wanted) || lane.idle.len() >= most {
-            self.ready.push(PoolCommand::Close(conn));
+        let Some(generation) = connections.in_use.remove(&connection) else { return };
+        // One of an older generation is kept only for a waiter that would need a handshake otherwise.
+        let is_outdated = generation != self.generation && !is_wanted;
+        if is_outdated || connections.idle.len() >= self.config.max_idle {
+            self.commands.push(PoolCommand::Close(connection));
         } else {
-            lane.idle.push(Idle { conn, generation: g, since: now });
+            connections.idle.push(IdleConnection { id: connection, generation, since: now });
         }
-        self.serve(now);
+        self.serve_waiters(now);
     }
 
-    /// A connection is no more, handed out or not.
-    pub fn closed(&mut self, now: f64, engine: &str, conn: ConnectionId) {
-        if let Some(lane) = self.lanes.get_mut(engine) {
-            lane.busy.remove(&conn);
-            lane.idle.retain(|i| i.conn != conn);
+    /// A connection was closed, checked out or not.
+    pub fn closed(&mut self, now: f64, engine: &str, connection: ConnectionId) {
+        if let Some(connections) = self.engines.get_mut(engine) {
+            connections.in_use.remove(&connection);
+            connections.idle.retain(|idle| idle.id != connection);
         }
-        self.serve(now);
+        self.serve_waiters(now);
     }
 
-    /// New keys or trust: new connections are of this generation at once, unused older ones go step by step.
+    /// New keys or trust: new connections are of this generation at once, older idle ones are closed step by step.
     pub fn rotate(&mut self, now: f64, generation: u64) {
         self.generation = generation;
-        for (n, lane) in self.lanes.values_mut().enumerate() {
-            // Engines begin at different times: their replacements do not meet.
-            lane.retire_at = now + self.figures.retire_gap_s * (n % 16) as f64 / 16.0;
+        for (n, connections) in self.engines.values_mut().enumerate() {
+            // Engines begin at different times, so that their new handshakes do not coincide.
+            let phase = (n % RETIRE_PHASES) as f64;
+            connections.retire_at = now + self.config.retire_interval_s * phase / RETIRE_PHASES as f64;
             // What was not accepted before may be now.
-            (lane.failures, lane.rest_until) = (0, 0.0);
+            connections.reset_backoff();
         }
     }
 
-    /// Engines that are no longer listed keep nothing open.
-    pub fn keep_only(&mut self, wanted: impl Fn(&str) -> bool) {
-        let gone: Vec<String> = self.lanes.keys().filter(|e| !wanted(e)).cloned().collect();
-        for engine in gone {
-            let lane = self.lanes.get_mut(&engine);
-            let idle = lane.map(|l| std::mem::take(&mut l.idle)).unwrap_or_default();
-            self.ready.extend(idle.into_iter().map(|i| PoolCommand::Close(i.conn)));
-            // One still in use or being opened is forgotten when that ends.
-            let empty = |l: &Lane| l.busy.is_empty() && l.opening == 0;
-            let awaited = self.waiting.iter().any(|w| w.1 == engine);
-            if !awaited && self.lanes.get(&engine).is_some_and(empty) {
-                self.lanes.remove(&engine);
+    /// Closes idle connections to engines that are no longer listed.
+    pub fn retain_engines(&mut self, is_listed: impl Fn(&str) -> bool) {
+        let removed: Vec<String> = self.engines.keys().filter(|engine| !is_listed(engine)).cloned().collect();
+        for engine in removed {
+            let Some(connections) = self.engines.get_mut(&engine) else { continue };
+            let idle = connections.idle.drain(..);
+            self.commands.extend(idle.map(|idle| PoolCommand::Close(idle.id)));
+            // One that is in use or in a handshake is removed when that has ended.
+            let is_unused = connections.is_unused();
+            if is_unused && !self.has_waiter_for(&engine) {
+                self.engines.remove(&engine);
             }
         }
     }
 
-    /// Gives what is free to those who wait, in the order of their coming.
-    fn serve(&mut self, now: f64) {
+    /// Gives free connections and handshakes to waiters, first come first served.
+    fn serve_waiters(&mut self, now: f64) {
         let mut n = 0;
         while n < self.waiting.len() {
-            let (asker, engine) = self.waiting[n].clone();
-            let answer = match self.reuse(now, &engine) {
-                Some(conn) => Checkout::Reuse(conn),
+            let (waiter, engine) = (self.waiting[n].id, self.waiting[n].engine.clone());
+            let checkout = match self.reuse(now, &engine) {
+                Some(connection) => Checkout::Reuse(connection),
                 None if self.may_open(now, &engine) => {
-                    self.open(&engine, asker);
+                    self.begin_handshake(&engine, waiter);
                     Checkout::Open
                 }
-                None if self.opening >= self.figures.at_once
-                    && self.lanes.values().all(|l| l.idle.is_empty()) =>
-                {
-                    return;
-                }
+                None if self.is_exhausted() => return,
                 None => {
                     n += 1;
                     continue;
                 }
             };
             self.waiting.remove(n);
-            self.ready.push(PoolCommand::Notify(asker, answer));
+            self.commands.push(PoolCommand::Notify(waiter, checkout));
         }
     }
 
-    /// What earlier calls brought, without a look at the clock's own matters.
-    pub fn ready(&mut self) -> Vec<PoolCommand> {
-        std::mem::take(&mut self.ready)
+    /// Nothing is left for any waiter.
+    fn is_exhausted(&self) -> bool {
+        self.handshakes_in_flight >= self.config.max_handshakes
+            && self.engines.values().all(|connections| connections.idle.is_empty())
     }
 
-    /// What to do now, and when to look again.
-    pub fn due(&mut self, now: f64) -> (Vec<PoolCommand>, Option<f64>) {
-        let f = self.figures.clone();
-        let mut wake: Option<f64> = None;
-        let mut sooner = |at: f64| wake = Some(wake.map_or(at, |w| w.min(at)));
-        for lane in self.lanes.values_mut() {
-            let (old, keep): (Vec<_>, Vec<_>) = lane.idle.drain(..).partition(|i| now - i.since >= f.idle_s);
-            lane.idle = keep;
-            self.ready.extend(old.into_iter().map(|i| PoolCommand::Close(i.conn)));
-            let generation = self.generation;
-            while let Some(n) = lane.idle.iter().position(|i| i.generation != generation) {
-                if now < lane.retire_at {
-                    sooner(lane.retire_at);
-                    break;
-                }
-                lane.retire_at = now + f.retire_gap_s;
-                self.ready.push(PoolCommand::Close(lane.idle.remove(n).conn));
+    /// Commands that earlier calls left, without applying timeouts.
+    pub fn take_commands(&mut self) -> Vec<PoolCommand> {
+        std::mem::take(&mut self.commands)
+    }
+
+    /// Applies the timeouts; gives what to do now, and when to poll again.
+    pub fn poll_commands(&mut self, now: f64) -> (Vec<PoolCommand>, Option<f64>) {
+        let mut timers: Vec<f64> = Vec::new();
+        self.close_expired(now, &mut timers);
+        // Who waits while an engine is in backoff is served after it.
+        for waiter in &self.waiting {
+            let backoff_until = self.engines.get(&waiter.engine).map_or(0.0, |engine| engine.backoff_until);
+            if backoff_until > now {
+                timers.push(backoff_until);
             }
-            lane.idle.iter().for_each(|i| sooner(i.since + f.idle_s));
         }
-        // Who waits while an engine rests is served when it has rested.
-        for (_, engine) in &self.waiting {
-            let rest = self.lanes.get(engine).map_or(0.0, |l| l.rest_until);
-            if rest > now {
-                sooner(rest);
+        self.serve_waiters(now);
+        (self.take_commands(), timers.into_iter().reduce(f64::min))
+    }
+
+    /// Closes connections that were idle for too long, and after a rotation one older one in each interval.
+    fn close_expired(&mut self, now: f64, timers: &mut Vec<f64>) {
+        let (generation, config) = (self.generation, &self.config);
+        for connections in self.engines.values_mut() {
+            let (expired, kept): (Vec<_>, Vec<_>) =
+                connections.idle.drain(..).partition(|idle| now - idle.since >= config.idle_timeout_s);
+            connections.idle = kept;
+            self.commands.extend(expired.into_iter().map(|idle| PoolCommand::Close(idle.id)));
+            while let Some(n) = connections.idle.iter().position(|idle| idle.generation != generation) {
+                if now < connections.retire_at {
+                    timers.push(connections.retire_at);
+                    break;
+                }
+                connections.retire_at = now + config.retire_interval_s;
+                self.commands.push(PoolCommand::Close(connections.idle.remove(n).id));
             }
+            timers.extend(connections.idle.iter().map(|idle| idle.since + config.idle_timeout_s));
         }
-        self.serve(now);
-        (std::mem::take(&mut self.ready), wake)
     }
 }
 
--- a/crates/nickelgw-tls/src/core/tickets.rs
+++ b/crates/nickelgw-tls/src/core/tickets.rs
@@ -1,113 +1,111 @@
-//! Resumption tickets: bounded in number and age, never across names or generations, each used once.
+//! TLS session tickets: bounded in number and age, never used across names or generations, each used once.
 
 use std::collections::{BTreeMap, VecDeque};
 
+/// Bounds of a [`Tickets`] store.
+#[derive(Clone, Copy, Debug)]
+pub struct TicketLimits {
+    /// Tickets for one name.
+    pub max_per_name: usize,
+    /// Tickets for all names.
+    pub max_tickets: usize,
+    /// Age beyond which a ticket is not used.
+    pub max_age_s: f64,
+}
+
+struct StoredTicket<T> {
+    received_at: f64,
+    ticket: T,
+}
+
+/// Tickets by the name of their server.
 pub struct Tickets<T> {
-    most_a_name: usize,
-    most: usize,
-    age_s: f64,
+    limits: TicketLimits,
     generation: u64,
-    /// By name: tickets and when they came, newest last.
-    names: BTreeMap<String, VecDeque<(f64, T)>>,
+    /// Newest last.
+    by_name: BTreeMap<String, VecDeque<StoredTicket<T>>>,
     count: usize,
 }
 
 impl<T> Tickets<T> {
-    pub fn new(most_a_name: usize, most: usize, age_s: f64) -> Self {
-        Tickets { most_a_name, most, age_s, generation: 0, names: BTreeMap::new(), count: 0 }
+    /// An empty store of generation 0.
+    pub fn new(limits: TicketLimits) -> Self {
+        Tickets { limits, generation: 0, by_name: BTreeMap::new(), count: 0 }
     }
 
-    /// What was agreed under an earlier generation's keys and trust is not resumed.
+    /// Drops all tickets of an earlier generation: what was agreed under its keys and trust is not resumed.
     pub fn rotate(&mut self, generation: u64) {
         if generation != self.generation {
             self.generation = generation;
-            self.names.clear();
+            self.by_name.clear();
             self.count = 0;
         }
     }
 
-    pub fn put(&mut self, now: f64, generation: u64, name: &str, ticket: T) {
-        if generation != self.generation || self.most_a_name == 0 {
+    /// Stores a ticket, unless it is of another generation.
+    pub fn insert(&mut self, now: f64, generation: u64, name: &str, ticket: T) {
+        if generation != self.generation || self.limits.max_per_name == 0 {
             return;
         }
-        if self.count >= self.most {
+        if self.count >= self.limits.max_tickets {
             self.drop_oldest();
         }
-        let list = self.names.entry(name.to_string()).or_default();
-        list.push_back((now, ticket));
+        let stored = self.by_name.entry(name.to_string()).or_default();
+        stored.push_back(StoredTicket { received_at: now, ticket });
         self.count += 1;
-        if list.len() > self.most_a_name {
-            list.pop_front();
+        if stored.len() > self.limits.max_per_name {
+            stored.pop_front();
             self.count -= 1;
         }
     }
 
-    /// The newest ticket for the name; it is gone by that, as one used twice links connections.
+    /// Removes and gives the newest ticket for the name: a ticket used twice would link two connections.
     pub fn take(&mut self, now: f64, generation: u64, name: &str) -> Option<T> {
         if generation != self.generation {
             return None;
         }
-        let list = self.names.get_mut(name)?;
-        let found = list.pop_back();
-        self.count -= usize::from(found.is_some());
-        match found {
-            Some((at, ticket)) if now - at < self.age_s => Some(ticket),
-            // The newest is too old: so are the rest.
+        let newest = self.by_name.get_mut(name)?.pop_back();
+        self.count -= usize::from(newest.is_some());
+        match newest {
+            Some(stored) if now - stored.received_at < self.limits.max_age_s => Some(stored.ticket),
+            // The newest is too old: so are the others.
             _ => {
-                self.forget(name);
+                self.remove(name);
                 None
             }
         }
     }
 
-    /// An engine that refused a ticket has lost its keys: its other tickets are as void.
-    pub fn forget(&mut self, name: &str) {
-        self.count -= self.names.remove(name).map_or(0, |l| l.len());
+    /// Drops the tickets for a name: a server that refused one has lost its keys.
+    pub fn remove(&mut self, name: &str) {
+        self.count -= self.by_name.remove(name).map_or(0, |stored| stored.len());
     }
 
+    /// Number of tickets.
     pub fn len(&self) -> usize {
         self.count
     }
 
+    /// Whether there are no tickets.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
     fn drop_oldest(&mut self) {
-        let oldest = self.names.iter().filter_map(|(n, l)| Some((l.front()?.0, n.clone())));
-        let oldest = oldest.min_by(|a, b| a.0.total_cmp(&b.0));
-        if let Some((_, name)) = oldest {
-            if let Some(list) = self.names.get_mut(&name) {
-                list.pop_front();
-                self.count -= 1;
-                if list.is_empty() {
-                    self.names.remove(&name);
-                }
-            }
+        let oldest_of_name = |(name, stored): (&String, &VecDeque<StoredTicket<T>>)| {
+            Some((stored.front()?.received_at, name.clone()))
+        };
+        let oldest = self.by_name.iter().filter_map(oldest_of_name).min_by(|x, y| x.0.total_cmp(&y.0));
+        let Some((_, name)) = oldest else { return };
+        let Some(stored) = self.by_name.get_mut(&name) else { return };
+        stored.pop_front();
+        self.count -= 1;
+        if stored.is_empty() {
+            self.by_name.remove(&name);
         }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn tickets_keep_to_their_name_generation_age_and_number() {
-        let mut t = Tickets::new(2, 5, 10.0);
-        t.rotate(1);
-        (0..3).for_each(|k| t.put(k as f64, 1, "a", k));
-        assert_eq!((t.len(), t.take(3.0, 1, "b")), (2, None));
-        assert_eq!(t.take(3.0, 1, "a"), Some(2), "the newest, once");
-        assert_eq!(t.take(20.0, 1, "a"), None, "too old");
-        t.put(20.0, 1, "a", 7);
-        t.put(20.0, 2, "a", 8);
-        assert_eq!(t.take(20.0, 2, "a"), None, "another generation's");
-        t.rotate(2);
-        assert!(t.is_empty() && t.take(20.0, 1, "a").is_none());
-        for k in 0..20 {
-            t.put(30.0 + k as f64, 2, &format!("n{k}"), k);
-        }
-        assert_eq!((t.len(), t.take(50.0, 2, "n0"), t.take(50.0, 2, "n19")), (5, None, Some(19)));
-    }
-}
+#[path = "tickets_tests.rs"]
+mod tests;
--- a/crates/nickelgw-tls/src/key_material.rs
+++ b/crates/nickelgw-tls/src/key_material.rs
@@ -1,164 +1,240 @@
-//! Files of keys, chains and trust: read at one time, understood whole, or refused with file and reason.
+//! Files of keys, chains and trust: read at one time, parsed whole, or rejected with file and reason.
 
-use crate::core::generation::{Cert, KeyMaterial};
+use crate::core::generation::{Certificate, KeyMaterial};
 use rustls::crypto::ring::sign::any_supported_type;
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
-use rustls::sign::CertifiedKey;
+use rustls::sign::{CertifiedKey, SigningKey};
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use x509_parser::prelude::*;
-use zeroize::Zeroizing;
+use zeroize::{Zeroize, Zeroizing};
 
+/// Paths of one side's files, in PEM.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Files {
+    /// Its certificate chain, leaf first.
     pub chain: Option<PathBuf>,
+    /// The leaf's private key.
     pub key: Option<PathBuf>,
+    /// Roots by which the other side is verified.
     pub trust: Option<PathBuf>,
 }
 
+/// One of the three files.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum KeyFile {
+    /// The certificate chain.
+    Chain,
+    /// The private key.
+    Key,
+    /// The trust bundle.
+    Trust,
+}
+
+/// Why the bytes of a file are rejected. Never holds bytes of a key.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+#[error("{reason}")]
+pub struct ParseError {
+    /// The file that is wrong.
+    pub file: KeyFile,
+    /// What is wrong with it.
+    pub reason: String,
+}
+
+/// Why a file was not read.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("{file}: {why}")]
-pub struct Problem {
+#[error("{file}: {reason}")]
+pub struct KeyFileError {
+    /// The file's path.
     pub file: String,
-    pub why: String,
+    /// What is wrong with it.
+    pub reason: String,
 }
 
-/// What the files hold: facts for the decision, and what rustls needs if it is taken.
-pub struct Read {
+/// What the files hold: facts for the check, and what rustls needs if they pass it.
+#[derive(Debug)]
+pub struct LoadedKeyMaterial {
+    /// The facts.
     pub material: KeyMaterial,
-    pub own: Option<Arc<CertifiedKey>>,
+    /// Chain and key, if they belong together.
+    pub certified_key: Option<Arc<CertifiedKey>>,
+    /// The trust bundle.
     pub roots: Vec<CertificateDer<'static>>,
 }
 
-/// Files of certificates are small; one that is not is none.
-const LONGEST_FILE: u64 = 4 << 20;
-const MOST_CERTS: usize = 512;
+/// Larger files are not certificates.
+const MAX_FILE_BYTES: u64 = 4 << 20;
+/// Certificates in one file.
+const MAX_CERTIFICATES: usize = 512;
+/// Permissions of users other than the owner.
+const OTHERS_MODE: u32 = 0o077;
 
-fn bytes(path: &Path) -> Result<(Zeroizing<Vec<u8>>, u32), Problem> {
-    let wrong = |why: String| Problem { file: path.display().to_string(), why };
-    let meta = std::fs::metadata(path).map_err(|e| wrong(e.to_string()))?;
-    if meta.len() > LONGEST_FILE {
-        return Err(wrong(format!("over {LONGEST_FILE} bytes")));
-    }
-    let read = std::fs::read(path).map_err(|e| wrong(e.to_string()))?;
-    Ok((Zeroizing::new(read), meta.mode()))
+struct FileContent {
+    bytes: Zeroizing<Vec<u8>>,
+    mode: u32,
 }
 
-impl Files {
-    pub fn read(&self) -> Result<Read, Problem> {
-        let get = |p: &Option<PathBuf>| p.as_deref().map(bytes).transpose();
-        let (chain, key, trust) = (get(&self.chain)?, get(&self.key)?, get(&self.trust)?);
-        let name = |p: &Option<PathBuf>| p.as_ref().map(|p| p.display().to_string()).unwrap_or_default();
-        let open = key.as_ref().is_some_and(|k| k.1 & 0o077 != 0);
-        let of = |b: &Option<(Zeroizing<Vec<u8>>, u32)>| b.as_ref().map(|b| b.0.clone());
-        let (chain, key, trust) = (of(&chain), of(&key), of(&trust));
-        let mut read = parse(
-            chain.as_ref().map(|b| &b[..]),
-            key.as_ref().map(|b| &b[..]),
-            trust.as_ref().map(|b| &b[..]),
-        )
-        .map_err(|(which, why)| Problem { file: name([&self.chain, &self.key, &self.trust][which]), why })?;
-        read.material.key_open_to_others = open;
-        Ok(read)
-    }
-}
-
-fn certs(pem: &[u8]) -> Result<Vec<CertificateDer<'static>>, String> {
-    let all: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(pem).collect();
-    let all = all.map_err(|e| format!("is not PEM: {e}"))?;
-    if all.is_empty() {
-        return Err("holds no certificate".into());
-    }
-    if all.len() > MOST_CERTS {
-        return Err(format!("holds over {MOST_CERTS} certificates"));
+fn read_file(path: &Path) -> Result<FileContent, KeyFileError> {
+    let failed = |reason: String| KeyFileError { file: path.display().to_string(), reason };
+    let metadata = std::fs::metadata(path).map_err(|error| failed(error.to_string()))?;
+    if metadata.len() > MAX_FILE_BYTES {
+        return Err(failed(format!("over {MAX_FILE_BYTES} bytes")));
     }
-    Ok(all)
+    let bytes = std::fs::read(path).map_err(|error| failed(error.to_string()))?;
+    Ok(FileContent { bytes: Zeroizing::new(bytes), mode: metadata.mode() })
 }
 
-fn names(c: &X509Certificate) -> Vec<String> {
-    let Ok(Some(alt)) = c.subject_alternative_name() else { return Vec::new() };
-    let name = |n: &GeneralName| match n {
-        GeneralName::DNSName(d) => Some(d.to_string()),
-        GeneralName::IPAddress(b) => Some(format!("{b:?}")),
-        _ => None,
-    };
-    alt.value.general_names.iter().filter_map(name).collect()
+fn read_optional(path: &Option<PathBuf>) -> Result<Option<FileContent>, KeyFileError> {
+    path.as_deref().map(read_file).transpose()
 }
 
-fn facts(ders: &[CertificateDer], trust: &[CertificateDer]) -> Result<Vec<Cert>, String> {
-    let read = |d: &CertificateDer, n: usize| match X509Certificate::from_der(d) {
-        Ok((rest, _)) if !rest.is_empty() => Err(format!("certificate {} has bytes after its end", n + 1)),
-        Ok(_) => Ok(()),
-        Err(e) => Err(format!("certificate {} cannot be read: {e}", n + 1)),
-    };
-    for (n, d) in ders.iter().enumerate() {
-        read(d, n)?;
+impl Files {
+    /// Reads and parses the files.
+    pub fn read(&self) -> Result<LoadedKeyMaterial, KeyFileError> {
+        let (chain, key, trust) =
+            (read_optional(&self.chain)?, read_optional(&self.key)?, read_optional(&self.trust)?);
+        let bytes = |content: &'_ Option<FileContent>| content.as_ref().map(|content| content.bytes.clone());
+        let (chain_bytes, key_bytes, trust_bytes) = (bytes(&chain), bytes(&key), bytes(&trust));
+        let parsed = parse(
+            chain_bytes.as_ref().map(|bytes| &bytes[..]),
+            key_bytes.as_ref().map(|bytes| &bytes[..]),
+            trust_bytes.as_ref().map(|bytes| &bytes[..]),
+        );
+        let mut loaded =
+            parsed.map_err(|error| KeyFileError { file: self.name(error.file), reason: error.reason })?;
+        loaded.material.key_readable_by_others = key.is_some_and(|key| key.mode & OTHERS_MODE != 0);
+        Ok(loaded)
     }
-    let x509 = |d| X509Certificate::from_der(d).ok().map(|c| c.1);
-    let roots: Vec<_> = trust.iter().filter_map(|d| x509(d)).collect();
-    let chain: Vec<_> = ders.iter().filter_map(|d| x509(d)).collect();
-    let one = |(n, c): (usize, &X509Certificate)| {
-        let signed = match chain.get(n + 1) {
-            Some(next) => Some(c.verify_signature(Some(next.public_key())).is_ok()),
-            None => {
-                let mut issuers = roots.iter().filter(|r| r.subject() == c.issuer()).peekable();
-                let found = issuers.peek().is_some();
-                found.then(|| issuers.any(|r| c.verify_signature(Some(r.public_key())).is_ok()))
-            }
+
+    fn name(&self, file: KeyFile) -> String {
+        let path = match file {
+            KeyFile::Chain => &self.chain,
+            KeyFile::Key => &self.key,
+            KeyFile::Trust => &self.trust,
         };
-        Cert {
-            id: *blake3::hash(&ders[n]).as_bytes(),
-            subject: c.subject().to_string(),
-            issuer: c.issuer().to_string(),
-            not_before: c.validity().not_before.timestamp() as f64,
-            not_after: c.validity().not_after.timestamp() as f64,
-            names: names(c),
-            is_ca: c.is_ca(),
-            signed,
-        }
-    };
-    Ok(chain.iter().enumerate().map(one).collect())
+        path.as_ref().map(|path| path.display().to_string()).unwrap_or_default()
+    }
 }
 
-/// Understands the files' bytes; wrong ones are told by which file (0 chain, 1 key, 2 trust) and why. No I/O.
+/// Parses the files' bytes. No I/O.
 pub fn parse(
     chain: Option<&[u8]>,
     key: Option<&[u8]>,
     trust: Option<&[u8]>,
-) -> Result<Read, (usize, String)> {
-    let roots = trust.map(certs).transpose().map_err(|e| (2, e))?.unwrap_or_default();
-    let ders = chain.map(certs).transpose().map_err(|e| (0, e))?.unwrap_or_default();
-    let mut digest = blake3::Hasher::new();
-    for part in [chain, key, trust] {
-        let part = part.unwrap_or_default();
-        digest.update(&(part.len() as u64).to_le_bytes()).update(part);
+) -> Result<LoadedKeyMaterial, ParseError> {
+    let roots = parse_certificates(KeyFile::Trust, trust)?;
+    let chain_certificates = parse_certificates(KeyFile::Chain, chain)?;
+    let signing_key = key.map(parse_key).transpose()?;
+    let matches = |signing_key: &Arc<dyn SigningKey>| {
+        let certified = CertifiedKey::new(chain_certificates.clone(), signing_key.clone());
+        !chain_certificates.is_empty() && certified.keys_match().is_ok()
+    };
+    let key_matches = signing_key.as_ref().map(matches);
+    let material = KeyMaterial {
+        chain: describe(KeyFile::Chain, &chain_certificates, &roots)?,
+        key_matches,
+        key_readable_by_others: false,
+        roots: describe(KeyFile::Trust, &roots, &roots)?,
+        digest: digest([chain, key, trust]),
+    };
+    let certified_key = signing_key
+        .filter(|_| key_matches == Some(true))
+        .map(|signing_key| Arc::new(CertifiedKey::new(chain_certificates, signing_key)));
+    Ok(LoadedKeyMaterial { material, certified_key, roots })
+}
+
+fn digest(files: [Option<&[u8]>; 3]) -> [u8; 32] {
+    let mut hasher = blake3::Hasher::new();
+    for file in files {
+        let bytes = file.unwrap_or_default();
+        hasher.update(&(bytes.len() as u64).to_le_bytes());
+        hasher.update(bytes);
     }
-    let signing = match key {
-        None => None,
-        Some(pem) => {
-            // The reason is told, the bytes never.
-            let der =
-                PrivateKeyDer::from_pem_slice(pem).map_err(|e| (1, format!("is no private key: {e}")))?;
-            let made = any_supported_type(&der);
-            let mut der = der;
-            zeroize::Zeroize::zeroize(&mut der);
-            Some(made.map_err(|_| (1, "is a key of a kind that is not supported".to_string()))?)
+    *hasher.finalize().as_bytes()
+}
+
+fn parse_key(pem: &[u8]) -> Result<Arc<dyn SigningKey>, ParseError> {
+    let failed = |reason: String| ParseError { file: KeyFile::Key, reason };
+    let mut der =
+        PrivateKeyDer::from_pem_slice(pem).map_err(|error| failed(format!("is no private key: {error}")))?;
+    let signing_key = any_supported_type(&der);
+    der.zeroize();
+    // The error of rustls is dropped, as it might quote the key.
+    signing_key.map_err(|_| failed("is a key of a kind that is not supported".to_string()))
+}
+
+fn parse_certificates(file: KeyFile, pem: Option<&[u8]>) -> Result<Vec<CertificateDer<'static>>, ParseError> {
+    let failed = |reason: String| ParseError { file, reason };
+    let Some(pem) = pem else { return Ok(Vec::new()) };
+    let certificates: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(pem).collect();
+    let certificates = certificates.map_err(|error| failed(format!("is not PEM: {error}")))?;
+    if certificates.is_empty() {
+        return Err(failed("holds no certificate".into()));
+    }
+    if certificates.len() > MAX_CERTIFICATES {
+        return Err(failed(format!("holds over {MAX_CERTIFICATES} certificates")));
+    }
+    Ok(certificates)
+}
+
+fn parse_x509<'a>(file: KeyFile, der: &'a [u8], number: usize) -> Result<X509Certificate<'a>, ParseError> {
+    let failed = |reason: String| ParseError { file, reason };
+    match X509Certificate::from_der(der) {
+        Ok((rest, _)) if !rest.is_empty() => {
+            Err(failed(format!("certificate {number} has bytes after its end")))
         }
+        Ok((_, certificate)) => Ok(certificate),
+        Err(error) => Err(failed(format!("certificate {number} cannot be read: {error}"))),
+    }
+}
+
+/// The facts of a file's certificates, the last of which may be signed by a trusted root.
+fn describe(
+    file: KeyFile,
+    ders: &[CertificateDer],
+    trust: &[CertificateDer],
+) -> Result<Vec<Certificate>, ParseError> {
+    let chain: Vec<X509Certificate> =
+        ders.iter().enumerate().map(|(n, der)| parse_x509(file, der, n + 1)).collect::<Result<_, _>>()?;
+    let parse_root = |der| X509Certificate::from_der(der).ok().map(|(_, root)| root);
+    let roots: Vec<X509Certificate> = trust.iter().filter_map(|der| parse_root(der)).collect();
+    let describe_one = |(n, certificate): (usize, &X509Certificate)| Certificate {
+        id: *blake3::hash(&ders[n]).as_bytes(),
+        subject: certificate.subject().to_string(),
+        issuer: certificate.issuer().to_string(),
+        not_before: certificate.validity().not_before.timestamp() as f64,
+        not_after: certificate.validity().not_after.timestamp() as f64,
+        names: names(certificate),
+        is_ca: certificate.is_ca(),
+        signature_valid: verify_signature(certificate, chain.get(n + 1), &roots),
     };
-    let fits = |signing: &Arc<dyn rustls::sign::SigningKey>| {
-        let own = CertifiedKey::new(ders.clone(), signing.clone());
-        !ders.is_empty() && own.keys_match().is_ok()
-    };
-    let key_fits = signing.as_ref().map(fits);
-    let material = KeyMaterial {
-        chain: facts(&ders, &roots).map_err(|e| (0, e))?,
-        key_fits,
-        key_open_to_others: false,
-        roots: facts(&roots, &roots).map_err(|e| (2, e))?,
-        digest: *digest.finalize().as_bytes(),
+    Ok(chain.iter().enumerate().map(describe_one).collect())
+}
+
+/// By the next certificate of the chain, or without one by a trusted root; `None` if there is no such root.
+fn verify_signature(
+    certificate: &X509Certificate,
+    next: Option<&X509Certificate>,
+    roots: &[X509Certificate],
+) -> Option<bool> {
+    let is_signed_by =
+        |issuer: &X509Certificate| certificate.verify_signature(Some(issuer.public_key())).is_ok();
+    if let Some(next) = next {
+        return Some(is_signed_by(next));
+    }
+    let mut issuers = roots.iter().filter(|root| root.subject() == certificate.issuer()).peekable();
+    issuers.peek()?;
+    Some(issuers.any(is_signed_by))
+}
+
+fn names(certificate: &X509Certificate) -> Vec<String> {
+    let Ok(Some(extension)) = certificate.subject_alternative_name() else { return Vec::new() };
+    let name = |name: &GeneralName| match name {
+        GeneralName::DNSName(dns_name) => Some(dns_name.to_string()),
+        GeneralName::IPAddress(address) => Some(format!("{address:?}")),
+        _ => None,
     };
-    let own = signing.filter(|_| key_fits == Some(true)).map(|s| Arc::new(CertifiedKey::new(ders, s)));
-    Ok(Read { material, own, roots })
+    extension.value.general_names.iter().filter_map(name).collect()
 }
--- a/crates/nickelgw-tls/src/lib.rs
+++ b/crates/nickelgw-tls/src/lib.rs
@@ -1,11 +1,14 @@
-//! TLS towards engines and on the chat port: what is decided is in [`core`], without I/O; the rest reads files and
-//! speaks rustls.
+//! TLS towards engines and on the chat port. [`core`] decides, without I/O; the other modules read files and configure
+//! rustls.
 
 pub mod core;
 mod failure;
 mod key_material;
 mod peer_config;
+mod reload;
+mod session_store;
 
-pub use failure::{why, TlsFailure};
-pub use key_material::{parse, Files, Problem, Read};
-pub use peer_config::{Client, Server, TlsEvent, Versions};
+pub use failure::{classify_error, TlsFailure};
+pub use key_material::{parse, Files, KeyFile, KeyFileError, LoadedKeyMaterial, ParseError};
+pub use peer_config::{Client, Server, Versions};
+pub use reload::TlsEvent;
--- a/crates/nickelgw-tls/tests/files.rs
+++ b/crates/nickelgw-tls/tests/files.rs
@@ -1,4 +1,4 @@
-//! Files of keys and trust: good ones, bad ones, and bytes of any kind.
+//! Files of keys and trust: valid ones, invalid ones, and arbitrary bytes.
 
 use nickelgw_tls::core::generation::KeyMaterialError;
 use nickelgw_tls::{parse, Client, Files, TlsEvent, Versions};
@@ -11,7 +11,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Root, chain, key.
-fn made(name: &str) -> [String; 3] {
+fn new_pem_files(name: &str) -> [String; 3] {
     let mut root = CertificateParams::new(Vec::<String>::new()).unwrap();
     root.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
     let key = KeyPair::generate().unwrap();
@@ -26,17 +26,17 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64()
 }
 
-struct Dir(PathBuf);
+struct Folder(PathBuf);
 
-impl Dir {
-    fn new(name: &str) -> Dir {
+impl Folder {
+    fn new(name: &str) -> Folder {
         let dir = std::env::temp_dir().join(format!("nickelgw-files-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&dir);
         fs::create_dir_all(&dir).unwrap();
-        Dir(dir)
+        Folder(dir)
     }
 
-    fn put(&self, all: &[String; 3]) {
+    fn write(&self, all: &[String; 3]) {
         for (file, text) in ["root.pem", "own.pem", "own.key"].iter().zip(all) {
             let path = self.0.join(file);
             fs::write(&path, text).unwrap();
@@ -45,50 +45,53 @@
     }
 
     fn files(&self) -> Files {
-        let of = |f: &str| Some(self.0.join(f));
-        Files { chain: of("own.pem"), key: of("own.key"), trust: of("root.pem") }
+        let path = |file: &str| Some(self.0.join(file));
+        Files { chain: path("own.pem"), key: path("own.key"), trust: path("root.pem") }
     }
 }
 
-impl Drop for Dir {
+impl Drop for Folder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-fn refused(said: &[TlsEvent]) -> Option<&KeyMaterialError> {
-    said.iter().find_map(|s| if let TlsEvent::Refused(r) = s { Some(r) } else { None })
+fn refused(events: &[TlsEvent]) -> Option<&KeyMaterialError> {
+    events.iter().find_map(|event| if let TlsEvent::Refused(error) = event { Some(error) } else { None })
 }
 
 #[test]
-fn a_key_that_others_may_read_or_that_does_not_fit_is_refused_and_the_old_stays() {
-    let d = Dir::new("key");
-    let (a, b) = (made("a.example.org"), made("b.example.org"));
-    d.put(&a);
-    let mut c = Client::new(d.files(), Versions::Only13, 0.0);
-    assert_eq!(c.look(now()), vec![TlsEvent::InForce { generation: 1 }]);
-    fs::write(d.0.join("own.key"), &b[2]).unwrap();
-    assert_eq!(refused(&c.look(now())), Some(&KeyMaterialError::KeyDoesNotFit));
-    // Said once, not at each look.
-    assert_eq!((c.look(now()), c.refusal()), (vec![], Some(&KeyMaterialError::KeyDoesNotFit)));
-    assert_eq!(c.config().unwrap().1, 1);
-    d.put(&b);
-    fs::set_permissions(d.0.join("own.key"), fs::Permissions::from_mode(0o644)).unwrap();
-    assert_eq!(refused(&c.look(now())), Some(&KeyMaterialError::KeyOpenToOthers));
-    d.put(&b);
-    assert_eq!(c.look(now()), vec![TlsEvent::InForce { generation: 2 }]);
-    assert_eq!((c.config().unwrap().1, c.refusal()), (2, None));
+fn mismatched_or_readable_key_is_refused_and_the_current_one_stays() {
+    let folder = Folder::new("key");
+    let (first, second) = (new_pem_files("a.example.org"), new_pem_files("b.example.org"));
+    folder.write(&first);
+    let mut client = Client::new(folder.files(), Versions::Only13, 0.0);
+    assert_eq!(client.reload_if_changed(now()), vec![TlsEvent::InForce { generation: 1 }]);
+    fs::write(folder.0.join("own.key"), &second[2]).unwrap();
+    assert_eq!(refused(&client.reload_if_changed(now())), Some(&KeyMaterialError::KeyMismatch));
+    // Reported once, not at each reload.
+    assert_eq!(
+        (client.reload_if_changed(now()), client.refusal()),
+        (vec![], Some(&KeyMaterialError::KeyMismatch))
+    );
+    assert_eq!(client.config().unwrap().1, 1);
+    folder.write(&second);
+    fs::set_permissions(folder.0.join("own.key"), fs::Permissions::from_mode(0o644)).unwrap();
+    assert_eq!(refused(&client.reload_if_changed(now())), Some(&KeyMaterialError::KeyReadableByOthers));
+    folder.write(&second);
+    assert_eq!(client.reload_if_changed(now()), vec![TlsEvent::InForce { generation: 2 }]);
+    assert_eq!((client.config().unwrap().1, client.refusal()), (2, None));
 }
 
 #[test]
-fn what_cannot_be_read_is_told_with_its_file_and_no_byte_of_a_key() {
-    let d = Dir::new("read");
-    let a = made("a.example.org");
-    d.put(&a);
-    let mut c = Client::new(d.files(), Versions::From12, 0.0);
-    c.look(now());
+fn unreadable_file_is_reported_by_name_without_key_bytes() {
+    let folder = Folder::new("read");
+    let first = new_pem_files("a.example.org");
+    folder.write(&first);
+    let mut client = Client::new(folder.files(), Versions::From12, 0.0);
+    client.reload_if_changed(now());
     let secret = "c2VjcmV0LXNlY3JldC1zZWNyZXQ=";
-    for (file, text, word) in [
+    for (file, text, reason) in [
         ("root.pem", "no PEM at all".to_string(), "holds no certificate"),
         (
             "own.pem",
@@ -102,48 +105,54 @@
         ),
         ("own.key", secret.into(), "no private key"),
     ] {
-        d.put(&a);
-        fs::write(d.0.join(file), text).unwrap();
-        let said = c.look(now());
-        let Some(TlsEvent::Unreadable(p)) = said.first() else { panic!("{file}: {said:?}") };
-        assert!(p.file.ends_with(file) && p.why.contains(word) && !p.why.contains(secret), "{p}");
+        folder.write(&first);
+        fs::write(folder.0.join(file), text).unwrap();
+        let events = client.reload_if_changed(now());
+        let Some(TlsEvent::Unreadable(error)) = events.first() else { panic!("{file}: {events:?}") };
+        assert!(
+            error.file.ends_with(file) && error.reason.contains(reason) && !error.reason.contains(secret),
+            "{error}"
+        );
     }
-    fs::remove_file(d.0.join("own.pem")).unwrap();
-    assert!(matches!(&c.look(now())[0], TlsEvent::Unreadable(p) if p.file.ends_with("own.pem")));
-    assert_eq!(c.config().unwrap().1, 1);
+    fs::remove_file(folder.0.join("own.pem")).unwrap();
+    assert!(
+        matches!(&client.reload_if_changed(now())[0], TlsEvent::Unreadable(error) if error.file.ends_with("own.pem"))
+    );
+    assert_eq!(client.config().unwrap().1, 1);
 }
 
 #[test]
-fn a_chain_out_of_order_is_refused() {
-    let [root, leaf, key] = made("a.example.org");
-    let [other, _, _] = made("b.example.org");
-    let read = parse(Some(format!("{leaf}{other}").as_bytes()), Some(key.as_bytes()), Some(root.as_bytes()));
-    assert_eq!(read.ok().unwrap().material.chain[0].signed, Some(false));
+fn chain_out_of_order_has_no_valid_signature() {
+    let [root, leaf, key] = new_pem_files("a.example.org");
+    let [other, _, _] = new_pem_files("b.example.org");
+    let loaded =
+        parse(Some(format!("{leaf}{other}").as_bytes()), Some(key.as_bytes()), Some(root.as_bytes()));
+    assert_eq!(loaded.ok().unwrap().material.chain[0].signature_valid, Some(false));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: RngSeed::Fixed(3), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn no_bytes_make_the_parser_panic(
+    fn any_bytes_are_parsed_or_rejected_without_a_panic(
         cuts in prop::collection::vec((0usize..2000, any::<u8>()), 0..6),
         end in 0usize..2000,
         which in 0usize..3,
         junk in prop::collection::vec(any::<u8>(), 0..200),
     ) {
-        thread_local!(static GOOD: [String; 3] = made("fuzz.example.org"));
-        GOOD.with(|good| {
-            let mut bytes = good[which].clone().into_bytes();
-            for (at, b) in &cuts {
+        thread_local!(static VALID: [String; 3] = new_pem_files("fuzz.example.org"));
+        VALID.with(|valid| {
+            let mut bytes = valid[which].clone().into_bytes();
+            for (at, byte) in &cuts {
                 let n = bytes.len();
-                bytes[at % n] = *b;
+                bytes[at % n] = *byte;
             }
             bytes.truncate(end.max(1));
             bytes.extend(&junk);
-            let of = |n: usize| if n == which { &bytes[..] } else { good[n].as_bytes() };
-            if let Ok(read) = parse(Some(of(1)), Some(of(2)), Some(of(0))) {
-                // What was understood is whole: a key that fits comes with its chain.
-                assert_eq!(read.own.is_some(), read.material.key_fits == Some(true));
-                assert!(!read.material.chain.is_empty() && !read.roots.is_empty());
+            let file = |n: usize| if n == which { &bytes[..] } else { valid[n].as_bytes() };
+            if let Ok(loaded) = parse(Some(file(1)), Some(file(2)), Some(file(0))) {
+                // What was accepted is complete: a matching key comes with its chain.
+                assert_eq!(loaded.certified_key.is_some(), loaded.material.key_matches == Some(true));
+                assert!(!loaded.material.chain.is_empty() && !loaded.roots.is_empty());
             }
             let _ = parse(Some(&junk), Some(&junk), Some(&junk));
         });
