--- a/crates/nickelgw-audit/src/tests.rs
+++ b/crates/nickelgw-audit/src/tests.rs
@@ -2,7 +2,7 @@
 use serde_json::json;
 use test_case::test_case;
 
-/// A conversation that keeps all rules: a read, its state moved, an answer; an engine that drained and one cold.
+/// A run that keeps all rules: a prefill, its KV state fetched, an answer; an engine that drains and one in slow start.
 const GOOD: &str = r#"
 {"t":0,"who":"driver","ev":"rules","drain_grace_s":0.5,"hold_limit_s":0.5,"slack_s":0.1,"routes":{"chat":{"repeat":"retriable"},"book":{"repeat":"non_retriable"},"mark":{"repeat":"deduped","group":"zone","memory_s":2}}}
 {"t":0,"who":"r0","ev":"start","zone":"a","cell":0,"role":"read","cold":false}
@@ -35,70 +35,78 @@
 {"t":9.0,"who":"driver","ev":"end"}
 "#;
 
-fn lines(text: &str) -> Vec<Line> {
-    let mut out: Vec<Line> = text
+fn entries(text: &str) -> Vec<RecordEntry> {
+    let mut entries: Vec<RecordEntry> = text
         .lines()
-        .filter(|l| !l.is_empty())
-        .map(|l| Line::of(&serde_json::from_str(l).unwrap()).unwrap())
+        .filter(|line| !line.is_empty())
+        .map(|line| RecordEntry::from_json(&serde_json::from_str(line).unwrap()).unwrap())
         .collect();
-    sort(&mut out);
-    out
+    sort_by_time(&mut entries);
+    entries
 }
 
 #[test]
-fn a_sound_conversation_breaks_nothing_and_each_rule_had_something_to_judge() {
-    let v = judge(&lines(GOOD));
-    assert!(v.breaks.is_empty(), "{:?}", v.breaks);
-    assert!(Rule::ALL.iter().all(|r| v.judged.get(r.name()).is_some_and(|&n| n > 0)), "{:?}", v.judged);
-    let s = &service(&lines(GOOD))["chat"];
-    assert_eq!((s.taken, s.completed, s.shed, s.in_target), (2, 1, 1, 1));
-    assert!((s.quantile(0.5).unwrap() - 0.2).abs() < 1e-9);
+fn a_correct_run_has_no_violations_and_every_rule_was_checked() {
+    let report = audit(&entries(GOOD));
+    assert!(report.violations.is_empty(), "{:?}", report.violations);
+    assert!(
+        Rule::ALL.iter().all(|rule| report.checked.get(rule.name()).is_some_and(|&n| n > 0)),
+        "{:?}",
+        report.checked
+    );
+    let stats = &route_stats(&entries(GOOD))["chat"];
+    assert_eq!((stats.requests, stats.completed, stats.rejected, stats.completed_in_target), (2, 1, 1, 1));
+    assert!((stats.ttft_quantile(0.5).unwrap() - 0.2).abs() < 1e-9);
 }
 
-// Each break beside the same conversation without it.
-#[test_case(Rule::Lost, "\"ev\":\"final\",\"req\":\"q1\"", "\"ev\":\"none\",\"req\":\"q1\""; "no final answer")]
-#[test_case(Rule::Lost, "{\"t\":1.2,\"who\":\"client\",\"ev\":\"first\"", "{\"t\":3.2,\"who\":\"client\",\"ev\":\"first\""; "begun too late")]
-#[test_case(Rule::Lost, "{\"t\":4.3,\"who\":\"w0\"", "{\"t\":4.51,\"who\":\"w0\""; "sent after the final answer")]
-#[test_case(Rule::Twice, "\"ev\":\"turned\",\"req\":\"q2\"", "\"ev\":\"none\",\"req\":\"q2\""; "non-retriable sent again")]
-#[test_case(Rule::Twice, "\"req\":\"q2\",\"how\":\"errored\"", "\"req\":\"q2\",\"how\":\"shed\""; "shed though it may have run")]
-#[test_case(Rule::Twice, "{\"t\":3.5,\"who\":\"w2\"", "{\"t\":3.5,\"who\":\"w1\""; "deduped outside its zone")]
-#[test_case(Rule::Twice, "{\"t\":3.01,\"who\":\"w0\"", "{\"t\":1.2,\"who\":\"w0\""; "deduped after the memory span")]
-#[test_case(Rule::Drain, "{\"t\":4.0,\"who\":\"list\"", "{\"t\":3.61,\"who\":\"list\""; "sent after the grace")]
-#[test_case(Rule::Cold, "{\"t\":9.0,\"who\":\"driver\",\"ev\":\"end\"}", "{\"t\":9.0,\"who\":\"w2\",\"ev\":\"fell\"}"; "pushed over")]
-#[test_case(Rule::Pinned, "\"ev\":\"send\",\"req\":\"q1\",\"send\":\"s1-1\",\"node\":\"n0\",\"role\":\"write\",\"state\":\"s1-0\"", "\"ev\":\"none\",\"state\":\"x\",\"req\":\"q1\",\"send\":\"s1-1\""; "a state held")]
-fn each_break_is_caught(rule: Rule, good: &str, bad: &str) {
-    assert!(GOOD.contains(good), "the conversation has no {good}");
+// Each violation is made by one change to the correct run.
+#[test_case(Rule::DroppedRequest, "\"ev\":\"final\",\"req\":\"q1\"", "\"ev\":\"none\",\"req\":\"q1\""; "no final answer")]
+#[test_case(Rule::DroppedRequest, "{\"t\":1.2,\"who\":\"client\",\"ev\":\"first\"", "{\"t\":3.2,\"who\":\"client\",\"ev\":\"first\""; "begun too late")]
+#[test_case(Rule::DroppedRequest, "{\"t\":4.3,\"who\":\"w0\"", "{\"t\":4.51,\"who\":\"w0\""; "sent after the final answer")]
+#[test_case(Rule::DuplicateRun, "\"ev\":\"turned\",\"req\":\"q2\"", "\"ev\":\"none\",\"req\":\"q2\""; "non-retriable sent again")]
+#[test_case(Rule::DuplicateRun, "\"req\":\"q2\",\"how\":\"errored\"", "\"req\":\"q2\",\"how\":\"shed\""; "shed though it may have run")]
+#[test_case(Rule::DuplicateRun, "{\"t\":3.5,\"who\":\"w2\"", "{\"t\":3.5,\"who\":\"w1\""; "deduped outside its zone")]
+#[test_case(Rule::DuplicateRun, "{\"t\":3.01,\"who\":\"w0\"", "{\"t\":1.2,\"who\":\"w0\""; "deduped after the memory span")]
+#[test_case(Rule::SendToDraining, "{\"t\":4.0,\"who\":\"list\"", "{\"t\":3.61,\"who\":\"list\""; "sent after the grace")]
+#[test_case(Rule::SlowStartOverload, "{\"t\":9.0,\"who\":\"driver\",\"ev\":\"end\"}", "{\"t\":9.0,\"who\":\"w2\",\"ev\":\"fell\"}"; "pushed over")]
+#[test_case(Rule::UnattendedReservation, "\"ev\":\"send\",\"req\":\"q1\",\"send\":\"s1-1\",\"node\":\"n0\",\"role\":\"write\",\"state\":\"s1-0\"", "\"ev\":\"none\",\"state\":\"x\",\"req\":\"q1\",\"send\":\"s1-1\""; "a state held")]
+fn each_violation_is_detected(rule: Rule, good: &str, bad: &str) {
+    assert!(GOOD.contains(good), "the run has no {good}");
     let mut text = GOOD.replacen(good, bad, 1);
-    if rule == Rule::Pinned {
+    if rule == Rule::UnattendedReservation {
         text = text.replace(
             "{\"t\":1.12,\"who\":\"r0\",\"ev\":\"fetched\"",
             "{\"t\":1.8,\"who\":\"r0\",\"ev\":\"fetched\"",
         );
     }
-    let v = judge(&lines(&text));
-    assert!(v.count(rule) >= 1 && v.breaks.iter().all(|b| b.rule == rule), "{:?}", v.breaks);
-    assert!(!v.breaks[0].evidence.is_empty());
+    let report = audit(&entries(&text));
+    assert!(
+        report.count(rule) >= 1 && report.violations.iter().all(|violation| violation.rule == rule),
+        "{:?}",
+        report.violations
+    );
+    assert!(!report.violations[0].evidence.is_empty());
 }
 
 #[test]
-fn what_a_dead_node_owed_is_excused_and_nothing_else() {
+fn only_requests_of_a_killed_node_are_excused() {
     let no_answer = GOOD.replacen("\"ev\":\"final\",\"req\":\"q1\"", "\"ev\":\"cut\",\"req\":\"q1\"", 1);
-    assert_eq!(judge(&lines(&no_answer)).count(Rule::Lost), 1);
+    assert_eq!(audit(&entries(&no_answer)).count(Rule::DroppedRequest), 1);
     let killed = json!({"t": 1.45, "who": "driver", "ev": "killed", "node": "n0"}).to_string();
-    assert_eq!(judge(&lines(&format!("{no_answer}{killed}\n"))).count(Rule::Lost), 0);
+    assert_eq!(audit(&entries(&format!("{no_answer}{killed}\n"))).count(Rule::DroppedRequest), 0);
     let other = killed.replace("n0", "n1");
-    assert_eq!(judge(&lines(&format!("{no_answer}{other}\n"))).count(Rule::Lost), 1);
+    assert_eq!(audit(&entries(&format!("{no_answer}{other}\n"))).count(Rule::DroppedRequest), 1);
 }
 
 #[test]
-fn a_record_without_rules_is_no_verdict() {
-    assert_eq!(judge(&[]).breaks.len(), 1);
+fn a_record_without_rules_is_a_violation() {
+    assert_eq!(audit(&[]).violations.len(), 1);
 }
 
 #[test]
-fn a_word_that_takes_nearly_all_away_may_be_doubted_for_a_time_and_a_drain_never() {
+fn a_mass_removal_may_await_confirmation_but_a_drain_may_not() {
     let record = |draining: &str, sent_at: f64, doubt: &str| {
-        lines(&format!(
+        entries(&format!(
             r#"{{"t":0.0,"who":"driver","ev":"rules","drain_grace_s":0.5,"hold_limit_s":0.5,"slack_s":0.1,"routes":{{}}{doubt}}}
 {{"t":1.0,"who":"list","ev":"told","node":"n0","in":["w0","w1","w2","w3"],"draining":[]}}
 {{"t":2.0,"who":"list","ev":"told","node":"n0","in":[],"draining":[{draining}]}}
@@ -107,8 +115,9 @@
         ))
     };
     let doubt = r#","doubt_share":0.34,"doubt_least":2,"doubt_s":10.0"#;
-    let broken = |draining, at, doubt| judge(&record(draining, at, doubt)).count(Rule::Drain);
-    assert_eq!((broken("", 4.0, ""), broken("", 4.0, doubt), broken("", 13.0, doubt)), (1, 0, 1));
-    assert_eq!(broken("\"w1\"", 4.0, doubt), 1);
-    assert_eq!(judge(&record("", 4.0, doubt)).doubted, 1);
+    let violations =
+        |draining, sent_at, doubt| audit(&record(draining, sent_at, doubt)).count(Rule::SendToDraining);
+    assert_eq!((violations("", 4.0, ""), violations("", 4.0, doubt), violations("", 13.0, doubt)), (1, 0, 1));
+    assert_eq!(violations("\"w1\"", 4.0, doubt), 1);
+    assert_eq!(audit(&record("", 4.0, doubt)).unconfirmed_removal_attempts, 1);
 }
--- a/crates/nickelgw-cli/src/rehearse.rs
+++ b/crates/nickelgw-cli/src/rehearse.rs
@@ -3,7 +3,7 @@
 use crate::{start, Unusable};
 use futures_lite::{AsyncBufReadExt, StreamExt};
 use nanorand::{Rng, WyRand};
-use nickelgw_audit::{Rule, Service, Verdict};
+use nickelgw_audit::{AuditReport, RouteStats, Rule};
 use nickelgw_protocol::list::{self, EndpointEntry, EngineState};
 use nickelgw_rehearsal::core::bench_day;
 use nickelgw_rehearsal::core::script::Script;
@@ -108,8 +108,8 @@
     day: Day,
     script: Script,
     series: Series,
-    routes: BTreeMap<String, Service>,
-    verdict: Verdict,
+    routes: BTreeMap<String, RouteStats>,
+    verdict: AuditReport,
     notes: Vec<String>,
     stall: f64,
 }
@@ -167,7 +167,7 @@
             if many {
                 let served = 100.0 * o.series.sum(0, o.series.seconds).share().unwrap_or(0.0);
                 let worst = o.series.worst().map_or("-".into(), |w| format!("{:.0}%", 100.0 * w.1));
-                let broken = o.verdict.breaks.len();
+                let broken = o.verdict.violations.len();
                 println!(
                     "{:<16} served {served:>5.1}%, worst 10 s {worst:>4}, rules broken {broken}",
                     o.day.name
@@ -187,7 +187,7 @@
             let played: Vec<Played> = outcomes.iter().map(|o| self.played(o)).collect();
             std::fs::write(root.join("report.html"), page("Rehearsal", &played))?;
         }
-        let sound = outcomes.iter().all(|o| o.verdict.breaks.is_empty());
+        let sound = outcomes.iter().all(|o| o.verdict.violations.is_empty());
         Ok(if sound { ExitCode::SUCCESS } else { ExitCode::from(1) })
     }
 
@@ -220,13 +220,13 @@
         let ex = Rc::new(LocalExecutor::new());
         let work = play(day.clone(), self.seed, (self.cold, self.fair), dir.to_path_buf(), ex.clone());
         let stall = smol::block_on(ex.run(work))?;
-        let lines = nickelgw_audit::read(&dir.join("records"))?;
-        let begun = lines.iter().find(|l| l.ev == "begin").map_or(0.0, |l| l.t);
+        let lines = nickelgw_audit::read_records(&dir.join("records"))?;
+        let begun = lines.iter().find(|l| l.event == "begin").map_or(0.0, |l| l.time_s);
         Ok(Outcome {
             script: Script::of(&day, self.seed),
             series: Series::of(&lines, begun, day.length_s),
-            routes: nickelgw_audit::service(&lines),
-            verdict: nickelgw_audit::judge(&lines),
+            routes: nickelgw_audit::route_stats(&lines),
+            verdict: nickelgw_audit::audit(&lines),
             notes,
             stall,
             day,
@@ -249,15 +249,15 @@
         let v = &o.verdict;
         let counts: serde_json::Map<String, Value> =
             Rule::ALL.iter().map(|r| (r.name().to_string(), json!(v.count(*r)))).collect();
-        let route = |(name, s): (&String, &Service)| {
-            let v = json!({"taken": s.taken, "completed": s.completed, "shed": s.shed, "errored": s.errored,
-                "in_target": s.in_target, "wanted": s.wanted, "served": s.served, "left": s.left, "cut": s.cut,
-                "first_token_p50_s": s.quantile(0.5), "first_token_p99_s": s.quantile(0.99)});
+        let route = |(name, s): (&String, &RouteStats)| {
+            let v = json!({"taken": s.requests, "completed": s.completed, "shed": s.rejected, "errored": s.failed,
+                "in_target": s.completed_in_target, "wanted": s.distinct_requests, "served": s.distinct_in_target, "left": s.client_disconnects, "cut": s.connection_failures,
+                "first_token_p50_s": s.ttft_quantile(0.5), "first_token_p99_s": s.ttft_quantile(0.99)});
             (name.clone(), v)
         };
         let routes: serde_json::Map<String, Value> = o.routes.iter().map(route).collect();
-        let one = |b: &nickelgw_audit::Break| json!({"rule": b.rule.name(), "what": b.what, "evidence": b.evidence});
-        let breaks: Vec<Value> = v.breaks.iter().map(one).collect();
+        let one = |b: &nickelgw_audit::Violation| json!({"rule": b.rule.name(), "what": b.description, "evidence": b.evidence});
+        let breaks: Vec<Value> = v.violations.iter().map(one).collect();
         // After each trouble: service in its first ten seconds, and time until it is back.
         let after = |t: &nickelgw_rehearsal::core::script::Trouble| {
             let at = t.from_s as usize;
@@ -269,9 +269,9 @@
         let worst = o.series.worst().map(|w| json!({"at_s": w.0, "served": w.1}));
         json!({"day": o.day.name, "seed": self.seed, "served": o.series.sum(0, o.series.seconds).share(),
             "rules": counts, "routes": routes, "worst_10_s": worst, "troubles": troubles,
-            "judged": v.judged, "excused_states": v.excused, "doubted_sends": v.doubted, "nearest_cold": v.nearest_cold, "breaks": breaks,
-            "driver_stall_s": o.stall, "held": v.held.len(), "held_p50_s": v.held(0.5),
-            "held_p99_s": v.held(0.99), "held_longest_s": v.held(1.0), "notes": o.notes})
+            "judged": v.checked, "excused_states": v.excused_reservations, "doubted_sends": v.unconfirmed_removal_attempts, "nearest_cold": v.max_slow_start_load, "breaks": breaks,
+            "driver_stall_s": o.stall, "held": v.unattended_s.len(), "held_p50_s": v.unattended_quantile(0.5),
+            "held_p99_s": v.unattended_quantile(0.99), "held_longest_s": v.unattended_quantile(1.0), "notes": o.notes})
     }
 }
 
--- a/crates/nickelgw-cli/tests/fleet/site.rs
+++ b/crates/nickelgw-cli/tests/fleet/site.rs
@@ -324,16 +324,17 @@
         sent.filter(|l| l["t"].as_f64().is_some_and(|t| t >= from && t < to)).count()
     }
 
-    fn verdict(&self, but: &str) -> nickelgw_audit::Verdict {
-        let mut lines: Vec<_> = self.record.lines().iter().filter_map(nickelgw_audit::Line::of).collect();
-        lines.retain(|l| l.ev != "ask" || l.text("node") != but);
-        nickelgw_audit::sort(&mut lines);
-        nickelgw_audit::judge(&lines)
+    fn verdict(&self, but: &str) -> nickelgw_audit::AuditReport {
+        let mut lines: Vec<_> =
+            self.record.lines().iter().filter_map(nickelgw_audit::RecordEntry::from_json).collect();
+        lines.retain(|l| l.event != "ask" || l.text("node") != but);
+        nickelgw_audit::sort_by_time(&mut lines);
+        nickelgw_audit::audit(&lines)
     }
 
     /// Nearest that a cold engine came to being pushed over, as a part of what it stands.
     pub fn nearest_cold(&self) -> f64 {
-        self.verdict("").nearest_cold
+        self.verdict("").max_slow_start_load
     }
 
     /// What the auditor finds wrong in all that crossed the wire.
@@ -344,8 +345,8 @@
     /// Leaving out what was asked of this node.
     pub fn breaks_but(&self, node: &str) -> Vec<String> {
         let verdict = self.verdict(node);
-        assert!(verdict.judged.get("lost").is_some_and(|n| *n > 0), "nothing was judged");
-        verdict.breaks.iter().take(10).map(|b| format!("{}: {}", b.rule.name(), b.what)).collect()
+        assert!(verdict.checked.get("lost").is_some_and(|n| *n > 0), "nothing was judged");
+        verdict.violations.iter().take(10).map(|b| format!("{}: {}", b.rule.name(), b.description)).collect()
     }
 }
 
--- a/crates/nickelgw-node/tests/common/mod.rs
+++ b/crates/nickelgw-node/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use nickelgw::interface::{Deployment, Idempotency, IdempotencyScope, ModelRoute};
-use nickelgw_audit::{judge, Line, Verdict};
+use nickelgw_audit::{audit, AuditReport, RecordEntry};
 use nickelgw_node::{Limits, NodeOptions, TlsOptions};
 use nickelgw_node_core::admission::{Model, Tenant};
 use nickelgw_node_core::{Admission, CoreConfig};
@@ -286,18 +286,19 @@
         thread::spawn(move || smol::block_on(client::ask(&ask, &record)).expect("the node is there"))
     }
 
-    pub fn verdict(&self) -> Verdict {
+    pub fn verdict(&self) -> AuditReport {
         self.record.note("end", json!({}));
-        let mut lines: Vec<Line> = self.record.lines().iter().filter_map(Line::of).collect();
-        nickelgw_audit::sort(&mut lines);
-        judge(&lines)
+        let mut lines: Vec<RecordEntry> =
+            self.record.lines().iter().filter_map(RecordEntry::from_json).collect();
+        nickelgw_audit::sort_by_time(&mut lines);
+        audit(&lines)
     }
 
     /// All rules kept, and nothing held or running anywhere.
     pub fn assert_sound(&self) {
         let v = self.verdict();
-        assert!(v.breaks.is_empty(), "{:#?}", v.breaks);
-        assert!(v.judged.contains_key("lost"), "nothing was judged");
+        assert!(v.violations.is_empty(), "{:#?}", v.violations);
+        assert!(v.checked.contains_key("lost"), "nothing was judged");
     }
 
     pub fn assert_empty(&self, engines: &[&str]) {
--- a/crates/nickelgw-node/tests/failures.rs
+++ b/crates/nickelgw-node/tests/failures.rs
@@ -141,7 +141,7 @@
     assert_eq!(w.play(w.ask("back", "chat")).how, "completed");
     assert_eq!(to(&w, "w0a"), 1);
     let v = w.verdict();
-    assert!(v.breaks.is_empty() && v.judged["drain"] > 0, "{:?} {:?}", v.breaks, v.judged);
+    assert!(v.violations.is_empty() && v.checked["drain"] > 0, "{:?} {:?}", v.violations, v.checked);
 }
 
 #[test]
@@ -228,5 +228,9 @@
     thread::sleep(Duration::from_millis(500));
     let v = w.verdict();
     // Its states, never let go, are pinned too.
-    assert!(v.count(Rule::Lost) == 1 && v.count(Rule::Pinned) >= 1, "{:#?}", v.breaks);
+    assert!(
+        v.count(Rule::DroppedRequest) == 1 && v.count(Rule::UnattendedReservation) >= 1,
+        "{:#?}",
+        v.violations
+    );
 }
--- a/crates/nickelgw-rehearsal/src/core/series.rs
+++ b/crates/nickelgw-rehearsal/src/core/series.rs
@@ -1,7 +1,7 @@
 //! Service over time, from the clients' lines: how much of what was wanted in each span was served in target, and the
 //! worst ten seconds.
 
-use nickelgw_audit::Line;
+use nickelgw_audit::RecordEntry;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Counts of one model route in one span.
@@ -39,20 +39,20 @@
 
 impl Series {
     /// `begun`: Unix time at the day's second 0. A request counts in the second in which it was first wanted.
-    pub fn of(lines: &[Line], begun: f64, length_s: f64) -> Series {
+    pub fn of(lines: &[RecordEntry], begun: f64, length_s: f64) -> Series {
         let seconds = length_s.ceil().max(1.0) as usize;
         let mut out = Series { routes: BTreeMap::new(), seconds };
         // Of each request: its route, second, and target; asked again it is the first that counts.
-        let mut asks: BTreeMap<&str, (&str, usize, &Line)> = BTreeMap::new();
+        let mut asks: BTreeMap<&str, (&str, usize, &RecordEntry)> = BTreeMap::new();
         let mut in_target: BTreeSet<&str> = BTreeSet::new();
         let mut served: BTreeSet<&str> = BTreeSet::new();
         for l in lines {
             let req = l.text("req");
-            if l.ev == "ask" {
+            if l.event == "ask" {
                 let origin = l.text("of");
                 let at = match asks.get(origin) {
                     Some(first) => first.1,
-                    None => ((l.num("intended") - begun).max(0.0) as usize).min(seconds - 1),
+                    None => ((l.number("intended") - begun).max(0.0) as usize).min(seconds - 1),
                 };
                 asks.insert(req, (l.text("model"), at, l));
                 if origin.is_empty() {
@@ -62,8 +62,8 @@
             }
             let Some(&(model, at, ask)) = asks.get(req) else { continue };
             let origin = if ask.text("of").is_empty() { req } else { ask.text("of") };
-            match (l.ev.as_str(), l.text("how")) {
-                ("first", _) if l.t - ask.num("intended") <= ask.num("target_s") => {
+            match (l.event.as_str(), l.text("how")) {
+                ("first", _) if l.time_s - ask.number("intended") <= ask.number("target_s") => {
                     in_target.insert(req);
                 }
                 ("final", "completed") if in_target.contains(req) && served.insert(origin) => {
@@ -114,10 +114,10 @@
     use super::*;
     use serde_json::json;
 
-    fn line(t: f64, v: serde_json::Value) -> Line {
+    fn line(t: f64, v: serde_json::Value) -> RecordEntry {
         let mut v = v;
         (v["t"], v["who"]) = (json!(t), json!("client"));
-        Line::of(&v).unwrap()
+        RecordEntry::from_json(&v).unwrap()
     }
 
     #[test]
@@ -145,7 +145,7 @@
                 lines.push(line(t + 6.0, json!({"ev": "final", "how": "completed", "req": again})));
             }
         }
-        lines.sort_by(|a, b| a.t.total_cmp(&b.t));
+        lines.sort_by(|a, b| a.time_s.total_cmp(&b.time_s));
         let s = Series::of(&lines, 100.0, 30.0);
         let spans = &s.routes["chat"];
         assert_eq!((spans[9].served, spans[10].served, spans[12].served), (1, 1, 0));
--- a/crates/nickelgw-rehearsal/src/report.rs
+++ b/crates/nickelgw-rehearsal/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::core::script::Trouble;
 use crate::core::series::{Series, Span, WORST_S};
-use nickelgw_audit::{Rule, Service, Verdict};
+use nickelgw_audit::{AuditReport, RouteStats, Rule};
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -12,8 +12,8 @@
     pub seed: u64,
     pub series: &'a Series,
     pub troubles: &'a [Trouble],
-    pub routes: &'a BTreeMap<String, Service>,
-    pub verdict: &'a Verdict,
+    pub routes: &'a BTreeMap<String, RouteStats>,
+    pub verdict: &'a AuditReport,
     pub notes: &'a [String],
 }
 
@@ -92,19 +92,19 @@
     s.push_str(&chart(p).unwrap_or_else(|| "<p>no chart</p>".into()));
     s.push_str("<table><tr><th>model route</th><th>wanted</th><th>served</th><th>completed</th><th>shed</th><th>errored</th><th>first token p50</th><th>p99</th></tr>");
     for (name, r) in p.routes {
-        let ms = |q| r.quantile(q).map_or("-".into(), |x: f64| format!("{:.0} ms", 1e3 * x));
-        let served = 100.0 * r.served as f64 / r.wanted.max(1) as f64;
-        let _ = write!(s, "<tr><td>{}</td><td>{}</td><td>{served:.1}%</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td></tr>", escaped(name), r.wanted, r.completed, r.shed, r.errored, ms(0.5), ms(0.99));
+        let ms = |q| r.ttft_quantile(q).map_or("-".into(), |x: f64| format!("{:.0} ms", 1e3 * x));
+        let served = 100.0 * r.distinct_in_target as f64 / r.distinct_requests.max(1) as f64;
+        let _ = write!(s, "<tr><td>{}</td><td>{}</td><td>{served:.1}%</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td></tr>", escaped(name), r.distinct_requests, r.completed, r.rejected, r.failed, ms(0.5), ms(0.99));
     }
     s.push_str("</table><ul>");
     for r in Rule::ALL {
         let n = p.verdict.count(r);
-        let judged = p.verdict.judged.get(r.name()).copied().unwrap_or(0);
+        let judged = p.verdict.checked.get(r.name()).copied().unwrap_or(0);
         let word = if n == 0 { "kept".to_string() } else { format!("<b>broken {n} times</b>") };
-        let _ = write!(s, "<li>{}: {word} ({judged} judged): {}</li>", r.name(), r.says());
+        let _ = write!(s, "<li>{}: {word} ({judged} judged): {}</li>", r.name(), r.description());
     }
-    for b in p.verdict.breaks.iter().take(20) {
-        let _ = write!(s, "<li><b>{}</b>: {}</li>", b.rule.name(), escaped(&b.what));
+    for b in p.verdict.violations.iter().take(20) {
+        let _ = write!(s, "<li><b>{}</b>: {}</li>", b.rule.name(), escaped(&b.description));
     }
     for n in p.notes {
         let _ = write!(s, "<li>{}</li>", escaped(n));
@@ -139,9 +139,11 @@
         let series =
             Series { routes: [("chat".into(), spans(2)), ("a<b".into(), spans(5))].into(), seconds: 30 };
         let troubles = [Trouble { name: "crash readers".into(), from_s: 12.0, to_s: 15.0 }];
-        let routes =
-            BTreeMap::from([("a<b".to_string(), Service { wanted: 300, served: 295, ..Service::default() })]);
-        let (verdict, notes) = (Verdict::default(), ["<script>".to_string()]);
+        let routes = BTreeMap::from([(
+            "a<b".to_string(),
+            RouteStats { distinct_requests: 300, distinct_in_target: 295, ..RouteStats::default() },
+        )]);
+        let (verdict, notes) = (AuditReport::default(), ["<script>".to_string()]);
         let p = Played {
             name: "a day",
             seed: 3,
