--- a/crates/nickelgw-cli/src/bench.rs
+++ b/crates/nickelgw-cli/src/bench.rs
@@ -13,7 +13,7 @@
 use nickelgw_protocol::list::{self, EndpointEntry, EndpointList, EngineState};
 use nickelgw_protocol::sse::{Event, EventDecoder};
 use nickelgw_protocol::{ATTEMPT_ID_HEADER, REQUEST_ID_HEADER};
-use nickelgw_test_servers::model::Figures;
+use nickelgw_test_servers::engine_config::EngineConfig;
 use nickelgw_tls::core::pool::Figures as PoolFigures;
 use serde_json::{json, Value};
 use smol::process::Child;
@@ -56,17 +56,17 @@
 }
 
 /// Engines whose own times are small and which are never full: what is left is the node's.
-pub fn quick() -> Figures {
-    Figures {
+pub fn quick() -> EngineConfig {
+    EngineConfig {
         slots: 4000,
-        queue: 4000,
+        max_queue_len: 4000,
         memory_tokens: 1e9,
-        read_s: 0.002,
-        read_tokens_per_s: 1e6,
-        step_s: 0.002,
-        step_per_stream_s: 0.0,
-        state_bytes_per_token: 64.0,
-        ..Figures::default()
+        prefill_base_s: 0.002,
+        prefill_tokens_per_s: 1e6,
+        decode_step_s: 0.002,
+        decode_step_per_stream_s: 0.0,
+        kv_bytes_per_token: 64.0,
+        ..EngineConfig::default()
     }
 }
 
@@ -222,7 +222,7 @@
     ex: &Rc<LocalExecutor<'static>>,
     name: &str,
     writers: usize,
-    f: Figures,
+    f: EngineConfig,
     more: &str,
 ) -> Result<Fleet, Unusable> {
     let dir = std::env::temp_dir().join(format!("nickelgw-bench-{}-{name}", std::process::id()));
@@ -385,7 +385,7 @@
         println!("  in the node: {}", out["meter_rate"]);
 
         println!("memory for open streams:");
-        let slow = Figures { step_s: 2.0, ..quick };
+        let slow = EngineConfig { decode_step_s: 2.0, ..quick };
         let f = fleet(&ex, "memory", 4, slow, WIDE).await?;
         let empty = f.node_uses().1;
         let begun = Instant::now();
--- a/crates/nickelgw-cli/src/bench_fleet.rs
+++ b/crates/nickelgw-cli/src/bench_fleet.rs
@@ -6,8 +6,8 @@
 use hdrhistogram::Histogram;
 use nickelgw_protocol::list::{self, EndpointEntry, EngineState};
 use nickelgw_registry::core::view::{EndpointView, Event, Figures};
-use nickelgw_test_servers::model::{Figures as EngineFigures, Role};
-use nickelgw_test_servers::{client, Record};
+use nickelgw_test_servers::engine_config::{EngineConfig as EngineFigures, Role};
+use nickelgw_test_servers::{client, Recorder};
 use serde_json::json;
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
@@ -79,15 +79,15 @@
     // 50 readers and 50 writers of each about 217 requests a second together.
     let f = EngineFigures {
         id: made.id.clone(),
-        role: if n.is_multiple_of(2) { Role::Read } else { Role::Write },
+        role: if n.is_multiple_of(2) { Role::Prefill } else { Role::Decode },
         slots: if n.is_multiple_of(2) { 1 } else { 2 },
-        read_s: 0.22,
-        step_s: 0.1,
-        step_per_stream_s: 0.0,
-        out_tokens: 4,
+        prefill_base_s: 0.22,
+        decode_step_s: 0.1,
+        decode_step_per_stream_s: 0.0,
+        mean_output_tokens: 4,
         ..EngineFigures::default()
     };
-    thread::spawn(move || smol::block_on(nickelgw_test_servers::engine::run(l, f, Record::default(), 1)));
+    thread::spawn(move || smol::block_on(nickelgw_test_servers::engine::run(l, f, Recorder::default(), 1)));
     Ok(made)
 }
 
@@ -104,7 +104,7 @@
     ] {
         let l = TcpListener::bind("127.0.0.1:0")?;
         let registry = l.local_addr()?.to_string();
-        thread::spawn(move || smol::block_on(nickelgw_test_servers::registry::run(l, Record::default())));
+        thread::spawn(move || smol::block_on(nickelgw_test_servers::registry::run(l, Recorder::default())));
         let put = |l: &EndpointEntry| {
             order(&registry, json!({"order": "put", "key": format!("{PREFIX}{}", l.id), "value": l}));
         };
@@ -124,20 +124,20 @@
                     let at = Instant::now();
                     let address = address.clone();
                     asked.push(ex.spawn(async move {
-                        let ask = client::Ask {
-                            req: format!("q{n}"),
+                        let ask = client::ChatCall {
+                            request_id: format!("q{n}"),
                             address,
                             model: "chat".into(),
                             prompt: format!("tell me {n}"),
                             stream: true,
                             max_tokens: Some(4),
                             timeout_s: 4.0,
-                            target_s: 1.0,
-                            intended: nickelgw_test_servers::record::unix_now(),
-                            ..client::Ask::default()
+                            ttft_target_s: 1.0,
+                            intended_start: nickelgw_test_servers::recorder::unix_now(),
+                            ..client::ChatCall::default()
                         };
-                        let seen = client::ask(&ask, &Record::default()).await;
-                        seen.filter(|s| s.how == "completed").and_then(|s| s.first_s)
+                        let seen = client::call(&ask, &Recorder::default()).await;
+                        seen.filter(|s| s.outcome == "completed").and_then(|s| s.ttft_s)
                     }));
                     rest(1.0 / 150.0 - at.elapsed().as_secs_f64()).await;
                 }
@@ -214,22 +214,22 @@
         for n in 0..12 {
             let l = TcpListener::bind("127.0.0.1:0")?;
             let address = l.local_addr()?.to_string();
-            let role = if n % 2 == 0 { Role::Read } else { Role::Write };
+            let role = if n % 2 == 0 { Role::Prefill } else { Role::Decode };
             let f = EngineFigures {
                 id: format!("e{n}"),
                 role,
                 slots: 32,
-                out_tokens: 10,
+                mean_output_tokens: 10,
                 ..EngineFigures::default()
             };
             lines.push(line(n, &address));
             thread::spawn(move || {
-                smol::block_on(nickelgw_test_servers::engine::run(l, f, Record::default(), 1))
+                smol::block_on(nickelgw_test_servers::engine::run(l, f, Recorder::default(), 1))
             });
         }
         let l = TcpListener::bind("127.0.0.1:0")?;
         let registry = l.local_addr()?.to_string();
-        thread::spawn(move || smol::block_on(nickelgw_test_servers::registry::run(l, Record::default())));
+        thread::spawn(move || smol::block_on(nickelgw_test_servers::registry::run(l, Recorder::default())));
         for l in &lines {
             order(&registry, json!({"order": "put", "key": format!("{PREFIX}{}", l.id), "value": l}));
         }
@@ -246,7 +246,7 @@
         let from = Instant::now();
         thread::spawn(move || smol::block_on(nickelgw_node::run(l, start)));
         let call = b"GET /healthz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-        while client::status(&smol::block_on(client::raw(&address, &[call], 0.0, 1.0))) != 200 {
+        while client::response_status(&smol::block_on(client::send_raw(&address, &[call], 0.0, 1.0))) != 200 {
             if from.elapsed() > Duration::from_secs(10) {
                 return Err(Unusable("the node did not come to serve".into()));
             }
@@ -369,19 +369,21 @@
                     thread::spawn(move || {
                         smol::block_on(async move {
                             rest(0.025 * f64::from(n)).await;
-                            let ask = client::Ask {
-                                req: format!("q{n}"),
+                            let ask = client::ChatCall {
+                                request_id: format!("q{n}"),
                                 address,
                                 model: "chat".into(),
                                 prompt: "tell me".into(),
                                 max_tokens: Some(3),
                                 stream: true,
                                 timeout_s: 4.0,
-                                target_s: 1.0,
-                                intended: nickelgw_test_servers::record::unix_now(),
-                                ..client::Ask::default()
+                                ttft_target_s: 1.0,
+                                intended_start: nickelgw_test_servers::recorder::unix_now(),
+                                ..client::ChatCall::default()
                             };
-                            client::ask(&ask, &Record::default()).await.is_some_and(|s| s.how == "completed")
+                            client::call(&ask, &Recorder::default())
+                                .await
+                                .is_some_and(|s| s.outcome == "completed")
                         })
                     })
                 })
--- a/crates/nickelgw-cli/src/bench_path.rs
+++ b/crates/nickelgw-cli/src/bench_path.rs
@@ -193,8 +193,8 @@
             body.len()
         );
         let from = Instant::now();
-        let answer = client::raw(&f.lane.node, &[text.as_bytes()], 0.0, 5.0).await;
-        if client::status(&answer) == 200 {
+        let answer = client::send_raw(&f.lane.node, &[text.as_bytes()], 0.0, 5.0).await;
+        if client::response_status(&answer) == 200 {
             h.saturating_record(from.elapsed().as_nanos() as u64);
         }
         rest(0.02 - from.elapsed().as_secs_f64()).await;
--- a/crates/nickelgw-cli/src/bench_tls.rs
+++ b/crates/nickelgw-cli/src/bench_tls.rs
@@ -7,10 +7,10 @@
 use nickelgw_node::client::{Connection, Pool, Tls};
 use nickelgw_node::TlsOptions;
 use nickelgw_protocol::list::{self, EndpointEntry, EngineState};
-use nickelgw_test_servers::authority::{put, Authority, Fault};
-use nickelgw_test_servers::model::{Figures, Role, TlsFiles};
-use nickelgw_test_servers::record::unix_now;
-use nickelgw_test_servers::Record;
+use nickelgw_test_servers::authority::{replace_file, Authority, CertificateFault};
+use nickelgw_test_servers::engine_config::{EngineConfig, Role, TlsFiles};
+use nickelgw_test_servers::recorder::unix_now;
+use nickelgw_test_servers::Recorder;
 use nickelgw_tls::core::pool::Figures as PoolFigures;
 use nickelgw_tls::{Client, Files, Server, Versions};
 use rustls::pki_types::ServerName;
@@ -40,7 +40,7 @@
     json: Option<PathBuf>,
 }
 
-fn certificate(e: nickelgw_test_servers::authority::Failed) -> Unusable {
+fn certificate(e: nickelgw_test_servers::authority::BoxError) -> Unusable {
     Unusable(format!("no certificate was made: {e}"))
 }
 
@@ -54,14 +54,16 @@
         let dir = std::env::temp_dir().join(format!("nickelgw-bench-tls-{}", std::process::id()));
         std::fs::create_dir_all(&dir)?;
         let authority = Authority::new("bench").map_err(certificate)?;
-        put(&dir.join("root.pem"), authority.root_pem.as_bytes(), 0o644)?;
+        replace_file(&dir.join("root.pem"), authority.root_pem.as_bytes(), 0o644)?;
         let c = Certs { dir, authority };
         c.make("node0")?;
         Ok(c)
     }
 
     fn make(&self, who: &str) -> Result<[PathBuf; 2], Unusable> {
-        self.authority.write(&self.dir, who, &format!("{who}.example.org"), Fault::None).map_err(certificate)
+        self.authority
+            .write(&self.dir, who, &format!("{who}.example.org"), CertificateFault::None)
+            .map_err(certificate)
     }
 
     fn files(&self, who: &str) -> Files {
@@ -76,11 +78,11 @@
         c
     }
 
-    fn engine(&self, id: &str, f: &Figures) -> Result<Figures, Unusable> {
+    fn engine(&self, id: &str, f: &EngineConfig) -> Result<EngineConfig, Unusable> {
         let [chain, key] = self.make(id)?;
         let trust = self.dir.join("root.pem");
         let tls = TlsFiles { name: format!("{id}.example.org"), chain, key, trust, mutual: true };
-        Ok(Figures { id: id.into(), tls: Some(tls), ..f.clone() })
+        Ok(EngineConfig { id: id.into(), tls: Some(tls), ..f.clone() })
     }
 }
 
@@ -137,8 +139,8 @@
     Ok((f64::from(n) / s, own.as_secs_f64() / f64::from(n.max(1)), resumed))
 }
 
-fn quick() -> Figures {
-    Figures { out_tokens: 8, ..crate::bench::quick() }
+fn quick() -> EngineConfig {
+    EngineConfig { mean_output_tokens: 8, ..crate::bench::quick() }
 }
 
 /// A reader and a writer as child processes, and a lane to them.
@@ -173,14 +175,14 @@
 }
 
 /// Engines on threads of this process, all recording to one place.
-fn fleet(c: &Certs, n: u16, record: &Record, cold: bool) -> Result<Vec<EndpointEntry>, Unusable> {
+fn fleet(c: &Certs, n: u16, record: &Recorder, cold: bool) -> Result<Vec<EndpointEntry>, Unusable> {
     let mut lines = Vec::new();
-    let mut threads: Vec<Vec<(TcpListener, Figures)>> = (0..4).map(|_| Vec::new()).collect();
+    let mut threads: Vec<Vec<(TcpListener, EngineConfig)>> = (0..4).map(|_| Vec::new()).collect();
     for k in 0..n {
         let read = k % 2 == 0;
         let id = format!("{}{k}", if read { "r" } else { "w" });
-        let role = if read { Role::Read } else { Role::Write };
-        let f = Figures { role, cold, slots: 16, ..c.engine(&id, &quick())? };
+        let role = if read { Role::Prefill } else { Role::Decode };
+        let f = EngineConfig { role, slow_start: cold, slots: 16, ..c.engine(&id, &quick())? };
         let listener = TcpListener::bind("127.0.0.1:0")?;
         lines.push(EndpointEntry {
             id: id.clone(),
@@ -202,7 +204,7 @@
             let tasks: Vec<_> = group
                 .into_iter()
                 .map(|(l, f)| {
-                    let record = record.of(&f.id);
+                    let record = record.for_source(&f.id);
                     ex.spawn(nickelgw_test_servers::engine::run(l, f, record, 1))
                 })
                 .collect();
@@ -225,7 +227,7 @@
     paced: bool,
     back: bool,
 ) -> Result<Value, Unusable> {
-    let record = Record::memory("rush");
+    let record = Recorder::memory("rush");
     let lines = fleet(c, engines, &record, back)?;
     let listed = crate::up::list(lines)?;
     let text = format!(
@@ -263,7 +265,7 @@
     }
     let from = unix_now();
     let after = &load(ex, &lane, 300.0, 2.0, 8, &[true]).await[0];
-    let lines = record.lines();
+    let lines = record.entries();
     // At writers only: readers' also come from writers that fetch.
     let of = |l: &&Value| l["ev"] == "handshake" && l["who"].as_str().is_some_and(|w| w.starts_with('w'));
     let times: Vec<f64> =
--- a/crates/nickelgw-cli/src/main.rs
+++ b/crates/nickelgw-cli/src/main.rs
@@ -12,8 +12,8 @@
 mod up;
 
 use clap::{Parser, Subcommand, ValueEnum};
-use nickelgw_test_servers::model::Role;
-use nickelgw_test_servers::Record;
+use nickelgw_test_servers::engine_config::Role;
+use nickelgw_test_servers::Recorder;
 use std::net::TcpListener;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -135,10 +135,10 @@
     }
 }
 
-fn record(path: Option<PathBuf>, who: &str) -> Result<Record, Unusable> {
+fn record(path: Option<PathBuf>, who: &str) -> Result<Recorder, Unusable> {
     match path {
-        None => Ok(Record::default()),
-        Some(p) => Record::file(&p, who).map_err(|e| Unusable(format!("{}: {e}", p.display()))),
+        None => Ok(Recorder::default()),
+        Some(p) => Recorder::file(&p, who).map_err(|e| Unusable(format!("{}: {e}", p.display()))),
     }
 }
 
@@ -172,7 +172,7 @@
             }
             let call = format!("GET /why/{request_id} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
             let answer =
-                smol::block_on(nickelgw_test_servers::client::raw(&admin, &[call.as_bytes()], 0.0, 5.0));
+                smol::block_on(nickelgw_test_servers::client::send_raw(&admin, &[call.as_bytes()], 0.0, 5.0));
             let answer = String::from_utf8_lossy(&answer).to_string();
             let Some((head, body)) = answer.split_once("\r\n\r\n") else {
                 return Err(Unusable(format!("{admin}: no node answers there")));
@@ -189,13 +189,13 @@
         What::Platform => platform::run(),
         What::Engine { id, role, zone, cell, cold, figures, port, seed, record: to } => {
             let wrong = |e: serde_json::Error| Unusable(format!("--figures: {e}"));
-            let mut f: nickelgw_test_servers::model::Figures =
+            let mut f: nickelgw_test_servers::engine_config::EngineConfig =
                 serde_json::from_str(&figures).map_err(wrong)?;
             let role = match role {
-                EngineRole::Read => Role::Read,
-                EngineRole::Write => Role::Write,
+                EngineRole::Read => Role::Prefill,
+                EngineRole::Write => Role::Decode,
             };
-            (f.id, f.role, f.zone, f.cell, f.cold) = (id.clone(), role, zone, cell, cold);
+            (f.id, f.role, f.zone, f.cell, f.slow_start) = (id.clone(), role, zone, cell, cold);
             let listener = bind(&format!("127.0.0.1:{port}"))?;
             let work = nickelgw_test_servers::engine::run(listener, f, record(to, &id)?, seed);
             smol::block_on(futures_lite::future::or(work, signals::ended()?))?;
--- a/crates/nickelgw-cli/src/rehearse.rs
+++ b/crates/nickelgw-cli/src/rehearse.rs
@@ -12,11 +12,11 @@
 use nickelgw_settings::check::{engine_names, node_zone};
 use nickelgw_settings::proto::{fault::Kind, EngineRole, Fault, Group, Repeat, Retries, Traffic};
 use nickelgw_settings::Day;
-use nickelgw_test_servers::authority::{Authority, Fault as CertFault};
-use nickelgw_test_servers::client::{self, Ask, Leave};
-use nickelgw_test_servers::model::{Figures, Role, TlsFiles};
-use nickelgw_test_servers::record::unix_now;
-use nickelgw_test_servers::Record;
+use nickelgw_test_servers::authority::{Authority, CertificateFault as CertFault};
+use nickelgw_test_servers::client::{self, ChatCall, DisconnectAt};
+use nickelgw_test_servers::engine_config::{EngineConfig, Role, TlsFiles};
+use nickelgw_test_servers::recorder::unix_now;
+use nickelgw_test_servers::Recorder;
 use serde_json::{json, Value};
 use smol::process::{Child, Command, Stdio};
 use smol::{LocalExecutor, Timer};
@@ -283,7 +283,7 @@
     dir: PathBuf,
     ex: Rc<LocalExecutor<'static>>,
 ) -> Result<f64, Unusable> {
-    let record = Record::file(&dir.join("records/driver.jsonl"), "driver")?;
+    let record = Recorder::file(&dir.join("records/driver.jsonl"), "driver")?;
     let listed = match day.registry() {
         true => texts(&["registry"]),
         false => texts(&["list", "--lag-ms", &day.list_lag_ms().to_string()]),
@@ -309,7 +309,7 @@
         lines: RefCell::default(),
         day,
     });
-    stage.record.note("rules", rules(&stage.day));
+    stage.record.record("rules", rules(&stage.day));
     stage.trust(&[])?;
     for n in 0..stage.day.nodes() {
         stage.certificate(&format!("node{n}"), CertFault::None)?;
@@ -340,7 +340,7 @@
         Ok(s) => Rc::new(Stage { begun: Instant::now(), ..s }),
         Err(s) => s,
     };
-    stage.record.note("begin", json!({}));
+    stage.record.record("begin", json!({}));
     if stage.day.registry() {
         stage.registry("save", 0.0).await;
     }
@@ -371,7 +371,7 @@
     // What is still held must be let go, and what still runs must end.
     let hold = stage.day.rules.unwrap_or_default().hold_limit_ms() / 1e3;
     rest(hold + 2.0).await;
-    stage.record.note("end", json!({}));
+    stage.record.record("end", json!({}));
     drop((stalls, shown));
     let stall = *stage.stall.borrow();
     let mut children: Vec<Child> =
--- a/crates/nickelgw-cli/src/rehearse/clients.rs
+++ b/crates/nickelgw-cli/src/rehearse/clients.rs
@@ -44,35 +44,35 @@
         let fate = dice(&mut chance);
         let (waiting, streaming) = (t.leave_waiting_share(), t.leave_streaming_share());
         let bad = waiting + streaming + t.malformed_share();
-        let record = stage.record.of("client");
+        let record = stage.record.for_source("client");
         if fate >= waiting + streaming && fate < bad {
             clients.push(ex.spawn(malformed(address, k, stage.day.clone(), record)));
             continue;
         }
         let leave = match fate {
-            f if f < waiting => Leave::Waiting(0.02 + 0.2 * dice(&mut chance)),
-            f if f < waiting + streaming => Leave::Streaming(1 + (10.0 * dice(&mut chance)) as usize),
-            _ => Leave::Never,
+            f if f < waiting => DisconnectAt::WaitingFor(0.02 + 0.2 * dice(&mut chance)),
+            f if f < waiting + streaming => DisconnectAt::EventCount(1 + (10.0 * dice(&mut chance)) as usize),
+            _ => DisconnectAt::Never,
         };
         let per_token = route.target_per_1000_tokens_ms() / 1e6;
-        let stream = dice(&mut chance) < t.stream_share() || matches!(leave, Leave::Streaming(_));
+        let stream = dice(&mut chance) < t.stream_share() || matches!(leave, DisconnectAt::EventCount(_));
         let first_by = route.route_timeout_ms / 1e3 + 2.0 * per_token * (size + 16.0);
-        let ask = Ask {
-            req: format!("q{n}-{k}"),
+        let ask = ChatCall {
+            request_id: format!("q{n}-{k}"),
             node,
             address,
             model: t.model.clone(),
-            key: key.clone(),
+            api_key: key.clone(),
             system: if shared { words(0.6 * size, 1_000_000 * n as u64 + beginning) } else { String::new() },
             prompt: words(if shared { 0.4 * size } else { size }, k),
             max_tokens: t.max_tokens,
             stream,
             timeout_s: if stream { first_by } else { route.whole_timeout_ms() / 1e3 },
-            target_s: route.first_token_target_ms / 1e3 + per_token * size,
-            intended: begun_unix + at,
-            leave,
-            slow_s: if dice(&mut chance) < t.slow_share() { 0.05 } else { 0.0 },
-            ..Ask::default()
+            ttft_target_s: route.first_token_target_ms / 1e3 + per_token * size,
+            intended_start: begun_unix + at,
+            disconnect: leave,
+            read_delay_s: if dice(&mut chance) < t.slow_share() { 0.05 } else { 0.0 },
+            ..ChatCall::default()
         };
         let abuses = dice(&mut chance) < stage.script.abuse(at);
         let retry = match abuses {
@@ -94,20 +94,20 @@
 }
 
 /// Asks, and asks again where nothing came of it.
-pub(super) async fn insist(stage: Rc<Stage>, mut ask: Ask, retry: Retry, turn: usize, record: Record) {
-    let first = ask.req.clone();
+pub(super) async fn insist(stage: Rc<Stage>, mut ask: ChatCall, retry: Retry, turn: usize, record: Recorder) {
+    let first = ask.request_id.clone();
     for again in 0..=retry.most {
         if again > 0 {
             let Some((node, address)) = stage.node(turn + again as usize) else { return };
-            (ask.node, ask.address, ask.again) = (node, address, again);
-            (ask.req, ask.of) = (format!("{first}-{again}"), Some(first.clone()));
-            ask.intended = unix_now();
+            (ask.node, ask.address, ask.retry_count) = (node, address, again);
+            (ask.request_id, ask.retry_of) = (format!("{first}-{again}"), Some(first.clone()));
+            ask.intended_start = unix_now();
         }
-        let seen = client::ask(&ask, &record).await;
-        if seen.as_ref().is_some_and(|s| matches!(s.how.as_str(), "completed" | "left")) {
+        let seen = client::call(&ask, &record).await;
+        if seen.as_ref().is_some_and(|s| matches!(s.outcome.as_str(), "completed" | "left")) {
             return;
         }
-        let told = seen.and_then(|s| s.come_back_s).filter(|_| !retry.impatient);
+        let told = seen.and_then(|s| s.retry_after_s).filter(|_| !retry.impatient);
         rest(told.unwrap_or(0.0).max(retry.wait_s)).await;
     }
 }
@@ -125,7 +125,7 @@
 }
 
 /// Clients that speak badly: each must get an error, and cost nothing more.
-pub(super) async fn malformed(address: String, k: u64, day: Day, record: Record) {
+pub(super) async fn malformed(address: String, k: u64, day: Day, record: Recorder) {
     let most = day.limits.unwrap_or_default().most_body_bytes();
     let head = |len: usize| {
         format!("POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: {len}\r\n\r\n")
@@ -138,6 +138,6 @@
     };
     let pieces: Vec<&[u8]> = pieces.iter().map(Vec::as_slice).collect();
     let patience = day.limits.unwrap_or_default().body_ms() / 1e3 + 2.0;
-    let answer = client::raw(&address, &pieces, rest_s, patience).await;
-    record.note("malformed", json!({"kind": kind, "status": client::status(&answer)}));
+    let answer = client::send_raw(&address, &pieces, rest_s, patience).await;
+    record.record("malformed", json!({"kind": kind, "status": client::response_status(&answer)}));
 }
--- a/crates/nickelgw-cli/src/rehearse/stage.rs
+++ b/crates/nickelgw-cli/src/rehearse/stage.rs
@@ -11,7 +11,7 @@
     pub(super) seed: u64,
     pub(super) dir: PathBuf,
     pub(super) list: String,
-    pub(super) record: Record,
+    pub(super) record: Recorder,
     pub(super) engines: RefCell<BTreeMap<String, (Child, String)>>,
     /// By number; none while the node is down.
     pub(super) nodes: RefCell<Vec<Option<(Child, String)>>>,
@@ -23,7 +23,7 @@
     pub(super) lines: RefCell<Vec<EndpointEntry>>,
 }
 
-pub(super) fn no_certificate(e: nickelgw_test_servers::authority::Failed) -> Unusable {
+pub(super) fn no_certificate(e: nickelgw_test_servers::authority::BoxError) -> Unusable {
     Unusable(format!("no certificate was made: {e}"))
 }
 
@@ -36,7 +36,7 @@
     pub(super) fn trust(&self, others: &[&str]) -> Result<(), Unusable> {
         let Some(a) = &*self.authority.borrow() else { return Ok(()) };
         let text = [&[a.root_pem.as_str()], others].concat().concat();
-        nickelgw_test_servers::authority::put(&self.file("certs/root.pem"), text.as_bytes(), 0o644)?;
+        nickelgw_test_servers::authority::replace_file(&self.file("certs/root.pem"), text.as_bytes(), 0o644)?;
         Ok(())
     }
 
@@ -107,33 +107,33 @@
     }
 
     /// The group of an engine and its figures.
-    pub(super) fn figures(&self, name: &str) -> Option<Figures> {
+    pub(super) fn figures(&self, name: &str) -> Option<EngineConfig> {
         let rules = self.day.rules.unwrap_or_default();
         let of = |e: &&nickelgw_settings::proto::EngineGroup| {
             (0..e.count()).any(|n| format!("{}{n}", e.name) == name)
         };
         let e = self.day.engines.iter().find(of)?;
         let reader = e.role() == EngineRole::Reader;
-        let f = Figures {
+        let f = EngineConfig {
             id: name.to_string(),
             zone: e.zone.clone(),
             cell: e.cell(),
-            role: if reader { Role::Read } else { Role::Write },
+            role: if reader { Role::Prefill } else { Role::Decode },
             slots: e.slots() as usize,
-            queue: e.queue() as usize,
+            max_queue_len: e.queue() as usize,
             memory_tokens: e.memory_tokens(),
-            read_s: e.read_ms() / 1e3,
-            read_tokens_per_s: e.read_tokens_per_s(),
-            step_s: e.step_ms() / 1e3,
-            step_per_stream_s: e.step_per_stream_ms() / 1e3,
-            out_tokens: e.out_tokens() as usize,
-            state_bytes_per_token: e.state_bytes_per_token(),
-            state_ttl_s: e.state_ttl_ms() / 1e3,
-            cold: false,
-            cold_from: rules.cold_share(),
-            warm_s: rules.warm_within_ms() / 1e3,
-            tip_multiple: rules.tip_multiple(),
-            tip_window_s: rules.tip_window_ms() / 1e3,
+            prefill_base_s: e.read_ms() / 1e3,
+            prefill_tokens_per_s: e.read_tokens_per_s(),
+            decode_step_s: e.step_ms() / 1e3,
+            decode_step_per_stream_s: e.step_per_stream_ms() / 1e3,
+            mean_output_tokens: e.out_tokens() as usize,
+            kv_bytes_per_token: e.state_bytes_per_token(),
+            reservation_ttl_s: e.state_ttl_ms() / 1e3,
+            slow_start: false,
+            slow_start_speed: rules.cold_share(),
+            slow_start_s: rules.warm_within_ms() / 1e3,
+            overload_multiple: rules.tip_multiple(),
+            overload_window_s: rules.tip_window_ms() / 1e3,
             tls: None,
             grant_keys: self
                 .day
@@ -155,7 +155,7 @@
             f.tls = Some(TlsFiles { name: tls_name(name), chain, key, trust, mutual: true });
         }
         let figures = serde_json::to_string(&f)?;
-        let read = f.role == Role::Read;
+        let read = f.role == Role::Prefill;
         let (cell, seed) = (f.cell.to_string(), self.seed.to_string());
         let mut args = texts(&["engine", "--id", name, "--role", if read { "read" } else { "write" }]);
         args.extend(texts(&["--zone", &f.zone, "--cell", &cell, "--figures", &figures, "--seed", &seed]));
@@ -171,7 +171,7 @@
     /// An engine's line in the list.
     pub(super) fn line(
         &self,
-        f: Figures,
+        f: EngineConfig,
         address: String,
         state: EngineState,
         started_at: Option<f64>,
@@ -182,7 +182,7 @@
             address,
             zone: f.zone,
             cell: f.cell,
-            role: if f.role == Role::Read { list::EngineRole::Prefill } else { list::EngineRole::Decode },
+            role: if f.role == Role::Prefill { list::EngineRole::Prefill } else { list::EngineRole::Decode },
             memory_tokens: f.memory_tokens,
             state,
             started_at,
@@ -213,7 +213,7 @@
     pub(super) async fn fault(&self, f: &Fault) -> Result<(), Unusable> {
         rest(f.at_s - self.begun.elapsed().as_secs_f64()).await;
         let (name, for_s) = (f.target().to_string(), f.for_s());
-        self.record.note("plan", json!({"kind": f.kind().as_str_name(), "target": name, "for_s": for_s}));
+        self.record.record("plan", json!({"kind": f.kind().as_str_name(), "target": name, "for_s": for_s}));
         let word =
             |fault: &str| json!({"fault": fault, "for_s": for_s, "share": f.share(), "factor": f.factor()});
         match f.kind() {
@@ -224,7 +224,7 @@
                     let _ = child.kill();
                     let _ = child.status().await;
                 }
-                self.record.of(&name).note("died", json!({}));
+                self.record.for_source(&name).record("died", json!({}));
                 self.take_out(&name).await;
                 if for_s > 0.0 {
                     rest(for_s).await;
@@ -269,7 +269,7 @@
                 if let Some((mut child, _)) = down {
                     // SIGKILL, to its own id.
                     let _ = child.kill();
-                    self.record.note("killed", json!({"node": name}));
+                    self.record.record("killed", json!({"node": name}));
                     let _ = child.status().await;
                 }
                 if for_s > 0.0 {
--- a/crates/nickelgw-cli/src/start.rs
+++ b/crates/nickelgw-cli/src/start.rs
@@ -17,7 +17,7 @@
 use nickelgw_registry::core::member::Figures as MemberFigures;
 use nickelgw_registry::core::view::Figures as ViewFigures;
 use nickelgw_settings::{check, Node, Problem};
-use nickelgw_test_servers::record::unix_now;
+use nickelgw_test_servers::recorder::unix_now;
 use nickelgw_tls::{Files, TlsEvent, Versions};
 use std::sync::{Arc, Mutex};
 
--- a/crates/nickelgw-cli/src/up.rs
+++ b/crates/nickelgw-cli/src/up.rs
@@ -2,8 +2,8 @@
 
 use crate::{signals, start, Unusable};
 use nickelgw_protocol::list::{self, EndpointEntry, EngineState};
-use nickelgw_test_servers::model::{Figures, Role};
-use nickelgw_test_servers::{client, Record};
+use nickelgw_test_servers::engine_config::{EngineConfig, Role};
+use nickelgw_test_servers::{client, Recorder};
 use std::net::TcpListener;
 use std::process::ExitCode;
 use std::thread;
@@ -22,15 +22,15 @@
 }
 
 /// Stand-ins on threads of their own; they end with the process.
-pub fn engines(readers: u16, writers: u16, figures: &Figures) -> Result<Vec<EndpointEntry>, Unusable> {
+pub fn engines(readers: u16, writers: u16, figures: &EngineConfig) -> Result<Vec<EndpointEntry>, Unusable> {
     let mut lines = Vec::new();
     for n in 0..readers + writers {
         let read = n < readers;
         let (id, role) = match read {
-            true => (format!("reader{n}"), Role::Read),
-            false => (format!("writer{}", n - readers), Role::Write),
+            true => (format!("reader{n}"), Role::Prefill),
+            false => (format!("writer{}", n - readers), Role::Decode),
         };
-        let f = Figures { id: id.clone(), role, ..figures.clone() };
+        let f = EngineConfig { id: id.clone(), role, ..figures.clone() };
         let listener = TcpListener::bind("127.0.0.1:0")?;
         lines.push(EndpointEntry {
             id,
@@ -44,7 +44,7 @@
             tls_name: None,
         });
         thread::spawn(move || {
-            smol::block_on(nickelgw_test_servers::engine::run(listener, f, Record::default(), u64::from(n)))
+            smol::block_on(nickelgw_test_servers::engine::run(listener, f, Recorder::default(), u64::from(n)))
         });
     }
     Ok(lines)
@@ -54,7 +54,7 @@
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?.to_string();
     thread::spawn(move || {
-        smol::block_on(nickelgw_test_servers::list::run(listener, lines, 0.0, Record::default()))
+        smol::block_on(nickelgw_test_servers::list::run(listener, lines, 0.0, Recorder::default()))
     });
     Ok(address)
 }
@@ -73,7 +73,7 @@
             return Err(Unusable("up needs a node, a reader and a writer at least".into()));
         }
         let until = signals::ended()?;
-        let listed = list(engines(self.readers, self.writers, &Figures::default())?)?;
+        let listed = list(engines(self.readers, self.writers, &EngineConfig::default())?)?;
         let mut urls = Vec::new();
         for n in 0..self.nodes {
             let port = if self.port == 0 { 0 } else { self.port + n };
@@ -93,7 +93,9 @@
             let address = u.trim_start_matches("http://");
             let from = std::time::Instant::now();
             let call = b"GET /healthz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-            let ready = || client::status(&smol::block_on(client::raw(address, &[call], 0.0, 1.0))) == 200;
+            let ready = || {
+                client::response_status(&smol::block_on(client::send_raw(address, &[call], 0.0, 1.0))) == 200
+            };
             while !ready() && from.elapsed().as_secs() < 5 {
                 thread::sleep(std::time::Duration::from_millis(10));
             }
--- a/crates/nickelgw-cli/tests/fleet/main.rs
+++ b/crates/nickelgw-cli/tests/fleet/main.rs
@@ -4,8 +4,8 @@
 mod site;
 
 use nickelgw_gossip::core::record::{Datagram, Message, NodeRecord, SharedKey, ZoneReport};
-use nickelgw_test_servers::model::Figures;
-use nickelgw_test_servers::record::unix_now;
+use nickelgw_test_servers::engine_config::EngineConfig;
+use nickelgw_test_servers::recorder::unix_now;
 use nickelgw_test_servers::relay::Mode;
 use rustix::process::Signal;
 use serde_json::json;
@@ -59,7 +59,7 @@
     let site = Arc::new(Site::new("cut", Plan::default()));
     let traffic = site.traffic(10.0);
     rest(1.0);
-    for mode in [Mode::Hold, Mode::HoldAnswers] {
+    for mode in [Mode::Stall, Mode::StallResponses] {
         site.ways("a", "b", mode);
         site.wait("a's nodes have left b", || site.all_give(&["a"], "b", 0.0));
         rest(1.0);
@@ -100,8 +100,14 @@
 fn a_zone_that_returns_cold_is_not_pushed_over() {
     let _one = alone();
     // A cold engine stands what it can do cold, and no more: six reads in two seconds.
-    let engine = Figures { out_tokens: 4, read_s: 0.1, step_s: 0.004, slots: 1, ..Figures::default() };
-    let engine = Figures { tip_multiple: 1.0, ..engine };
+    let engine = EngineConfig {
+        mean_output_tokens: 4,
+        prefill_base_s: 0.1,
+        decode_step_s: 0.004,
+        slots: 1,
+        ..EngineConfig::default()
+    };
+    let engine = EngineConfig { overload_multiple: 1.0, ..engine };
     let more = "rules { tip_multiple: 1 }";
     let plan = Plan { nodes: 4, engines: 4, engine: engine.clone(), more, ..Plan::default() };
     let site = Arc::new(Site::new("cold", plan));
@@ -114,7 +120,7 @@
     let took = site.wait("all are back", || site.all_give(&ZONES, "b", 1.0));
     rest(1.0);
     let asked = traffic.end();
-    let lines = site.record.lines();
+    let lines = site.record.entries();
     let fell: Vec<_> = lines.iter().filter(|l| l["ev"] == "fell").collect();
     let anew =
         lines.iter().filter(|l| l["ev"] == "send" && l["who"].as_str().is_some_and(|w| w.ends_with("anew")));
@@ -215,13 +221,13 @@
     let awake = |part: f64| site.nodes[1..].iter().all(|n| n.part("b") == Some(part));
     site.wait("the others have left it", || awake(0.0));
     for n in &site.nodes[1..3] {
-        site.record.note("killed", json!({"node": n.name}));
+        site.record.record("killed", json!({"node": n.name}));
         n.kill();
         n.start();
     }
     let mut slowest = site.wait("those started anew follow", || awake(0.0));
     for n in &site.nodes[3..6] {
-        site.record.note("killed", json!({"node": n.name}));
+        site.record.record("killed", json!({"node": n.name}));
         n.signal(Signal::TERM);
         n.ended();
         n.start();
--- a/crates/nickelgw-cli/tests/fleet/parked.rs
+++ b/crates/nickelgw-cli/tests/fleet/parked.rs
@@ -1,8 +1,8 @@
 //! Offline inferences at a site that is cut off, run when capacity returns.
 
 use crate::site::*;
-use nickelgw_test_servers::model::Figures;
-use nickelgw_test_servers::record::unix_now;
+use nickelgw_test_servers::engine_config::EngineConfig;
+use nickelgw_test_servers::recorder::unix_now;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -69,7 +69,7 @@
 /// When each ran, by ticket.
 fn runs(site: &Site) -> BTreeMap<String, Vec<f64>> {
     let mut out: BTreeMap<String, Vec<f64>> = BTreeMap::new();
-    for l in site.record.lines().iter().filter(|l| l["ev"] == "ran") {
+    for l in site.record.entries().iter().filter(|l| l["ev"] == "ran") {
         if let Some(t) = l["req"].as_str().and_then(|r| r.strip_prefix("parked-")) {
             out.entry(t.to_string()).or_default().push(l["t"].as_f64().unwrap());
         }
@@ -77,7 +77,7 @@
     out
 }
 
-fn plan(engine: Figures) -> Plan<'static> {
+fn plan(engine: EngineConfig) -> Plan<'static> {
     Plan { nodes: 1, more: TENANTS, engine, ..Plan::default() }
 }
 
@@ -89,7 +89,13 @@
 fn what_is_parked_runs_by_tenants_parts_in_room_that_live_work_leaves() {
     let _one = alone();
     // Readers take twice what the live work is.
-    let engine = Figures { out_tokens: 4, read_s: 0.05, step_s: 0.004, slots: 1, ..Figures::default() };
+    let engine = EngineConfig {
+        mean_output_tokens: 4,
+        prefill_base_s: 0.05,
+        decode_step_s: 0.004,
+        slots: 1,
+        ..EngineConfig::default()
+    };
     let site = Arc::new(Site::new("parked", plan(engine)));
     let node = &site.nodes[0];
     // The same load, before anything is parked.
@@ -139,7 +145,13 @@
 #[test]
 fn a_node_killed_five_times_meanwhile_runs_nothing_twice_that_may_not_and_answers_each_once() {
     let _one = alone();
-    let engine = Figures { out_tokens: 6, read_s: 0.02, step_s: 0.01, slots: 2, ..Figures::default() };
+    let engine = EngineConfig {
+        mean_output_tokens: 6,
+        prefill_base_s: 0.02,
+        decode_step_s: 0.01,
+        slots: 2,
+        ..EngineConfig::default()
+    };
     let site = Arc::new(Site::new("killed", plan(engine)));
     let node = &site.nodes[0];
     silence(&site, 120.0);
--- a/crates/nickelgw-cli/tests/fleet/site.rs
+++ b/crates/nickelgw-cli/tests/fleet/site.rs
@@ -1,11 +1,11 @@
 //! Nodes as processes over three zones, stand-in engines of a list for each zone, and a relay between any two parties.
 
 use nickelgw_protocol::list::{self, EndpointEntry, EngineState};
-use nickelgw_test_servers::client::{self, Ask};
-use nickelgw_test_servers::model::{Figures, Role};
-use nickelgw_test_servers::record::unix_now;
-use nickelgw_test_servers::relay::{self, Mode, Way};
-use nickelgw_test_servers::Record;
+use nickelgw_test_servers::client::{self, ChatCall};
+use nickelgw_test_servers::engine_config::{EngineConfig, Role};
+use nickelgw_test_servers::recorder::unix_now;
+use nickelgw_test_servers::relay::{self, Link, Mode};
+use nickelgw_test_servers::Recorder;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
@@ -31,7 +31,7 @@
     /// Its own port for datagrams, and the relay before it.
     pub port: SocketAddr,
     pub relay: SocketAddr,
-    pub way: Way,
+    pub way: Link,
     pub address: Mutex<String>,
     pub admin: Mutex<String>,
     child: Mutex<Option<Child>>,
@@ -45,14 +45,14 @@
     pub role: Role,
     pub address: SocketAddr,
     /// From each zone's nodes.
-    pub ways: Vec<Way>,
+    pub ways: Vec<Link>,
 }
 
 pub struct Site {
     pub nodes: Vec<Node>,
     pub engines: Vec<Engine>,
     pub lists: Vec<String>,
-    pub record: Record,
+    pub record: Recorder,
     dir: PathBuf,
 }
 
@@ -70,13 +70,13 @@
 }
 
 /// An engine as the lists have it.
-fn line(f: &Figures, address: SocketAddr, started_at: Option<f64>) -> EndpointEntry {
+fn line(f: &EngineConfig, address: SocketAddr, started_at: Option<f64>) -> EndpointEntry {
     EndpointEntry {
         id: f.id.clone(),
         address: address.to_string(),
         zone: f.zone.clone(),
         cell: 0,
-        role: if f.role == Role::Read { list::EngineRole::Prefill } else { list::EngineRole::Decode },
+        role: if f.role == Role::Prefill { list::EngineRole::Prefill } else { list::EngineRole::Decode },
         memory_tokens: f.memory_tokens,
         state: EngineState::Active,
         started_at,
@@ -95,12 +95,18 @@
     pub engines: usize,
     pub exchange: bool,
     pub more: &'a str,
-    pub engine: Figures,
+    pub engine: EngineConfig,
 }
 
 impl Default for Plan<'_> {
     fn default() -> Self {
-        let engine = Figures { out_tokens: 4, read_s: 0.004, step_s: 0.004, slots: 64, ..Figures::default() };
+        let engine = EngineConfig {
+            mean_output_tokens: 4,
+            prefill_base_s: 0.004,
+            decode_step_s: 0.004,
+            slots: 64,
+            ..EngineConfig::default()
+        };
         Plan { nodes: 2, engines: 3, exchange: true, more: "", engine }
     }
 }
@@ -111,25 +117,25 @@
         std::fs::create_dir_all(&dir).unwrap();
         static SITES: AtomicUsize = AtomicUsize::new(0);
         let at = SITES.fetch_add(1, Ordering::Relaxed);
-        let record = Record::memory("driver");
+        let record = Recorder::memory("driver");
         let rules = json!({"drain_grace_s": 0.5, "hold_limit_s": 0.5, "slack_s": 1.0,
             "routes": {"chat": {"repeat": "retriable"}, "booking": {"repeat": "non_retriable"}}});
-        record.note("rules", rules);
+        record.record("rules", rules);
         let mut engines = Vec::new();
         let mut lines: Vec<Vec<EndpointEntry>> = vec![Vec::new(); ZONES.len()];
         for zone in ZONES {
-            for (role, letter) in [(Role::Read, 'r'), (Role::Write, 'w')] {
+            for (role, letter) in [(Role::Prefill, 'r'), (Role::Decode, 'w')] {
                 for n in 0..plan.engines {
                     let id = format!("{zone}-{letter}{n}");
-                    let f = Figures { id: id.clone(), zone: zone.into(), role, ..plan.engine.clone() };
+                    let f = EngineConfig { id: id.clone(), zone: zone.into(), role, ..plan.engine.clone() };
                     let (l, address) = bind();
-                    let of = record.of(&id);
+                    let of = record.for_source(&id);
                     let own = f.clone();
                     spawn(move || nickelgw_test_servers::engine::run(l, own, of, n as u64));
                     let mut ways = Vec::new();
                     for lines in &mut lines {
                         let (l, relayed) = bind();
-                        let way = Way::default();
+                        let way = Link::default();
                         let w = way.clone();
                         spawn(move || relay::tcp(l, address, w));
                         ways.push(way);
@@ -143,7 +149,7 @@
             .into_iter()
             .map(|lines| {
                 let (l, a) = bind();
-                spawn(move || nickelgw_test_servers::list::run(l, lines, 0.0, Record::default()));
+                spawn(move || nickelgw_test_servers::list::run(l, lines, 0.0, Recorder::default()));
                 a.to_string()
             })
             .collect();
@@ -155,7 +161,7 @@
             let port = UdpSocket::bind(&own).unwrap().local_addr().unwrap();
             let free = || TcpListener::bind(&own).unwrap().local_addr().unwrap();
             let (chat, admin) = (free(), free());
-            let (socket, way) = (UdpSocket::bind("127.0.0.1:0").unwrap(), Way::default());
+            let (socket, way) = (UdpSocket::bind("127.0.0.1:0").unwrap(), Link::default());
             let relay = socket.local_addr().unwrap();
             let w = way.clone();
             spawn(move || relay::udp(socket, port, w));
@@ -218,7 +224,7 @@
     /// What the ways from one zone's nodes to another's engines do.
     pub fn ways(&self, from: &str, to: &str, mode: Mode) {
         let k = ZONES.iter().position(|z| *z == from).unwrap();
-        self.engines.iter().filter(|e| e.zone == to).for_each(|e| e.ways[k].set(mode));
+        self.engines.iter().filter(|e| e.zone == to).for_each(|e| e.ways[k].set_mode(mode));
     }
 
     pub fn of_zone(&self, zone: &'static str) -> impl Iterator<Item = &Node> {
@@ -226,16 +232,21 @@
     }
 
     /// In place of a zone's engines come new ones, cold, under new names; the old ones are off the lists.
-    pub fn renew(&self, zone: &'static str, figures: &Figures) {
+    pub fn renew(&self, zone: &'static str, figures: &EngineConfig) {
         let tell = |list: &str, order: Value| {
             smol::block_on(client::control(list, &order)).expect("a list that listens");
         };
         for e in self.engines.iter().filter(|e| e.zone == zone) {
             let id = format!("{}-anew", e.id);
-            let f =
-                Figures { id: id.clone(), zone: zone.into(), role: e.role, cold: true, ..figures.clone() };
+            let f = EngineConfig {
+                id: id.clone(),
+                zone: zone.into(),
+                role: e.role,
+                slow_start: true,
+                ..figures.clone()
+            };
             let (l, address) = bind();
-            let of = self.record.of(&id);
+            let of = self.record.for_source(&id);
             let line = line(&f, address, Some(unix_now()));
             spawn(move || nickelgw_test_servers::engine::run(l, f, of, 1));
             for list in &self.lists {
@@ -255,7 +266,7 @@
         let half = self.nodes.len() / 2;
         for (n, to) in self.nodes.iter().enumerate() {
             for from in self.nodes.iter().enumerate().filter(|f| (f.0 < half) != (n < half)) {
-                to.way.set_of(from.1.port, mode);
+                to.way.set_sender_mode(from.1.port, mode);
             }
         }
     }
@@ -288,20 +299,20 @@
                         tasks.push(ex.spawn(async move {
                             let node = &site.nodes[n];
                             let address = node.address.lock().unwrap().clone();
-                            let ask = Ask {
-                                req: format!("q{run}-{n}-{k}"),
+                            let ask = ChatCall {
+                                request_id: format!("q{run}-{n}-{k}"),
                                 node: node.name.clone(),
                                 address,
                                 model: "chat".into(),
-                                key: key.map(str::to_string),
+                                api_key: key.map(str::to_string),
                                 prompt: format!("session {k} of {n}: tell me more"),
                                 stream: true,
                                 timeout_s: 4.0,
-                                target_s: 1.0,
-                                intended: unix_now(),
-                                ..Ask::default()
+                                ttft_target_s: 1.0,
+                                intended_start: unix_now(),
+                                ..ChatCall::default()
                             };
-                            let (at, seen) = (unix_now(), client::ask(&ask, &site.record).await);
+                            let (at, seen) = (unix_now(), client::call(&ask, &site.record).await);
                             asked.lock().unwrap().push((at, n, seen));
                         }));
                     }
@@ -319,14 +330,14 @@
     /// Sends that reached engines of a zone between two moments (Unix time).
     pub fn sends(&self, zone: &str, from: f64, to: f64) -> usize {
         let of_zone = |who: &str| self.engines.iter().any(|e| e.zone == zone && e.id == who);
-        let lines = self.record.lines();
+        let lines = self.record.entries();
         let sent = lines.iter().filter(|l| l["ev"] == "send" && of_zone(l["who"].as_str().unwrap_or("")));
         sent.filter(|l| l["t"].as_f64().is_some_and(|t| t >= from && t < to)).count()
     }
 
     fn verdict(&self, but: &str) -> nickelgw_audit::AuditReport {
         let mut lines: Vec<_> =
-            self.record.lines().iter().filter_map(nickelgw_audit::RecordEntry::from_json).collect();
+            self.record.entries().iter().filter_map(nickelgw_audit::RecordEntry::from_json).collect();
         lines.retain(|l| l.event != "ask" || l.text("node") != but);
         nickelgw_audit::sort_by_time(&mut lines);
         nickelgw_audit::audit(&lines)
@@ -351,7 +362,7 @@
 }
 
 /// When it was asked, at which node, and what came of it.
-pub type Asked = (f64, usize, Option<client::Seen>);
+pub type Asked = (f64, usize, Option<client::CallResult>);
 
 pub struct Traffic {
     stop: Arc<AtomicBool>,
@@ -372,7 +383,7 @@
 /// Part of those asked between two moments that were served within their target.
 pub fn served(all: &[Asked], from: f64, to: f64) -> f64 {
     let some: Vec<_> = all.iter().filter(|a| a.0 >= from && a.0 < to).collect();
-    let good = |s: &client::Seen| s.how == "completed" && s.first_s.is_some_and(|f| f <= 1.0);
+    let good = |s: &client::CallResult| s.outcome == "completed" && s.ttft_s.is_some_and(|f| f <= 1.0);
     some.iter().filter(|a| a.2.as_ref().is_some_and(good)).count() as f64 / some.len().max(1) as f64
 }
 
@@ -426,10 +437,10 @@
              content-length: {}\r\n\r\n{body}",
             body.len()
         );
-        let raw = smol::block_on(client::raw(&address, &[text.as_bytes()], 0.0, 5.0));
+        let raw = smol::block_on(client::send_raw(&address, &[text.as_bytes()], 0.0, 5.0));
         let body = String::from_utf8_lossy(&raw).to_string();
         let body = body.split_once("\r\n\r\n").map_or("", |b| b.1);
-        (client::status(&raw), serde_json::from_str(body).unwrap_or_default())
+        (client::response_status(&raw), serde_json::from_str(body).unwrap_or_default())
     }
 
     pub fn log(&self) -> String {
@@ -440,7 +451,7 @@
     pub fn metric(&self, name: &str) -> Option<f64> {
         let address = self.admin.lock().unwrap().clone();
         let head = format!("GET /metrics HTTP/1.1\r\nhost: {address}\r\nconnection: close\r\n\r\n");
-        let answer = smol::block_on(client::raw(&address, &[head.as_bytes()], 0.0, 1.0));
+        let answer = smol::block_on(client::send_raw(&address, &[head.as_bytes()], 0.0, 1.0));
         let text = String::from_utf8_lossy(&answer).to_string();
         let name = format!("nickelgw_{name} ");
         text.lines().find_map(|l| l.strip_prefix(&name)).and_then(|v| v.trim().parse().ok())
--- a/crates/nickelgw-cli/tests/life.rs
+++ b/crates/nickelgw-cli/tests/life.rs
@@ -1,10 +1,10 @@
 //! A node as a process: taken over under load, killed, told to go.
 
 use nickelgw_protocol::list::{self, EngineState};
-use nickelgw_test_servers::client::{self, Ask};
-use nickelgw_test_servers::model::{Figures, Role};
-use nickelgw_test_servers::record::unix_now;
-use nickelgw_test_servers::Record;
+use nickelgw_test_servers::client::{self, ChatCall};
+use nickelgw_test_servers::engine_config::{EngineConfig, Role};
+use nickelgw_test_servers::recorder::unix_now;
+use nickelgw_test_servers::Recorder;
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{BufRead, BufReader};
 use std::net::{Ipv4Addr, TcpListener};
@@ -19,7 +19,7 @@
     dir: PathBuf,
     list: String,
     engines: Vec<String>,
-    record: Record,
+    record: Recorder,
     address: String,
 }
 
@@ -34,29 +34,40 @@
         let dir = std::env::temp_dir().join(format!("nickelgw-life-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
         let mut lines = Vec::new();
-        let record = Record::memory("driver");
-        for (id, role) in [("r0", Role::Read), ("w0", Role::Write), ("w1", Role::Write)] {
-            let f = Figures { id: id.into(), role, out_tokens: 8, step_s, slots: 64, ..Figures::default() };
+        let record = Recorder::memory("driver");
+        for (id, role) in [("r0", Role::Prefill), ("w0", Role::Decode), ("w1", Role::Decode)] {
+            let f = EngineConfig {
+                id: id.into(),
+                role,
+                mean_output_tokens: 8,
+                decode_step_s: step_s,
+                slots: 64,
+                ..EngineConfig::default()
+            };
             let l = TcpListener::bind("127.0.0.1:0").unwrap();
             lines.push(list::EndpointEntry {
                 id: id.into(),
                 address: l.local_addr().unwrap().to_string(),
                 zone: "a".into(),
                 cell: 0,
-                role: if role == Role::Read { list::EngineRole::Prefill } else { list::EngineRole::Decode },
+                role: if role == Role::Prefill {
+                    list::EngineRole::Prefill
+                } else {
+                    list::EngineRole::Decode
+                },
                 memory_tokens: 2e5,
                 state: EngineState::Active,
                 started_at: None,
                 tls_name: None,
             });
-            let of = record.of(id);
+            let of = record.for_source(id);
             thread::spawn(move || smol::block_on(nickelgw_test_servers::engine::run(l, f, of, 1)));
         }
         let engines = lines.iter().map(|l| l.address.clone()).collect();
         let l = TcpListener::bind("127.0.0.1:0").unwrap();
         let listed = l.local_addr().unwrap().to_string();
         thread::spawn(move || {
-            smol::block_on(nickelgw_test_servers::list::run(l, lines, 0.0, Record::default()))
+            smol::block_on(nickelgw_test_servers::list::run(l, lines, 0.0, Recorder::default()))
         });
         // A port that a node started anew can listen on again, at an address of its own: at 127.0.0.1 a connection made
         // meanwhile by another test may have been given it.
@@ -95,19 +106,19 @@
         child
     }
 
-    fn ask(&self, req: &str) -> Option<client::Seen> {
-        let ask = Ask {
-            req: req.into(),
+    fn ask(&self, req: &str) -> Option<client::CallResult> {
+        let ask = ChatCall {
+            request_id: req.into(),
             address: self.address.clone(),
             model: "chat".into(),
             prompt: "tell me more".into(),
             stream: true,
             timeout_s: 8.0,
-            target_s: 2.0,
-            intended: unix_now(),
-            ..Ask::default()
+            ttft_target_s: 2.0,
+            intended_start: unix_now(),
+            ..ChatCall::default()
         };
-        smol::block_on(client::ask(&ask, &Record::default()))
+        smol::block_on(client::call(&ask, &Recorder::default()))
     }
 
     fn states(&self) -> i64 {
@@ -125,12 +136,12 @@
              content-length: {}\r\n\r\n{body}",
             body.len()
         );
-        let out = smol::block_on(client::raw(&self.address, &[text.as_bytes()], 0.0, patience));
+        let out = smol::block_on(client::send_raw(&self.address, &[text.as_bytes()], 0.0, patience));
         String::from_utf8_lossy(&out).to_string()
     }
 
     fn count(&self, ev: &str) -> usize {
-        self.record.lines().iter().filter(|l| l["ev"] == ev).count()
+        self.record.entries().iter().filter(|l| l["ev"] == ev).count()
     }
 
     fn wait(&self, what: &str, seen: impl Fn() -> bool) {
@@ -187,7 +198,7 @@
                 let (mut n, mut bad) = (0, Vec::new());
                 while !stop.load(Ordering::Relaxed) {
                     match site.ask(&format!("q{c}-{n}")) {
-                        Some(s) if s.how == "completed" => {}
+                        Some(s) if s.outcome == "completed" => {}
                         other => bad.push(format!("{other:?}")),
                     }
                     n += 1;
@@ -207,7 +218,7 @@
     let after = site.ask("after");
     end(&site);
     assert!(asked > 20 && bad.is_empty(), "{asked} asked: {bad:?}");
-    assert!(after.is_some_and(|s| s.how == "completed"), "the new process serves");
+    assert!(after.is_some_and(|s| s.outcome == "completed"), "the new process serves");
 }
 
 #[test]
@@ -218,14 +229,14 @@
     signal(&old, Signal::HUP);
     thread::sleep(Duration::from_millis(600));
     assert!(old.try_wait().unwrap().is_none());
-    assert!(site.ask("q").is_some_and(|s| s.how == "completed"));
+    assert!(site.ask("q").is_some_and(|s| s.outcome == "completed"));
     // Set right, it is taken over.
     site.settings("limits { most_open: 100 }");
     signal(&old, Signal::HUP);
     let code = exit_of(&mut old);
     let after = site.ask("after");
     end(&site);
-    assert_eq!((code, after.map(|s| s.how)), (0, Some("completed".into())));
+    assert_eq!((code, after.map(|s| s.outcome)), (0, Some("completed".into())));
 }
 
 #[test]
@@ -238,7 +249,7 @@
     };
     thread::sleep(Duration::from_millis(300));
     signal(&node, Signal::TERM);
-    assert!(asked.join().unwrap().is_some_and(|s| s.how == "completed"));
+    assert!(asked.join().unwrap().is_some_and(|s| s.outcome == "completed"));
     assert_eq!(exit_of(&mut node), 0);
     let mut node = site.start();
     let asked = {
@@ -250,7 +261,7 @@
         signal(&node, Signal::TERM);
         thread::sleep(Duration::from_millis(30));
     }
-    assert!(asked.join().unwrap().is_some_and(|s| s.how != "completed"));
+    assert!(asked.join().unwrap().is_some_and(|s| s.outcome != "completed"));
     assert_eq!(exit_of(&mut node), 3);
     assert_eq!(site.states(), 0);
 }
@@ -331,7 +342,7 @@
     for bad in [b"no store at all".to_vec(), sound[..sound.len() / 2].to_vec(), Vec::new()] {
         std::fs::write(&store, bad).unwrap();
         let mut node = site.start();
-        assert!(site.ask("q").is_some_and(|s| s.how == "completed"));
+        assert!(site.ask("q").is_some_and(|s| s.outcome == "completed"));
         kill(&mut node);
     }
 }
--- a/crates/nickelgw-node/tests/bad_input.rs
+++ b/crates/nickelgw-node/tests/bad_input.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{figures, World, KEY};
-use nickelgw_test_servers::client::{self, raw, status};
+use nickelgw_test_servers::client::{self, response_status, send_raw};
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::thread;
@@ -22,51 +22,54 @@
 }
 
 fn sent(w: &World, bytes: &[u8], patience: f64) -> Vec<u8> {
-    smol::block_on(raw(&w.node, &[bytes], 0.0, patience))
+    smol::block_on(send_raw(&w.node, &[bytes], 0.0, patience))
 }
 
 #[test]
 fn clients_that_speak_badly_are_told_and_others_are_served() {
     let w = world();
-    let ask = |json: &str| status(&sent(&w, &post(json.as_bytes(), json.len()), 2.0));
+    let ask = |json: &str| response_status(&sent(&w, &post(json.as_bytes(), json.len()), 2.0));
     assert_eq!(ask("{\"model\":"), 400);
     assert_eq!(ask("[1,2]"), 400);
     assert_eq!(ask("{\"model\":\"none\",\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}"), 404);
     assert_eq!(ask("{\"model\":\"chat\",\"messages\":[]}"), 400);
     assert_eq!(ask(&"[".repeat(90_000)), 400);
     // Its length too large, and its length not kept.
-    assert_eq!(status(&sent(&w, &post(b"", 200_000), 2.0)), 413);
-    assert_eq!(status(&sent(&w, &post(b"{\"model\"", 500), 2.0)), 408);
+    assert_eq!(response_status(&sent(&w, &post(b"", 200_000), 2.0)), 413);
+    assert_eq!(response_status(&sent(&w, &post(b"{\"model\"", 500), 2.0)), 408);
     let chunked = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n\
          30000\r\n{}\r\n0\r\n\r\n",
         "x".repeat(0x30000)
     );
-    assert_eq!(status(&sent(&w, chunked.as_bytes(), 2.0)), 413);
+    assert_eq!(response_status(&sent(&w, chunked.as_bytes(), 2.0)), 413);
     // Half a request line: closed when its time is up. A head of ten megabytes: refused, not stored.
-    assert!(matches!(status(&sent(&w, b"POST /v1/ch", 3.0)), 0 | 408));
+    assert!(matches!(response_status(&sent(&w, b"POST /v1/ch", 3.0)), 0 | 408));
     let huge = format!("GET / HTTP/1.1\r\nhost: x\r\nx-long: {}\r\n\r\n", "y".repeat(10 << 20));
-    assert!(matches!(status(&sent(&w, huge.as_bytes(), 2.0)), 0 | 431));
-    assert!(matches!(status(&sent(&w, b"\x16\x03\x01\x00\xa5\x01garbage\r\n\r\n", 2.0)), 0 | 400));
-    assert_eq!(status(&sent(&w, b"GET /none HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n", 2.0)), 404);
+    assert!(matches!(response_status(&sent(&w, huge.as_bytes(), 2.0)), 0 | 431));
+    assert!(matches!(response_status(&sent(&w, b"\x16\x03\x01\x00\xa5\x01garbage\r\n\r\n", 2.0)), 0 | 400));
+    assert_eq!(
+        response_status(&sent(&w, b"GET /none HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n", 2.0)),
+        404
+    );
     let mut stranger = w.ask("s", "chat");
-    stranger.key = Some("sk-wrong-key".into());
+    stranger.api_key = Some("sk-wrong-key".into());
     assert_eq!(w.play(stranger).status, 401);
-    assert_eq!(w.play(w.ask("q", "chat")).how, "completed");
+    assert_eq!(w.play(w.ask("q", "chat")).outcome, "completed");
     w.assert_empty(&["r0a", "w0a"]);
 }
 
 #[test]
 fn what_does_not_fit_is_refused_with_a_time_to_come_back() {
-    let slow = nickelgw_test_servers::model::Figures { read_s: 0.5, ..figures("r0a") };
+    let slow = nickelgw_test_servers::engine_config::EngineConfig { prefill_base_s: 0.5, ..figures("r0a") };
     let w = World::with(vec![slow, figures("w0a")], |s| s.core_config.max_open_requests = 2);
     let first: Vec<_> = (0..2).map(|n| w.later(w.ask(&format!("q{n}"), "chat"))).collect();
     w.wait("both are taken", |l| l.iter().filter(|l| l["ev"] == "send").count() >= 2);
     let third = w.play(w.ask("q2", "chat"));
     assert_eq!((third.status, third.code.as_deref()), (503, Some("node_full")));
     assert_eq!(third.retry_after.as_deref(), Some("1"));
-    first.into_iter().for_each(|f| assert_eq!(f.join().unwrap().how, "completed"));
-    assert_eq!(w.play(w.ask("q3", "chat")).how, "completed");
+    first.into_iter().for_each(|f| assert_eq!(f.join().unwrap().outcome, "completed"));
+    assert_eq!(w.play(w.ask("q3", "chat")).outcome, "completed");
     w.assert_sound();
 }
 
@@ -77,7 +80,7 @@
     let mut completed = 0;
     for a in asks {
         let seen = a.join().unwrap();
-        match seen.how.as_str() {
+        match seen.outcome.as_str() {
             "completed" => completed += 1,
             _ => assert!(seen.status == 503 && seen.retry_after.is_some(), "{seen:?}"),
         }
@@ -126,14 +129,17 @@
     w.wait("the change is told", |l| l.iter().filter(|l| l["ev"] == "told").count() > told);
     thread::sleep(std::time::Duration::from_millis(50));
     let seen = w.play(w.ask("q", "booking"));
-    assert!(seen.how == "errored" || seen.how == "shed", "{seen:?}");
-    assert!(seen.code.is_some() && seen.whole_s < 4.5, "{seen:?}");
+    assert!(seen.outcome == "errored" || seen.outcome == "shed", "{seen:?}");
+    assert!(seen.code.is_some() && seen.duration_s < 4.5, "{seen:?}");
     // Put right, all is as before.
     let good = w.engine(figures(id));
     let told = w.count("told", "");
     w.control("list", serde_json::json!({"line": good}));
     w.wait("the change is told", |l| l.iter().filter(|l| l["ev"] == "told").count() > told);
     thread::sleep(std::time::Duration::from_millis(50));
-    assert_eq!(w.play(client::Ask { req: "again".into(), ..w.ask("again", "chat") }).how, "completed");
+    assert_eq!(
+        w.play(client::ChatCall { request_id: "again".into(), ..w.ask("again", "chat") }).outcome,
+        "completed"
+    );
     w.assert_sound();
 }
--- a/crates/nickelgw-node/tests/common/mod.rs
+++ b/crates/nickelgw-node/tests/common/mod.rs
@@ -7,10 +7,10 @@
 use nickelgw_node_core::admission::{Model, Tenant};
 use nickelgw_node_core::{Admission, CoreConfig};
 use nickelgw_protocol::list::{self, EngineState};
-use nickelgw_test_servers::client::{self, Ask, Seen};
-use nickelgw_test_servers::model::{self, Role};
-use nickelgw_test_servers::record::unix_now;
-use nickelgw_test_servers::Record;
+use nickelgw_test_servers::client::{self, CallResult, ChatCall};
+use nickelgw_test_servers::engine_config::{self, Role};
+use nickelgw_test_servers::recorder::unix_now;
+use nickelgw_test_servers::Recorder;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -39,26 +39,32 @@
     pub node: String,
     pub list: String,
     pub engines: BTreeMap<String, String>,
-    pub record: Record,
+    pub record: Recorder,
     /// Orders to the node, and how it ends.
     pub tell: Option<async_channel::Sender<nickelgw_node::ProcessSignal>>,
     pub exit: Option<thread::JoinHandle<nickelgw_node::Exit>>,
 }
 
 /// Engines "r*" read, "w*" write; the last letter of an id is its zone.
-pub fn figures(id: &str) -> model::Figures {
-    let role = if id.starts_with('r') { Role::Read } else { Role::Write };
+pub fn figures(id: &str) -> engine_config::EngineConfig {
+    let role = if id.starts_with('r') { Role::Prefill } else { Role::Decode };
     let zone = id[id.len() - 1..].to_string();
-    model::Figures { id: id.into(), role, zone, out_tokens: 10, ..model::Figures::default() }
+    engine_config::EngineConfig {
+        id: id.into(),
+        role,
+        zone,
+        mean_output_tokens: 10,
+        ..engine_config::EngineConfig::default()
+    }
 }
 
-pub fn line(f: &model::Figures, address: &str) -> list::EndpointEntry {
+pub fn line(f: &engine_config::EngineConfig, address: &str) -> list::EndpointEntry {
     list::EndpointEntry {
         id: f.id.clone(),
         address: address.into(),
         zone: f.zone.clone(),
         cell: f.cell,
-        role: if f.role == Role::Read { list::EngineRole::Prefill } else { list::EngineRole::Decode },
+        role: if f.role == Role::Prefill { list::EngineRole::Prefill } else { list::EngineRole::Decode },
         memory_tokens: f.memory_tokens,
         state: EngineState::Active,
         started_at: None,
@@ -184,13 +190,13 @@
 }
 
 impl World {
-    pub fn new(engines: Vec<model::Figures>) -> World {
+    pub fn new(engines: Vec<engine_config::EngineConfig>) -> World {
         World::with(engines, |_| {})
     }
 
-    pub fn with(engines: Vec<model::Figures>, tweak: impl FnOnce(&mut NodeOptions)) -> World {
-        let record = Record::memory("driver");
-        record.note(
+    pub fn with(engines: Vec<engine_config::EngineConfig>, tweak: impl FnOnce(&mut NodeOptions)) -> World {
+        let record = Recorder::memory("driver");
+        record.record(
             "rules",
             json!({"drain_grace_s": 0.5, "hold_limit_s": 0.5, "slack_s": 0.25, "routes": {
             "chat": {"repeat": "retriable"}, "booking": {"repeat": "non_retriable"},
@@ -208,7 +214,7 @@
         };
         let lines: Vec<list::EndpointEntry> = engines.into_iter().map(|f| world.engine(f)).collect();
         thread::spawn(move || {
-            smol::block_on(nickelgw_test_servers::list::run(l, lines, 0.0, record.of("list")))
+            smol::block_on(nickelgw_test_servers::list::run(l, lines, 0.0, record.for_source("list")))
         });
         let mut s = start(&world.list);
         let (tell, orders) = async_channel::bounded(4);
@@ -221,10 +227,10 @@
     }
 
     /// Starts an engine; it is not listed by that.
-    pub fn engine(&mut self, f: model::Figures) -> list::EndpointEntry {
+    pub fn engine(&mut self, f: engine_config::EngineConfig) -> list::EndpointEntry {
         let (l, address) = listener();
         self.engines.insert(f.id.clone(), address.clone());
-        let (line, record) = (line(&f, &address), self.record.of(&f.id));
+        let (line, record) = (line(&f, &address), self.record.for_source(&f.id));
         thread::spawn(move || smol::block_on(nickelgw_test_servers::engine::run(l, f, record, 5)));
         line
     }
@@ -232,7 +238,7 @@
     /// Waits for something to have been recorded.
     pub fn wait(&self, what: &str, seen: impl Fn(&[Value]) -> bool) {
         let from = Instant::now();
-        while !seen(&self.record.lines()) {
+        while !seen(&self.record.entries()) {
             assert!(from.elapsed() < Duration::from_secs(10), "not seen in ten seconds: {what}");
             thread::sleep(Duration::from_millis(5));
         }
@@ -243,7 +249,7 @@
     }
 
     pub fn count(&self, ev: &str, req: &str) -> usize {
-        self.record.lines().iter().filter(|l| l["ev"] == ev && (req.is_empty() || l["req"] == req)).count()
+        self.record.entries().iter().filter(|l| l["ev"] == ev && (req.is_empty() || l["req"] == req)).count()
     }
 
     pub fn control(&self, engine: &str, order: Value) -> Value {
@@ -258,38 +264,38 @@
         answer.unwrap_or_default()
     }
 
-    pub fn ask(&self, req: &str, model: &str) -> Ask {
-        Ask {
-            req: req.into(),
+    pub fn ask(&self, req: &str, model: &str) -> ChatCall {
+        ChatCall {
+            request_id: req.into(),
             node: "node0".into(),
             address: self.node.clone(),
             model: model.into(),
-            key: Some(KEY.into()),
+            api_key: Some(KEY.into()),
             system: "You are kind.".into(),
             prompt: format!("{req}: tell me more. {}", "word ".repeat(50)),
             max_tokens: Some(10),
             stream: true,
             timeout_s: 4.0,
-            target_s: 1.0,
-            intended: unix_now(),
-            ..Ask::default()
+            ttft_target_s: 1.0,
+            intended_start: unix_now(),
+            ..ChatCall::default()
         }
     }
 
-    pub fn play(&self, ask: Ask) -> Seen {
-        smol::block_on(client::ask(&ask, &self.record.of("client"))).expect("the node is there")
+    pub fn play(&self, ask: ChatCall) -> CallResult {
+        smol::block_on(client::call(&ask, &self.record.for_source("client"))).expect("the node is there")
     }
 
     /// Plays on another thread.
-    pub fn later(&self, ask: Ask) -> thread::JoinHandle<Seen> {
-        let record = self.record.of("client");
-        thread::spawn(move || smol::block_on(client::ask(&ask, &record)).expect("the node is there"))
+    pub fn later(&self, ask: ChatCall) -> thread::JoinHandle<CallResult> {
+        let record = self.record.for_source("client");
+        thread::spawn(move || smol::block_on(client::call(&ask, &record)).expect("the node is there"))
     }
 
     pub fn verdict(&self) -> AuditReport {
-        self.record.note("end", json!({}));
+        self.record.record("end", json!({}));
         let mut lines: Vec<RecordEntry> =
-            self.record.lines().iter().filter_map(RecordEntry::from_json).collect();
+            self.record.entries().iter().filter_map(RecordEntry::from_json).collect();
         nickelgw_audit::sort_by_time(&mut lines);
         audit(&lines)
     }
--- a/crates/nickelgw-node/tests/leaving.rs
+++ b/crates/nickelgw-node/tests/leaving.rs
@@ -4,8 +4,8 @@
 
 use common::{figures, post, World};
 use nickelgw_node::{Exit, ProcessSignal};
-use nickelgw_test_servers::client::{self, status, Ask};
-use nickelgw_test_servers::model;
+use nickelgw_test_servers::client::{self, response_status, ChatCall};
+use nickelgw_test_servers::engine_config;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 fn world(grace_s: f64) -> World {
-    let slow = model::Figures { step_s: 0.05, ..figures("w0a") };
+    let slow = engine_config::EngineConfig { decode_step_s: 0.05, ..figures("w0a") };
     World::with(vec![figures("r0a"), slow], |s| s.shutdown.drain_timeout_s = grace_s)
 }
 
@@ -23,7 +23,7 @@
 
 fn healthy(w: &World) -> u16 {
     let call = b"GET /healthz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-    status(&smol::block_on(client::raw(&w.node, &[call], 0.0, 1.0)))
+    response_status(&smol::block_on(client::send_raw(&w.node, &[call], 0.0, 1.0)))
 }
 
 #[test]
@@ -49,7 +49,7 @@
     let mut answer = String::new();
     idle.read_to_string(&mut answer).unwrap();
     assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("connection: close"), "{answer}");
-    assert_eq!(stream.join().unwrap().how, "completed");
+    assert_eq!(stream.join().unwrap().outcome, "completed");
     assert_eq!(w.exit.take().unwrap().join().unwrap(), Exit::Clean);
     assert!(TcpStream::connect(&w.node).is_err(), "it listens no longer");
     w.assert_empty(&["r0a", "w0a"]);
@@ -64,7 +64,7 @@
     ask.max_tokens = None;
     let stream = w.later(ask);
     w.wait_for("first", "stream");
-    let whole = w.later(Ask { stream: false, max_tokens: None, ..w.ask("whole", "chat") });
+    let whole = w.later(ChatCall { stream: false, max_tokens: None, ..w.ask("whole", "chat") });
     w.wait_for("ran", "whole");
     // One whose state is held at its reader while a silent writer is asked.
     w.control("w0a", json!({"fault": "silence", "for_s": 0.9}));
@@ -72,9 +72,9 @@
     w.wait_for("read", "held");
     tell(&w, ProcessSignal::Drain);
     let (stream, whole, held) = (stream.join().unwrap(), whole.join().unwrap(), held.join().unwrap());
-    assert_eq!((stream.how.as_str(), stream.code.as_deref()), ("errored", Some("node_stopping")));
+    assert_eq!((stream.outcome.as_str(), stream.code.as_deref()), ("errored", Some("node_stopping")));
     assert_eq!((whole.status, whole.code.as_deref()), (503, Some("node_stopping")));
-    assert_ne!(held.how, "completed");
+    assert_ne!(held.outcome, "completed");
     assert_eq!(w.exit.take().unwrap().join().unwrap(), Exit::RequestsCut);
     thread::sleep(Duration::from_millis(900));
     w.assert_empty(&["r0a", "w0a"]);
@@ -104,10 +104,10 @@
     let (l, admin) = common::listener();
     let w = World::with(vec![figures("r0a"), figures("w0a")], |s| s.admin = Some(l));
     w.control("w0a", json!({"fault": "lose", "for_s": 60.0, "share": 1.0}));
-    assert_eq!(w.play(w.ask("lost-one", "booking")).how, "errored");
+    assert_eq!(w.play(w.ask("lost-one", "booking")).outcome, "errored");
     let get = |path: &str| {
         let call = format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
-        let answer = smol::block_on(client::raw(&admin, &[call.as_bytes()], 0.0, 2.0));
+        let answer = smol::block_on(client::send_raw(&admin, &[call.as_bytes()], 0.0, 2.0));
         String::from_utf8(answer).unwrap()
     };
     let told = get("/why/lost-one");
@@ -116,7 +116,7 @@
     {
         assert!(told.contains(wanted), "{wanted}: {told}");
     }
-    assert_eq!(status(get("/why/unknown").as_bytes()), 404);
+    assert_eq!(response_status(get("/why/unknown").as_bytes()), 404);
     let metrics = get("/metrics");
     for wanted in [
         "nickelgw_inferences_total{how=\"errored\"} 1",
@@ -127,5 +127,5 @@
     ] {
         assert!(metrics.contains(wanted), "{wanted}: {metrics}");
     }
-    assert_eq!(status(get("/healthz").as_bytes()), 200);
+    assert_eq!(response_status(get("/healthz").as_bytes()), 200);
 }
--- a/crates/nickelgw-node/tests/path.rs
+++ b/crates/nickelgw-node/tests/path.rs
@@ -5,9 +5,9 @@
 use common::{figures, post, start, World};
 use nickelgw_chat::core::grant::{grant, GrantClaims, GrantKey};
 use nickelgw_node_core::GrantConfig;
-use nickelgw_test_servers::client::{self, status, Ask, Leave};
-use nickelgw_test_servers::model;
-use nickelgw_test_servers::record::unix_now;
+use nickelgw_test_servers::client::{self, response_status, ChatCall, DisconnectAt};
+use nickelgw_test_servers::engine_config;
+use nickelgw_test_servers::recorder::unix_now;
 use serde_json::{json, Value};
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
@@ -23,20 +23,20 @@
 
 fn holder(w: &World, req: &str) -> (String, String) {
     w.wait_for("read", req);
-    let lines = w.record.lines();
+    let lines = w.record.entries();
     let l = lines.iter().find(|l| l["ev"] == "read" && l["req"] == req).unwrap();
     (l["who"].as_str().unwrap().into(), l["send"].as_str().unwrap().into())
 }
 
 #[test]
 fn a_reader_that_dies_during_the_fetch_costs_a_second_read() {
-    let heavy = |id: &str| model::Figures { state_bytes_per_token: 40_000.0, ..figures(id) };
+    let heavy = |id: &str| engine_config::EngineConfig { kv_bytes_per_token: 40_000.0, ..figures(id) };
     let w = World::new(vec![heavy("r0a"), heavy("r1a"), heavy("w0a")]);
     w.control("w0a", json!({"fault": "silence", "for_s": 0.1}));
     let asked = w.later(w.ask("q", "booking"));
     let (reader, _) = holder(&w, "q");
     w.control(&reader, json!({"fault": "die_in_fetch"}));
-    assert_eq!(asked.join().unwrap().how, "completed");
+    assert_eq!(asked.join().unwrap().outcome, "completed");
     assert_eq!((w.count("died", ""), w.count("read", "q"), w.count("ran", "q")), (1, 2, 1));
     w.assert_sound();
 }
@@ -48,7 +48,7 @@
     w.control("w1b", json!({"fault": "refuse", "times": 3}));
     for n in 0..3 {
         let seen = w.play(w.ask(&format!("q{n}"), "booking"));
-        assert!(seen.how == "completed" || seen.how == "shed", "{seen:?}");
+        assert!(seen.outcome == "completed" || seen.outcome == "shed", "{seen:?}");
     }
     assert_eq!(w.count("turned", ""), 6);
     w.assert_empty(&["r0a", "w0a", "w1b"]);
@@ -62,9 +62,12 @@
 #[test_case("fetching"; "fetching")]
 #[test_case("streaming"; "streaming")]
 fn a_client_vanishes(at: &str) {
-    let reader =
-        model::Figures { slots: 1, read_s: if at == "queued" { 0.4 } else { 0.1 }, ..figures("r0a") };
-    let writer = model::Figures { step_s: 0.03, ..figures("w0a") };
+    let reader = engine_config::EngineConfig {
+        slots: 1,
+        prefill_base_s: if at == "queued" { 0.4 } else { 0.1 },
+        ..figures("r0a")
+    };
+    let writer = engine_config::EngineConfig { decode_step_s: 0.03, ..figures("w0a") };
     let w = World::new(vec![reader, writer]);
     let others = if at == "queued" { 6 } else { 0 };
     let others: Vec<_> = (0..others).map(|n| w.later(w.ask(&format!("o{n}"), "chat"))).collect();
@@ -74,17 +77,17 @@
         _ => {}
     }
     let leave = match at {
-        "streaming" => Leave::Streaming(2),
-        "queued" => Leave::Waiting(0.1),
-        "reading" => Leave::Waiting(0.06),
-        _ => Leave::Waiting(0.35),
+        "streaming" => DisconnectAt::EventCount(2),
+        "queued" => DisconnectAt::WaitingFor(0.1),
+        "reading" => DisconnectAt::WaitingFor(0.06),
+        _ => DisconnectAt::WaitingFor(0.35),
     };
-    let asked = w.later(Ask { leave, ..w.ask("q", "booking") });
+    let asked = w.later(ChatCall { disconnect: leave, ..w.ask("q", "booking") });
     if at == "fetching" {
         let (reader, _) = holder(&w, "q");
         w.control(&reader, json!({"fault": "silence", "for_s": 0.6}));
     }
-    assert_eq!(asked.join().unwrap().how, "left");
+    assert_eq!(asked.join().unwrap().outcome, "left");
     others.into_iter().for_each(|o| drop(o.join()));
     thread::sleep(Duration::from_millis(700));
     assert_eq!(w.count("done", "q"), 0, "it ran on for nobody");
@@ -99,8 +102,8 @@
     w.control("w0a", json!({"fault": "say", "text": text}));
     w.control("w0a", json!({"fault": "split", "bytes": 1}));
     for stream in [true, false] {
-        let seen = w.play(Ask { stream, max_tokens: None, ..w.ask(&format!("q{stream}"), "chat") });
-        assert_eq!((seen.how.as_str(), seen.text.as_str()), ("completed", text));
+        let seen = w.play(ChatCall { stream, max_tokens: None, ..w.ask(&format!("q{stream}"), "chat") });
+        assert_eq!((seen.outcome.as_str(), seen.text.as_str()), ("completed", text));
     }
     w.assert_sound();
 }
@@ -112,18 +115,19 @@
     let w = world(&["r0a", "w0a"], |_| {});
     w.control("w0a", json!({"fault": "ending", "how": how}));
     for n in 0..4 {
-        let seen = w.play(Ask { stream: n != 3, ..w.ask(&format!("q{n}"), "chat") });
-        assert_eq!((seen.how.as_str(), seen.code.as_deref()), (seen_as, code));
+        let seen = w.play(ChatCall { stream: n != 3, ..w.ask(&format!("q{n}"), "chat") });
+        assert_eq!((seen.outcome.as_str(), seen.code.as_deref()), (seen_as, code));
         assert!(!seen.text.contains("more") && w.count("final", &format!("q{n}")) == 1);
     }
     w.control("w0a", json!({"fault": "ending", "how": ""}));
-    assert_eq!(w.play(w.ask("after", "chat")).how, "completed");
+    assert_eq!(w.play(w.ask("after", "chat")).outcome, "completed");
     w.assert_sound();
 }
 
 #[test]
 fn bodies_of_eight_megabytes_and_prompts_of_one_token() {
-    let big = |id| model::Figures { memory_tokens: 1e7, read_tokens_per_s: 1e8, ..figures(id) };
+    let big =
+        |id| engine_config::EngineConfig { memory_tokens: 1e7, prefill_tokens_per_s: 1e8, ..figures(id) };
     let large = |s: &mut nickelgw_node::NodeOptions| {
         (s.limits.max_body_bytes, s.limits.body_timeout_s, s.admission.max_prompt_tokens) =
             (9_000_000, 5.0, 4e6);
@@ -131,17 +135,17 @@
     let w = World::with(vec![big("r0a"), big("w0a")], large);
     let mut ask = w.ask("big", "chat");
     ask.prompt = "word ".repeat(8_000_000 / 5);
-    let seen = w.play(Ask { timeout_s: 4.0, ..ask });
-    assert_eq!((seen.how.as_str(), seen.status), ("completed", 200));
+    let seen = w.play(ChatCall { timeout_s: 4.0, ..ask });
+    assert_eq!((seen.outcome.as_str(), seen.status), ("completed", 200));
     let mut ask = w.ask("small", "chat");
     (ask.prompt, ask.system) = ("a".into(), String::new());
     let seen = w.play(ask);
-    assert_eq!((seen.how.as_str(), seen.text.starts_with("w0 ")), ("completed", true));
+    assert_eq!((seen.outcome.as_str(), seen.text.starts_with("w0 ")), ("completed", true));
     let mut over = w.ask("over", "chat");
     over.prompt = "word ".repeat(9_000_000 / 5);
     let seen = w.play(over);
     // Refused by its length alone; a client that is still writing may see its connection end instead.
-    assert!(seen.status == 413 || seen.how == "cut", "{seen:?}");
+    assert!(seen.status == 413 || seen.outcome == "cut", "{seen:?}");
     assert_eq!(w.count("send", "over"), 0);
 }
 
@@ -157,7 +161,7 @@
         (r#","max_completion_tokens":2,"max_tokens":null"#, "w0 w1 ", "length"),
     ] {
         let text_of = post(&body(more), "connection: close\r\n");
-        let answer = smol::block_on(client::raw(&w.node, &[text_of.as_bytes()], 0.0, 2.0));
+        let answer = smol::block_on(client::send_raw(&w.node, &[text_of.as_bytes()], 0.0, 2.0));
         let answer = String::from_utf8(answer).unwrap();
         let v: Value = serde_json::from_str(answer.split_once("\r\n\r\n").unwrap().1).unwrap();
         let choice = &v["choices"][0];
@@ -171,7 +175,7 @@
     let body = r#"{"model":"chat","max_tokens":3,"messages":[{"role":"user","content":"hi"}]}"#;
     let bad = post("{", "");
     let three = [post(body, ""), bad, post(body, "connection: close\r\n")].concat();
-    let answer = smol::block_on(client::raw(&w.node, &[three.as_bytes()], 0.0, 2.0));
+    let answer = smol::block_on(client::send_raw(&w.node, &[three.as_bytes()], 0.0, 2.0));
     let answer = String::from_utf8_lossy(&answer).to_string();
     let statuses: Vec<&str> = answer.split("HTTP/1.1 ").skip(1).map(|a| &a[..3]).collect();
     assert_eq!(statuses, ["200", "400", "200"], "{answer}");
@@ -196,17 +200,17 @@
     let third = w.play(w.ask("c", "chat"));
     assert_eq!((third.status, third.code.as_deref()), (429, Some("too_many_open")));
     assert!(third.retry_after.is_some());
-    first.into_iter().for_each(|f| assert_eq!(f.join().unwrap().how, "completed"));
-    assert_eq!(w.play(w.ask("d", "chat")).how, "completed");
+    first.into_iter().for_each(|f| assert_eq!(f.join().unwrap().outcome, "completed"));
+    assert_eq!(w.play(w.ask("d", "chat")).outcome, "completed");
 }
 
 #[test]
 fn a_state_goes_only_to_the_writer_that_was_granted_it_and_once() {
-    let known = |id| model::Figures { grant_keys: vec![(7, SECRET.into())], ..figures(id) };
+    let known = |id| engine_config::EngineConfig { grant_keys: vec![(7, SECRET.into())], ..figures(id) };
     let key = || GrantKey::of(7, SECRET).unwrap();
     let grants = GrantConfig { keys: vec![(0.0, key())], lifetime_s: 5.0 };
     let w = World::with(vec![known("r0a"), figures("w0a")], |s| s.core_config.grants = Some(grants));
-    assert_eq!(w.play(w.ask("fine", "chat")).how, "completed");
+    assert_eq!(w.play(w.ask("fine", "chat")).outcome, "completed");
     assert_eq!((w.count("fetched", ""), w.count("not_granted", "")), (1, 0));
     w.control("w0a", json!({"fault": "silence", "for_s": 1.0}));
     let asked = w.later(w.ask("q", "chat"));
@@ -216,7 +220,7 @@
             "GET /v1/states/{state} HTTP/1.1\r\nhost: x\r\nx-engine-id: {writer}\r\nx-state-grant: {grant}\r\n\
              connection: close\r\n\r\n"
         );
-        status(&smol::block_on(client::raw(&w.engines["r0a"], &[text.as_bytes()], 0.0, 1.0)))
+        response_status(&smol::block_on(client::send_raw(&w.engines["r0a"], &[text.as_bytes()], 0.0, 1.0)))
     };
     let g = GrantClaims {
         reservation: &state,
@@ -242,12 +246,17 @@
     }
     assert_eq!(fetch(&good, "w9a"), 200);
     assert_eq!(fetch(&good, "w9a"), 403, "replayed");
-    let whys: Vec<String> =
-        w.record.lines().iter().filter(|l| l["ev"] == "not_granted").map(|l| l["why"].to_string()).collect();
+    let whys: Vec<String> = w
+        .record
+        .entries()
+        .iter()
+        .filter(|l| l["ev"] == "not_granted")
+        .map(|l| l["why"].to_string())
+        .collect();
     assert_eq!(whys.len(), 8, "{whys:?}");
     assert!(whys[4].contains("Expired") && whys[7].contains("Replayed"), "{whys:?}");
     // Its state was stolen by a granted fetch: the writer finds none, and it is read again.
-    assert_eq!(asked.join().unwrap().how, "completed");
+    assert_eq!(asked.join().unwrap().outcome, "completed");
     assert_eq!(w.count("read", "q"), 2);
 }
 
@@ -263,8 +272,8 @@
     let body = r#"{"model":"chat","max_tokens":3,"messages":[{"role":"user","content":"hi"}]}"#;
     let text = post(body, "idempotency-key: k\r\nconnection: close\r\n");
     for node in [&w.node, &w.node, &other] {
-        let answer = smol::block_on(client::raw(node, &[text.as_bytes()], 0.0, 2.0));
-        assert_eq!(status(&answer), 200);
+        let answer = smol::block_on(client::send_raw(node, &[text.as_bytes()], 0.0, 2.0));
+        assert_eq!(response_status(&answer), 200);
     }
     // Once for the first node's two, once for the other: nodes share nothing.
     assert_eq!(w.count("ran", ""), 2);
--- a/crates/nickelgw-node/tests/registry.rs
+++ b/crates/nickelgw-node/tests/registry.rs
@@ -49,7 +49,7 @@
 
 fn registry(w: &World) -> String {
     let (l, address) = listener();
-    let record = w.record.of("registry");
+    let record = w.record.for_source("registry");
     thread::spawn(move || smol::block_on(nickelgw_test_servers::registry::run(l, record)));
     address
 }
@@ -102,7 +102,7 @@
 
     fn serves(&self, req: &str) {
         let seen = self.w.play(self.w.ask(req, "chat"));
-        assert_eq!(seen.how, "completed", "{seen:?}");
+        assert_eq!(seen.outcome, "completed", "{seen:?}");
     }
 
     fn line(&self, id: &str) -> EndpointEntry {
@@ -182,7 +182,7 @@
     drop(l);
     let health = |node: &str| {
         let call = b"GET /healthz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-        client::status(&smol::block_on(client::raw(node, &[call], 0.0, 1.0)))
+        client::response_status(&smol::block_on(client::send_raw(node, &[call], 0.0, 1.0)))
     };
     let mut with = common::start(&nobody);
     (with.endpoint_source, with.endpoint_cache) = (source(&[&nobody]), Some(s.kept.clone()));
@@ -193,7 +193,7 @@
     }
     let mut ask = s.w.ask("from the last", "chat");
     ask.address = node;
-    assert_eq!(s.w.play(ask).how, "completed");
+    assert_eq!(s.w.play(ask).outcome, "completed");
     let mut without = common::start(&nobody);
     without.endpoint_source = source(&[&nobody, &s.w.list]);
     // Its second endpoint is there: it is found.
--- a/crates/nickelgw-node/tests/repeats.rs
+++ b/crates/nickelgw-node/tests/repeats.rs
@@ -3,13 +3,13 @@
 mod common;
 
 use common::{figures, post, World};
-use nickelgw_test_servers::client::{raw, status};
-use nickelgw_test_servers::model::Figures;
+use nickelgw_test_servers::client::{response_status, send_raw};
+use nickelgw_test_servers::engine_config::EngineConfig;
 use std::thread;
 use std::time::Duration;
 
 fn world(tweak: impl FnOnce(&mut nickelgw_node::NodeOptions)) -> World {
-    let slow = Figures { step_s: 0.04, ..figures("w0a") };
+    let slow = EngineConfig { decode_step_s: 0.04, ..figures("w0a") };
     World::with(vec![figures("r0a"), slow], tweak)
 }
 
@@ -22,7 +22,7 @@
 /// Asks with a key; what came back, or what came until `patience` had passed without a byte.
 fn ask(w: &World, req: &str, key: &str, body: &str, patience: f64) -> String {
     let head = post(body, &format!("connection: close\r\nx-request-id: {req}\r\n{key}"));
-    let out = smol::block_on(raw(&w.node, &[head.as_bytes()], 0.0, patience));
+    let out = smol::block_on(send_raw(&w.node, &[head.as_bytes()], 0.0, patience));
     String::from_utf8_lossy(&out).into_owned()
 }
 
@@ -83,7 +83,7 @@
     w.wait_for("ran", "a");
     w.wait_for("dropped", "a");
     let again = ask(&w, "b", &key, &b, 1.0);
-    assert_eq!((status(again.as_bytes()), w.count("ran", "")), (409, 1), "{again}");
+    assert_eq!((response_status(again.as_bytes()), w.count("ran", "")), (409, 1), "{again}");
     w.assert_empty(&["r0a", "w0a"]);
 }
 
@@ -91,11 +91,11 @@
 fn another_body_under_the_key_is_refused_and_other_keys_are_others() {
     let w = world(|_| {});
     let whole = ask(&w, "a", &idem("k"), &body("chat", "one", false), 2.0);
-    assert_eq!(status(whole.as_bytes()), 200);
-    assert_eq!(status(ask(&w, "b", &idem("k"), &body("chat", "two", false), 2.0).as_bytes()), 422);
-    assert_eq!(status(ask(&w, "c", &idem("l"), &body("chat", "two", false), 2.0).as_bytes()), 200);
+    assert_eq!(response_status(whole.as_bytes()), 200);
+    assert_eq!(response_status(ask(&w, "b", &idem("k"), &body("chat", "two", false), 2.0).as_bytes()), 422);
+    assert_eq!(response_status(ask(&w, "c", &idem("l"), &body("chat", "two", false), 2.0).as_bytes()), 200);
     assert_eq!(
-        status(ask(&w, "d", &idem(&"x".repeat(300)), &body("chat", "two", false), 2.0).as_bytes()),
+        response_status(ask(&w, "d", &idem(&"x".repeat(300)), &body("chat", "two", false), 2.0).as_bytes()),
         400
     );
     assert_eq!(w.count("ran", ""), 2);
@@ -108,11 +108,11 @@
     let (key, b) = (idem("lost"), body("booking", "transfer", false));
     let first = ask(&w, "a", &key, &b, 5.0);
     let again = ask(&w, "b", &key, &b, 5.0);
-    assert_eq!((status(first.as_bytes()), status(again.as_bytes())), (502, 502), "{again}");
+    assert_eq!((response_status(first.as_bytes()), response_status(again.as_bytes())), (502, 502), "{again}");
     assert_eq!(w.count("ran", ""), 1);
     w.control("w0a", serde_json::json!({"fault": "lose", "for_s": 0.0, "share": 0.0}));
     let (key, b) = (idem("fine"), body("chat", "look up", false));
-    assert_eq!(status(ask(&w, "c", &key, &b, 5.0).as_bytes()), 200);
+    assert_eq!(response_status(ask(&w, "c", &key, &b, 5.0).as_bytes()), 200);
 }
 
 #[test]
@@ -121,7 +121,7 @@
     let (key, b) = (idem("long"), body("booking", "tell all", true));
     let first = ask(&w, "a", &key, &b, 2.0);
     assert!(first.contains("[DONE]"), "{first}");
-    assert_eq!(status(ask(&w, "b", &key, &b, 2.0).as_bytes()), 409);
+    assert_eq!(response_status(ask(&w, "b", &key, &b, 2.0).as_bytes()), 409);
     assert_eq!(w.count("ran", ""), 1);
 }
 
@@ -132,7 +132,7 @@
     for n in 0..12 {
         let marked = format!("x-stainless-retry-count: {}\r\n", 1 + n % 3);
         let answer = ask(&w, &format!("r{n}"), &marked, &body("chat", "again", false), 2.0);
-        match status(answer.as_bytes()) {
+        match response_status(answer.as_bytes()) {
             200 => {}
             429 => {
                 refused += 1;
@@ -143,5 +143,5 @@
     }
     assert_eq!(refused, 9);
     // First tries are served all the same.
-    assert_eq!(status(ask(&w, "first", "", &body("chat", "new", false), 2.0).as_bytes()), 200);
+    assert_eq!(response_status(ask(&w, "first", "", &body("chat", "new", false), 2.0).as_bytes()), 200);
 }
--- a/crates/nickelgw-node/tests/stalled.rs
+++ b/crates/nickelgw-node/tests/stalled.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{figures, post, World};
-use nickelgw_test_servers::client::{self, Ask};
-use nickelgw_test_servers::model;
+use nickelgw_test_servers::client::{self, ChatCall};
+use nickelgw_test_servers::engine_config;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -31,13 +31,13 @@
     }
     // Where the machine allows fewer descriptors, as many clients as it allows.
     let clients = (wanted as usize / 10).min(250);
-    let wide = |id| model::Figures {
+    let wide = |id| engine_config::EngineConfig {
         slots: 4000,
-        out_tokens: 240,
-        queue: 4000,
-        step_s: 0.002,
-        step_per_stream_s: 0.0,
-        read_s: 0.001,
+        mean_output_tokens: 240,
+        max_queue_len: 4000,
+        decode_step_s: 0.002,
+        decode_step_per_stream_s: 0.0,
+        prefill_base_s: 0.001,
         memory_tokens: 1e8,
         ..figures(id)
     };
@@ -79,12 +79,16 @@
         assert!(from.elapsed() < Duration::from_secs(60), "only {} have begun", stalled.len());
     }
     // One that does not stall is served while they stand, then each of the others has had its time.
-    let seen =
-        w.play(Ask { timeout_s: 20.0, target_s: 20.0, max_tokens: Some(20), ..w.ask("quick", "chat") });
-    assert_eq!(seen.how, "completed");
+    let seen = w.play(ChatCall {
+        timeout_s: 20.0,
+        ttft_target_s: 20.0,
+        max_tokens: Some(20),
+        ..w.ask("quick", "chat")
+    });
+    assert_eq!(seen.outcome, "completed");
     let call = b"GET /healthz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
     until("all but the asking connection are cut off", || {
-        let answer = smol::block_on(client::raw(&w.node, &[call], 0.0, 5.0));
+        let answer = smol::block_on(client::send_raw(&w.node, &[call], 0.0, 5.0));
         String::from_utf8_lossy(&answer).contains("\"connections\":1")
     });
     w.assert_empty(&["r0a", "r1a", "w0a", "w1a"]);
--- a/crates/nickelgw-node/tests/tls.rs
+++ b/crates/nickelgw-node/tests/tls.rs
@@ -4,9 +4,9 @@
 
 use common::{figures, World};
 use nickelgw_node::TlsOptions;
-use nickelgw_test_servers::authority::{put, Authority, Fault};
-use nickelgw_test_servers::client::{self, Seen};
-use nickelgw_test_servers::model::{Figures, TlsFiles};
+use nickelgw_test_servers::authority::{replace_file, Authority, CertificateFault};
+use nickelgw_test_servers::client::{self, CallResult};
+use nickelgw_test_servers::engine_config::{EngineConfig, TlsFiles};
 use nickelgw_tls::{Client, Files, Server, Versions};
 use serde_json::json;
 use std::io::{Read, Write};
@@ -27,13 +27,13 @@
         let _ = std::fs::remove_dir_all(&dir);
         std::fs::create_dir_all(&dir).unwrap();
         let authority = Authority::new("first").unwrap();
-        put(&dir.join("root.pem"), authority.root_pem.as_bytes(), 0o644).unwrap();
+        replace_file(&dir.join("root.pem"), authority.root_pem.as_bytes(), 0o644).unwrap();
         let c = Certs { dir, authority };
-        c.make("node0", "node0.example.org", Fault::None);
+        c.make("node0", "node0.example.org", CertificateFault::None);
         c
     }
 
-    fn make(&self, file: &str, name: &str, fault: Fault) -> [PathBuf; 2] {
+    fn make(&self, file: &str, name: &str, fault: CertificateFault) -> [PathBuf; 2] {
         self.authority.write(&self.dir, file, name, fault).unwrap()
     }
 
@@ -41,11 +41,11 @@
         self.dir.join(file)
     }
 
-    fn engine(&self, id: &str, mutual: bool) -> Figures {
+    fn engine(&self, id: &str, mutual: bool) -> EngineConfig {
         let name = format!("{id}.example.org");
-        let [chain, key] = self.make(id, &name, Fault::None);
+        let [chain, key] = self.make(id, &name, CertificateFault::None);
         let tls = TlsFiles { name, chain, key, trust: self.path("root.pem"), mutual };
-        Figures { tls: Some(tls), ..figures(id) }
+        EngineConfig { tls: Some(tls), ..figures(id) }
     }
 
     fn client(&self, own: bool) -> Client {
@@ -53,7 +53,7 @@
         let files =
             Files { chain: of("node0.pem"), key: of("node0.key"), trust: Some(self.path("root.pem")) };
         let mut c = Client::new(files, Versions::Only13, 600.0);
-        c.look(nickelgw_test_servers::record::unix_now());
+        c.look(nickelgw_test_servers::recorder::unix_now());
         assert!(c.config().is_some());
         c
     }
@@ -76,21 +76,21 @@
     }
 }
 
-fn world(c: &Certs, engines: Vec<Figures>, own: bool) -> World {
+fn world(c: &Certs, engines: Vec<EngineConfig>, own: bool) -> World {
     World::with(engines, |s| s.tls = c.start(own))
 }
 
 fn handshakes(w: &World, engine: &str, field: &str) -> usize {
     let of = |l: &serde_json::Value| l["ev"] == "handshake" && (engine.is_empty() || l["who"] == engine);
-    w.record.lines().iter().filter(|l| of(l) && l[field] == true).count()
+    w.record.entries().iter().filter(|l| of(l) && l[field] == true).count()
 }
 
 fn sends(w: &World, engine: &str) -> usize {
-    w.record.lines().iter().filter(|l| l["ev"] == "send" && l["who"] == engine).count()
+    w.record.entries().iter().filter(|l| l["ev"] == "send" && l["who"] == engine).count()
 }
 
 /// Streams of some seconds, held open across what the test does.
-fn open_streams(w: &World, n: usize) -> Vec<thread::JoinHandle<Seen>> {
+fn open_streams(w: &World, n: usize) -> Vec<thread::JoinHandle<CallResult>> {
     let all = (0..n)
         .map(|k| {
             let mut a = w.ask(&format!("open{k}"), "chat");
@@ -102,17 +102,17 @@
     all
 }
 
-fn all_whole(streams: Vec<thread::JoinHandle<Seen>>) {
+fn all_whole(streams: Vec<thread::JoinHandle<CallResult>>) {
     for s in streams {
         let seen = s.join().unwrap();
-        assert_eq!(seen.how, "completed", "{seen:?}");
+        assert_eq!(seen.outcome, "completed", "{seen:?}");
         let words = seen.text.split_whitespace().count() as u64;
         assert!(words >= 20 && seen.text.ends_with(&format!("w{} ", words - 1)), "not whole: {}", seen.text);
     }
 }
 
-fn slow_writer(f: Figures) -> Figures {
-    Figures { step_s: 0.05, out_tokens: 40, ..f }
+fn slow_writer(f: EngineConfig) -> EngineConfig {
+    EngineConfig { decode_step_s: 0.05, mean_output_tokens: 40, ..f }
 }
 
 #[test]
@@ -120,7 +120,7 @@
     let c = Certs::new("way");
     let w = world(&c, ["r0a", "r1a", "w0a"].iter().map(|e| c.engine(e, true)).collect(), true);
     for n in 0..12 {
-        assert_eq!(w.play(w.ask(&format!("q{n}"), ["chat", "booking"][n % 2])).how, "completed");
+        assert_eq!(w.play(w.ask(&format!("q{n}"), ["chat", "booking"][n % 2])).outcome, "completed");
     }
     w.assert_empty(&[]);
     // Work goes on open connections: handshakes are few, and none failed.
@@ -141,7 +141,8 @@
     let streams = open_streams(&w, 6);
     let again = |c: &Certs, a: &Authority| {
         for e in ["r0a", "w0a"] {
-            let [chain, key] = a.write(&c.dir, e, &format!("{e}.example.org"), Fault::None).unwrap();
+            let [chain, key] =
+                a.write(&c.dir, e, &format!("{e}.example.org"), CertificateFault::None).unwrap();
             w.control(e, json!({"fault": "cert", "chain": chain, "key": key}));
         }
     };
@@ -150,12 +151,13 @@
     let settle = || thread::sleep(Duration::from_millis(300));
     match what {
         "engine" => again(&c, &c.authority),
-        "node" => drop(c.make("node0", "node0.example.org", Fault::None)),
+        "node" => drop(c.make("node0", "node0.example.org", CertificateFault::None)),
         // Trust of both first, as a rollout goes; then one side's certificates, then the other's.
         "engines first" | "nodes first" => {
-            put(&c.path("root.pem"), both.as_bytes(), 0o644).unwrap();
+            replace_file(&c.path("root.pem"), both.as_bytes(), 0o644).unwrap();
             settle();
-            let node = || drop(second.write(&c.dir, "node0", "node0.example.org", Fault::None).unwrap());
+            let node =
+                || drop(second.write(&c.dir, "node0", "node0.example.org", CertificateFault::None).unwrap());
             if what == "engines first" {
                 again(&c, &second);
                 settle();
@@ -167,51 +169,51 @@
                 again(&c, &second);
             }
             settle();
-            put(&c.path("root.pem"), second.root_pem.as_bytes(), 0o644).unwrap();
+            replace_file(&c.path("root.pem"), second.root_pem.as_bytes(), 0o644).unwrap();
         }
         _ => {
             again(&c, &c.authority);
-            c.make("node0", "node0.example.org", Fault::None);
+            c.make("node0", "node0.example.org", CertificateFault::None);
             settle();
-            c.make("node0", "node0.example.org", Fault::None);
+            c.make("node0", "node0.example.org", CertificateFault::None);
             again(&c, &c.authority);
         }
     }
     settle();
     for n in 0..4 {
-        assert_eq!(w.play(w.ask(&format!("new{n}"), "chat")).how, "completed");
+        assert_eq!(w.play(w.ask(&format!("new{n}"), "chat")).outcome, "completed");
     }
     all_whole(streams);
     w.assert_sound();
 }
 
-#[test_case(Fault::Expired; "expired")]
-#[test_case(Fault::NotYetValid; "not yet valid")]
-#[test_case(Fault::WrongName; "wrong name")]
-#[test_case(Fault::SelfSigned; "self signed")]
-fn a_bad_engine_gets_no_byte_of_a_prompt(fault: Fault) {
+#[test_case(CertificateFault::Expired; "expired")]
+#[test_case(CertificateFault::NotYetValid; "not yet valid")]
+#[test_case(CertificateFault::WrongName; "wrong name")]
+#[test_case(CertificateFault::SelfSigned; "self signed")]
+fn a_bad_engine_gets_no_byte_of_a_prompt(fault: CertificateFault) {
     let c = Certs::new(&format!("{fault:?}"));
     let [chain, key] = c.make("bad", "w1a.example.org", fault);
-    let bad = |f: Figures| Figures {
+    let bad = |f: EngineConfig| EngineConfig {
         tls: f.tls.map(|t| TlsFiles { chain: chain.clone(), key: key.clone(), ..t }),
         ..f
     };
     let w =
         world(&c, vec![c.engine("r0a", false), c.engine("w0a", false), bad(c.engine("w1a", false))], false);
     for n in 0..20 {
-        assert_eq!(w.play(w.ask(&format!("q{n}"), "booking")).how, "completed");
+        assert_eq!(w.play(w.ask(&format!("q{n}"), "booking")).outcome, "completed");
     }
     assert_eq!((sends(&w, "w1a"), sends(&w, "w0a")), (0, 20));
     // Left alone between tries, not asked again with each request.
-    let failed = w.record.lines().iter().filter(|l| l["ev"] == "handshake" && l["ok"] == false).count();
+    let failed = w.record.entries().iter().filter(|l| l["ev"] == "handshake" && l["ok"] == false).count();
     assert!((1..=12).contains(&failed), "{failed} handshakes");
     // Put right, it is taken back.
-    let [chain, key] = c.make("good", "w1a.example.org", Fault::None);
+    let [chain, key] = c.make("good", "w1a.example.org", CertificateFault::None);
     w.control("w1a", json!({"fault": "cert", "chain": chain, "key": key}));
     w.control("w0a", json!({"fault": "drain"}));
     let mut back = false;
     for n in 0..40 {
-        back |= w.play(w.ask(&format!("back{n}"), "chat")).how == "completed" && sends(&w, "w1a") > 0;
+        back |= w.play(w.ask(&format!("back{n}"), "chat")).outcome == "completed" && sends(&w, "w1a") > 0;
         if back {
             break;
         }
@@ -226,14 +228,14 @@
     let c = Certs::new("unknown");
     let stranger = Certs::new("stranger");
     let mut unknown = c.engine("w1a", false);
-    let [chain, key] = stranger.make("w1a", "w1a.example.org", Fault::None);
+    let [chain, key] = stranger.make("w1a", "w1a.example.org", CertificateFault::None);
     unknown.tls = unknown.tls.map(|t| TlsFiles { chain, key, ..t });
     // This one wants to see a certificate of the node, which has none.
     let strict = c.engine("w2a", true);
     let engines = vec![c.engine("r0a", false), c.engine("w0a", false), unknown, strict];
     let w = world(&c, engines, false);
     for n in 0..16 {
-        assert_eq!(w.play(w.ask(&format!("q{n}"), "booking")).how, "completed");
+        assert_eq!(w.play(w.ask(&format!("q{n}"), "booking")).outcome, "completed");
     }
     assert_eq!((sends(&w, "w1a"), sends(&w, "w2a"), sends(&w, "w0a")), (0, 0, 16));
     w.assert_sound();
@@ -243,17 +245,17 @@
 fn a_rotation_by_half_is_refused_and_completed_later() {
     let c = Certs::new("half");
     let w = world(&c, vec![c.engine("r0a", true), c.engine("w0a", true)], true);
-    let (chain, key) = c.authority.issue("node0.example.org", Fault::None).unwrap();
-    put(&c.path("node0.pem"), chain.as_bytes(), 0o644).unwrap();
+    let issued = c.authority.issue("node0.example.org", CertificateFault::None).unwrap();
+    replace_file(&c.path("node0.pem"), issued.chain_pem.as_bytes(), 0o644).unwrap();
     thread::sleep(Duration::from_millis(300));
     // The chain is new, the key is not: the old generation serves on.
-    assert_eq!(w.play(w.ask("half", "chat")).how, "completed");
-    put(&c.path("node0.key"), key.as_bytes(), 0o600).unwrap();
+    assert_eq!(w.play(w.ask("half", "chat")).outcome, "completed");
+    replace_file(&c.path("node0.key"), issued.key_pem.as_bytes(), 0o600).unwrap();
     thread::sleep(Duration::from_millis(300));
-    assert_eq!(w.play(w.ask("whole", "chat")).how, "completed");
+    assert_eq!(w.play(w.ask("whole", "chat")).outcome, "completed");
     std::fs::write(c.path("root.pem"), "no certificate").unwrap();
     thread::sleep(Duration::from_millis(300));
-    assert_eq!(w.play(w.ask("garbage", "chat")).how, "completed");
+    assert_eq!(w.play(w.ask("garbage", "chat")).outcome, "completed");
     w.assert_sound();
 }
 
@@ -293,7 +295,7 @@
     thread::sleep(Duration::from_millis(50));
     // Non-retriable ones too: no byte of a prompt went out, so another writer may be tried.
     for n in 0..8 {
-        assert_eq!(w.play(w.ask(&format!("q{n}"), "booking")).how, "completed");
+        assert_eq!(w.play(w.ask(&format!("q{n}"), "booking")).outcome, "completed");
     }
     w.assert_sound();
 }
@@ -304,16 +306,16 @@
     let w = World::with(vec![c.engine("r0a", true), c.engine("w0a", true)], |s| {
         (s.tls, s.limits.idle_timeout_s) = (c.start(true), 0.1);
     });
-    assert_eq!(w.play(w.ask("first", "chat")).how, "completed");
+    assert_eq!(w.play(w.ask("first", "chat")).outcome, "completed");
     thread::sleep(Duration::from_millis(700));
-    assert_eq!(w.play(w.ask("second", "chat")).how, "completed");
+    assert_eq!(w.play(w.ask("second", "chat")).outcome, "completed");
     assert!(handshakes(&w, "w0a", "resumed") >= 1);
     // Tickets do not cross generations.
-    c.make("node0", "node0.example.org", Fault::None);
+    c.make("node0", "node0.example.org", CertificateFault::None);
     thread::sleep(Duration::from_millis(700));
     let full = |w: &World| handshakes(w, "w0a", "ok") - handshakes(w, "w0a", "resumed");
     let before = full(&w);
-    assert_eq!(w.play(w.ask("third", "chat")).how, "completed");
+    assert_eq!(w.play(w.ask("third", "chat")).outcome, "completed");
     assert!(full(&w) > before);
     w.assert_sound();
 }
@@ -322,15 +324,15 @@
 fn an_engine_that_forgets_its_tickets_gets_full_handshakes() {
     let c = Certs::new("tickets");
     let mut w = world(&c, vec![c.engine("r0a", false), c.engine("w0a", false)], false);
-    assert_eq!(w.play(w.ask("first", "chat")).how, "completed");
+    assert_eq!(w.play(w.ask("first", "chat")).outcome, "completed");
     // A new process at the same name: another ticket key.
     w.control("w0a", json!({"fault": "die"}));
-    w.record.of("w0a").note("died", json!({}));
+    w.record.for_source("w0a").record("died", json!({}));
     let line = w.engine(c.engine("w0a", false));
     w.control("list", json!({"line": line}));
     w.wait("it is listed", |l| l.iter().filter(|l| l["ev"] == "told").count() >= 2);
     thread::sleep(Duration::from_millis(100));
-    assert_eq!(w.play(w.ask("second", "chat")).how, "completed");
+    assert_eq!(w.play(w.ask("second", "chat")).outcome, "completed");
     w.assert_sound();
 }
 
@@ -341,28 +343,28 @@
     let mut streams = open_streams(&w, 1);
     w.control("w0a", json!({"fault": "die"}));
     let seen = streams.remove(0).join().unwrap();
-    assert_eq!((seen.how.as_str(), seen.code.as_deref()), ("errored", Some("stream_broken")));
+    assert_eq!((seen.outcome.as_str(), seen.code.as_deref()), ("errored", Some("stream_broken")));
     w.assert_sound();
 }
 
 #[test]
 fn the_chat_port_serves_tls_by_the_same_code() {
     let c = Certs::new("chat");
-    let [chain, key] = c.make("chat", "localhost", Fault::None);
+    let [chain, key] = c.make("chat", "localhost", CertificateFault::None);
     let mut server =
         Server::new(Files { chain: Some(chain), key: Some(key), trust: None }, Versions::Only13, 0.0, false);
-    server.look(nickelgw_test_servers::record::unix_now());
+    server.look(nickelgw_test_servers::recorder::unix_now());
     let w = World::with(vec![figures("r0a"), figures("w0a")], |s| s.tls.chat = Some(server));
     let answer = smol::block_on(https(&w.node, &c.path("root.pem"), "localhost", &w.ask("q", "chat").body()));
     assert!(answer.contains("200 OK") && answer.contains("[DONE]"), "{answer}");
-    let plain = smol::block_on(client::raw(&w.node, &[b"GET /healthz HTTP/1.1\r\n\r\n"], 0.0, 1.0));
+    let plain = smol::block_on(client::send_raw(&w.node, &[b"GET /healthz HTTP/1.1\r\n\r\n"], 0.0, 1.0));
     assert!(!String::from_utf8_lossy(&plain).contains("200 OK"));
 }
 
 async fn https(address: &str, root: &Path, name: &str, body: &[u8]) -> String {
     use futures_lite::{AsyncReadExt, AsyncWriteExt};
     let mut c = Client::new(Files { trust: Some(root.into()), ..Files::default() }, Versions::Only13, 0.0);
-    c.look(nickelgw_test_servers::record::unix_now());
+    c.look(nickelgw_test_servers::recorder::unix_now());
     let stream = smol::net::TcpStream::connect(address).await.unwrap();
     let name = futures_rustls::pki_types::ServerName::try_from(name.to_string()).unwrap();
     let connector = futures_rustls::TlsConnector::from(c.config().unwrap().0);
--- a/crates/nickelgw-test-servers/src/authority.rs
+++ b/crates/nickelgw-test-servers/src/authority.rs
@@ -1,4 +1,4 @@
-//! A test authority: root, intermediate, and certificates of engines and nodes, sound ones and bad ones.
+//! A test certificate authority: root, intermediate, and valid and invalid certificates of engines and nodes.
 
 use rcgen::{BasicConstraints, CertificateParams, DnType, IsCa, Issuer, KeyPair, KeyUsagePurpose};
 use std::fs;
@@ -7,108 +7,152 @@
 use std::path::{Path, PathBuf};
 use time::{Duration, OffsetDateTime};
 
-pub type Failed = Box<dyn std::error::Error + Send + Sync>;
+/// Any error of the authority.
+pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
+
+/// The name in certificates for a wrong name.
+pub const WRONG_NAME: &str = "wrong.brno.example.org";
+
+/// Validity of the authority's own certificates, in days from now.
+const AUTHORITY_VALIDITY: Validity = Validity { from_day: -2, to_day: 3650 };
+const PUBLIC_MODE: u32 = 0o644;
+const PRIVATE_MODE: u32 = 0o600;
 
 /// What is wrong with a certificate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum CertificateFault {
+    /// Nothing.
     None,
+    /// Its validity has ended.
     Expired,
+    /// Its validity has not begun.
     NotYetValid,
-    /// For another name than asked for.
+    /// It is for another name than asked for.
     WrongName,
-    /// Signed by itself.
+    /// It is signed by itself.
     SelfSigned,
 }
 
-/// The name in wrong certificates.
-pub const WRONG_NAME: &str = "wrong.brno.example.org";
+/// Validity of a certificate, in days from now.
+#[derive(Clone, Copy)]
+struct Validity {
+    from_day: i64,
+    to_day: i64,
+}
 
-pub struct Authority {
-    pub root_pem: String,
-    middle_pem: String,
-    middle: Issuer<'static, KeyPair>,
+impl CertificateFault {
+    fn validity(self) -> Validity {
+        match self {
+            CertificateFault::Expired => Validity { from_day: -2, to_day: -1 },
+            CertificateFault::NotYetValid => Validity { from_day: 1, to_day: 2 },
+            _ => Validity { from_day: -2, to_day: 365 },
+        }
+    }
 }
 
-fn params(name: &str, days: (i64, i64)) -> Result<CertificateParams, rcgen::Error> {
-    let mut p = CertificateParams::new(Vec::<String>::new())?;
-    p.distinguished_name.push(DnType::CommonName, name);
-    let now = OffsetDateTime::now_utc();
-    (p.not_before, p.not_after) = (now + Duration::days(days.0), now + Duration::days(days.1));
-    Ok(p)
+/// A root and an intermediate authority.
+pub struct Authority {
+    /// The root certificate in PEM.
+    pub root_pem: String,
+    intermediate_pem: String,
+    intermediate: Issuer<'static, KeyPair>,
 }
 
-fn ca(name: &str) -> Result<CertificateParams, rcgen::Error> {
-    let mut p = params(name, (-2, 3650))?;
-    p.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
-    p.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::DigitalSignature];
-    Ok(p)
+/// A certificate chain and its private key in PEM.
+pub struct IssuedCertificate {
+    /// The certificate and the intermediate's.
+    pub chain_pem: String,
+    /// The private key.
+    pub key_pem: String,
 }
 
 impl Authority {
-    pub fn new(name: &str) -> Result<Authority, Failed> {
-        let (root, root_key) = (ca(&format!("{name} root"))?, KeyPair::generate()?);
+    /// A new authority with keys of its own.
+    pub fn new(name: &str) -> Result<Authority, BoxError> {
+        let (root, root_key) = (authority_params(&format!("{name} root"))?, KeyPair::generate()?);
         let root_pem = root.self_signed(&root_key)?.pem();
         let root = Issuer::new(root, root_key);
-        let (middle, middle_key) = (ca(&format!("{name} intermediate"))?, KeyPair::generate()?);
-        let middle_pem = middle.signed_by(&middle_key, &root)?.pem();
-        Ok(Authority { root_pem, middle_pem, middle: Issuer::new(middle, middle_key) })
+        let intermediate = authority_params(&format!("{name} intermediate"))?;
+        let intermediate_key = KeyPair::generate()?;
+        let intermediate_pem = intermediate.signed_by(&intermediate_key, &root)?.pem();
+        let intermediate = Issuer::new(intermediate, intermediate_key);
+        Ok(Authority { root_pem, intermediate_pem, intermediate })
     }
 
-    /// Chain and key in PEM.
-    pub fn issue(&self, name: &str, fault: Fault) -> Result<(String, String), Failed> {
-        let days = match fault {
-            Fault::Expired => (-2, -1),
-            Fault::NotYetValid => (1, 2),
-            _ => (-2, 365),
-        };
-        let named = if fault == Fault::WrongName { WRONG_NAME } else { name };
-        let mut p = params(named, days)?;
-        p.subject_alt_names = CertificateParams::new(vec![named.to_string()])?.subject_alt_names;
+    /// Issues a certificate for a name.
+    pub fn issue(&self, name: &str, fault: CertificateFault) -> Result<IssuedCertificate, BoxError> {
+        let name = if fault == CertificateFault::WrongName { WRONG_NAME } else { name };
+        let mut params = certificate_params(name, fault.validity())?;
+        params.subject_alt_names = CertificateParams::new(vec![name.to_string()])?.subject_alt_names;
         let key = KeyPair::generate()?;
-        let leaf = match fault {
-            Fault::SelfSigned => return Ok((p.self_signed(&key)?.pem(), key.serialize_pem())),
-            _ => p.signed_by(&key, &self.middle)?.pem(),
+        let chain_pem = if fault == CertificateFault::SelfSigned {
+            params.self_signed(&key)?.pem()
+        } else {
+            let leaf = params.signed_by(&key, &self.intermediate)?.pem();
+            format!("{leaf}{}", self.intermediate_pem)
         };
-        Ok((format!("{leaf}{}", self.middle_pem), key.serialize_pem()))
+        Ok(IssuedCertificate { chain_pem, key_pem: key.serialize_pem() })
     }
 
-    /// Writes `NAME.pem` and `NAME.key`, each by a rename: a reader sees the old or the new, of each file.
-    pub fn write(&self, dir: &Path, file: &str, name: &str, fault: Fault) -> Result<[PathBuf; 2], Failed> {
-        let (chain, key) = self.issue(name, fault)?;
+    /// Issues a certificate and writes `FILE.pem` and `FILE.key`; returns both paths.
+    pub fn write(
+        &self,
+        dir: &Path,
+        file: &str,
+        name: &str,
+        fault: CertificateFault,
+    ) -> Result<[PathBuf; 2], BoxError> {
+        let issued = self.issue(name, fault)?;
         let paths = [dir.join(format!("{file}.pem")), dir.join(format!("{file}.key"))];
-        put(&paths[0], chain.as_bytes(), 0o644)?;
-        put(&paths[1], key.as_bytes(), 0o600)?;
+        replace_file(&paths[0], issued.chain_pem.as_bytes(), PUBLIC_MODE)?;
+        replace_file(&paths[1], issued.key_pem.as_bytes(), PRIVATE_MODE)?;
         Ok(paths)
     }
 }
 
-pub fn put(path: &Path, bytes: &[u8], mode: u32) -> std::io::Result<()> {
-    let beside = path.with_extension("new");
-    let _ = fs::remove_file(&beside);
-    let mut f = fs::OpenOptions::new().write(true).create_new(true).mode(mode).open(&beside)?;
-    f.write_all(bytes)?;
-    fs::rename(beside, path)
+fn certificate_params(name: &str, validity: Validity) -> Result<CertificateParams, rcgen::Error> {
+    let mut params = CertificateParams::new(Vec::<String>::new())?;
+    params.distinguished_name.push(DnType::CommonName, name);
+    let now = OffsetDateTime::now_utc();
+    params.not_before = now + Duration::days(validity.from_day);
+    params.not_after = now + Duration::days(validity.to_day);
+    Ok(params)
+}
+
+fn authority_params(name: &str) -> Result<CertificateParams, rcgen::Error> {
+    let mut params = certificate_params(name, AUTHORITY_VALIDITY)?;
+    params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
+    params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::DigitalSignature];
+    Ok(params)
+}
+
+/// Writes a file by a rename, so that a reader sees the old content or the new.
+pub fn replace_file(path: &Path, bytes: &[u8], mode: u32) -> std::io::Result<()> {
+    let temporary = path.with_extension("new");
+    let _ = fs::remove_file(&temporary);
+    let mut file = fs::OpenOptions::new().write(true).create_new(true).mode(mode).open(&temporary)?;
+    file.write_all(bytes)?;
+    fs::rename(temporary, path)
 }
 
-/// All that `nickelgw authority` makes.
-pub fn write_all(dir: &Path, names: &[String]) -> Result<Vec<PathBuf>, Failed> {
+/// Writes everything that `nickelgw authority` makes: the root, a certificate for each name, and one with each fault.
+pub fn write_all(dir: &Path, names: &[String]) -> Result<Vec<PathBuf>, BoxError> {
     fs::create_dir_all(dir)?;
-    let a = Authority::new("test authority")?;
+    let authority = Authority::new("test authority")?;
     let root = dir.join("root.pem");
-    put(&root, a.root_pem.as_bytes(), 0o644)?;
-    let mut made = vec![root];
-    for n in names {
-        made.extend(a.write(dir, n, n, Fault::None)?);
+    replace_file(&root, authority.root_pem.as_bytes(), PUBLIC_MODE)?;
+    let mut paths = vec![root];
+    for name in names {
+        paths.extend(authority.write(dir, name, name, CertificateFault::None)?);
     }
     let first = names.first().map_or("engine.example.org", String::as_str);
     for (file, fault) in [
-        ("expired", Fault::Expired),
-        ("not-yet-valid", Fault::NotYetValid),
-        ("wrong-name", Fault::WrongName),
-        ("self-signed", Fault::SelfSigned),
+        ("expired", CertificateFault::Expired),
+        ("not-yet-valid", CertificateFault::NotYetValid),
+        ("wrong-name", CertificateFault::WrongName),
+        ("self-signed", CertificateFault::SelfSigned),
     ] {
-        made.extend(a.write(dir, file, first, fault)?);
+        paths.extend(authority.write(dir, file, first, fault)?);
     }
-    Ok(made)
+    Ok(paths)
 }
--- /dev/null
+++ b/crates/nickelgw-test-servers/src/client/raw.rs
@@ -0,0 +1,59 @@
+//! Bytes sent as they are, and control calls.
+
+use crate::timing::{sleep_s, timeout_s};
+use futures_lite::{AsyncReadExt, AsyncWriteExt};
+use serde_json::Value;
+use smol::net::TcpStream;
+
+/// A control call waits so long for its response.
+const CONTROL_TIMEOUT_S: f64 = 2.0;
+/// The status line of a response is within so many bytes.
+const STATUS_LINE_BYTES: usize = 64;
+/// Size of the read buffer.
+const BUFFER_BYTES: usize = 4096;
+
+/// Sends bytes as they are, in pieces with a pause between them, and returns the response. The response ends when
+/// nothing more comes for so many seconds.
+pub async fn send_raw(address: &str, pieces: &[&[u8]], pause_s: f64, timeout: f64) -> Vec<u8> {
+    let exchange = async {
+        let mut stream = TcpStream::connect(address).await?;
+        for (index, piece) in pieces.iter().enumerate() {
+            if index > 0 {
+                sleep_s(pause_s).await;
+            }
+            // A server may respond and close before it has read everything.
+            if stream.write_all(piece).await.is_err() {
+                break;
+            }
+        }
+        let mut response = Vec::new();
+        let mut buffer = [0; BUFFER_BYTES];
+        loop {
+            match timeout_s(timeout, stream.read(&mut buffer)).await {
+                Some(Ok(length)) if length > 0 => response.extend_from_slice(&buffer[..length]),
+                _ => return Ok::<_, std::io::Error>(response),
+            }
+        }
+    };
+    exchange.await.unwrap_or_default()
+}
+
+/// Status of a raw response; 0 if there is none.
+pub fn response_status(response: &[u8]) -> u16 {
+    let begin = &response[..response.len().min(STATUS_LINE_BYTES)];
+    let text = String::from_utf8_lossy(begin);
+    text.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
+}
+
+/// A control call to a test server; the body of its response.
+pub async fn control(address: &str, order: &Value) -> Option<Value> {
+    let body = order.to_string();
+    let request = format!(
+        "POST /control HTTP/1.1\r\nhost: {address}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{body}",
+        body.len()
+    );
+    let response = send_raw(address, &[request.as_bytes()], 0.0, CONTROL_TIMEOUT_S).await;
+    let text = String::from_utf8_lossy(&response);
+    let (_, body) = text.split_once("\r\n\r\n")?;
+    serde_json::from_str(body).ok()
+}
--- a/crates/nickelgw-test-servers/src/lib.rs
+++ b/crates/nickelgw-test-servers/src/lib.rs
@@ -1,16 +1,18 @@
-//! Stand-ins of the outside world on loopback: readers, writers and the engine list. Small, but honest: work
-//! takes time and room, a state is bytes that move between sockets, and a cold engine can be pushed over.
+//! Test servers on loopback for everything a node talks to: engines, the endpoint list, an etcd registry, clients, a
+//! relay with network faults, and a certificate authority. They are small but faithful: work takes time and memory, KV
+//! states are bytes that move between sockets, and an engine in slow start can be overloaded.
 
 pub mod authority;
 pub mod client;
 pub mod engine;
+pub mod engine_config;
+mod http;
 pub mod list;
-pub mod model;
 pub mod platform;
-pub mod record;
+pub mod recorder;
 pub mod registry;
 pub mod relay;
-mod serve;
+mod timing;
 mod tls;
 
-pub use record::Record;
+pub use recorder::Recorder;
--- a/crates/nickelgw-test-servers/src/list.rs
+++ b/crates/nickelgw-test-servers/src/list.rs
@@ -1,9 +1,11 @@
-//! Stand-in of the engine list: full lists by long poll, late, and stalled on demand.
+//! The endpoint list: whole lists by long poll, with a lag, and stalled on demand.
 
-use crate::record::{unix_now, Record};
-use crate::serve::{answer, body, error, json, serve, Answer, Cut};
+use crate::http::{
+    error_response, json_response, read_body, response, serve, ConnectionClosed, HttpResponse, CONTROL_PATH,
+};
+use crate::recorder::{unix_now, Recorder};
 use hyper::body::Incoming;
-use hyper::{Method, Request};
+use hyper::{Method, Request, Uri};
 use nickelgw_protocol::list::{EndpointEntry, EndpointList, EngineState};
 use serde_json::{json, Value};
 use smol::Timer;
@@ -13,113 +15,167 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-struct Lines {
+/// Time between checks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+const JSON: &str = "application/json";
+
+/// A change of the list.
+enum Change {
+    Put(EndpointEntry),
+    Remove(String),
+}
+
+/// A change that becomes visible at a time.
+struct PendingChange {
+    visible_at: f64,
+    change: Change,
+}
+
+/// The list, and its changes to come.
+struct ListState {
     revision: u64,
-    shown: BTreeMap<String, EndpointEntry>,
-    /// Changes not visible yet: from when, and the line, or its id where it is taken out.
-    coming: Vec<(f64, Result<EndpointEntry, String>)>,
+    entries: BTreeMap<String, EndpointEntry>,
+    pending: Vec<PendingChange>,
     stalled_until: f64,
 }
 
-impl Lines {
-    fn show(&mut self, now: f64) {
+impl ListState {
+    /// Makes changes visible whose time has come.
+    fn apply_pending(&mut self, now: f64) {
         if now < self.stalled_until {
             return;
         }
-        let (ripe, later): (Vec<_>, Vec<_>) = self.coming.drain(..).partition(|c| c.0 <= now);
-        self.coming = later;
-        for (_, change) in ripe {
+        let (visible, pending) = self.pending.drain(..).partition(|change| change.visible_at <= now);
+        self.pending = pending;
+        let visible: Vec<PendingChange> = visible;
+        for PendingChange { change, .. } in visible {
             self.revision += 1;
             match change {
-                Ok(line) => drop(self.shown.insert(line.id.clone(), line)),
-                Err(id) => drop(self.shown.remove(&id)),
+                Change::Put(entry) => drop(self.entries.insert(entry.id.clone(), entry)),
+                Change::Remove(id) => drop(self.entries.remove(&id)),
             }
         }
     }
+
+    fn list(&self) -> EndpointList {
+        EndpointList { revision: self.revision, engines: self.entries.values().cloned().collect() }
+    }
+}
+
+/// Parameters of a long poll.
+struct PollQuery {
+    /// Revision that the node has.
+    after: f64,
+    wait_s: f64,
+    node: String,
+}
+
+impl PollQuery {
+    fn parse(uri: &Uri) -> PollQuery {
+        let number = |name| query_parameter(uri, name).and_then(|value| value.parse().ok()).unwrap_or(0.0);
+        PollQuery {
+            after: number("after"),
+            wait_s: number("wait_s"),
+            node: query_parameter(uri, "node").unwrap_or_default(),
+        }
+    }
 }
 
-fn query(uri: &hyper::Uri, name: &str) -> Option<String> {
-    let pairs = uri.query()?.split('&');
-    pairs.filter_map(|p| p.split_once('=')).find(|p| p.0 == name).map(|p| p.1.to_string())
+fn query_parameter(uri: &Uri, name: &str) -> Option<String> {
+    let mut pairs = uri.query()?.split('&').filter_map(|pair| pair.split_once('='));
+    pairs.find(|(key, _)| *key == name).map(|(_, value)| value.to_string())
 }
 
-/// Serves until dropped. `lag_s`: how late a change is seen.
+/// Serves until dropped. A change becomes visible after `lag_s`.
 pub async fn run(
     listener: TcpListener,
     engines: Vec<EndpointEntry>,
     lag_s: f64,
-    record: Record,
+    recorder: Recorder,
 ) -> std::io::Result<()> {
-    let shown = engines.into_iter().map(|l| (l.id.clone(), l)).collect();
-    let lines = Lines { revision: 1, shown, coming: Vec::new(), stalled_until: 0.0 };
-    let lines = Rc::new(RefCell::new(lines));
-    let handle = move |r| handle(r, lines.clone(), lag_s, record.clone());
+    let entries = engines.into_iter().map(|entry| (entry.id.clone(), entry)).collect();
+    let state = ListState { revision: 1, entries, pending: Vec::new(), stalled_until: 0.0 };
+    let state = Rc::new(RefCell::new(state));
+    let handle = move |request| handle(request, state.clone(), lag_s, recorder.clone());
     serve(listener, None, Rc::new(handle)).await
 }
 
 async fn handle(
     request: Request<Incoming>,
-    lines: Rc<RefCell<Lines>>,
+    state: Rc<RefCell<ListState>>,
     lag_s: f64,
-    record: Record,
-) -> Result<Answer, Cut> {
-    let path = request.uri().path().to_string();
-    match (request.method(), path.as_str()) {
-        (&Method::GET, "/v1/engines") => {
-            let number = |n| query(request.uri(), n).and_then(|v| v.parse::<f64>().ok()).unwrap_or(0.0);
-            let (after, wait) = (number("after"), number("wait_s"));
-            let node = query(request.uri(), "node").unwrap_or_default();
-            let until = unix_now() + wait;
-            loop {
-                let now = unix_now();
-                let news = {
-                    let mut l = lines.borrow_mut();
-                    l.show(now);
-                    // A stalled list answers nothing at all.
-                    let stalled = now < l.stalled_until;
-                    let fresh = l.revision as f64 > after || wait == 0.0;
-                    let list = || EndpointList {
-                        revision: l.revision,
-                        engines: l.shown.values().cloned().collect(),
-                    };
-                    (!stalled && fresh).then(list)
-                };
-                if let Some(list) = news {
-                    let of = |s: EngineState| {
-                        list.engines.iter().filter(move |l| l.state == s).map(|l| l.id.as_str())
-                    };
-                    let (inside, draining): (Vec<_>, Vec<_>) =
-                        (of(EngineState::Active).collect(), of(EngineState::Draining).collect());
-                    let told =
-                        json!({"node": node, "revision": list.revision, "in": inside, "draining": draining});
-                    record.note("told", told);
-                    let body = serde_json::to_vec(&list).map_err(|_| Cut)?;
-                    return Ok(answer(200, "application/json", body));
-                }
-                if now >= until && now >= lines.borrow().stalled_until {
-                    return Ok(answer(204, "application/json", ""));
-                }
-                Timer::after(Duration::from_millis(10)).await;
-            }
+    recorder: Recorder,
+) -> Result<HttpResponse, ConnectionClosed> {
+    match (request.method(), request.uri().path()) {
+        (&Method::GET, "/v1/engines") => poll(&PollQuery::parse(request.uri()), &state, &recorder).await,
+        (&Method::POST, CONTROL_PATH) => control(request, &state, lag_s).await,
+        _ => Ok(error_response(404, "not_found")),
+    }
+}
+
+async fn poll(
+    query: &PollQuery,
+    state: &RefCell<ListState>,
+    recorder: &Recorder,
+) -> Result<HttpResponse, ConnectionClosed> {
+    let until = unix_now() + query.wait_s;
+    loop {
+        let now = unix_now();
+        if let Some(list) = changed_list(query, state, now) {
+            record_list(&list, &query.node, recorder);
+            let body = serde_json::to_vec(&list).map_err(|_| ConnectionClosed)?;
+            return Ok(response(200, JSON, body));
         }
-        (&Method::POST, "/control") => {
-            let Ok(v) = serde_json::from_slice::<Value>(&body(request).await?) else {
-                return Ok(error(400, "bad_json"));
-            };
-            let now = unix_now();
-            let mut l = lines.borrow_mut();
-            if let Some(s) = v["stall_s"].as_f64() {
-                l.stalled_until = now + s;
-            }
-            let late = v["lag_s"].as_f64().unwrap_or(lag_s);
-            if let Ok(line) = serde_json::from_value::<EndpointEntry>(v["line"].clone()) {
-                l.coming.push((now + late, Ok(line)));
-            }
-            if let Some(id) = v["remove"].as_str() {
-                l.coming.push((now + late, Err(id.to_string())));
-            }
-            Ok(json(200, json!({"revision": l.revision})))
+        if now >= until && now >= state.borrow().stalled_until {
+            return Ok(response(204, JSON, ""));
         }
-        _ => Ok(error(404, "not_found")),
+        Timer::after(POLL_INTERVAL).await;
+    }
+}
+
+/// The list, if it has changed and is not stalled. A poll that does not wait is answered in any case.
+fn changed_list(query: &PollQuery, state: &RefCell<ListState>, now: f64) -> Option<EndpointList> {
+    let mut state = state.borrow_mut();
+    state.apply_pending(now);
+    let is_stalled = now < state.stalled_until;
+    let has_changed = state.revision as f64 > query.after || query.wait_s == 0.0;
+    (!is_stalled && has_changed).then(|| state.list())
+}
+
+/// Records which engines a node has been told of.
+fn record_list(list: &EndpointList, node: &str, recorder: &Recorder) {
+    let ids = |state: EngineState| -> Vec<&str> {
+        let entries = list.engines.iter().filter(|entry| entry.state == state);
+        entries.map(|entry| entry.id.as_str()).collect()
+    };
+    let fields = json!({
+        "node": node,
+        "revision": list.revision,
+        "in": ids(EngineState::Active),
+        "draining": ids(EngineState::Draining),
+    });
+    recorder.record("told", fields);
+}
+
+async fn control(
+    request: Request<Incoming>,
+    state: &RefCell<ListState>,
+    lag_s: f64,
+) -> Result<HttpResponse, ConnectionClosed> {
+    let Ok(order) = serde_json::from_slice::<Value>(&read_body(request).await?) else {
+        return Ok(error_response(400, "bad_json"));
+    };
+    let now = unix_now();
+    let mut state = state.borrow_mut();
+    if let Some(stall_s) = order["stall_s"].as_f64() {
+        state.stalled_until = now + stall_s;
+    }
+    let visible_at = now + order["lag_s"].as_f64().unwrap_or(lag_s);
+    if let Ok(entry) = serde_json::from_value::<EndpointEntry>(order["line"].clone()) {
+        state.pending.push(PendingChange { visible_at, change: Change::Put(entry) });
+    }
+    if let Some(id) = order["remove"].as_str() {
+        state.pending.push(PendingChange { visible_at, change: Change::Remove(id.to_string()) });
     }
+    Ok(json_response(200, json!({"revision": state.revision})))
 }
--- a/crates/nickelgw-test-servers/src/relay.rs
+++ b/crates/nickelgw-test-servers/src/relay.rs
@@ -1,168 +1,202 @@
-//! A relay between any two parties, that a test lets pass, hold up, cut one way only, refuse or repeat what goes over it.
+//! A relay between two parties that causes network faults: it stalls, delays, duplicates, drops or refuses.
 
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use smol::net::{TcpListener, TcpStream, UdpSocket};
-use smol::Timer;
+use smol::{LocalExecutor, Timer};
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
+/// Datagrams kept, so that tests can replay them.
+const MAX_KEPT_DATAGRAMS: usize = 64;
+/// Time between checks of the mode.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Size of the buffer of a connection.
+const TCP_BUFFER_BYTES: usize = 16 * 1024;
+/// Largest datagram relayed.
+const MAX_DATAGRAM_BYTES: usize = 2048;
+
+/// What the relay does.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Mode {
+    /// Everything passes.
     #[default]
     Pass,
-    /// Nothing gets through either way; connections stand, and new ones are taken and say nothing.
-    Hold,
-    /// What is asked gets through, what is answered does not.
-    HoldAnswers,
+    /// Nothing passes in either direction; connections stay open, and new ones are accepted.
+    Stall,
+    /// Requests pass and responses do not.
+    StallResponses,
     /// Connections are closed, new ones too.
     Refuse,
-    /// What is asked comes so much later, in seconds.
+    /// Requests pass so many seconds later.
     Delay(f64),
-    /// Datagrams come twice.
-    Twice,
-    /// Datagrams do not come.
+    /// Datagrams are sent twice.
+    Duplicate,
+    /// Datagrams are dropped.
     Drop,
 }
 
-/// The handle on a relay: its mode, by sender where datagrams have one of their own, and what came.
+/// Handle on a relay: its mode, and what has passed.
 #[derive(Clone, Default)]
-pub struct Way(Arc<Mutex<Inner>>);
+pub struct Link(Arc<Mutex<LinkState>>);
 
 #[derive(Default)]
-struct Inner {
+struct LinkState {
     mode: Mode,
-    of: Vec<(SocketAddr, Mode)>,
+    /// Modes for the datagrams of single senders.
+    sender_modes: Vec<(SocketAddr, Mode)>,
     connections: usize,
     datagrams: Vec<Vec<u8>>,
 }
 
-/// Datagrams kept, to be played again.
-const KEPT: usize = 64;
-const LOOK: Duration = Duration::from_millis(5);
-
-impl Way {
-    fn with<T>(&self, f: impl FnOnce(&mut Inner) -> T) -> T {
-        f(&mut self.0.lock().unwrap_or_else(|e| e.into_inner()))
+impl Link {
+    fn with_state<T>(&self, action: impl FnOnce(&mut LinkState) -> T) -> T {
+        action(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    pub fn set(&self, mode: Mode) {
-        self.with(|i| i.mode = mode);
+    /// Sets the mode.
+    pub fn set_mode(&self, mode: Mode) {
+        self.with_state(|state| state.mode = mode);
     }
 
-    /// What this sender's datagrams meet, whatever others' do.
-    pub fn set_of(&self, sender: SocketAddr, mode: Mode) {
-        self.with(|i| {
-            i.of.retain(|o| o.0 != sender);
-            i.of.push((sender, mode));
+    /// Sets the mode for the datagrams of one sender.
+    pub fn set_sender_mode(&self, sender: SocketAddr, mode: Mode) {
+        self.with_state(|state| {
+            state.sender_modes.retain(|(address, _)| *address != sender);
+            state.sender_modes.push((sender, mode));
         });
     }
 
     fn mode(&self) -> Mode {
-        self.with(|i| i.mode)
+        self.with_state(|state| state.mode)
     }
 
-    fn mode_of(&self, sender: SocketAddr) -> Mode {
-        self.with(|i| i.of.iter().find(|o| o.0 == sender).map_or(i.mode, |o| o.1))
+    fn sender_mode(&self, sender: SocketAddr) -> Mode {
+        self.with_state(|state| {
+            let own_mode = state.sender_modes.iter().find(|(address, _)| *address == sender);
+            own_mode.map_or(state.mode, |(_, mode)| *mode)
+        })
     }
 
-    /// Connections that came.
+    /// Connections accepted so far.
     pub fn connections(&self) -> usize {
-        self.with(|i| i.connections)
+        self.with_state(|state| state.connections)
     }
 
-    /// The last datagrams that came.
+    /// The last datagrams received.
     pub fn datagrams(&self) -> Vec<Vec<u8>> {
-        self.with(|i| i.datagrams.clone())
+        self.with_state(|state| state.datagrams.clone())
+    }
+
+    fn keep_datagram(&self, bytes: &[u8]) {
+        self.with_state(|state| {
+            state.datagrams.push(bytes.to_vec());
+            let excess = state.datagrams.len().saturating_sub(MAX_KEPT_DATAGRAMS);
+            state.datagrams.drain(..excess);
+        });
     }
 }
 
 /// Relays connections until dropped.
-pub async fn tcp(listener: std::net::TcpListener, to: SocketAddr, way: Way) -> std::io::Result<()> {
+pub async fn tcp(listener: std::net::TcpListener, to: SocketAddr, link: Link) -> std::io::Result<()> {
     let listener = TcpListener::from(smol::Async::new(listener)?);
-    let ex = smol::LocalExecutor::new();
+    let executor = LocalExecutor::new();
     let accept = async {
         loop {
-            let (near, _) = listener.accept().await?;
-            way.with(|i| i.connections += 1);
-            if way.mode() != Mode::Refuse {
-                let way = way.clone();
-                ex.spawn(async move { drop(connection(near, to, way).await) }).detach();
+            let (client, _) = listener.accept().await?;
+            link.with_state(|state| state.connections += 1);
+            if link.mode() != Mode::Refuse {
+                let link = link.clone();
+                executor.spawn(async move { drop(relay_connection(client, to, link).await) }).detach();
             }
         }
     };
-    ex.run(accept).await
+    executor.run(accept).await
 }
 
-async fn connection(near: TcpStream, to: SocketAddr, way: Way) -> std::io::Result<()> {
-    let _ = near.set_nodelay(true);
-    while way.mode() == Mode::Hold {
-        Timer::after(LOOK).await;
+async fn relay_connection(client: TcpStream, to: SocketAddr, link: Link) -> std::io::Result<()> {
+    let _ = client.set_nodelay(true);
+    while link.mode() == Mode::Stall {
+        Timer::after(POLL_INTERVAL).await;
     }
-    let far = TcpStream::connect(to).await?;
-    let _ = far.set_nodelay(true);
+    let server = TcpStream::connect(to).await?;
+    let _ = server.set_nodelay(true);
     let refused = async {
-        while way.mode() != Mode::Refuse {
-            Timer::after(LOOK).await;
+        while link.mode() != Mode::Refuse {
+            Timer::after(POLL_INTERVAL).await;
         }
         Ok(())
     };
-    let there = pass(near.clone(), far.clone(), &way, true);
-    let back = pass(far, near, &way, false);
-    // An end of either way ends both: what an engine drops its client's node hears at once.
-    futures_lite::future::or(refused, futures_lite::future::or(there, back)).await
+    let requests = copy(client.clone(), server.clone(), &link, Direction::Requests);
+    let responses = copy(server, client, &link, Direction::Responses);
+    // The end of either direction ends both, so that each party learns at once when the other closes.
+    futures_lite::future::or(refused, futures_lite::future::or(requests, responses)).await
 }
 
-async fn pass(mut from: TcpStream, mut to: TcpStream, way: &Way, asks: bool) -> std::io::Result<()> {
-    let mut buffer = vec![0; 16 * 1024];
+#[derive(Clone, Copy, PartialEq)]
+enum Direction {
+    Requests,
+    Responses,
+}
+
+impl Direction {
+    fn is_stalled(self, mode: Mode) -> bool {
+        mode == Mode::Stall || (mode == Mode::StallResponses && self == Direction::Responses)
+    }
+}
+
+async fn copy(
+    mut from: TcpStream,
+    mut to: TcpStream,
+    link: &Link,
+    direction: Direction,
+) -> std::io::Result<()> {
+    let mut buffer = vec![0; TCP_BUFFER_BYTES];
     loop {
-        let n = from.read(&mut buffer).await?;
-        if n == 0 {
+        let length = from.read(&mut buffer).await?;
+        if length == 0 {
             return Ok(());
         }
-        if let (Mode::Delay(s), true) = (way.mode(), asks) {
-            Timer::after(Duration::from_secs_f64(s)).await;
+        if let (Mode::Delay(seconds), Direction::Requests) = (link.mode(), direction) {
+            Timer::after(Duration::from_secs_f64(seconds)).await;
         }
-        let held = |m: Mode| m == Mode::Hold || (m == Mode::HoldAnswers && !asks);
-        while held(way.mode()) {
-            Timer::after(LOOK).await;
+        while direction.is_stalled(link.mode()) {
+            Timer::after(POLL_INTERVAL).await;
         }
-        to.write_all(&buffer[..n]).await?;
+        to.write_all(&buffer[..length]).await?;
     }
 }
 
 /// Relays datagrams until dropped.
-pub async fn udp(socket: std::net::UdpSocket, to: SocketAddr, way: Way) -> std::io::Result<()> {
+pub async fn udp(socket: std::net::UdpSocket, to: SocketAddr, link: Link) -> std::io::Result<()> {
     let socket = UdpSocket::from(smol::Async::<std::net::UdpSocket>::try_from(socket)?);
-    let mut buffer = [0; 2048];
-    let ex = smol::LocalExecutor::new();
-    let carry = async {
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
+    let executor = LocalExecutor::new();
+    let relay = async {
         loop {
-            // A peer that is down says so with an error on the next call.
-            let Ok((n, from)) = socket.recv_from(&mut buffer).await else { continue };
-            let bytes = buffer[..n].to_vec();
-            way.with(|i| {
-                i.datagrams.push(bytes.clone());
-                let over = i.datagrams.len().saturating_sub(KEPT);
-                i.datagrams.drain(..over);
-            });
-            match way.mode_of(from) {
-                Mode::Drop | Mode::Hold | Mode::Refuse => {}
-                Mode::Delay(s) => {
+            // A peer that is down causes an error on the next call.
+            let Ok((length, sender)) = socket.recv_from(&mut buffer).await else { continue };
+            let bytes = buffer[..length].to_vec();
+            link.keep_datagram(&bytes);
+            match link.sender_mode(sender) {
+                Mode::Drop | Mode::Stall | Mode::Refuse => {}
+                Mode::Delay(seconds) => {
                     let socket = socket.clone();
-                    ex.spawn(async move {
-                        Timer::after(Duration::from_secs_f64(s)).await;
-                        let _ = socket.send_to(&bytes, to).await;
-                    })
-                    .detach();
+                    executor
+                        .spawn(async move {
+                            Timer::after(Duration::from_secs_f64(seconds)).await;
+                            let _ = socket.send_to(&bytes, to).await;
+                        })
+                        .detach();
                 }
                 mode => {
-                    for _ in 0..if mode == Mode::Twice { 2 } else { 1 } {
+                    let copies = if mode == Mode::Duplicate { 2 } else { 1 };
+                    for _ in 0..copies {
                         let _ = socket.send_to(&bytes, to).await;
                     }
                 }
             }
         }
     };
-    ex.run(carry).await
+    executor.run(relay).await
 }
--- a/crates/nickelgw-test-servers/src/tls.rs
+++ b/crates/nickelgw-test-servers/src/tls.rs
@@ -1,9 +1,12 @@
-//! TLS of a stand-in: its certificate, which faults change, and its fetches from readers.
+//! TLS of a test server: its certificate, which faults change, and its connections to prefill engines.
 
-use crate::model::TlsFiles;
-use crate::record::{unix_now, Record};
+use crate::engine_config::TlsFiles;
+use crate::recorder::{unix_now, Recorder};
+use crate::timing::sleep_s;
 use futures_lite::{AsyncRead, AsyncWrite};
-use futures_rustls::pki_types::ServerName;
+use futures_rustls::pki_types::pem::PemObject;
+use futures_rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
+use futures_rustls::rustls::crypto::ring::default_provider;
 use futures_rustls::rustls::{HandshakeKind, ServerConfig};
 use futures_rustls::{server, TlsAcceptor, TlsConnector};
 use nickelgw_tls::{Client, Files, Server, Versions};
@@ -11,89 +14,130 @@
 use smol::net::TcpStream;
 use smol::Async;
 use std::cell::{Cell, RefCell};
+use std::path::PathBuf;
 use std::sync::Arc;
 
-pub struct Tls {
-    pub files: RefCell<TlsFiles>,
-    config: RefCell<Option<Arc<ServerConfig>>>,
-    client: RefCell<Client>,
-    /// Faults: rest before the handshake, cut amid it, and until when.
-    pub slow: Cell<(f64, f64)>,
-    pub cut_until: Cell<f64>,
-    record: Record,
-}
+/// First byte of a TLS record with a handshake message.
+const HANDSHAKE_RECORD: u8 = 0x16;
 
-pub trait Stream: AsyncRead + AsyncWrite + Unpin {}
+/// A connection, with TLS or without.
+pub(crate) trait Stream: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> Stream for T {}
 
-impl Tls {
-    pub fn new(files: TlsFiles, record: Record) -> Tls {
-        let client = RefCell::new(Client::new(Files::default(), Versions::From12, 0.0));
-        let tls = Tls {
+/// A fault that delays handshakes.
+#[derive(Clone, Copy, Default)]
+struct HandshakeDelay {
+    until: f64,
+    delay_s: f64,
+}
+
+/// A server's TLS, as server and as client.
+pub(crate) struct TlsEndpoint {
+    files: RefCell<TlsFiles>,
+    server_config: RefCell<Option<Arc<ServerConfig>>>,
+    client: RefCell<Client>,
+    handshake_delay: Cell<HandshakeDelay>,
+    handshakes_cut_until: Cell<f64>,
+    recorder: Recorder,
+}
+
+impl TlsEndpoint {
+    pub fn new(files: TlsFiles, recorder: Recorder) -> TlsEndpoint {
+        let endpoint = TlsEndpoint {
             files: RefCell::new(files),
-            config: RefCell::default(),
-            client,
-            slow: Cell::default(),
-            cut_until: Cell::default(),
-            record,
+            server_config: RefCell::default(),
+            client: RefCell::new(Client::new(Files::default(), Versions::From12, 0.0)),
+            handshake_delay: Cell::default(),
+            handshakes_cut_until: Cell::default(),
+            recorder,
         };
-        tls.load();
-        tls
+        endpoint.load();
+        endpoint
+    }
+
+    /// The name in the certificate.
+    pub fn name(&self) -> String {
+        self.files.borrow().name.clone()
     }
 
-    /// Takes its files as they are, bad ones too: that is what some faults are for.
-    pub fn load(&self) {
-        let f = self.files.borrow().clone();
-        let trust = f.mutual.then(|| f.trust.clone());
-        let files = Files { chain: Some(f.chain.clone()), key: Some(f.key.clone()), trust: trust.clone() };
-        let mut sound = Server::new(files, Versions::From12, 0.0, f.mutual);
-        sound.look(unix_now());
-        let config = sound.config().or_else(|| unsound(&f));
-        let said = json!({"chain": f.chain, "served": config.is_some()});
-        self.record.note("certificate", said);
-        *self.config.borrow_mut() = config;
-        let own = Files { chain: Some(f.chain), key: Some(f.key), trust: Some(f.trust) };
-        let mut client = Client::new(own, Versions::From12, 0.0);
+    /// Loads other files; those not given stay.
+    pub fn replace_files(&self, chain: Option<PathBuf>, key: Option<PathBuf>, trust: Option<PathBuf>) {
+        {
+            let mut files = self.files.borrow_mut();
+            files.chain = chain.unwrap_or(files.chain.clone());
+            files.key = key.unwrap_or(files.key.clone());
+            files.trust = trust.unwrap_or(files.trust.clone());
+        }
+        self.load();
+    }
+
+    /// Handshakes are cut until then.
+    pub fn cut_handshakes(&self, until: f64) {
+        self.handshakes_cut_until.set(until);
+    }
+
+    /// Handshakes are delayed until then.
+    pub fn delay_handshakes(&self, until: f64, delay_s: f64) {
+        self.handshake_delay.set(HandshakeDelay { until, delay_s });
+    }
+
+    /// Loads the files as they are, also invalid ones, because some faults need them.
+    fn load(&self) {
+        let files = self.files.borrow().clone();
+        let trust = files.mutual.then(|| files.trust.clone());
+        let server_files = Files { chain: Some(files.chain.clone()), key: Some(files.key.clone()), trust };
+        let mut server = Server::new(server_files, Versions::From12, 0.0, files.mutual);
+        server.look(unix_now());
+        let server_config = server.config().or_else(|| unchecked_server_config(&files));
+        let fields = json!({"chain": files.chain, "served": server_config.is_some()});
+        self.recorder.record("certificate", fields);
+        *self.server_config.borrow_mut() = server_config;
+        let client_files = Files { chain: Some(files.chain), key: Some(files.key), trust: Some(files.trust) };
+        let mut client = Client::new(client_files, Versions::From12, 0.0);
         client.look(unix_now());
         *self.client.borrow_mut() = client;
     }
 
-    /// Whether the first byte that comes begins a TLS record.
-    pub async fn is_hello(stream: &Async<std::net::TcpStream>) -> bool {
+    /// Whether the connection begins with a TLS handshake.
+    pub async fn is_client_hello(stream: &Async<std::net::TcpStream>) -> bool {
         let mut first = [0];
-        !matches!(stream.peek(&mut first).await, Ok(1) if first[0] != 0x16)
+        !matches!(stream.peek(&mut first).await, Ok(1) if first[0] != HANDSHAKE_RECORD)
     }
 
-    /// The handshake of a connection that has come; none where it ends there.
+    /// Performs the handshake of an accepted connection; none if it fails.
     pub async fn accept(
         &self,
         stream: Async<std::net::TcpStream>,
     ) -> Option<server::TlsStream<Async<std::net::TcpStream>>> {
-        let (until, s) = self.slow.get();
-        if unix_now() < until {
-            smol::Timer::after(std::time::Duration::from_secs_f64(s)).await;
+        let delay = self.handshake_delay.get();
+        if unix_now() < delay.until {
+            sleep_s(delay.delay_s).await;
         }
-        if unix_now() < self.cut_until.get() {
-            // After the hello has come in: cut.
+        if unix_now() < self.handshakes_cut_until.get() {
+            // The connection is cut only after the client's hello has arrived.
             let _ = stream.readable().await;
-            self.record.note("handshake", json!({"ok": false, "why": "cut by a fault"}));
+            self.record_failure("cut by a fault");
             return None;
         }
-        let config = self.config.borrow().clone()?;
+        let config = self.server_config.borrow().clone()?;
         match TlsAcceptor::from(config).accept(stream).await {
-            Ok(s) => {
-                let resumed = s.get_ref().1.handshake_kind() == Some(HandshakeKind::Resumed);
-                self.record.note("handshake", json!({"ok": true, "resumed": resumed}));
-                Some(s)
+            Ok(stream) => {
+                let resumed = stream.get_ref().1.handshake_kind() == Some(HandshakeKind::Resumed);
+                self.recorder.record("handshake", json!({"ok": true, "resumed": resumed}));
+                Some(stream)
             }
-            Err(e) => {
-                self.record.note("handshake", json!({"ok": false, "why": e.to_string()}));
+            Err(error) => {
+                self.record_failure(&error.to_string());
                 None
             }
         }
     }
 
-    /// To a reader, verified by its name.
+    fn record_failure(&self, reason: &str) {
+        self.recorder.record("handshake", json!({"ok": false, "why": reason}));
+    }
+
+    /// Connects to a prefill engine and verifies its certificate against the name.
     pub async fn connect(&self, address: &str, name: &str) -> Option<Box<dyn Stream>> {
         let (config, _) = self.client.borrow().config()?;
         let stream = TcpStream::connect(address).await.ok()?;
@@ -102,13 +146,11 @@
     }
 }
 
-/// Served although no check would let it pass: expired, not yet valid.
-fn unsound(f: &TlsFiles) -> Option<Arc<ServerConfig>> {
-    use futures_rustls::pki_types::pem::PemObject;
-    use futures_rustls::pki_types::{CertificateDer, PrivateKeyDer};
-    let chain = CertificateDer::pem_file_iter(&f.chain).ok()?.collect::<Result<Vec<_>, _>>().ok()?;
-    let key = PrivateKeyDer::from_pem_file(&f.key).ok()?;
-    let provider = Arc::new(futures_rustls::rustls::crypto::ring::default_provider());
-    let b = ServerConfig::builder_with_provider(provider).with_safe_default_protocol_versions().ok()?;
-    b.with_no_client_auth().with_single_cert(chain, key).ok().map(Arc::new)
+/// Configuration with a certificate that fails the usual checks, such as an expired one.
+fn unchecked_server_config(files: &TlsFiles) -> Option<Arc<ServerConfig>> {
+    let chain = CertificateDer::pem_file_iter(&files.chain).ok()?.collect::<Result<Vec<_>, _>>().ok()?;
+    let key = PrivateKeyDer::from_pem_file(&files.key).ok()?;
+    let builder = ServerConfig::builder_with_provider(Arc::new(default_provider()));
+    let builder = builder.with_safe_default_protocol_versions().ok()?;
+    builder.with_no_client_auth().with_single_cert(chain, key).ok().map(Arc::new)
 }
