--- a/crates/nickelgw-cli/src/rehearse.rs
+++ b/crates/nickelgw-cli/src/rehearse.rs
@@ -3,7 +3,7 @@
 use crate::{start, Unusable};
 use futures_lite::{AsyncBufReadExt, StreamExt};
 use nanorand::{Rng, WyRand};
-use nickelgw_audit::{Rule, Service, Verdict};
+use nickelgw_audit::{AuditReport, RouteStats, Rule};
 use nickelgw_protocol::list::{self, EndpointEntry, EngineState};
 use nickelgw_rehearsal::core::script::Script;
 use nickelgw_rehearsal::core::series::Series;
@@ -12,11 +12,11 @@
 use nickelgw_settings::proto::{fault::Kind, EngineRole, Fault, Group, Repeat, Retries, Traffic};
 use nickelgw_settings::Day;
 use nickelgw_settings::{engine_names, node_zone};
-use nickelgw_test_servers::authority::{Authority, Fault as CertFault};
-use nickelgw_test_servers::client::{self, Ask, Leave};
-use nickelgw_test_servers::model::{Figures, Role, TlsFiles};
-use nickelgw_test_servers::record::unix_now;
-use nickelgw_test_servers::Record;
+use nickelgw_test_servers::authority::{Authority, CertificateFault as CertFault};
+use nickelgw_test_servers::client::{self, ChatCall, DisconnectAt};
+use nickelgw_test_servers::engine_config::{EngineConfig, Role, TlsFiles};
+use nickelgw_test_servers::recorder::unix_now;
+use nickelgw_test_servers::Recorder;
 use serde_json::{json, Value};
 use smol::process::{Child, Command, Stdio};
 use smol::{LocalExecutor, Timer};
@@ -108,8 +108,8 @@
     day: Day,
     script: Script,
     series: Series,
-    routes: BTreeMap<String, Service>,
-    verdict: Verdict,
+    routes: BTreeMap<String, RouteStats>,
+    verdict: AuditReport,
     notes: Vec<String>,
     stall: f64,
 }
@@ -169,7 +169,7 @@
                 let served = 100.0 * o.series.whole_day().served_share().unwrap_or(0.0);
                 let worst =
                     o.series.worst_window().map_or("-".into(), |w| format!("{:.0}%", 100.0 * w.served_share));
-                let broken = o.verdict.breaks.len();
+                let broken = o.verdict.violations.len();
                 println!(
                     "{:<16} served {served:>5.1}%, worst 10 s {worst:>4}, rules broken {broken}",
                     o.day.name
@@ -189,7 +189,7 @@
             let played: Vec<DayReport> = outcomes.iter().map(|o| self.played(o)).collect();
             std::fs::write(root.join("report.html"), render_page("Rehearsal", &played))?;
         }
-        let sound = outcomes.iter().all(|o| o.verdict.breaks.is_empty());
+        let sound = outcomes.iter().all(|o| o.verdict.violations.is_empty());
         Ok(if sound { ExitCode::SUCCESS } else { ExitCode::from(1) })
     }
 
@@ -222,13 +222,13 @@
         let ex = Rc::new(LocalExecutor::new());
         let work = play(day.clone(), self.seed, (self.cold, self.fair), dir.to_path_buf(), ex.clone());
         let stall = smol::block_on(ex.run(work))?;
-        let lines = nickelgw_audit::read(&dir.join("records"))?;
-        let begun = lines.iter().find(|l| l.ev == "begin").map_or(0.0, |l| l.t);
+        let lines = nickelgw_audit::read_records(&dir.join("records"))?;
+        let begun = lines.iter().find(|l| l.event == "begin").map_or(0.0, |l| l.time_s);
         Ok(Outcome {
             script: Script::from_day(&day, self.seed),
             series: Series::from_records(&lines, begun, day.length_s),
-            routes: nickelgw_audit::service(&lines),
-            verdict: nickelgw_audit::judge(&lines),
+            routes: nickelgw_audit::route_stats(&lines),
+            verdict: nickelgw_audit::audit(&lines),
             notes,
             stall,
             day,
@@ -251,15 +251,15 @@
         let v = &o.verdict;
         let counts: serde_json::Map<String, Value> =
             Rule::ALL.iter().map(|r| (r.name().to_string(), json!(v.count(*r)))).collect();
-        let route = |(name, s): (&String, &Service)| {
-            let v = json!({"taken": s.taken, "completed": s.completed, "shed": s.shed, "errored": s.errored,
-                "in_target": s.in_target, "wanted": s.wanted, "served": s.served, "left": s.left, "cut": s.cut,
-                "first_token_p50_s": s.quantile(0.5), "first_token_p99_s": s.quantile(0.99)});
+        let route = |(name, s): (&String, &RouteStats)| {
+            let v = json!({"taken": s.requests, "completed": s.completed, "shed": s.rejected, "errored": s.failed,
+                "in_target": s.completed_in_target, "wanted": s.distinct_requests, "served": s.distinct_in_target, "left": s.client_disconnects, "cut": s.connection_failures,
+                "first_token_p50_s": s.ttft_quantile(0.5), "first_token_p99_s": s.ttft_quantile(0.99)});
             (name.clone(), v)
         };
         let routes: serde_json::Map<String, Value> = o.routes.iter().map(route).collect();
-        let one = |b: &nickelgw_audit::Break| json!({"rule": b.rule.name(), "what": b.what, "evidence": b.evidence});
-        let breaks: Vec<Value> = v.breaks.iter().map(one).collect();
+        let one = |b: &nickelgw_audit::Violation| json!({"rule": b.rule.name(), "what": b.description, "evidence": b.evidence});
+        let breaks: Vec<Value> = v.violations.iter().map(one).collect();
         // After each trouble: service in its first ten seconds, and time until it is back.
         let after = |t: &nickelgw_rehearsal::core::script::Trouble| {
             let at = t.from_s as usize;
@@ -271,9 +271,9 @@
         let worst = o.series.worst_window().map(|w| json!({"at_s": w.start_s, "served": w.served_share}));
         json!({"day": o.day.name, "seed": self.seed, "served": o.series.whole_day().served_share(),
             "rules": counts, "routes": routes, "worst_10_s": worst, "troubles": troubles,
-            "judged": v.judged, "excused_states": v.excused, "doubted_sends": v.doubted, "nearest_cold": v.nearest_cold, "breaks": breaks,
-            "driver_stall_s": o.stall, "held": v.held.len(), "held_p50_s": v.held(0.5),
-            "held_p99_s": v.held(0.99), "held_longest_s": v.held(1.0), "notes": o.notes})
+            "judged": v.checked, "excused_states": v.excused_reservations, "doubted_sends": v.unconfirmed_removal_attempts, "nearest_cold": v.max_slow_start_load, "breaks": breaks,
+            "driver_stall_s": o.stall, "held": v.unattended_s.len(), "held_p50_s": v.unattended_quantile(0.5),
+            "held_p99_s": v.unattended_quantile(0.99), "held_longest_s": v.unattended_quantile(1.0), "notes": o.notes})
     }
 }
 
@@ -285,7 +285,7 @@
     dir: PathBuf,
     ex: Rc<LocalExecutor<'static>>,
 ) -> Result<f64, Unusable> {
-    let record = Record::file(&dir.join("records/driver.jsonl"), "driver")?;
+    let record = Recorder::file(&dir.join("records/driver.jsonl"), "driver")?;
     let listed = match day.registry() {
         true => texts(&["registry"]),
         false => texts(&["list", "--lag-ms", &day.list_lag_ms().to_string()]),
@@ -311,7 +311,7 @@
         lines: RefCell::default(),
         day,
     });
-    stage.record.note("rules", rules(&stage.day));
+    stage.record.record("rules", rules(&stage.day));
     stage.trust(&[])?;
     for n in 0..stage.day.nodes() {
         stage.certificate(&format!("node{n}"), CertFault::None)?;
@@ -342,7 +342,7 @@
         Ok(s) => Rc::new(Stage { begun: Instant::now(), ..s }),
         Err(s) => s,
     };
-    stage.record.note("begin", json!({}));
+    stage.record.record("begin", json!({}));
     if stage.day.registry() {
         stage.registry("save", 0.0).await;
     }
@@ -373,7 +373,7 @@
     // What is still held must be let go, and what still runs must end.
     let hold = stage.day.rules.unwrap_or_default().hold_limit_ms() / 1e3;
     rest(hold + 2.0).await;
-    stage.record.note("end", json!({}));
+    stage.record.record("end", json!({}));
     drop((stalls, shown));
     let stall = *stage.stall.borrow();
     let mut children: Vec<Child> =
--- a/crates/nickelgw-cli/src/start.rs
+++ b/crates/nickelgw-cli/src/start.rs
@@ -17,7 +17,7 @@
 use nickelgw_registry::core::endpoint_view::EndpointViewConfig;
 use nickelgw_registry::core::membership::MembershipConfig;
 use nickelgw_settings::{Node, SettingsError};
-use nickelgw_test_servers::record::unix_now;
+use nickelgw_test_servers::recorder::unix_now;
 use nickelgw_tls::{Files, TlsEvent, Versions};
 use std::sync::{Arc, Mutex};
 
--- a/crates/nickelgw-node/src/server.rs
+++ b/crates/nickelgw-node/src/server.rs
@@ -420,7 +420,8 @@
             RetryVerdict::FirstAttempt | RetryVerdict::Retry => Ok(()),
             RetryVerdict::Rejected { retry_after_s } => {
                 let word = "too many retries of late; come back later";
-                Err(ApiError::new(429, "rate_limit_error", "retry_budget", word).with_retry_after(retry_after_s))
+                Err(ApiError::new(429, "rate_limit_error", "retry_budget", word)
+                    .with_retry_after(retry_after_s))
             }
         }
     }
--- a/crates/nickelgw-rehearsal/src/core/series.rs
+++ b/crates/nickelgw-rehearsal/src/core/series.rs
@@ -1,7 +1,7 @@
 //! Service over time, from the records of clients: how much of what was wanted in each second was served in target, the
 //! worst ten seconds, and the time that service takes to recover.
 
-use nickelgw_audit::Line;
+use nickelgw_audit::RecordEntry;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
@@ -60,12 +60,12 @@
     model: &'a str,
     /// Second of the day in which the request was first wanted.
     second: usize,
-    record: &'a Line,
+    record: &'a RecordEntry,
 }
 
 impl Series {
     /// `begun` is the Unix time at which the day began. A request counts in the second in which it was first wanted.
-    pub fn from_records(records: &[Line], begun: f64, length_s: f64) -> Series {
+    pub fn from_records(records: &[RecordEntry], begun: f64, length_s: f64) -> Series {
         let seconds = length_s.ceil().max(1.0) as usize;
         let mut series = Series { routes: BTreeMap::new(), seconds };
         let mut calls: BTreeMap<&str, Call> = BTreeMap::new();
@@ -73,7 +73,7 @@
         let mut served: BTreeSet<&str> = BTreeSet::new();
         for record in records {
             let id = record.text("req");
-            if record.ev == "ask" {
+            if record.event == "ask" {
                 let call = series.count_call(&calls, record, begun);
                 calls.insert(id, call);
                 continue;
@@ -82,8 +82,10 @@
             let first_id = call.record.text("of");
             let first_id = if first_id.is_empty() { id } else { first_id };
             let counts = || (call.model, call.second);
-            match (record.ev.as_str(), record.text("how")) {
-                ("first", _) if record.t - call.record.num("intended") <= call.record.num("target_s") => {
+            match (record.event.as_str(), record.text("how")) {
+                ("first", _)
+                    if record.time_s - call.record.number("intended") <= call.record.number("target_s") =>
+                {
                     in_target.insert(id);
                 }
                 ("final", "completed") if in_target.contains(id) && served.insert(first_id) => {
@@ -98,11 +100,16 @@
     }
 
     /// Counts a call as wanted unless it is a retry.
-    fn count_call<'a>(&mut self, calls: &BTreeMap<&str, Call>, record: &'a Line, begun: f64) -> Call<'a> {
+    fn count_call<'a>(
+        &mut self,
+        calls: &BTreeMap<&str, Call>,
+        record: &'a RecordEntry,
+        begun: f64,
+    ) -> Call<'a> {
         let first_id = record.text("of");
         let second = match calls.get(first_id) {
             Some(first) => first.second,
-            None => ((record.num("intended") - begun).max(0.0) as usize).min(self.seconds - 1),
+            None => ((record.number("intended") - begun).max(0.0) as usize).min(self.seconds - 1),
         };
         let model = record.text("model");
         if first_id.is_empty() {
--- a/crates/nickelgw-rehearsal/src/core/series/tests.rs
+++ b/crates/nickelgw-rehearsal/src/core/series/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use nickelgw_audit::Line;
+use nickelgw_audit::RecordEntry;
 use serde_json::json;
 
-fn record(at: f64, mut event: serde_json::Value) -> Line {
+fn record(at: f64, mut event: serde_json::Value) -> RecordEntry {
     (event["t"], event["who"]) = (json!(at), json!("client"));
-    Line::of(&event).unwrap()
+    RecordEntry::from_json(&event).unwrap()
 }
 
 #[test]
@@ -32,7 +32,7 @@
             lines.push(record(at + 6.0, json!({"ev": "final", "how": "completed", "req": retry})));
         }
     }
-    lines.sort_by(|left, right| left.t.total_cmp(&right.t));
+    lines.sort_by(|left, right| left.time_s.total_cmp(&right.time_s));
     let series = Series::from_records(&lines, 100.0, 30.0);
     let seconds = &series.routes["chat"];
     assert_eq!((seconds[9].served, seconds[10].served, seconds[12].served), (1, 1, 0));
--- a/crates/nickelgw-rehearsal/src/report.rs
+++ b/crates/nickelgw-rehearsal/src/report.rs
@@ -4,7 +4,7 @@
 
 use crate::core::script::Trouble;
 use crate::core::series::{Series, WORST_WINDOW_S};
-use nickelgw_audit::{Rule, Service, Verdict};
+use nickelgw_audit::{AuditReport, RouteStats, Rule};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -24,9 +24,9 @@
     /// Troubles as the day has them.
     pub troubles: &'a [Trouble],
     /// Service by model route.
-    pub routes: &'a BTreeMap<String, Service>,
+    pub routes: &'a BTreeMap<String, RouteStats>,
     /// The auditor's verdict on the rules.
-    pub verdict: &'a Verdict,
+    pub verdict: &'a AuditReport,
     /// What else is to be known about the run.
     pub notes: &'a [String],
 }
@@ -76,10 +76,13 @@
     html.push_str("<table><tr><th>model route</th><th>wanted</th><th>served</th><th>completed</th><th>shed</th><th>errored</th><th>first token p50</th><th>p99</th></tr>");
     for (name, service) in report.routes {
         let quantile_ms = |quantile| {
-            service.quantile(quantile).map_or("-".into(), |seconds: f64| format!("{:.0} ms", 1e3 * seconds))
+            service
+                .ttft_quantile(quantile)
+                .map_or("-".into(), |seconds: f64| format!("{:.0} ms", 1e3 * seconds))
         };
-        let served_percent = 100.0 * service.served as f64 / service.wanted.max(1) as f64;
-        let _ = write!(html, "<tr><td>{}</td><td>{}</td><td>{served_percent:.1}%</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td></tr>", escape_html(name), service.wanted, service.completed, service.shed, service.errored, quantile_ms(0.5), quantile_ms(0.99));
+        let served_percent =
+            100.0 * service.distinct_in_target as f64 / service.distinct_requests.max(1) as f64;
+        let _ = write!(html, "<tr><td>{}</td><td>{}</td><td>{served_percent:.1}%</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td></tr>", escape_html(name), service.distinct_requests, service.completed, service.rejected, service.failed, quantile_ms(0.5), quantile_ms(0.99));
     }
     html.push_str("</table>");
 }
@@ -88,12 +91,12 @@
     html.push_str("<ul>");
     for rule in Rule::ALL {
         let breaks = report.verdict.count(rule);
-        let judged = report.verdict.judged.get(rule.name()).copied().unwrap_or(0);
+        let judged = report.verdict.checked.get(rule.name()).copied().unwrap_or(0);
         let result = if breaks == 0 { "kept".to_string() } else { format!("<b>broken {breaks} times</b>") };
-        let _ = write!(html, "<li>{}: {result} ({judged} judged): {}</li>", rule.name(), rule.says());
+        let _ = write!(html, "<li>{}: {result} ({judged} judged): {}</li>", rule.name(), rule.description());
     }
-    for broken in report.verdict.breaks.iter().take(MAX_LISTED_BREAKS) {
-        let _ = write!(html, "<li><b>{}</b>: {}</li>", broken.rule.name(), escape_html(&broken.what));
+    for broken in report.verdict.violations.iter().take(MAX_LISTED_BREAKS) {
+        let _ = write!(html, "<li><b>{}</b>: {}</li>", broken.rule.name(), escape_html(&broken.description));
     }
     for note in report.notes {
         let _ = write!(html, "<li>{}</li>", escape_html(note));
--- a/crates/nickelgw-rehearsal/src/report/tests.rs
+++ b/crates/nickelgw-rehearsal/src/report/tests.rs
@@ -15,9 +15,11 @@
     let series =
         Series { routes: [("chat".into(), seconds(2)), ("a<b".into(), seconds(5))].into(), seconds: 30 };
     let troubles = [Trouble { name: "crash readers".into(), from_s: 12.0, to_s: 15.0 }];
-    let routes =
-        BTreeMap::from([("a<b".to_string(), Service { wanted: 300, served: 295, ..Service::default() })]);
-    let (verdict, notes) = (Verdict::default(), ["<script>".to_string()]);
+    let routes = BTreeMap::from([(
+        "a<b".to_string(),
+        RouteStats { distinct_requests: 300, distinct_in_target: 295, ..RouteStats::default() },
+    )]);
+    let (verdict, notes) = (AuditReport::default(), ["<script>".to_string()]);
     let report = DayReport {
         name: "a day",
         seed: 3,
