--- a/src/decide.rs
+++ b/src/decide.rs
@@ -105,10 +105,10 @@
         let open_requests = self.requests.open().to_vec();
         self.dispatch_reserved(now, &open_requests);
         let mut queue = self.queue_by_objective(&open_requests);
-        let round = self.begin_round(now, &queue);
-        self.admit_and_dispatch(&round, &queue);
-        self.dispatch_to_idle(&round, &mut queue);
-        self.advance_availability(now, &round.prefill_engines);
+        let context = self.dispatch_context(now, &queue);
+        self.admit_and_dispatch(&context, &queue);
+        self.dispatch_to_idle(&context, &mut queue);
+        self.advance_availability(now, &context.prefill_engines);
         self.poll_endpoints_if_due(now);
         self.decisions.wake_at = self.next_wake(now);
         self.requests.release(&self.decisions.closed);
--- a/src/decide/dispatch.rs
+++ b/src/decide/dispatch.rs
@@ -62,11 +62,11 @@
     /// Where probes tell a dead engine from a busy one, no place in a queue is given up for time alone.
     fn timeout_s(&self, now: f64, request: usize, expected_s: f64) -> f64 {
         let detects_dead_engines = self.limits.can_probe && self.limits.can_cancel;
-        let patience_s = if detects_dead_engines {
+        let limit_s = if detects_dead_engines {
             f64::INFINITY
         } else {
             TIMEOUT_MULTIPLE * expected_s + self.objectives.ttft_s
         };
-        patience_s.min(self.requests[request].deadline - now).max(self.limits.tick_s)
+        limit_s.min(self.requests[request].deadline - now).max(self.limits.tick_s)
     }
 }
--- a/src/decide/dispatcher.rs
+++ b/src/decide/dispatcher.rs
@@ -21,7 +21,7 @@
 const LOAD_SPREAD: f64 = 0.2;
 
 /// What holds for all requests of a round of decisions.
-pub(super) struct Round {
+pub(super) struct DispatchContext {
     now: f64,
     pub(super) prefill_engines: Vec<usize>,
     decode: DecodeOutlook,
@@ -58,10 +58,10 @@
         queue
     }
 
-    pub(super) fn begin_round(&self, now: f64, queue: &[usize]) -> Round {
+    pub(super) fn dispatch_context(&self, now: f64, queue: &[usize]) -> DispatchContext {
         let decode = self.decode_outlook(now);
         let prefill_engines = self.available_engines(Phase::Prefill);
-        Round {
+        DispatchContext {
             now,
             budget_tokens: self.prefill_budget(queue),
             is_overloaded: self.is_overloaded(now, &prefill_engines, &decode),
@@ -92,47 +92,47 @@
 
     /// The main loop of Algorithm 1: scans the queue, admits what will likely meet its objective and fits the
     /// budget, and dispatches it.
-    pub(super) fn admit_and_dispatch(&mut self, round: &Round, queue: &[usize]) {
+    pub(super) fn admit_and_dispatch(&mut self, context: &DispatchContext, queue: &[usize]) {
         for &request in queue {
-            if self.is_awaiting_probe(round.now, request) || self.requests[request].release_pending {
+            if self.is_awaiting_probe(context.now, request) || self.requests[request].release_pending {
                 continue;
             }
-            self.admit_or_reject(round, request);
+            self.admit_or_reject(context, request);
         }
     }
 
-    fn admit_or_reject(&mut self, round: &Round, request: usize) {
-        let candidates = self.earliest_start(round, request);
-        if self.is_too_late(round, request, &candidates) {
+    fn admit_or_reject(&mut self, context: &DispatchContext, request: usize) {
+        let candidates = self.earliest_start(context, request);
+        if self.is_too_late(context, request, &candidates) {
             let reason = RejectionReason::TooLate {
                 admitting: candidates.engines.len() as u32,
-                prefill_engines: round.prefill_engines.len() as u32,
+                prefill_engines: context.prefill_engines.len() as u32,
                 prefill_wait_s: candidates.wait_s,
-                decode_wait_s: round.decode.wait_s,
+                decode_wait_s: context.decode.wait_s,
             };
             return self.reject_or_fail(request, reason);
         }
         if candidates.engines.is_empty() {
-            return self.prefill_at_decode_engine(round.now, request);
+            return self.prefill_at_decode_engine(context.now, request);
         }
         if candidates.wait_s > 0.0 {
             return;
         }
-        let Some(engine) = self.choose_prefill_engine(round.now, request, &candidates.engines) else {
+        let Some(engine) = self.choose_prefill_engine(context.now, request, &candidates.engines) else {
             return;
         };
-        let estimate = self.prefill_estimate(round, request, engine);
-        let fits = self.fits_budget(round, engine, estimate.tokens);
-        if fits && self.ttft_probability(round, request, &estimate) >= MIN_TTFT_PROBABILITY {
-            self.dispatch_prefill(round.now, request, engine);
-        } else if self.requests[request].over_quota || round.is_overloaded {
+        let estimate = self.prefill_estimate(context, request, engine);
+        let fits = self.fits_budget(context, engine, estimate.tokens);
+        if fits && self.ttft_probability(context, request, &estimate) >= MIN_TTFT_PROBABILITY {
+            self.dispatch_prefill(context.now, request, engine);
+        } else if self.requests[request].over_quota || context.is_overloaded {
             // What is over its quota does not wait for room that others need; under overload nothing waits.
             let reason = RejectionReason::ObjectiveUnlikely {
                 admitting: candidates.engines.len() as u32,
-                prefill_engines: round.prefill_engines.len() as u32,
+                prefill_engines: context.prefill_engines.len() as u32,
                 prefill_wait_s: estimate.wait_s,
                 prefill_s: estimate.prefill_s,
-                decode_wait_s: round.decode.wait_s,
+                decode_wait_s: context.decode.wait_s,
             };
             self.reject_or_fail(request, reason);
         }
@@ -140,22 +140,22 @@
 
     /// The head of the worker queue Q_W of Algorithm 1, for one request: when a prefill could start at the
     /// earliest among the engines that slow start leaves to it.
-    fn earliest_start(&self, round: &Round, request: usize) -> Candidates {
-        let now = round.now;
+    fn earliest_start(&self, context: &DispatchContext, request: usize) -> Candidates {
+        let now = context.now;
         let admits = |&engine: &usize| self.slow_start_admits(now, request, engine);
-        let engines: Vec<usize> = round.prefill_engines.iter().copied().filter(admits).collect();
+        let engines: Vec<usize> = context.prefill_engines.iter().copied().filter(admits).collect();
         let wait_s = |engine: &usize| (self.engines[*engine].available_at - now).max(0.0);
         let earliest_s = engines.iter().map(wait_s).min_by(f64::total_cmp).unwrap_or(0.0);
         Candidates { engines, wait_s: earliest_s }
     }
 
     /// Whether a request can't be started before its deadline, or has no attempt left: it is rejected unread.
-    fn is_too_late(&self, round: &Round, request: usize, candidates: &Candidates) -> bool {
-        let least_s = candidates.wait_s + self.prefill_cost.of(0.0) + round.decode.wait_s;
+    fn is_too_late(&self, context: &DispatchContext, request: usize, candidates: &Candidates) -> bool {
+        let least_s = candidates.wait_s + self.prefill_cost.of(0.0) + context.decode.wait_s;
         let state = &self.requests[request];
         let deadline =
-            if round.is_overloaded { state.ttft_deadline.min(state.deadline) } else { state.deadline };
-        round.now + least_s > deadline || !self.may_retry(round.now, request, None)
+            if context.is_overloaded { state.ttft_deadline.min(state.deadline) } else { state.deadline };
+        context.now + least_s > deadline || !self.may_retry(context.now, request, None)
     }
 
     /// With no prefill engine to go to, a decode engine that can prefills the prompt itself.
@@ -167,63 +167,64 @@
     }
 
     /// Under overload a long uncached prompt takes the engine from several short ones, and weighs as much.
-    fn prefill_estimate(&self, round: &Round, request: usize, engine: usize) -> PrefillEstimate {
+    fn prefill_estimate(&self, context: &DispatchContext, request: usize, engine: usize) -> PrefillEstimate {
         let tokens = self.uncached_tokens(engine, request);
-        let wait_s = self.estimated_availability(round.now, engine) - round.now;
+        let wait_s = self.estimated_availability(context.now, engine) - context.now;
         let prefill_s = self.prefill_cost.of(tokens);
-        let prefill_s = if round.is_overloaded { CACHE_SAVING_WEIGHT * prefill_s } else { prefill_s };
+        let prefill_s = if context.is_overloaded { CACHE_SAVING_WEIGHT * prefill_s } else { prefill_s };
         PrefillEstimate { tokens, wait_s, prefill_s }
     }
 
     /// `token_limit` of Algorithm 1: the budget, capped by the engine's free tokens. A prompt beyond the budget
     /// goes alone to an idle engine.
-    fn fits_budget(&self, round: &Round, engine: usize, tokens: f64) -> bool {
+    fn fits_budget(&self, context: &DispatchContext, engine: usize, tokens: f64) -> bool {
         let engine = &self.engines[engine];
         let used_share = engine.reported_load.memory_share.unwrap_or(0.0);
-        let limit = round.budget_tokens.min(engine.memory_tokens * (1.0 - used_share));
-        let is_oversized = tokens > round.budget_tokens;
+        let limit = context.budget_tokens.min(engine.memory_tokens * (1.0 - used_share));
+        let is_oversized = tokens > context.budget_tokens;
         engine.batch_tokens + tokens <= limit || (is_oversized && engine.attempts_in_flight == 0)
     }
 
     /// `calculate_p` of Algorithm 1: the probability of a first token in time, less sure the busier the decode
     /// engines are. Nor may a looser objective fill the decode engines until a tighter one can't be met: half
     /// the tightest objective is left for them.
-    fn ttft_probability(&self, round: &Round, request: usize, estimate: &PrefillEstimate) -> f64 {
+    fn ttft_probability(&self, context: &DispatchContext, request: usize, estimate: &PrefillEstimate) -> f64 {
         let request = &self.requests[request];
         let tightest_s = self.objectives.ttft_s;
         let due_at = request.ttft_deadline.min(request.deadline);
-        let remaining_s = due_at - round.now - estimate.wait_s - estimate.prefill_s;
-        let slack_s = remaining_s.min(tightest_s / 2.0) - round.decode.wait_s;
-        let spread_s = tightest_s * (IDLE_SPREAD + LOAD_SPREAD * round.decode.load);
+        let remaining_s = due_at - context.now - estimate.wait_s - estimate.prefill_s;
+        let slack_s = remaining_s.min(tightest_s / 2.0) - context.decode.wait_s;
+        let spread_s = tightest_s * (IDLE_SPREAD + LOAD_SPREAD * context.decode.load);
         1.0 / (1.0 + (-slack_s / spread_s).exp())
     }
 
     /// A prefill engine that is available and got nothing takes the oldest waiting request, even below θ. Not so
     /// when the decode engines are full: what is prefilled then only waits, and makes others wait.
-    pub(super) fn dispatch_to_idle(&mut self, round: &Round, queue: &mut Vec<usize>) {
+    pub(super) fn dispatch_to_idle(&mut self, context: &DispatchContext, queue: &mut Vec<usize>) {
         queue.sort_by(|&x, &y| {
             self.requests[x].arrived_at.total_cmp(&self.requests[y].arrived_at).then(x.cmp(&y))
         });
-        let decode_has_room = round.decode.wait_s <= self.objectives.ttft_s / 2.0;
+        let decode_has_room = context.decode.wait_s <= self.objectives.ttft_s / 2.0;
         queue.retain(|&request| decode_has_room && self.requests[request].stage == Stage::Queued);
         for &request in queue.iter() {
             let state = &self.requests[request];
-            if state.over_quota || state.release_pending || self.is_awaiting_probe(round.now, request) {
+            if state.over_quota || state.release_pending || self.is_awaiting_probe(context.now, request) {
                 continue;
             }
-            let idle_engines = self.idle_prefill_engines(round, request);
-            if let Some(engine) = self.choose_prefill_engine(round.now, request, &idle_engines) {
-                self.dispatch_prefill(round.now, request, engine);
+            let idle_engines = self.idle_prefill_engines(context, request);
+            if let Some(engine) = self.choose_prefill_engine(context.now, request, &idle_engines) {
+                self.dispatch_prefill(context.now, request, engine);
             }
         }
     }
 
-    fn idle_prefill_engines(&self, round: &Round, request: usize) -> Vec<usize> {
+    fn idle_prefill_engines(&self, context: &DispatchContext, request: usize) -> Vec<usize> {
         let is_idle = |engine: usize| {
-            self.engines[engine].batch_s == 0.0 && self.engines[engine].available_at <= round.now
+            self.engines[engine].batch_s == 0.0 && self.engines[engine].available_at <= context.now
         };
-        let may_get = |&engine: &usize| is_idle(engine) && self.slow_start_admits(round.now, request, engine);
-        round.prefill_engines.iter().copied().filter(may_get).collect()
+        let may_get =
+            |&engine: &usize| is_idle(engine) && self.slow_start_admits(context.now, request, engine);
+        context.prefill_engines.iter().copied().filter(may_get).collect()
     }
 
     /// The update of maturity times in Algorithm 1: a prefill engine is next available when its batch is done.
--- a/src/decide/prefill_cost.rs
+++ b/src/decide/prefill_cost.rs
@@ -24,17 +24,17 @@
     pub(super) fn new(base_s: f64, s_per_1000_tokens: f64) -> Self {
         let coefficients = [base_s, s_per_1000_tokens, 0.0];
         let mut fit = PrefillCost { coefficients, ..PrefillCost::default() };
-        for t in INITIAL_PROMPTS {
-            fit.add(1000.0 * t, base_s + s_per_1000_tokens * t);
+        for thousands in INITIAL_PROMPTS {
+            fit.add(1000.0 * thousands, base_s + s_per_1000_tokens * thousands);
         }
         fit
     }
 
     /// Takes in a prefill that met an idle engine.
     pub(super) fn add(&mut self, tokens: f64, seconds: f64) {
-        let t = tokens / 1000.0;
+        let thousands = tokens / 1000.0;
         let weight = if seconds > self.of(tokens) { SLOW_WEIGHT } else { 1.0 };
-        let x = [1.0, t, t * t, seconds];
+        let x = [1.0, thousands, thousands * thousands, seconds];
         for (i, row) in self.sums.iter_mut().enumerate() {
             for (sum, y) in row.iter_mut().zip(x) {
                 *sum = DECAY * *sum + weight * x[i] * y;
@@ -56,7 +56,7 @@
 
     /// Seconds that a prefill of so many uncached tokens takes.
     pub(super) fn of(&self, tokens: f64) -> f64 {
-        let t = tokens / 1000.0;
-        self.coefficients[0] + self.coefficients[1] * t + self.coefficients[2] * t * t
+        let thousands = tokens / 1000.0;
+        self.coefficients[0] + self.coefficients[1] * thousands + self.coefficients[2] * thousands * thousands
     }
 }
--- /dev/null
+++ b/src/decide/tests/probes.rs
@@ -0,0 +1,54 @@
+//! Probes.
+
+use super::*;
+use test_case::test_case;
+
+/// Where probes queue like work, busy prefill engines were taken for dead, and what they held was cancelled.
+#[test_case(1.0, Outcome::TimedOut, false; "a queue explains it")]
+#[test_case(0.0, Outcome::TimedOut, true; "nothing explains it")]
+#[test_case(0.0, Outcome::Rejected, false; "full is not silent")]
+fn an_unanswered_probe_is_unreachable_only_without_a_queue(
+    wait: f64,
+    outcome: Outcome,
+    is_unreachable: bool,
+) {
+    let mut router = new_router(Idempotency::Idempotent);
+    (router.engines[0].reported_wait_s, router.engines[0].probed_at) = (wait, NOW - 0.25);
+    router.probe_finished(NOW, "r0", outcome, None);
+    assert_eq!(router.engines[0].unreachable_at == NOW, is_unreachable);
+}
+
+/// Requests were rejected on old news of full decode engines long after these had room, since nobody probed them.
+#[test]
+fn stale_engines_are_probed_before_anything_is_rejected() {
+    let mut router = loose_objective_under_overload();
+    router
+        .engines
+        .iter_mut()
+        .for_each(|engine| (engine.reported_at, engine.probed_at) = (NOW - 60.0, NOW - 60.0));
+    let decisions = router.decide(NOW);
+    assert!(decisions.rejected.is_empty() && decisions.probes.iter().any(|engine| engine.0 < 2));
+}
+
+/// On sockets a round of decisions comes moments after the arrival: no decode engine was ever probed, and an idle
+/// node of 300 took its own stream for a full fleet and held what came next for seconds.
+#[test]
+fn an_arrival_probes_decode_engines_however_late_the_decisions() {
+    let mut router = new_router(Idempotency::Idempotent);
+    router
+        .engines
+        .iter_mut()
+        .for_each(|engine| (engine.reported_at, engine.probed_at) = (NOW - 60.0, NOW - 60.0));
+    router.admit_request(NOW, &arrival());
+    let decisions = router.decide(NOW + 0.001);
+    assert!(decisions.probes.iter().any(|engine| engine.0 >= 2));
+}
+
+#[test]
+fn a_zone_probe_picks_the_engine_with_the_oldest_report() {
+    let mut router = new_router(Idempotency::Idempotent);
+    router.engines[2].reported_at = NOW - 5.0;
+    router.set_zone_weight(0, 0.0);
+    router.probe_zone(NOW, 0);
+    assert_eq!(router.decisions.probes, [EngineHandle(2)]);
+}
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,59 +1,60 @@
-//! For the cores of a fleet played in one process: a clock of its own, and what its nodes are told.
+//! For tests that run the routers of a whole fleet in one process: an event queue with its own clock, and the
+//! deployment of a node.
 
 use nickelgw::interface::{Deployment, ModelRoute};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-pub const COLD_FROM: f64 = 0.3;
-pub const WARM_WITHIN: f64 = 9.0;
-pub const MULTIPLE: f64 = 3.0;
-pub const WINDOW: f64 = 2.0;
+pub const INITIAL_SHARE: f64 = 0.3;
+pub const WARMUP_S: f64 = 9.0;
+pub const OVERLOAD_MULTIPLE: f64 = 3.0;
+pub const OVERLOAD_WINDOW_S: f64 = 2.0;
 
-struct Coming<T> {
+struct ScheduledEvent<Event> {
     at: f64,
     order: u64,
-    what: T,
+    event: Event,
 }
 
-impl<T> PartialEq for Coming<T> {
+impl<Event> PartialEq for ScheduledEvent<Event> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
-impl<T> Eq for Coming<T> {}
-impl<T> PartialOrd for Coming<T> {
+impl<Event> Eq for ScheduledEvent<Event> {}
+impl<Event> PartialOrd for ScheduledEvent<Event> {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl<T> Ord for Coming<T> {
+impl<Event> Ord for ScheduledEvent<Event> {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.at.total_cmp(&other.at).then(self.order.cmp(&other.order))
     }
 }
 
-/// What is to come, by its time, and at one time in the order in which it was told.
-pub struct Clock<T> {
-    coming: BinaryHeap<Reverse<Coming<T>>>,
-    told: u64,
+/// Events by their time and, at one time, in the order in which they were scheduled.
+pub struct EventQueue<Event> {
+    events: BinaryHeap<Reverse<ScheduledEvent<Event>>>,
+    scheduled_count: u64,
 }
 
-impl<T> Clock<T> {
+impl<Event> EventQueue<Event> {
     pub fn new() -> Self {
-        Clock { coming: BinaryHeap::new(), told: 0 }
+        EventQueue { events: BinaryHeap::new(), scheduled_count: 0 }
     }
 
-    pub fn at(&mut self, at: f64, what: T) {
-        self.told += 1;
-        self.coming.push(Reverse(Coming { at, order: self.told, what }));
+    pub fn schedule(&mut self, at: f64, event: Event) {
+        self.scheduled_count += 1;
+        self.events.push(Reverse(ScheduledEvent { at, order: self.scheduled_count, event }));
     }
 
-    pub fn next(&mut self) -> Option<(f64, T)> {
-        self.coming.pop().map(|Reverse(c)| (c.at, c.what))
+    pub fn next(&mut self) -> Option<(f64, Event)> {
+        self.events.pop().map(|Reverse(scheduled)| (scheduled.at, scheduled.event))
     }
 }
 
-/// What a node of a fleet in one zone is told; nothing is promised to tenants.
+/// The deployment of a node of a fleet in one zone; no tenant has a quota.
 pub fn deployment(node: usize, nodes: usize, seed: u64, routes: Vec<ModelRoute>, probes: bool) -> Deployment {
     Deployment {
         node: node as u32,
@@ -73,9 +74,9 @@
         can_probe: probes,
         must_poll_endpoints: false,
         max_retry_after_s: None,
-        slow_start_initial_share: COLD_FROM,
-        warmup_s: WARM_WITHIN,
-        overload_multiple: MULTIPLE,
-        overload_window_s: WINDOW,
+        slow_start_initial_share: INITIAL_SHARE,
+        warmup_s: WARMUP_S,
+        overload_multiple: OVERLOAD_MULTIPLE,
+        overload_window_s: OVERLOAD_WINDOW_S,
     }
 }
