--- a/crates/nickelgw-cli/tests/fleet/main.rs
+++ b/crates/nickelgw-cli/tests/fleet/main.rs
@@ -143,7 +143,7 @@
         site.fault("b", &json!({"fault": "silence", "for_s": 1.2}));
         rest(2.0);
     }
-    let left = |n: &Node| n.log().matches("a zone is left").count();
+    let left = |n: &Node| n.log().matches("zone evacuated").count();
     let most = site.nodes.iter().map(left).max();
     println!("left {most:?} times of ten");
     assert!(most.is_some_and(|m| (1..=6).contains(&m)), "{most:?}");
--- a/crates/nickelgw-node-core/src/admission.rs
+++ b/crates/nickelgw-node-core/src/admission.rs
@@ -1,108 +1,147 @@
-//! What is let in: model name to model route, bearer token to tenant, limits of size. No I/O.
+//! Admission of requests by who sends them and what they ask for: model name to model route, bearer token to tenant, limits of
+//! size. No I/O.
 
 use nickelgw_protocol::chat::{ApiError, ChatRequest};
 
+/// Characters of an unknown model's name that an error repeats.
+const MAX_ECHOED_NAME: usize = 64;
+
 /// A model route as clients name it.
 #[derive(Clone, Debug)]
 pub struct Model {
+    /// The name that requests give.
     pub name: String,
-    /// Longest that a client waits for its first token: a constant part, and one for each prompt token.
+    /// Longest that a client waits for its first token: the constant part.
     pub timeout_s: f64,
+    /// And the part for each prompt token.
     pub timeout_per_token_s: f64,
     /// Longest that a client waits for an answer that it does not stream.
     pub unary_timeout_s: f64,
-    /// Retriable: a repeat may run again.
+    /// A repeated request may run again.
     pub is_idempotent: bool,
 }
 
+/// A tenant and its API key.
 #[derive(Clone, Debug)]
 pub struct Tenant {
+    /// Its name in the settings.
     pub name: String,
+    /// Its bearer token.
     pub key: String,
 }
 
-/// A request as the module takes it.
+/// A request that may be given to the core.
 #[derive(Clone, Debug)]
 pub struct AdmittedRequest {
-    /// By which engines know the request in all its sends; none: each send has a name of its own.
+    /// By which engines know the request in all its attempts; none: each attempt has a name of its own.
     pub name: Option<String>,
+    /// Number of the model route.
     pub route: usize,
+    /// Number of the tenant.
     pub tenant: Option<usize>,
+    /// Longest that its client waits for the first token.
     pub timeout_s: f64,
-    /// For a client that does not stream: when its answer must be whole.
+    /// For a client that does not stream: longest that it waits for the whole answer.
     pub unary_timeout_s: Option<f64>,
+    /// Estimated length of the prompt.
     pub prompt_tokens: f64,
+    /// Estimated length of the shared beginning.
     pub prefix_tokens: f64,
+    /// Requests of one session share their beginnings.
     pub session: String,
+    /// Name of the shared beginning.
     pub prefix: Option<String>,
-    /// Offline work: it takes only room that others leave.
+    /// Offline work: it takes only capacity that others leave.
     pub is_background: bool,
 }
 
-#[derive(Clone, Debug, PartialEq)]
+/// Why a request is not accepted. The messages are those that clients read.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RejectReason {
-    /// As many inferences are open as may be.
+    /// The limit of open requests is reached.
+    #[error("as many requests are open as this node takes")]
     NodeFull,
-    /// As many of the tenant's are open as it may have.
+    /// The tenant's limit of open requests is reached.
+    #[error("as many requests of this tenant are open as it may have")]
     TenantFull,
-    /// There is not enough for all, and the tenant has its part.
+    /// There is not enough for all, and the tenant has its share.
+    #[error("there is not enough for all now, and this tenant has its part")]
     OverFairShare,
-    /// The node is on its way out.
+    /// The node shuts down.
+    #[error("this node is stopping; another one takes it")]
     ShuttingDown,
-    /// The queue to the core is full: the node is behind.
+    /// The queue to the core is full.
+    #[error("this node is behind with its work")]
     QueueFull,
+    /// The request itself is at fault.
+    #[error("{}", .0.message)]
     Invalid(ApiError),
 }
 
 impl RejectReason {
-    pub fn error(self, come_back_s: f64) -> ApiError {
-        let word = match self {
-            RejectReason::Invalid(e) => return e,
-            RejectReason::TenantFull => {
-                let word = "as many requests of this tenant are open as it may have";
-                return ApiError::new(429, "rate_limit_error", "too_many_open", word).after(come_back_s);
-            }
-            RejectReason::OverFairShare => {
-                let word = "there is not enough for all now, and this tenant has its part";
-                return ApiError::new(429, "rate_limit_error", "fair_share", word).after(come_back_s);
-            }
-            RejectReason::ShuttingDown => {
-                let word = "this node is stopping; another one takes it";
-                return ApiError::new(503, "server_error", "node_draining", word).after(come_back_s);
+    /// The error that the client gets.
+    pub fn error(self, retry_after_s: f64) -> ApiError {
+        let message = self.to_string();
+        let error = match self {
+            RejectReason::Invalid(error) => return error,
+            RejectReason::TenantFull => ApiError::new(429, "rate_limit_error", "too_many_open", message),
+            RejectReason::OverFairShare => ApiError::new(429, "rate_limit_error", "fair_share", message),
+            RejectReason::ShuttingDown => ApiError::new(503, "server_error", "node_draining", message),
+            RejectReason::NodeFull | RejectReason::QueueFull => {
+                ApiError::new(503, "server_error", "node_full", message)
             }
-            RejectReason::NodeFull => "as many requests are open as this node takes",
-            RejectReason::QueueFull => "this node is behind with its work",
         };
-        ApiError::new(503, "server_error", "node_full", word).after(come_back_s)
+        error.after(retry_after_s)
     }
 }
 
+/// Who may send what.
 pub struct Admission {
+    /// Model routes, in the order of their numbers.
     pub models: Vec<Model>,
+    /// Tenants, in the order of their numbers; none: everybody is admitted.
     pub tenants: Vec<Tenant>,
+    /// Longest prompt that is admitted.
     pub max_prompt_tokens: f64,
 }
 
-/// Equal in time that does not tell where the first difference lies.
-fn same(a: &[u8], b: &[u8]) -> bool {
-    a.len() == b.len() && a.iter().zip(b).fold(0, |d, (x, y)| d | (x ^ y)) == 0
+/// Compares in a time that does not depend on where the first difference lies.
+fn constant_time_eq(left: &[u8], right: &[u8]) -> bool {
+    let difference = left.iter().zip(right).fold(0, |bits, (x, y)| bits | (x ^ y));
+    left.len() == right.len() && difference == 0
+}
+
+fn unauthenticated(message: &str) -> RejectReason {
+    RejectReason::Invalid(ApiError::new(401, "invalid_request_error", "invalid_api_key", message))
+}
+
+fn invalid_parameter(
+    status: u16,
+    code: &'static str,
+    parameter: &'static str,
+    message: String,
+) -> RejectReason {
+    let mut error = ApiError::new(status, "invalid_request_error", code, message);
+    error.param = Some(parameter);
+    RejectReason::Invalid(error)
 }
 
 impl Admission {
-    /// Whose the bearer token is; none where no tenants are named.
+    /// The tenant whose bearer token it is; none where no tenants are configured.
     pub fn authenticate(&self, bearer: Option<&str>) -> Result<Option<usize>, RejectReason> {
-        match bearer {
-            _ if self.tenants.is_empty() => Ok(None),
-            None => Err(denied("you must provide an API key as a bearer token")),
-            Some(key) => {
-                let known = |t: &Tenant| same(t.key.as_bytes(), key.as_bytes());
-                let found = self.tenants.iter().position(known);
-                found.map(Some).ok_or_else(|| denied("the API key is not known"))
-            }
+        if self.tenants.is_empty() {
+            return Ok(None);
         }
+        let Some(token) = bearer else {
+            return Err(unauthenticated("you must provide an API key as a bearer token"));
+        };
+        let has_token = |tenant: &Tenant| constant_time_eq(tenant.key.as_bytes(), token.as_bytes());
+        let tenant = self.tenants.iter().position(has_token);
+        tenant.map(Some).ok_or_else(|| unauthenticated("the API key is not known"))
     }
 
-    /// `client_timeout_s`: the client's own word on how long it waits, which only shortens.
+    /// Admits a chat request, or gives the reason why not. `client_timeout_s`: how long the client itself says that it waits,
+    /// which only shortens the route's timeout.
     pub fn admit(
         &self,
         chat: &ChatRequest,
@@ -110,30 +149,17 @@
         client_timeout_s: Option<f64>,
     ) -> Result<AdmittedRequest, RejectReason> {
         let tenant = self.authenticate(bearer)?;
-        let Some(route) = self.models.iter().position(|m| m.name == chat.model) else {
-            let word =
-                format!("the model '{}' does not exist", chat.model.chars().take(64).collect::<String>());
-            let mut e = ApiError::new(404, "invalid_request_error", "model_not_found", word);
-            e.param = Some("model");
-            return Err(RejectReason::Invalid(e));
-        };
-        if chat.prompt_tokens > self.max_prompt_tokens {
-            let word = format!(
-                "the prompt has about {} tokens, the longest taken is {}",
-                chat.prompt_tokens, self.max_prompt_tokens
-            );
-            let mut e = ApiError::new(400, "invalid_request_error", "context_length_exceeded", word);
-            e.param = Some("messages");
-            return Err(RejectReason::Invalid(e));
-        }
-        let m = &self.models[route];
-        let timeout = m.timeout_s + m.timeout_per_token_s * chat.prompt_tokens;
+        let route = self.route_of(chat)?;
+        self.check_prompt_length(chat)?;
+        let model = &self.models[route];
+        let timeout_s = model.timeout_s + model.timeout_per_token_s * chat.prompt_tokens;
+        let unary_timeout_s = client_timeout_s.unwrap_or(model.unary_timeout_s);
         Ok(AdmittedRequest {
             name: None,
             route,
             tenant,
-            timeout_s: client_timeout_s.map_or(timeout, |t| t.clamp(0.0, timeout)),
-            unary_timeout_s: (!chat.stream).then_some(client_timeout_s.unwrap_or(m.unary_timeout_s)),
+            timeout_s: client_timeout_s.map_or(timeout_s, |client_s| client_s.clamp(0.0, timeout_s)),
+            unary_timeout_s: (!chat.stream).then_some(unary_timeout_s),
             prompt_tokens: chat.prompt_tokens,
             prefix_tokens: chat.prefix_tokens,
             session: chat.session.clone(),
@@ -141,52 +167,27 @@
             is_background: false,
         })
     }
-}
 
-fn denied(word: &str) -> RejectReason {
-    RejectReason::Invalid(ApiError::new(401, "invalid_request_error", "invalid_api_key", word))
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn door() -> Admission {
-        let model = Model {
-            name: "chat".into(),
-            timeout_s: 5.0,
-            timeout_per_token_s: 0.001,
-            unary_timeout_s: 9.0,
-            is_idempotent: true,
-        };
-        let tenant = |n: &str, k: &str| Tenant { name: n.into(), key: k.into() };
-        Admission {
-            models: vec![model],
-            tenants: vec![tenant("a", "key-a"), tenant("b", "key-b")],
-            max_prompt_tokens: 100.0,
-        }
-    }
-
-    fn chat(model: &str, text: &str) -> ChatRequest {
-        let body = format!(r#"{{"model":"{model}","messages":[{{"role":"user","content":"{text}"}}]}}"#);
-        ChatRequest::parse(body.as_bytes()).unwrap()
-    }
-
-    #[test]
-    fn who_and_what_is_known_comes_in() {
-        let ask = door().admit(&chat("chat", "hi"), Some("key-b"), Some(60.0)).unwrap();
-        assert_eq!((ask.route, ask.tenant), (0, Some(1)));
-        assert!(ask.timeout_s > 5.0 && ask.timeout_s < 5.1, "the client's word only shortens");
-        assert_eq!(door().admit(&chat("chat", "hi"), Some("key-a"), Some(1.0)).unwrap().timeout_s, 1.0);
+    fn route_of(&self, chat: &ChatRequest) -> Result<usize, RejectReason> {
+        self.models.iter().position(|model| model.name == chat.model).ok_or_else(|| {
+            let name: String = chat.model.chars().take(MAX_ECHOED_NAME).collect();
+            let message = format!("the model '{name}' does not exist");
+            invalid_parameter(404, "model_not_found", "model", message)
+        })
     }
 
-    #[test]
-    fn others_are_told_why_not() {
-        let status = |r: Result<AdmittedRequest, RejectReason>| r.unwrap_err().error(1.0).status;
-        assert_eq!(status(door().admit(&chat("chat", "hi"), None, None)), 401);
-        assert_eq!(status(door().admit(&chat("chat", "hi"), Some("key-c"), None)), 401);
-        assert_eq!(status(door().admit(&chat("nope", "hi"), Some("key-a"), None)), 404);
-        assert_eq!(status(door().admit(&chat("chat", &"x".repeat(500)), Some("key-a"), None)), 400);
-        assert_eq!(RejectReason::NodeFull.error(1.5).retry_after().as_deref(), Some("2"));
+    fn check_prompt_length(&self, chat: &ChatRequest) -> Result<(), RejectReason> {
+        if chat.prompt_tokens > self.max_prompt_tokens {
+            let message = format!(
+                "the prompt has about {} tokens, the longest taken is {}",
+                chat.prompt_tokens, self.max_prompt_tokens
+            );
+            return Err(invalid_parameter(400, "context_length_exceeded", "messages", message));
+        }
+        Ok(())
     }
 }
+
+#[cfg(test)]
+#[path = "admission_tests.rs"]
+mod tests;
--- a/crates/nickelgw-node-core/src/apply_decisions.rs
+++ b/crates/nickelgw-node-core/src/apply_decisions.rs
@@ -1,220 +1,176 @@
-//! What is to be done after a batch of calls: the module's decisions as orders to the shell.
+//! Turns the decision module's decisions into commands for the shell.
 
-use super::*;
+use crate::commands::{Command, CommandBatch, Endpoint, FailureReason, FinalAnswer, RequestId};
+use crate::guard::Violation;
+use crate::node_core::NodeCore;
+use crate::trace::TraceEvent;
+use nickelgw::interface::{Decisions, EngineHandle, Outcome, RejectionReason, RequestHandle};
+use std::rc::Rc;
 
-/// Engines that a call to let go is tried at before it is repeated.
-const TRIED: usize = 4;
+/// Engines that a release call is tried at before it is repeated later.
+const RELEASE_ENDPOINTS: usize = 4;
+
+/// Ticks before its deadline from which a failed request counts as failed by it.
+const DEADLINE_SLACK_TICKS: f64 = 2.0;
 
 impl NodeCore {
-    /// What to do after a batch of calls.
+    /// What to do after a batch of events, and when to poll again.
     pub fn poll_commands(&mut self, now: f64) -> CommandBatch {
-        while let Some(&(at, t)) = self.unseen.first().filter(|u| f64::from_bits(u.0) <= now) {
-            self.unseen.remove(&(at, t));
-            self.answer(now, t, FinalAnswer::Failed(FailureReason::DeadlineExceeded));
-        }
-        let d = self.router.decide(now);
-        let mut todo = std::mem::take(&mut self.ready);
-        for &(inf, send) in &d.cancelled {
-            if let Some(ticket) = self.ticket(inf) {
-                todo.push(Command::CancelAttempt { request: ticket, attempt: send });
-            }
+        self.fail_expired_unary(now);
+        let decisions = self.router.decide(now);
+        let mut commands = std::mem::take(&mut self.pending_commands);
+        self.apply_cancellations(&decisions, &mut commands);
+        for dispatch in &decisions.dispatches {
+            self.dispatch(now, dispatch, &mut commands);
+        }
+        let reasons = self.trace_reasons(now, &decisions);
+        self.apply_rejections(now, &decisions);
+        self.apply_failures(now, &decisions);
+        self.apply_releases(now, &decisions);
+        self.apply_probes(now, &decisions, &mut commands);
+        if decisions.poll_endpoints {
+            commands.push(Command::PollEndpoints);
+        }
+        self.apply_closed(now, &decisions, &mut commands);
+        let release_at = self.poll_release_calls(now, &mut commands);
+        let (orphan_calls, cleanup_at) = self.orphan_cleanup.poll_calls(now);
+        commands.extend(orphan_calls.into_iter().map(Command::ReleaseOrphans));
+        for owner in self.ledger.take_overdue(now) {
+            self.guard.count(Violation::ReservationOverdue, owner);
         }
-        for s in &d.dispatches {
-            match self.order(now, s.request, s.engine, s.timeout_s) {
-                Some(Ok(order)) => todo.push(Command::StartAttempt(order)),
-                Some(Err((t, send))) => self.attempt_ended(
-                    now,
-                    t,
-                    send,
-                    AttemptResult { outcome: AttemptOutcome::NotDelivered, ..AttemptResult::default() },
-                ),
-                None => {}
-            }
+        let wakeups = [decisions.wake_at, release_at, cleanup_at, self.unary_deadlines.next()];
+        CommandBatch {
+            commands,
+            reasons,
+            transitions: self.ledger.take_transitions(),
+            violations: self.guard.take_violations(),
+            wake_at: wakeups.into_iter().flatten().min_by(f64::total_cmp),
         }
-        let named = d.reasons.iter().filter_map(|&(inf, reason)| Some((self.ticket(inf)?, reason)));
-        let reasons: Vec<(RequestId, RejectionReason)> = named.collect();
-        for &(t, reason) in &reasons {
-            self.note(now, t, TraceEvent::Rejected(reason));
+    }
+
+    fn fail_expired_unary(&mut self, now: f64) {
+        while let Some(request) = self.unary_deadlines.pop_expired(now) {
+            self.answer(now, request, FinalAnswer::Failed(FailureReason::DeadlineExceeded));
         }
-        for &(inf, come_back_s) in &d.rejected {
-            if let Some(t) = self.ticket(inf) {
-                self.answer(now, t, FinalAnswer::Rejected { retry_after_s: come_back_s });
+    }
+
+    fn apply_cancellations(&self, decisions: &Decisions, commands: &mut Vec<Command>) {
+        for &(handle, attempt) in &decisions.cancelled {
+            if let Some(request) = self.requests.id_of(handle) {
+                commands.push(Command::CancelAttempt { request, attempt });
             }
         }
-        for &inf in &d.failed {
-            if let Some(t) = self.ticket(inf) {
-                let due = self.get(t).map_or(f64::INFINITY, |x| x.due_at);
-                let why = if now + 2.0 * self.tick >= due {
-                    FailureReason::DeadlineExceeded
-                } else {
-                    FailureReason::AttemptsFailed
-                };
-                self.answer(now, t, FinalAnswer::Failed(why));
+    }
+
+    fn trace_reasons(&mut self, now: f64, decisions: &Decisions) -> Vec<(RequestId, RejectionReason)> {
+        let known = decisions
+            .reasons
+            .iter()
+            .filter_map(|&(handle, reason)| Some((self.requests.id_of(handle)?, reason)));
+        let reasons: Vec<(RequestId, RejectionReason)> = known.collect();
+        for &(request, reason) in &reasons {
+            self.trace_event(now, request, TraceEvent::Rejected(reason));
+        }
+        reasons
+    }
+
+    fn apply_rejections(&mut self, now: f64, decisions: &Decisions) {
+        for &(handle, retry_after_s) in &decisions.rejected {
+            if let Some(request) = self.requests.id_of(handle) {
+                self.answer(now, request, FinalAnswer::Rejected { retry_after_s });
             }
         }
-        for &inf in &d.released {
-            if let Some(t) = self.ticket(inf) {
-                self.ledger.release_all(now, t.serial);
-                self.update_release_pending(t);
+    }
+
+    fn apply_failures(&mut self, now: f64, decisions: &Decisions) {
+        for &handle in &decisions.failed {
+            let Some(request) = self.requests.id_of(handle) else { continue };
+            let deadline = self.requests.get(request).map_or(f64::INFINITY, |open| open.deadline);
+            let reason = if now + DEADLINE_SLACK_TICKS * self.tick_s >= deadline {
+                FailureReason::DeadlineExceeded
+            } else {
+                FailureReason::AttemptsFailed
+            };
+            self.answer(now, request, FinalAnswer::Failed(reason));
+        }
+    }
+
+    fn apply_releases(&mut self, now: f64, decisions: &Decisions) {
+        for &handle in &decisions.released {
+            if let Some(request) = self.requests.id_of(handle) {
+                self.ledger.release_all(now, request.serial);
+                self.update_release_pending(request);
             }
         }
-        for &eng in &d.probes {
-            let id = self.router.engine_id(eng);
-            match self.places.get(id) {
-                Some((place, _)) => todo.push(Command::Probe(place.clone())),
-                // The list took it out in this very batch.
+    }
+
+    fn apply_probes(&mut self, now: f64, decisions: &Decisions, commands: &mut Vec<Command>) {
+        for &engine in &decisions.probes {
+            let id = self.router.engine_id(engine);
+            match self.endpoints.get(id) {
+                Some((endpoint, _)) => commands.push(Command::Probe(endpoint.clone())),
+                // It has left the list in this very batch.
                 None => {
                     let id = id.to_string();
                     self.router.probe_finished(now, &id, Outcome::ConnectFailed, None);
                 }
             }
         }
-        if d.poll_endpoints {
-            todo.push(Command::PollEndpoints);
-        }
-        for &inf in &d.closed {
-            if let Some(t) = self.ticket(inf) {
-                self.ledger.release_all(now, t.serial);
-                // A request must not vanish unanswered, whatever the Router thinks of it.
-                if self.get(t).is_some_and(|x| x.stage != Stage::Over) {
-                    self.guard.count(Violation::Unanswered, t.serial);
-                }
-                self.answer(now, t, FinalAnswer::Failed(FailureReason::AttemptsFailed));
-            }
-        }
-        todo.append(&mut self.ready);
-        for inf in &d.closed {
-            self.taken[inf.0 as usize] = None;
-        }
-        let (calls, let_go_at) = self.ledger.poll_releases(now);
-        for owner in self.ledger.take_expired() {
-            if let Some(t) = self.ticket_of(owner) {
-                self.router.reservation_expired(now, RequestHandle(t.slot));
-                self.update_release_pending(t);
+    }
+
+    /// Handles of closed requests are void from now on. All answers so far go out before that.
+    fn apply_closed(&mut self, now: f64, decisions: &Decisions, commands: &mut Vec<Command>) {
+        for &handle in &decisions.closed {
+            if let Some(request) = self.requests.id_of(handle) {
+                self.close(now, request);
             }
         }
-        for (call, state) in calls {
-            let at = if state.named_after_request { self.takers(&state.prefill_engine) } else { Vec::new() };
-            todo.push(Command::Release { reservation_id: call, reservation: state, endpoints: at });
+        commands.append(&mut self.pending_commands);
+        for &handle in &decisions.closed {
+            self.requests.remove(handle);
         }
-        let (readers, sweep_at) = self.sweep.poll_calls(now);
-        todo.extend(readers.into_iter().map(Command::ReleaseOrphans));
-        let unseen = self.unseen.first().map(|u| f64::from_bits(u.0));
-        let wake_at = [d.wake_at, let_go_at, sweep_at, unseen].into_iter().flatten().min_by(f64::total_cmp);
-        for owner in self.ledger.take_overdue(now) {
-            self.guard.count(Violation::ReservationOverdue, owner);
-        }
-        let (transitions, violations) = (self.ledger.take_transitions(), self.guard.take_news());
-        CommandBatch { commands: todo, reasons, transitions, violations, wake_at }
     }
 
-    /// Engines that the module names for a call which any of them takes; the one meant at least.
-    fn takers(&self, meant: &Rc<Endpoint>) -> Vec<Rc<Endpoint>> {
-        let named = self.router.engines_by_last_response(&meant.id, TRIED);
-        let place = |e: &EngineHandle| self.places.get(self.router.engine_id(*e)).map(|p| p.0.clone());
-        let places: Vec<_> = named.iter().filter_map(place).collect();
-        if places.is_empty() {
-            vec![meant.clone()]
-        } else {
-            places
+    fn close(&mut self, now: f64, request: RequestId) {
+        self.ledger.release_all(now, request.serial);
+        // A request must not end without an answer, whatever the decision module does.
+        if !self.requests.is_finished(request) {
+            self.guard.count(Violation::Unanswered, request.serial);
         }
+        self.answer(now, request, FinalAnswer::Failed(FailureReason::AttemptsFailed));
     }
 
-    /// Books a send and says what the shell needs to make it.
-    /// An error: the guard refuses it.
-    fn order(
-        &mut self,
-        now: f64,
-        inf: RequestHandle,
-        eng: EngineHandle,
-        patience_s: f64,
-    ) -> Option<Result<AttemptRequest, (RequestId, u32)>> {
-        let ticket = self.ticket(inf)?;
-        let id = self.router.engine_id(eng).to_string();
-        let idle_s = self.figures.stream_idle_timeout_s;
-        let (eng, role) = match self.places.get(&id) {
-            Some((place, role)) => (place.clone(), *role),
-            None => (Rc::new(Endpoint { id, address: String::new(), tls_name: None }), EngineRole::Prefill),
-        };
-        let read = role == EngineRole::Prefill;
-        let attempt = self.attempt(now, ticket, &eng.id, read)?;
-        let permitted = self.guard.permits(&attempt, ticket.serial);
-        let taken = self.get(ticket)?;
-        let send = taken.sends.len() as u32;
-        let route = taken.route;
-        taken.sends.push(Sent { read, live: true, at: now, may_have_run: !read && permitted });
-        if !permitted {
-            return Some(Err((ticket, send)));
-        }
-        let shared = taken.name.is_some();
-        let name = taken.name.clone();
-        let name = name.unwrap_or_else(|| format!("{}-{}-{send}", self.figures.incarnation, ticket.serial));
-        let grounds = self.router.dispatch_rationale(inf, send);
-        let what = if read {
-            let state = Reservation {
-                name: name.as_str().into(),
-                prefill_engine: eng.clone(),
-                named_after_request: shared,
+    /// Makes the release calls that the ledger asks for; gives the time when it asks again.
+    fn poll_release_calls(&mut self, now: f64, commands: &mut Vec<Command>) -> Option<f64> {
+        let (release_calls, release_at) = self.ledger.poll_releases(now);
+        for owner in self.ledger.take_expired() {
+            if let Some(request) = self.requests.id_by_serial(owner) {
+                self.router.reservation_expired(now, RequestHandle(request.slot));
+                self.update_release_pending(request);
+            }
+        }
+        for (reservation_id, reservation) in release_calls {
+            let endpoints = if reservation.named_after_request {
+                self.release_endpoints(&reservation.prefill_engine)
+            } else {
+                Vec::new()
             };
-            self.ledger.prefill_begins(now, ReservationId { owner: ticket.serial, prefill: send }, state);
-            AttemptKind::Prefill
-        } else {
-            let state = self.ledger.claim(now, ticket.serial, send);
-            let grant = state.as_ref().and_then(|s| self.grant(now, s, &eng));
-            AttemptKind::Decode { reservation: state, grant, idle_timeout_s: idle_s }
-        };
-        let from_state = matches!(what, AttemptKind::Decode { reservation: Some(_), .. });
-        self.note(
-            now,
-            ticket,
-            TraceEvent::AttemptStarted {
-                attempt: send,
-                engine: eng.clone(),
-                is_prefill: read,
-                rationale: grounds,
-                from_reservation: from_state,
-            },
-        );
-        let once = !read && self.once.get(route).copied().unwrap_or(true);
-        Some(Ok(AttemptRequest {
-            request: ticket,
-            attempt: send,
-            name,
-            engine: eng,
-            timeout_s: patience_s,
-            runs_once: once,
-            kind: what,
-            rationale: grounds,
-        }))
-    }
-
-    /// What the guard is told of an attempt that is about to be made.
-    fn attempt(&self, now: f64, ticket: RequestId, engine: &str, prefill: bool) -> Option<Attempt> {
-        let taken = self.taken.get(ticket.slot as usize)?.as_ref()?;
-        let ran = taken.sends.iter().find(|s| !s.read && s.may_have_run);
-        Some(Attempt {
-            prefill,
-            waiting: taken.stage == Stage::Waiting,
-            left_s: taken.due_at - now,
-            another_out: taken.sends.iter().any(|s| s.live),
-            may_have_run_s: ran.map(|s| now - s.at),
-            repeat: self.repeats.get(taken.route).copied().unwrap_or(Idempotency::NonIdempotent),
-            listed: self.places.contains_key(engine) && !self.draining.contains(engine),
-            releasing: self.ledger.is_releasing(ticket.serial),
-        })
+            commands.push(Command::Release { reservation_id, reservation, endpoints });
+        }
+        release_at
     }
 
-    /// What lets this writer fetch this state, once and for a time.
-    fn grant(&self, now: f64, state: &Reservation, writer: &Endpoint) -> Option<String> {
-        let unix_now = self.figures.started_at_unix_s + now;
-        let g = self.figures.grants.as_ref()?;
-        let until = unix_now + g.lifetime_s;
-        let granted = GrantClaims {
-            reservation: &state.name,
-            prefill_engine: &state.prefill_engine.id,
-            decode_engine: &writer.id,
-            expires_at: until,
+    /// Engines at which a release call that any engine takes is tried: those that answered last, or the prefill engine.
+    fn release_endpoints(&self, prefill_engine: &Rc<Endpoint>) -> Vec<Rc<Endpoint>> {
+        let engines = self.router.engines_by_last_response(&prefill_engine.id, RELEASE_ENDPOINTS);
+        let endpoint_of = |engine: &EngineHandle| {
+            self.endpoints.get(self.router.engine_id(*engine)).map(|known| known.0.clone())
         };
-        Some(grant(g.key(unix_now)?, &granted))
+        let endpoints: Vec<_> = engines.iter().filter_map(endpoint_of).collect();
+        if endpoints.is_empty() {
+            vec![prefill_engine.clone()]
+        } else {
+            endpoints
+        }
     }
 }
--- /dev/null
+++ b/crates/nickelgw-node-core/src/attempts.rs
@@ -0,0 +1,162 @@
+//! Events of attempts, probes and release calls.
+
+use crate::attempt_outcome::AttemptOutcome;
+use crate::commands::{AttemptResult, FailureReason, FinalAnswer, RequestId};
+use crate::ledger::ReservationId;
+use crate::node_core::NodeCore;
+use crate::request_table::RequestStage;
+use crate::trace::TraceEvent;
+use nickelgw::interface::{AttemptEnd, EngineLoad, RequestHandle};
+use nickelgw_protocol::load::{self, LoadReport};
+
+/// Tells the decision module that a decode engine did not find its reservation.
+const RESERVATION_MISSING_NOTE: f64 = 1.0;
+
+fn engine_load(report: &LoadReport) -> EngineLoad {
+    EngineLoad {
+        memory_share: report.mem_utilization,
+        slot_share: report.application_utilization,
+        queue_len: report.named(load::WAITING),
+        inflight: report.named(load::PRESENT),
+        pending_prompt_tokens: report.named(load::UNREAD),
+    }
+}
+
+/// An attempt that was in flight and has ended.
+struct EndedAttempt {
+    is_prefill: bool,
+    /// It had given the answer's first token.
+    was_streaming: bool,
+    outcome: AttemptOutcome,
+    never_ran: bool,
+}
+
+impl NodeCore {
+    /// A decode attempt's first token has come. True: the answer is this attempt's; false: it came too late.
+    pub fn response_started(&mut self, now: f64, request: RequestId, attempt: u32) -> bool {
+        let Some(open) = self.requests.get_mut(request) else { return false };
+        let Some(started) = open.attempts.get(attempt as usize) else { return false };
+        if !started.in_flight || started.is_prefill || open.stage != RequestStage::Waiting {
+            return false;
+        }
+        open.stage = RequestStage::Streaming { attempt };
+        let unary_deadline = open.unary_deadline;
+        self.concurrency_limit.record_answer(now, self.open_requests, now > open.late_after);
+        // A stream has no deadline once it has begun, but a client that does not stream sees none of it before its end.
+        if unary_deadline.is_finite() {
+            self.unary_deadlines.insert(unary_deadline - self.tick_s, request);
+        }
+        self.trace_event(now, request, TraceEvent::ResponseStarted { attempt });
+        self.ledger.claim_served(now, request.serial, attempt);
+        self.router.first_token(now, RequestHandle(request.slot), attempt);
+        self.ledger.release_all(now, request.serial);
+        true
+    }
+
+    /// An attempt has ended. Each ends once; a further end is ignored.
+    pub fn attempt_ended(&mut self, now: f64, request: RequestId, attempt: u32, result: AttemptResult) {
+        let Some(ended) = self.end_attempt(request, attempt, result.outcome) else { return };
+        let outcome = ended.outcome;
+        self.update_reservation(now, request, attempt, &ended);
+        self.trace_event(now, request, TraceEvent::AttemptEnded { attempt, outcome });
+        if ended.was_streaming {
+            self.end_stream(now, request, outcome);
+        }
+        let request_finished = self.requests.is_finished(request);
+        if request_finished {
+            self.ledger.release_all(now, request.serial);
+        }
+        let handle = RequestHandle(request.slot);
+        let end = AttemptEnd {
+            outcome: outcome.outcome(),
+            // The decision module learns from it how long prefills and streams take.
+            elapsed_s: now - self.router.dispatched_at(handle, attempt),
+            request_finished,
+            note: match outcome {
+                AttemptOutcome::ReservationNotFound => RESERVATION_MISSING_NOTE,
+                _ => result.cached_tokens,
+            },
+        };
+        self.router.attempt_finished(now, handle, attempt, end, result.load.as_ref().map(engine_load));
+        self.update_release_pending(request);
+    }
+
+    /// A probe of the engine with this id has ended.
+    pub fn probe_finished(
+        &mut self,
+        now: f64,
+        id: &str,
+        outcome: AttemptOutcome,
+        report: Option<LoadReport>,
+    ) {
+        self.router.probe_finished(now, id, outcome.outcome(), report.as_ref().map(engine_load));
+    }
+
+    /// A call that releases a reservation has ended.
+    pub fn release_finished(&mut self, now: f64, id: ReservationId, confirmed: bool) {
+        let request = self.requests.id_by_serial(id.owner);
+        let request_finished = request.is_none_or(|request| self.requests.is_finished(request));
+        self.ledger.release_answered(now, id, confirmed, request_finished);
+        if let Some(request) = request {
+            self.update_release_pending(request);
+        }
+    }
+
+    /// A call that releases the reservations of earlier processes has ended.
+    pub fn orphan_cleanup_finished(&mut self, now: f64, address: &str, confirmed: bool) {
+        self.orphan_cleanup.release_finished(now, address, confirmed);
+    }
+
+    /// No further prefill is dispatched for the request while a release of an earlier one's reservation is not confirmed.
+    pub(crate) fn update_release_pending(&mut self, request: RequestId) {
+        let releasing = self.ledger.is_releasing(request.serial);
+        self.router.set_release_pending(RequestHandle(request.slot), releasing);
+    }
+
+    /// Marks an attempt in flight as ended.
+    fn end_attempt(
+        &mut self,
+        request: RequestId,
+        attempt: u32,
+        outcome: AttemptOutcome,
+    ) -> Option<EndedAttempt> {
+        let open = self.requests.get_mut(request)?;
+        let was_streaming = open.stage == RequestStage::Streaming { attempt };
+        let ended = open.attempts.get_mut(attempt as usize).filter(|ended| ended.in_flight)?;
+        let is_prefill = ended.is_prefill;
+        let is_unexpected = match outcome {
+            AttemptOutcome::Completed => !was_streaming,
+            AttemptOutcome::Prefilled => !is_prefill,
+            _ => false,
+        };
+        let outcome = if is_unexpected { AttemptOutcome::Malformed } else { outcome };
+        let never_ran = outcome.never_ran();
+        ended.in_flight = false;
+        ended.may_have_run &= !never_ran && outcome != AttemptOutcome::ReservationNotFound;
+        Some(EndedAttempt { is_prefill, was_streaming, outcome, never_ran })
+    }
+
+    fn update_reservation(&mut self, now: f64, request: RequestId, attempt: u32, ended: &EndedAttempt) {
+        let id = ReservationId { owner: request.serial, prefill: attempt };
+        match (ended.is_prefill, ended.outcome) {
+            (true, AttemptOutcome::Prefilled) => self.ledger.prefill_done(now, id),
+            // What a failed prefill may have reserved is released at once: nothing will claim it.
+            (true, _) => self.ledger.prefill_failed(now, id, ended.never_ran),
+            (false, outcome) => {
+                self.ledger.claim_ended(now, request.serial, attempt, outcome.is_answer());
+            }
+        }
+    }
+
+    /// The attempt that streamed the answer has ended.
+    fn end_stream(&mut self, now: f64, request: RequestId, outcome: AttemptOutcome) {
+        match outcome {
+            // Nothing reads the stream any more: the client has disconnected, whichever socket noticed it first.
+            AttemptOutcome::Cancelled => {
+                self.finish_disconnected(now, request);
+            }
+            AttemptOutcome::Completed => self.answer(now, request, FinalAnswer::Completed),
+            _ => self.answer(now, request, FinalAnswer::Failed(FailureReason::StreamBroken)),
+        }
+    }
+}
--- a/crates/nickelgw-node-core/src/commands.rs
+++ b/crates/nickelgw-node-core/src/commands.rs
@@ -1,192 +1,165 @@
-//! What the core and its shell say to each other.
+//! Messages between the core and its shell: commands that the core gives, and results that it is told.
 
-use super::attempt_outcome::AttemptOutcome;
-use super::guard::Violation;
-use super::ledger::{ReservationId, Transition};
+use crate::attempt_outcome::AttemptOutcome;
+use crate::guard::Violation;
+use crate::ledger::{ReservationId, Transition};
 use nickelgw::interface::{DispatchRationale, RejectionReason};
-use nickelgw_chat::core::grant::GrantKey;
 use nickelgw_protocol::load::LoadReport;
-use nickelgw_tenants::core::fair_share;
 use std::rc::Rc;
 
-/// Names a request taken. A late word for one that is over finds nothing and is passed over.
+/// Identifies an accepted request. An event that names a request which is over is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId {
-    pub(super) slot: u32,
+    /// The decision module's handle, which is used again once the request is closed.
+    pub(crate) slot: u32,
+    /// Unique in this process.
     pub serial: u64,
 }
 
-/// An engine as the list has it.
+/// An engine as the endpoint list has it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
+    /// Its name in the list.
     pub id: String,
+    /// Host and port.
     pub address: String,
-    /// The name that its certificate must stand for; none: the host in the address.
+    /// The name that its certificate must be valid for; none: the host in the address.
     pub tls_name: Option<String>,
 }
 
-/// A state that waits at a reader.
+/// A KV reservation at a prefill engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reservation {
+    /// The name under which the engine knows it.
     pub name: Rc<str>,
+    /// The engine that holds it.
     pub prefill_engine: Rc<Endpoint>,
-    /// It bears its request's name: one call, to any engine, lets go of all that is held for the request.
+    /// It bears its request's name: one call, to any engine, releases all that is reserved for the request.
     pub named_after_request: bool,
 }
 
+/// An attempt that is to be made at an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptRequest {
+    /// The request that it is made for.
     pub request: RequestId,
+    /// Its number among the request's attempts.
     pub attempt: u32,
-    /// The send's own name; a read leaves its state under it.
+    /// Its name at the engine; a prefill makes its reservation under it.
     pub name: String,
+    /// Where it goes.
     pub engine: Rc<Endpoint>,
-    /// Time for a read to end, for a write to begin.
+    /// Time for a prefill to end, for a decode attempt to give its first token.
     pub timeout_s: f64,
-    /// It may not be made again once it may have run.
+    /// It must not be retried once it may have run.
     pub runs_once: bool,
+    /// What the engine is to do.
     pub kind: AttemptKind,
-    /// Why there, for who asks.
+    /// Why this engine, for the request's trace.
     pub rationale: DispatchRationale,
 }
 
+/// What an engine is to do in an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptKind {
+    /// Read the prompt and keep its KV cache under a reservation.
     Prefill,
-    /// With no state the writer reads the prompt itself. A stream silent for longer than `idle_s` is lost.
+    /// Generate the answer. With no reservation the engine reads the prompt itself.
     Decode {
+        /// The reservation to fetch.
         reservation: Option<Reservation>,
-        /// By which the writer may fetch it, where readers ask for one.
+        /// By which the decode engine may fetch it, where prefill engines ask for a grant.
         grant: Option<String>,
+        /// A stream that is silent for longer is lost.
         idle_timeout_s: f64,
     },
 }
 
+/// The one final answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalAnswer {
+    /// The answer was given in full.
     Completed,
-    /// Nothing has run, or may run again: the client may come back, where said, after so long.
+    /// Nothing has run, or it may run again: a retry is safe.
     Rejected {
+        /// After how long the client may come back; none: it is not told.
         retry_after_s: Option<f64>,
     },
+    /// Something may have run.
     Failed(FailureReason),
 }
 
+/// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureReason {
-    /// The client's time ended before an answer began.
+    /// The deadline passed before an answer began.
     DeadlineExceeded,
-    /// Every send allowed has failed.
+    /// All attempts that were allowed have failed.
     AttemptsFailed,
     /// The stream broke after its first token.
     StreamBroken,
-    /// The node stops, and its grace is over.
+    /// The node shuts down, and its drain timeout is over.
     ShuttingDown,
 }
 
+/// What the shell is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
+    /// Make an attempt.
     StartAttempt(AttemptRequest),
+    /// Cancel an attempt in flight.
     CancelAttempt {
+        /// The request that it was made for.
         request: RequestId,
+        /// Its number.
         attempt: u32,
     },
-    /// The one final answer; nothing is sent for the ticket after it.
+    /// Give the client the final answer; no command names the request after it.
     Answer {
-        ticket: RequestId,
+        /// The request.
+        request: RequestId,
+        /// Its answer.
         answer: FinalAnswer,
     },
+    /// Call an engine to release a reservation.
     Release {
+        /// The ledger's name for the call.
         reservation_id: ReservationId,
+        /// The reservation.
         reservation: Reservation,
-        /// Where any engine takes the call: those at which it is tried, in this order.
+        /// Where any engine takes the call: those to try, in this order.
         endpoints: Vec<Rc<Endpoint>>,
     },
+    /// Probe an engine.
     Probe(Rc<Endpoint>),
-    /// Whatever earlier processes of this node left at the reader is let go of.
+    /// Release whatever earlier processes of this node have reserved at the engine.
     ReleaseOrphans(Rc<Endpoint>),
+    /// Fetch the endpoint list.
     PollEndpoints,
 }
 
+/// What came of a batch of events.
 #[derive(Clone, Debug, Default)]
 pub struct CommandBatch {
+    /// What to do, in this order.
     pub commands: Vec<Command>,
-    /// Why those that were given up were.
+    /// Why requests were rejected or failed.
     pub reasons: Vec<(RequestId, RejectionReason)>,
-    /// What has become of KV reservations, for the log.
+    /// Transitions of KV reservations, for the log.
     pub transitions: Vec<Transition>,
     /// Rules that were about to be broken, or were, with their requests' serial numbers.
     pub violations: Vec<(Violation, u64)>,
+    /// When to poll again, if no event comes before.
     pub wake_at: Option<f64>,
 }
 
-/// How a send ended, as the shell saw it.
+/// How an attempt ended, as the shell saw it.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptResult {
+    /// How it ended.
     pub outcome: AttemptOutcome,
+    /// The load that the engine reported with its answer.
     pub load: Option<LoadReport>,
-    /// Prompt tokens that the reader had kept.
+    /// Prompt tokens that the prefill engine had cached.
     pub cached_tokens: f64,
 }
-
-/// The few figures of the settings that the core uses itself.
-#[derive(Clone, Debug)]
-pub struct CoreConfig {
-    /// Name of this process of this node, in every send's name: never used by another.
-    pub incarnation: String,
-    /// Unix time at the process's time zero, for start times in the list.
-    pub started_at_unix_s: f64,
-    pub zones: Vec<String>,
-    /// Inferences open at once; one more is refused at the door.
-    pub max_open_requests: usize,
-    pub stream_idle_timeout_s: f64,
-    pub release_timeout_s: f64,
-    /// From when, and until when, states that an earlier process left are looked for.
-    pub orphan_cleanup_window_s: (f64, f64),
-    /// What a client is told when the node goes.
-    pub retry_after_s: f64,
-    pub grants: Option<GrantConfig>,
-    /// Tenants are let in by their parts when there is not enough for all.
-    pub fair_share: Option<FairShareConfig>,
-    /// Inferences open at once for each tenant; none: only the node's own limit counts.
-    pub tenant_max_open: Vec<Option<usize>>,
-}
-
-/// Weights of the tenants.
-#[derive(Clone, Debug)]
-pub struct FairShareConfig {
-    pub limits: fair_share::FairShareLimits,
-    pub weights: Vec<f64>,
-}
-
-/// Keys that grants of states are made with.
-#[derive(Clone)]
-pub struct GrantConfig {
-    /// From when (Unix time) each is used, in that order; readers know them all.
-    pub keys: Vec<(f64, GrantKey)>,
-    pub lifetime_s: f64,
-}
-
-impl std::fmt::Debug for GrantConfig {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "{} keys", self.keys.len())
-    }
-}
-
-impl GrantConfig {
-    /// The newest key whose time has come; before any has, the first.
-    pub(super) fn key(&self, unix_now: f64) -> Option<&GrantKey> {
-        let ripe = self.keys.iter().rev().find(|k| k.0 <= unix_now);
-        ripe.or(self.keys.first()).map(|k| &k.1)
-    }
-}
-
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RequestCounters {
-    pub accepted: u64,
-    pub completed: u64,
-    pub rejected: u64,
-    pub failed: u64,
-    pub disconnected: u64,
-    pub denied: u64,
-}
--- a/crates/nickelgw-node-core/src/guard.rs
+++ b/crates/nickelgw-node-core/src/guard.rs
@@ -1,7 +1,7 @@
 //! The guard through which every attempt, retry, release and exit passes, with a count of violations.
 //!
-//! The decisions are the Router's and the ledger's. The guard knows the rules alone: it refuses an attempt that would break one, and counts
-//! what it refuses or finds broken. A count above zero is a bug of the node.
+//! The decisions are made by the decision module and the ledger. The guard knows the rules alone: it refuses an attempt that
+//! would break one, and counts what it refuses or finds broken. A count above zero is a bug of the node.
 
 use nickelgw::interface::Idempotency;
 use std::collections::BTreeMap;
@@ -9,15 +9,15 @@
 /// A rule that was about to be broken, or was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// An attempt for a request that has its final answer, has begun to stream, or whose client has left.
+    /// An attempt for a request that has its final answer, has begun to stream, or whose client has disconnected.
     AttemptAfterEnd,
-    /// An attempt once the client's time is up.
+    /// An attempt after the request's deadline.
     AttemptAfterDeadline,
-    /// An attempt beside one that is still out.
+    /// An attempt beside one that is in flight.
     ConcurrentAttempt,
-    /// A further attempt for what may run once, or whose repeats are no longer recognized.
+    /// A further decode attempt for a request that may run once, or whose repeats are no longer recognized.
     RepeatedEffect,
-    /// An attempt at an engine that drains or has left the list.
+    /// An attempt at an engine that drains or is not listed.
     AttemptAtDraining,
     /// A prefill while a release of the request's earlier reservation is not confirmed.
     PrefillBeforeRelease,
@@ -49,71 +49,73 @@
     }
 }
 
-/// An attempt that is about to be made, and how its request stands.
+/// An attempt that is about to be made, and the state of its request.
 #[derive(Clone, Copy, Debug)]
-pub struct Attempt {
-    pub prefill: bool,
-    /// The request still waits for a first event.
-    pub waiting: bool,
-    /// Seconds until the client's time is up.
-    pub left_s: f64,
-    /// Another attempt of the request is out.
-    pub another_out: bool,
+pub struct ProposedAttempt {
+    /// It is a prefill.
+    pub is_prefill: bool,
+    /// The request waits for its first token.
+    pub request_waiting: bool,
+    /// Seconds until the request's deadline.
+    pub remaining_s: f64,
+    /// Another attempt of the request is in flight.
+    pub another_in_flight: bool,
     /// How long ago the first decode attempt that may have run was made.
-    pub may_have_run_s: Option<f64>,
-    pub repeat: Idempotency,
-    /// The list has the engine, and it takes new work.
-    pub listed: bool,
+    pub since_possible_run_s: Option<f64>,
+    /// Whether the request may be repeated.
+    pub idempotency: Idempotency,
+    /// The engine is listed and takes new work.
+    pub engine_available: bool,
     /// A release of an earlier reservation of the request is not confirmed.
-    pub releasing: bool,
+    pub release_pending: bool,
 }
 
-impl Attempt {
+impl ProposedAttempt {
     /// The first rule that it would break.
     pub fn check(&self) -> Result<(), Violation> {
         let rules = [
-            (!self.waiting, Violation::AttemptAfterEnd),
-            (self.left_s <= 0.0, Violation::AttemptAfterDeadline),
-            (self.another_out, Violation::ConcurrentAttempt),
-            (!self.prefill && self.repeats_effect(), Violation::RepeatedEffect),
-            (!self.listed, Violation::AttemptAtDraining),
-            (self.prefill && self.releasing, Violation::PrefillBeforeRelease),
+            (!self.request_waiting, Violation::AttemptAfterEnd),
+            (self.remaining_s <= 0.0, Violation::AttemptAfterDeadline),
+            (self.another_in_flight, Violation::ConcurrentAttempt),
+            (!self.is_prefill && self.repeats_effect(), Violation::RepeatedEffect),
+            (!self.engine_available, Violation::AttemptAtDraining),
+            (self.is_prefill && self.release_pending, Violation::PrefillBeforeRelease),
         ];
-        let broken = rules.iter().find(|(broken, _)| *broken);
+        let broken = rules.iter().find(|(is_broken, _)| *is_broken);
         broken.map_or(Ok(()), |(_, violation)| Err(*violation))
     }
 
     fn repeats_effect(&self) -> bool {
-        match (self.may_have_run_s, self.repeat) {
+        match (self.since_possible_run_s, self.idempotency) {
             (None, _) | (_, Idempotency::Idempotent) => false,
             (_, Idempotency::NonIdempotent) => true,
-            (Some(ago_s), Idempotency::Keyed { window_s: memory_s, .. }) => ago_s >= memory_s,
+            (Some(elapsed_s), Idempotency::Keyed { window_s, .. }) => elapsed_s >= window_s,
         }
     }
 }
 
+/// Violations kept for the log between two rounds; further ones are only counted.
+const MAX_UNLOGGED: usize = 1024;
+
 /// Violations by kind.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Guard {
     counts: BTreeMap<Violation, u64>,
-    /// Not yet told to the log.
-    news: Vec<(Violation, u64)>,
+    /// Not yet collected for the log.
+    unlogged: Vec<(Violation, u64)>,
 }
 
-/// Violations kept for the log between two rounds; further ones are counted alone.
-const MOST_NEWS: usize = 1024;
-
 impl Guard {
     /// Counts a violation of the request with this serial number.
     pub fn count(&mut self, violation: Violation, serial: u64) {
         *self.counts.entry(violation).or_default() += 1;
-        if self.news.len() < MOST_NEWS {
-            self.news.push((violation, serial));
+        if self.unlogged.len() < MAX_UNLOGGED {
+            self.unlogged.push((violation, serial));
         }
     }
 
-    /// Lets an attempt pass, or counts why not.
-    pub fn permits(&mut self, attempt: &Attempt, serial: u64) -> bool {
+    /// Permits an attempt, or counts why not.
+    pub fn permits(&mut self, attempt: &ProposedAttempt, serial: u64) -> bool {
         match attempt.check() {
             Ok(()) => true,
             Err(violation) => {
@@ -128,9 +130,9 @@
         &self.counts
     }
 
-    /// Violations since this was last asked, with their requests' serial numbers.
-    pub fn take_news(&mut self) -> Vec<(Violation, u64)> {
-        std::mem::take(&mut self.news)
+    /// Violations since the last call, with their requests' serial numbers.
+    pub fn take_violations(&mut self) -> Vec<(Violation, u64)> {
+        std::mem::take(&mut self.unlogged)
     }
 }
 
--- a/crates/nickelgw-node-core/src/membership.rs
+++ b/crates/nickelgw-node-core/src/membership.rs
@@ -1,128 +1,147 @@
-//! What is told of engines, of other nodes and of what earlier processes learnt.
+//! The node's surroundings: endpoint lists, the fleet that it is part of, and what earlier processes left.
 
-use super::*;
+use crate::commands::{Endpoint, Reservation};
+use crate::node_core::{NodeCore, RestoredState};
+use crate::warm_state;
+use crate::zone_failover::{ZoneFailover, ZoneRound};
+use nickelgw::interface::{EngineEntry, EngineRole, Lifecycle};
+use nickelgw_gossip::core::PeerRecord;
+use nickelgw_protocol::list::{self, EndpointEntry, EndpointList};
+use nickelgw_zones::core::ZoneConfig;
+use std::collections::BTreeSet;
+use std::rc::Rc;
+
+fn engine_role(role: list::EngineRole) -> EngineRole {
+    match role {
+        list::EngineRole::Prefill => EngineRole::Prefill,
+        list::EngineRole::Decode => EngineRole::Decode,
+        list::EngineRole::Unified => EngineRole::Unified,
+    }
+}
+
+fn lifecycle(state: list::EngineState) -> Lifecycle {
+    match state {
+        list::EngineState::Active => Lifecycle::Active,
+        list::EngineState::Draining => Lifecycle::Draining,
+        list::EngineState::Removed => Lifecycle::Removed,
+    }
+}
+
+/// The entry of an engine that has been removed.
+fn removed_engine(id: &String) -> EngineEntry {
+    EngineEntry {
+        id: id.clone(),
+        zone: 0,
+        cell: 0,
+        role: EngineRole::Prefill,
+        memory_tokens: 1.0,
+        lifecycle: Lifecycle::Removed,
+        started_at: None,
+    }
+}
 
 impl NodeCore {
-    /// Under these ids other processes live than before: what was known of the old ones is void with the next list.
+    /// Other processes than before run under these ids: what was known of the old ones is void with the next list.
     pub fn engines_replaced(&mut self, now: f64, ids: &[String]) {
-        let gone = |id: &String| EngineEntry {
-            id: id.clone(),
-            zone: 0,
-            cell: 0,
-            role: EngineRole::Prefill,
-            memory_tokens: 1.0,
-            lifecycle: Lifecycle::Removed,
-            started_at: None,
-        };
-        let lines: Vec<EngineEntry> = ids.iter().map(gone).collect();
-        self.router.update_endpoints(now, &lines, false);
+        let removed: Vec<EngineEntry> = ids.iter().map(removed_engine).collect();
+        self.router.update_endpoints(now, &removed, false);
     }
 
-    /// A list from the same source never goes back: an older one is an answer that was overtaken.
+    /// A new endpoint list. One that is older than the list in use is an answer that was overtaken, and ignored.
     pub fn update_endpoints(&mut self, now: f64, list: &EndpointList) {
-        if self.revision.is_some_and(|r| list.revision < r) {
+        if self.revision.is_some_and(|revision| list.revision < revision) {
             return;
         }
         self.revision = Some(list.revision);
-        let mut lines = Vec::with_capacity(list.engines.len());
-        let draining = list.engines.iter().filter(|l| l.state != list::EngineState::Active);
-        self.draining = draining.map(|l| l.id.clone()).collect();
-        for l in &list.engines {
-            // A zone not in the settings cannot be weighed; the engine is left out, as if gone.
-            let Some(zone) = self.figures.zones.iter().position(|z| *z == l.zone) else { continue };
-            let role = match l.role {
-                list::EngineRole::Prefill => EngineRole::Prefill,
-                list::EngineRole::Decode => EngineRole::Decode,
-                list::EngineRole::Unified => EngineRole::Unified,
-            };
-            let standing = match l.state {
-                list::EngineState::Active => Lifecycle::Active,
-                list::EngineState::Draining => Lifecycle::Draining,
-                list::EngineState::Removed => Lifecycle::Removed,
-            };
-            let known =
-                self.places.get(&l.id).filter(|(p, _)| p.address == l.address && p.tls_name == l.tls_name);
-            let place = known.map_or_else(
-                || {
-                    Rc::new(Endpoint {
-                        id: l.id.clone(),
-                        address: l.address.clone(),
-                        tls_name: l.tls_name.clone(),
-                    })
-                },
-                |(p, _)| p.clone(),
-            );
-            self.places.insert(l.id.clone(), (place, role));
-            lines.push(EngineEntry {
-                id: l.id.clone(),
-                zone: zone as u32,
-                cell: l.cell,
-                role,
-                memory_tokens: l.memory_tokens,
-                lifecycle: standing,
-                started_at: l.started_at.map(|at| at - self.figures.started_at_unix_s),
-            });
-        }
-        let (places, listed): (_, BTreeSet<&str>) =
-            (&mut self.places, lines.iter().map(|l| &*l.id).collect());
-        places.retain(|id, _| listed.contains(id.as_str()));
-        // Out of the list, or listed at another address: a process that has ended.
-        let ended = |s: &Reservation| {
-            places.get(&s.prefill_engine.id).is_none_or(|p| p.0.address != s.prefill_engine.address)
-        };
-        self.ledger.engines_gone(now, ended);
-        let readers = places.values().filter(|p| p.1 != EngineRole::Decode).map(|p| p.0.clone());
-        self.sweep.update_endpoints(now, readers);
-        self.router.update_endpoints(now, &lines, true);
-        if let Some((learnt, trust)) = self.recall.take_if(|_| !lines.is_empty()) {
-            self.router.restore_learned_state(now, &learnt, trust);
+        let draining = list.engines.iter().filter(|entry| entry.state != list::EngineState::Active);
+        self.draining = draining.map(|entry| entry.id.clone()).collect();
+        let entries: Vec<EngineEntry> =
+            list.engines.iter().filter_map(|entry| self.update_endpoint(entry)).collect();
+        self.remove_unlisted(now, &entries);
+        let holds_reservations = |role: EngineRole| role != EngineRole::Decode;
+        let prefill_engines = self.endpoints.values().filter(|known| holds_reservations(known.1));
+        self.orphan_cleanup.update_endpoints(now, prefill_engines.map(|known| known.0.clone()));
+        self.router.update_endpoints(now, &entries, true);
+        if let Some(restored) = self.restored_state.take_if(|_| !entries.is_empty()) {
+            self.router.restore_learned_state(now, &restored.learned, restored.confidence);
         }
     }
 
-    /// What part of the whole is this node's has changed.
-    pub fn set_fleet_position(&mut self, now: f64, place: Option<(u32, u32)>) {
-        self.router.set_fleet_size(now, place.map(|(_, of)| of));
+    /// The node's position in its fleet has changed: its number, and how many nodes there are.
+    pub fn set_fleet_position(&mut self, now: f64, position: Option<(u32, u32)>) {
+        self.router.set_fleet_size(now, position.map(|(_, node_count)| node_count));
     }
 
-    /// From now on it is one of a fleet, under this name.
-    pub fn join_fleet(
-        &mut self,
-        name: &str,
-        figures: nickelgw_zones::core::ZoneConfig,
-        round_s: f64,
-        seed: u64,
-    ) {
-        self.zone_failover =
-            Some(ZoneFailover::new(self.figures.zones.clone(), name, figures, round_s, seed));
+    /// From now on the node is one of a fleet, under this name.
+    pub fn join_fleet(&mut self, name: &str, config: ZoneConfig, round_s: f64, seed: u64) {
+        let zones = self.config.zones.clone();
+        self.zone_failover = Some(ZoneFailover::new(zones, name, config, round_s, seed));
     }
 
-    /// What other nodes of the fleet have told: turns the ways to zones. What is to be told to them comes back.
-    pub fn zone_round(&mut self, now: f64, others: &[PeerRecord]) -> Option<ZoneRound> {
-        Some(self.zone_failover.as_mut()?.update(now, &mut self.router, others))
+    /// Records of other nodes have come: zones change their states by them. Gives what other nodes are to be sent.
+    pub fn zone_round(&mut self, now: f64, peers: &[PeerRecord]) -> Option<ZoneRound> {
+        Some(self.zone_failover.as_mut()?.update(now, &mut self.router, peers))
     }
 
-    /// What an earlier process of this node had learnt, as it was kept; false: it cannot be read.
-    pub fn restore_state(&mut self, kept: &[u8], trust: f64) -> bool {
-        self.recall = warm_state::read(kept, self.figures.started_at_unix_s).map(|l| (l, trust));
-        self.recall.is_some()
+    /// Restores what an earlier process of this node had learned; false: the record cannot be read.
+    pub fn restore_state(&mut self, record: &[u8], confidence: f64) -> bool {
+        let learned = warm_state::decode(record, self.config.started_at_unix_s);
+        self.restored_state = learned.map(|learned| RestoredState { learned, confidence });
+        self.restored_state.is_some()
     }
 
-    /// What is to be kept for the next one.
+    /// The record of what this process has learned, for the node's next one.
     pub fn learned_state(&self, now: f64) -> Vec<u8> {
-        warm_state::write(&self.router.learned_state(now), self.figures.started_at_unix_s)
+        warm_state::encode(&self.router.learned_state(now), self.config.started_at_unix_s)
     }
 
-    pub fn orphan_cleanup_finished(&mut self, now: f64, address: &str, done: bool) {
-        self.sweep.release_finished(now, address, done);
-    }
-
-    /// The last list of an earlier process: used until a source speaks, whose first word counts at any revision.
+    /// The last endpoint list of an earlier process: used until a source gives one, whose revision may be any.
     pub fn restore_endpoints(&mut self, now: f64, list: &EndpointList) {
         self.update_endpoints(now, list);
         self.revision = None;
     }
 
+    /// The endpoint list could not be fetched.
     pub fn endpoint_poll_failed(&mut self, now: f64) {
         self.router.endpoint_poll_failed(now);
     }
+
+    /// Updates one listed endpoint. An engine in a zone that is not in the settings is left out, as if removed.
+    fn update_endpoint(&mut self, entry: &EndpointEntry) -> Option<EngineEntry> {
+        let zone = self.config.zones.iter().position(|zone| *zone == entry.zone)?;
+        let role = engine_role(entry.role);
+        let is_unchanged =
+            |known: &Endpoint| known.address == entry.address && known.tls_name == entry.tls_name;
+        let known = self.endpoints.get(&entry.id).map(|known| known.0.clone());
+        let endpoint = known.filter(|known| is_unchanged(known)).unwrap_or_else(|| {
+            Rc::new(Endpoint {
+                id: entry.id.clone(),
+                address: entry.address.clone(),
+                tls_name: entry.tls_name.clone(),
+            })
+        });
+        self.endpoints.insert(entry.id.clone(), (endpoint, role));
+        Some(EngineEntry {
+            id: entry.id.clone(),
+            zone: zone as u32,
+            cell: entry.cell,
+            role,
+            memory_tokens: entry.memory_tokens,
+            lifecycle: lifecycle(entry.state),
+            started_at: entry.started_at.map(|at| at - self.config.started_at_unix_s),
+        })
+    }
+
+    /// Forgets endpoints that are not listed. An engine that is gone, or listed at another address, is a process that has
+    /// ended, with what it had reserved.
+    fn remove_unlisted(&mut self, now: f64, entries: &[EngineEntry]) {
+        let listed: BTreeSet<&str> = entries.iter().map(|entry| &*entry.id).collect();
+        let endpoints = &mut self.endpoints;
+        endpoints.retain(|id, _| listed.contains(id.as_str()));
+        let has_ended = |reservation: &Reservation| {
+            let engine = &reservation.prefill_engine;
+            endpoints.get(&engine.id).is_none_or(|known| known.0.address != engine.address)
+        };
+        self.ledger.engines_gone(now, has_ended);
+    }
 }
--- /dev/null
+++ b/crates/nickelgw-node-core/src/node_core.rs
@@ -0,0 +1,162 @@
+//! The core's state, and the queries that do not change it.
+
+use crate::commands::{Command, Endpoint, RequestId};
+use crate::config::CoreConfig;
+use crate::counters::RequestCounters;
+use crate::guard::{Guard, Violation};
+use crate::ledger::Ledger;
+use crate::orphan_cleanup::OrphanCleanup;
+use crate::request_table::RequestTable;
+use crate::trace::{RequestTrace, TraceBuffer, TraceEvent};
+use crate::unary_deadlines::UnaryDeadlines;
+use crate::zone_failover::ZoneFailover;
+use nickelgw::decide::Router;
+use nickelgw::interface::{Deployment, EngineRole, Idempotency, LearnedState, ModelRoute};
+use nickelgw_tenants::core::fair_share::{ConcurrencyLimit, FairShare};
+use std::collections::{BTreeSet, HashMap};
+use std::rc::Rc;
+
+/// What the core knows of a model route.
+pub(crate) struct Route {
+    pub(crate) idempotency: Idempotency,
+    ttft_objective_s: f64,
+    ttft_objective_per_token_s: f64,
+}
+
+impl From<&ModelRoute> for Route {
+    fn from(route: &ModelRoute) -> Route {
+        Route {
+            idempotency: route.idempotency,
+            ttft_objective_s: route.ttft_objective_s,
+            ttft_objective_per_token_s: route.ttft_objective_per_token_s,
+        }
+    }
+}
+
+impl Route {
+    pub(crate) fn ttft_objective_s(&self, prompt_tokens: f64) -> f64 {
+        self.ttft_objective_s + self.ttft_objective_per_token_s * prompt_tokens
+    }
+}
+
+/// What an earlier process had learned, until the first endpoint list that it can be applied to.
+pub(crate) struct RestoredState {
+    pub(crate) learned: LearnedState,
+    /// How far it is believed, from 0 to 1.
+    pub(crate) confidence: f64,
+}
+
+/// The state machine of a node: events come as calls, and [`NodeCore::poll_commands`] returns what to do.
+pub struct NodeCore {
+    pub(crate) router: Router,
+    pub(crate) config: CoreConfig,
+    /// Whether attempts may be cancelled.
+    pub(crate) can_cancel: bool,
+    /// Longest Retry-After that clients are told; none: they are told none.
+    pub(crate) max_retry_after_s: Option<f64>,
+    pub(crate) tick_s: f64,
+    pub(crate) routes: Vec<Route>,
+    pub(crate) endpoints: HashMap<String, (Rc<Endpoint>, EngineRole)>,
+    pub(crate) requests: RequestTable,
+    /// Requests without a final answer.
+    pub(crate) open_requests: usize,
+    pub(crate) open_by_tenant: Vec<usize>,
+    pub(crate) fair_share: FairShare,
+    pub(crate) concurrency_limit: ConcurrencyLimit,
+    /// KV reservations that prefills have made.
+    pub ledger: Ledger,
+    /// Checks each attempt against the rules, and counts violations.
+    pub guard: Guard,
+    /// Listed engines that take no new work.
+    pub(crate) draining: BTreeSet<String>,
+    pub(crate) orphan_cleanup: OrphanCleanup,
+    /// The node as one of a fleet, where nodes exchange what they observe of zones.
+    pub zone_failover: Option<ZoneFailover>,
+    /// Traces of requests that are over.
+    pub traces: TraceBuffer,
+    pub(crate) restored_state: Option<RestoredState>,
+    pub(crate) revision: Option<u64>,
+    pub(crate) pending_commands: Vec<Command>,
+    /// No more requests are accepted.
+    pub(crate) shutting_down: bool,
+    pub(crate) unary_deadlines: UnaryDeadlines,
+    /// Requests by how they ended.
+    pub counters: RequestCounters,
+}
+
+impl NodeCore {
+    /// A core that knows no engine yet.
+    pub fn new(deployment: Deployment, config: CoreConfig) -> NodeCore {
+        let (cleanup_from, cleanup_until) = config.orphan_cleanup_window_s;
+        let limits = config.fair_share.as_ref().map_or_else(Default::default, |share| share.limits);
+        NodeCore {
+            tick_s: deployment.tick_s,
+            max_retry_after_s: deployment.max_retry_after_s,
+            can_cancel: deployment.can_cancel,
+            routes: deployment.routes.iter().map(Route::from).collect(),
+            ledger: Ledger::new(deployment.reservation_limit_s, config.release_timeout_s),
+            router: Router::new(deployment),
+            endpoints: HashMap::new(),
+            requests: RequestTable::default(),
+            open_requests: 0,
+            open_by_tenant: vec![0; config.tenant_max_open.len()],
+            fair_share: FairShare::default(),
+            concurrency_limit: ConcurrencyLimit::new(limits, config.max_open_requests as f64),
+            guard: Guard::default(),
+            draining: BTreeSet::new(),
+            orphan_cleanup: OrphanCleanup::new(cleanup_from, cleanup_until),
+            zone_failover: None,
+            traces: TraceBuffer::default(),
+            restored_state: None,
+            revision: None,
+            pending_commands: Vec::new(),
+            shutting_down: false,
+            unary_deadlines: UnaryDeadlines::default(),
+            counters: RequestCounters::default(),
+            config,
+        }
+    }
+
+    /// Number of requests without a final answer.
+    pub fn open(&self) -> usize {
+        self.open_requests
+    }
+
+    /// Revision of the endpoint list in use.
+    pub fn revision(&self) -> Option<u64> {
+        self.revision
+    }
+
+    /// Whether no attempt is in flight and no reservation is to be released.
+    pub fn is_quiet(&self) -> bool {
+        self.requests.is_empty() && self.ledger.is_empty()
+    }
+
+    /// The process is about to exit: what is still open is counted as a violation.
+    pub fn process_exiting(&mut self) {
+        if self.open_requests > 0 {
+            self.guard.count(Violation::ExitWithRequests, 0);
+        }
+        if !self.ledger.is_empty() {
+            self.guard.count(Violation::ExitWithReservations, 0);
+        }
+    }
+
+    /// Begins the trace of a request.
+    pub fn start_trace(&mut self, request: RequestId, trace: RequestTrace) {
+        if let Some(open) = self.requests.get_mut(request) {
+            open.trace = Some(trace);
+        }
+    }
+
+    /// The trace of a request, open or over.
+    pub fn request_trace(&self, id: &str) -> Option<&RequestTrace> {
+        self.requests.trace(id).or_else(|| self.traces.find(id))
+    }
+
+    pub(crate) fn trace_event(&mut self, now: f64, request: RequestId, event: TraceEvent) {
+        if let Some(trace) = self.requests.get_mut(request).and_then(|open| open.trace.as_mut()) {
+            trace.add(now, event);
+        }
+    }
+}
--- a/crates/nickelgw-node-core/src/warm_state.rs
+++ b/crates/nickelgw-node-core/src/warm_state.rs
@@ -1,48 +1,60 @@
-//! What the module has learnt, as it is kept for the node's next process: times as Unix times.
+//! The record of what the decision module has learned, for the node's next process. Its times are Unix times.
 
 use nickelgw::interface::{LearnedEngine, LearnedState};
 use serde::{Deserialize, Serialize};
 
+/// Engines in a record at most; those with failures come first.
+const MAX_ENGINES: usize = 1024;
+
+/// The record as it is stored. Its JSON names are part of the stored form.
 #[derive(Serialize, Deserialize)]
-struct Kept {
-    figures: Vec<f64>,
-    engines: Vec<KeptEngine>,
+struct StateRecord {
+    #[serde(rename = "figures")]
+    averages: Vec<f64>,
+    engines: Vec<EngineRecord>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct KeptEngine {
+struct EngineRecord {
     id: String,
-    started: Option<f64>,
-    faults: f64,
-    fault_at: f64,
+    #[serde(rename = "started")]
+    started_at_unix_s: Option<f64>,
+    #[serde(rename = "faults")]
+    recent_failures: f64,
+    #[serde(rename = "fault_at")]
+    last_failure_at_unix_s: f64,
 }
 
-/// Engines kept at most; those with faults come first.
-const MOST: usize = 1024;
-
-pub fn write(l: &LearnedState, epoch_unix_s: f64) -> Vec<u8> {
-    let engine = |e: &LearnedEngine| KeptEngine {
-        id: e.id.clone(),
-        started: e.started_at.map(|s| s + epoch_unix_s),
-        faults: e.recent_failures,
-        fault_at: e.last_failure_at + epoch_unix_s,
+/// The record of a learned state. `epoch_unix_s`: Unix time at the process's time zero.
+pub fn encode(state: &LearnedState, epoch_unix_s: f64) -> Vec<u8> {
+    let engine_record = |engine: &LearnedEngine| EngineRecord {
+        id: engine.id.clone(),
+        started_at_unix_s: engine.started_at.map(|at| at + epoch_unix_s),
+        recent_failures: engine.recent_failures,
+        last_failure_at_unix_s: engine.last_failure_at + epoch_unix_s,
     };
-    let kept =
-        Kept { figures: l.averages.clone(), engines: l.engines.iter().take(MOST).map(engine).collect() };
-    serde_json::to_vec(&kept).unwrap_or_default()
+    let record = StateRecord {
+        averages: state.averages.clone(),
+        engines: state.engines.iter().take(MAX_ENGINES).map(engine_record).collect(),
+    };
+    serde_json::to_vec(&record).unwrap_or_default()
 }
 
-/// None: not what such a record looks like.
-pub fn read(bytes: &[u8], epoch_unix_s: f64) -> Option<LearnedState> {
-    let k: Kept = serde_json::from_slice(bytes).ok()?;
-    let engine = |e: KeptEngine| LearnedEngine {
-        id: e.id,
-        started_at: e.started.map(|s| s - epoch_unix_s),
-        recent_failures: e.faults,
-        last_failure_at: e.fault_at - epoch_unix_s,
+/// The learned state of a record; none: it is not such a record.
+pub fn decode(bytes: &[u8], epoch_unix_s: f64) -> Option<LearnedState> {
+    let record: StateRecord = serde_json::from_slice(bytes).ok()?;
+    let learned_engine = |engine: EngineRecord| LearnedEngine {
+        id: engine.id,
+        started_at: engine.started_at_unix_s.map(|at| at - epoch_unix_s),
+        recent_failures: engine.recent_failures,
+        last_failure_at: engine.last_failure_at_unix_s - epoch_unix_s,
     };
     Some(LearnedState {
-        averages: k.figures,
-        engines: k.engines.into_iter().take(MOST).map(engine).collect(),
+        averages: record.averages,
+        engines: record.engines.into_iter().take(MAX_ENGINES).map(learned_engine).collect(),
     })
 }
+
+#[cfg(test)]
+#[path = "warm_state_tests.rs"]
+mod tests;
--- a/crates/nickelgw-node-core/src/zone_failover.rs
+++ b/crates/nickelgw-node-core/src/zone_failover.rs
@@ -1,203 +1,261 @@
-//! A node as one of a fleet: what its module saw of each zone goes into its record, what others saw turns its ways, and the
-//! module hears one thing, the part of the traffic that each zone is to get. No sockets and no clock.
+//! A node as one of a fleet. What its decision module observed of each zone goes into the node's gossip record; what all nodes
+//! of its zone observed changes the states of zones; and the decision module is told one thing, the traffic weight of each
+//! zone. No sockets and no clock.
 
 use nanorand::{Rng, WyRand};
 use nickelgw::decide::Router;
-use nickelgw::interface::EngineRole;
-use nickelgw_gossip::core::record::{self, name_hash, MAX_UNREACHABLE};
+use nickelgw::interface::{EngineObservation, EngineRole};
+use nickelgw_gossip::core::record::{name_hash, ZoneReport, MAX_UNREACHABLE};
 use nickelgw_gossip::core::PeerRecord;
 use nickelgw_zones::core::{
     ZoneCapacity, ZoneConfig, ZoneObservation, ZoneState, ZoneStates, ZoneTransition,
 };
 
-/// Engines of a zone asked by all nodes together in a round, where something there is silent: as many as prove it left.
-const KNOCKS_IN_DOUBT: f64 = 8.0;
-/// And while it is left, or returned to.
-const KNOCKS: f64 = 1.0;
+/// Engines of a suspected zone that all nodes together probe in a round: as many as prove it lost.
+const PROBES_WHILE_SUSPECTED: f64 = 8.0;
+/// Engines that they probe in a round while the zone is evacuated or recovering.
+const PROBES_PER_ROUND: f64 = 1.0;
+/// Milliseconds in a second, for ages in records.
+const MS_PER_S: f64 = 1e3;
+/// Zone weights travel in thousandths.
+const FULL_WEIGHT_PER_MILLE: u16 = 1000;
 
+/// What other nodes, or this one on their behalf, have reported of a zone.
+#[derive(Clone)]
+struct ReportedZone {
+    /// Unreachable engines that this node has reported already.
+    unreachable: Vec<u64>,
+    /// When other nodes last found an engine of it unreachable.
+    last_unreachable_at: f64,
+    /// When any engine of it last responded, as far as other nodes know.
+    last_response_at: f64,
+}
+
+impl ReportedZone {
+    const UNKNOWN: ReportedZone = ReportedZone {
+        unreachable: Vec::new(),
+        last_unreachable_at: f64::NEG_INFINITY,
+        last_response_at: f64::NEG_INFINITY,
+    };
+
+    fn note_response(&mut self, at: Option<f64>) {
+        self.last_response_at = self.last_response_at.max(at.unwrap_or(f64::NEG_INFINITY));
+    }
+}
+
+/// The states of zones as this node and its peers observe them.
 pub struct ZoneFailover {
-    zone_weights: ZoneStates,
-    figures: ZoneConfig,
+    zone_states: ZoneStates,
+    config: ZoneConfig,
     zones: Vec<String>,
-    name: u64,
-    chance: WyRand,
-    knocked_at: f64,
+    /// Hash of this node's name.
+    node: u64,
+    random: WyRand,
+    probed_at: f64,
     round_s: f64,
-    /// Engines whose silence was told, by zone.
-    told: Vec<Vec<u64>>,
-    /// When others last met silence there.
-    silence: Vec<f64>,
-    /// When others last heard anything of it.
-    heard: Vec<f64>,
+    reported: Vec<ReportedZone>,
 }
 
 /// What a round brought.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneRound {
+    /// Zones that have changed their states.
     pub transitions: Vec<ZoneTransition>,
-    /// What others are to be told, and whether at once.
-    pub reports: Vec<record::ZoneReport>,
+    /// The zones of the node's own record.
+    pub reports: Vec<ZoneReport>,
+    /// Whether peers are to be sent the record at once.
     pub urgent: bool,
-    /// No zone is left or returned to.
+    /// No zone is evacuated or recovering.
     pub all_zones_active: bool,
 }
 
-fn engine(id: &str) -> u64 {
-    // As it travels: half of the hash.
+/// An engine's hash as it travels: half of that of its name.
+fn engine_hash(id: &str) -> u64 {
     name_hash(id) & u64::from(u32::MAX)
 }
 
 impl ZoneFailover {
-    pub fn new(zones: Vec<String>, name: &str, figures: ZoneConfig, round_s: f64, seed: u64) -> ZoneFailover {
-        let n = zones.len();
+    /// All zones active. `name` is the node's, `round_s` the time between two rounds.
+    pub fn new(zones: Vec<String>, name: &str, config: ZoneConfig, round_s: f64, seed: u64) -> ZoneFailover {
         ZoneFailover {
-            zone_weights: ZoneStates::new(n, figures),
-            figures,
-            zones,
-            name: name_hash(name),
-            chance: WyRand::new_seed(seed),
-            knocked_at: f64::NEG_INFINITY,
+            zone_states: ZoneStates::new(zones.len(), config),
+            config,
+            node: name_hash(name),
+            random: WyRand::new_seed(seed),
+            probed_at: f64::NEG_INFINITY,
             round_s,
-            told: vec![Vec::new(); n],
-            silence: vec![f64::NEG_INFINITY; n],
-            heard: vec![f64::NEG_INFINITY; n],
+            reported: vec![ReportedZone::UNKNOWN; zones.len()],
+            zones,
         }
     }
 
-    /// Each zone with the part of the traffic that it is given.
-    pub fn ways(&self) -> Vec<(String, f64)> {
-        self.zones.iter().enumerate().map(|(z, name)| (name.clone(), self.zone_weights.weight(z))).collect()
+    /// Each zone with its traffic weight.
+    pub fn zone_weights(&self) -> Vec<(String, f64)> {
+        let zones = self.zones.iter().enumerate();
+        zones.map(|(zone, name)| (name.clone(), self.zone_states.weight(zone))).collect()
     }
 
-    /// A line for each turn.
-    pub fn log_transitions(&self, turns: &[ZoneTransition]) {
-        for t in turns {
-            let (zone, part, engines, nodes) = (
-                &self.zones[t.zone],
-                self.zone_weights.own_weight(t.zone),
-                t.unreachable_engines,
-                t.reporting_nodes,
-            );
-            match t.state {
-                ZoneState::Evacuated(_, None) => tracing::warn!(%zone, engines, nodes, "a zone is left"),
-                ZoneState::Evacuated(..) => tracing::info!(%zone, "a zone that was left is heard"),
-                ZoneState::Recovering(..) => {
-                    tracing::info!(%zone, part, engines, "a zone is returned to in part")
-                }
-                ZoneState::Active => tracing::info!(%zone, "a zone is in"),
-                ZoneState::Suspected(_) => tracing::info!(%zone, engines, nodes, "a zone is in doubt"),
+    /// Logs a line for each transition.
+    pub fn log_transitions(&self, transitions: &[ZoneTransition]) {
+        for transition in transitions {
+            let zone = &self.zones[transition.zone];
+            let part = self.zone_states.own_weight(transition.zone);
+            let (engines, nodes) = (transition.unreachable_engines, transition.reporting_nodes);
+            match transition.state {
+                ZoneState::Evacuated(_, None) => tracing::warn!(%zone, engines, nodes, "zone evacuated"),
+                ZoneState::Evacuated(..) => tracing::info!(%zone, "evacuated zone responds"),
+                ZoneState::Recovering(..) => tracing::info!(%zone, part, engines, "zone recovering"),
+                ZoneState::Active => tracing::info!(%zone, "zone active"),
+                ZoneState::Suspected(_) => tracing::info!(%zone, engines, nodes, "zone suspected"),
             }
         }
     }
 
-    /// Looks at what the module and the own zone's other nodes saw, and tells the module what follows. Ways are from a zone:
-    /// what nodes of other zones reach is their own.
-    pub fn update(&mut self, now: f64, router: &mut Router, others: &[PeerRecord]) -> ZoneRound {
-        let n = self.zones.len();
-        let mut there = vec![ZoneCapacity::default(); n];
-        let own = |zone| ZoneObservation {
-            node: self.name,
+    /// Applies what the decision module and the other nodes of this zone observed, and sets the weights of zones in the
+    /// decision module. States are as seen from a zone: what nodes of other zones reach is their own.
+    pub fn update(&mut self, now: f64, router: &mut Router, peers: &[PeerRecord]) -> ZoneRound {
+        let zone_count = self.zones.len();
+        let (mut observations, capacities) = self.observe_own(now, router);
+        observations.extend(peers.iter().flat_map(|peer| self.observations_of(peer)));
+        let transitions = self.zone_states.update(now, &observations, &capacities);
+        for zone in 0..zone_count {
+            router.set_zone_weight(zone as u32, self.zone_states.weight(zone));
+        }
+        self.probe_zones(now, router, peers.len() + 1);
+        self.note_peer_reports(&observations);
+        let (reports, urgent) = self.report(now, &observations[..zone_count]);
+        let all_zones_active = (0..zone_count).all(|zone| self.zone_states.weight(zone) == 1.0);
+        ZoneRound { transitions, reports, urgent, all_zones_active }
+    }
+
+    /// This node's own observation of each zone, and the engines there.
+    fn observe_own(&self, now: f64, router: &Router) -> (Vec<ZoneObservation>, Vec<ZoneCapacity>) {
+        let mut capacities = vec![ZoneCapacity::default(); self.zones.len()];
+        let unobserved = |zone| ZoneObservation {
+            node: self.node,
             zone,
             last_response_at: None,
             unreachable: Vec::new(),
             weight: 1.0,
         };
-        let mut seen: Vec<ZoneObservation> = (0..n).map(own).collect();
-        for e in router.engine_observations() {
-            let Some(zone) = seen.get_mut(e.zone as usize) else { continue };
-            let there = &mut there[e.zone as usize];
-            there.prefill_engines += usize::from(e.role != EngineRole::Decode);
-            there.decode_engines += usize::from(e.role != EngineRole::Prefill);
-            if e.last_response_at > zone.last_response_at.unwrap_or(0.0) {
-                zone.last_response_at = Some(e.last_response_at);
+        let mut observations: Vec<ZoneObservation> = (0..self.zones.len()).map(unobserved).collect();
+        for engine in router.engine_observations() {
+            let Some(observation) = observations.get_mut(engine.zone as usize) else { continue };
+            let capacity = &mut capacities[engine.zone as usize];
+            capacity.prefill_engines += usize::from(engine.role != EngineRole::Decode);
+            capacity.decode_engines += usize::from(engine.role != EngineRole::Prefill);
+            if engine.last_response_at > observation.last_response_at.unwrap_or(0.0) {
+                observation.last_response_at = Some(engine.last_response_at);
             }
-            if e.unreachable_at > e.last_response_at
-                && e.unreachable_at > now - self.figures.evidence_window_s
-            {
-                zone.unreachable.push((engine(e.id), e.unreachable_at));
+            if self.is_unreachable(now, &engine) {
+                observation.unreachable.push((engine_hash(engine.id), engine.unreachable_at));
             }
         }
-        for s in &mut seen {
-            s.unreachable.sort_by(|a, b| b.1.total_cmp(&a.1));
-            s.unreachable.truncate(MAX_UNREACHABLE);
-        }
-        seen.extend(others.iter().flat_map(|k| self.of(k)));
-        let turns = self.zone_weights.update(now, &seen, &there);
-        let nodes = (others.len() + 1) as f64;
-        for zone in 0..n {
-            router.set_zone_weight(zone as u32, self.zone_weights.weight(zone));
+        for observation in &mut observations {
+            observation.unreachable.sort_by(|left, right| right.1.total_cmp(&left.1));
+            observation.unreachable.truncate(MAX_UNREACHABLE);
         }
-        // News is looked at more often than by the round: what is asked goes by time.
-        let rounds = ((now - self.knocked_at) / self.round_s).min(1.0);
-        self.knocked_at = now;
-        let knocks: Vec<usize> = self.zone_weights.zones_to_probe().collect();
-        for zone in knocks {
-            let all = match self.zone_weights.state(zone) {
-                Some(ZoneState::Suspected(_)) => KNOCKS_IN_DOUBT,
-                _ => KNOCKS,
+        (observations, capacities)
+    }
+
+    fn is_unreachable(&self, now: f64, engine: &EngineObservation) -> bool {
+        engine.unreachable_at > engine.last_response_at
+            && engine.unreachable_at > now - self.config.evidence_window_s
+    }
+
+    /// Has engines probed in zones whose state depends on it. Updates come more often than rounds, so the number goes by the
+    /// time since the last one; the fleet's sum is the same however many nodes there are.
+    fn probe_zones(&mut self, now: f64, router: &mut Router, node_count: usize) {
+        let rounds = ((now - self.probed_at) / self.round_s).min(1.0);
+        self.probed_at = now;
+        let zones: Vec<usize> = self.zone_states.zones_to_probe().collect();
+        for zone in zones {
+            let fleet_probes = match self.zone_states.state(zone) {
+                Some(ZoneState::Suspected(_)) => PROBES_WHILE_SUSPECTED,
+                _ => PROBES_PER_ROUND,
             };
-            // The fleet's sum stays the same however many nodes there are.
-            let own = (rounds * all / nodes + self.dice()) as usize;
-            (0..own).for_each(|_| router.probe_zone(now, zone as u32));
-        }
-        for s in seen.iter().filter(|s| s.node != self.name) {
-            let last = s.unreachable.iter().map(|x| x.1).fold(f64::NEG_INFINITY, f64::max);
-            self.silence[s.zone] = self.silence[s.zone].max(last);
-            self.heard[s.zone] = self.heard[s.zone].max(s.last_response_at.unwrap_or(f64::NEG_INFINITY));
+            let own_probes = (rounds * fleet_probes / node_count as f64 + self.random_fraction()) as usize;
+            (0..own_probes).for_each(|_| router.probe_zone(now, zone as u32));
         }
-        let (tell, news) = self.tell(now, &seen[..n]);
-        let whole = (0..n).all(|z| self.zone_weights.weight(z) == 1.0);
-        ZoneRound { transitions: turns, reports: tell, urgent: news, all_zones_active: whole }
     }
 
-    fn dice(&mut self) -> f64 {
-        f64::from(self.chance.generate::<u32>()) / f64::from(u32::MAX)
+    fn random_fraction(&mut self) -> f64 {
+        f64::from(self.random.generate::<u32>()) / f64::from(u32::MAX)
     }
 
-    /// Another node's record in this node's time.
-    fn of<'a>(&'a self, k: &'a PeerRecord) -> impl Iterator<Item = ZoneObservation> + 'a {
-        let at = move |age: u32| k.reported_at - f64::from(age) / 1e3;
-        k.record.zone_reports.iter().filter_map(move |s| {
+    /// Another node's record, in this node's time.
+    fn observations_of<'a>(&'a self, peer: &'a PeerRecord) -> impl Iterator<Item = ZoneObservation> + 'a {
+        let time_of = move |age_ms: u32| peer.reported_at - f64::from(age_ms) / MS_PER_S;
+        peer.record.zone_reports.iter().filter_map(move |report| {
+            let unreachable = report.unreachable.iter();
             Some(ZoneObservation {
-                node: name_hash(&k.record.name),
-                zone: self.zones.iter().position(|z| *z == s.zone)?,
-                last_response_at: s.last_response_age_ms.map(at),
-                unreachable: s.unreachable.iter().map(|x| (u64::from(x.0), at(x.1))).collect(),
-                weight: f64::from(s.weight_per_mille) / 1e3,
+                node: name_hash(&peer.record.name),
+                zone: self.zones.iter().position(|zone| *zone == report.zone)?,
+                last_response_at: report.last_response_age_ms.map(time_of),
+                unreachable: unreachable.map(|&(hash, age)| (u64::from(hash), time_of(age))).collect(),
+                weight: f64::from(report.weight_per_mille) / f64::from(FULL_WEIGHT_PER_MILLE),
             })
         })
     }
 
-    /// The own record's lines. Others hear at once of an engine newly silent, as long as that may turn anything, and of one
-    /// heard after the silence that they met, if nobody has told it: it ends their doubt. All else comes with the next
-    /// refresh, since what all tell at once nobody hears in time.
-    fn tell(&mut self, now: f64, own: &[ZoneObservation]) -> (Vec<record::ZoneReport>, bool) {
-        let mut news = false;
-        let mut all = Vec::new();
-        for s in own {
-            let z = s.zone;
-            let own_part = self.zone_weights.own_weight(z);
-            let newly = s.unreachable.iter().any(|x| !self.told[z].contains(&x.0)) && own_part > 0.0;
-            let contradicts =
-                s.last_response_at.is_some_and(|h| h > self.silence[z]) && self.heard[z] <= self.silence[z];
-            if newly || contradicts {
-                news = true;
-                self.heard[z] = self.heard[z].max(s.last_response_at.unwrap_or(f64::NEG_INFINITY));
-            }
-            self.told[z].retain(|t| s.unreachable.iter().any(|x| x.0 == *t));
-            if newly {
-                self.told[z] = s.unreachable.iter().map(|x| x.0).collect();
-            }
-            let ago = |t: f64| ((now - t).max(0.0) * 1e3) as u32;
-            all.push(record::ZoneReport {
-                zone: self.zones[z].clone(),
-                last_response_age_ms: s.last_response_at.map(ago),
-                unreachable: s.unreachable.iter().map(|x| (x.0 as u32, ago(x.1))).collect(),
-                weight_per_mille: (own_part * 1e3) as u16,
-            });
+    fn note_peer_reports(&mut self, observations: &[ZoneObservation]) {
+        for observation in observations.iter().filter(|observation| observation.node != self.node) {
+            let times = observation.unreachable.iter().map(|engine| engine.1);
+            let last_unreachable_at = times.fold(f64::NEG_INFINITY, f64::max);
+            let reported = &mut self.reported[observation.zone];
+            reported.last_unreachable_at = reported.last_unreachable_at.max(last_unreachable_at);
+            reported.note_response(observation.last_response_at);
+        }
+    }
+
+    /// The zones of the node's own record, and whether they are urgent. Peers are told at once of an engine newly
+    /// unreachable, as long as that may change a zone's state, and of a response after they found engines unreachable, if
+    /// no node has reported it: it ends their suspicion. All else comes with the next refresh: if all nodes reported
+    /// everything at once, nothing would arrive in time.
+    fn report(&mut self, now: f64, own: &[ZoneObservation]) -> (Vec<ZoneReport>, bool) {
+        let mut urgent = false;
+        let mut reports = Vec::with_capacity(own.len());
+        for observation in own {
+            let weight = self.zone_states.own_weight(observation.zone);
+            urgent |= self.note_own_report(observation, weight);
+            reports.push(self.zone_report(now, observation, weight));
+        }
+        // Zones without trouble come last: a record has room for so many.
+        reports.sort_by_key(|report| {
+            report.unreachable.is_empty() && report.weight_per_mille == FULL_WEIGHT_PER_MILLE
+        });
+        (reports, urgent)
+    }
+
+    /// Notes what this node reports of a zone; gives whether it is urgent.
+    fn note_own_report(&mut self, observation: &ZoneObservation, weight: f64) -> bool {
+        let reported = &mut self.reported[observation.zone];
+        let mut unreachable = observation.unreachable.iter();
+        let newly_unreachable =
+            unreachable.any(|engine| !reported.unreachable.contains(&engine.0)) && weight > 0.0;
+        let contradicts_peers =
+            observation.last_response_at.is_some_and(|at| at > reported.last_unreachable_at)
+                && reported.last_response_at <= reported.last_unreachable_at;
+        let urgent = newly_unreachable || contradicts_peers;
+        if urgent {
+            reported.note_response(observation.last_response_at);
+        }
+        let is_unreachable = |hash: &u64| observation.unreachable.iter().any(|engine| engine.0 == *hash);
+        reported.unreachable.retain(is_unreachable);
+        if newly_unreachable {
+            reported.unreachable = observation.unreachable.iter().map(|engine| engine.0).collect();
+        }
+        urgent
+    }
+
+    fn zone_report(&self, now: f64, observation: &ZoneObservation, weight: f64) -> ZoneReport {
+        let age_ms = |at: f64| ((now - at).max(0.0) * MS_PER_S) as u32;
+        let unreachable = observation.unreachable.iter();
+        ZoneReport {
+            zone: self.zones[observation.zone].clone(),
+            last_response_age_ms: observation.last_response_at.map(age_ms),
+            unreachable: unreachable.map(|&(hash, at)| (hash as u32, age_ms(at))).collect(),
+            weight_per_mille: (weight * f64::from(FULL_WEIGHT_PER_MILLE)) as u16,
         }
-        // Where all is well comes last: a record has room for so many.
-        all.sort_by_key(|s| s.unreachable.is_empty() && s.weight_per_mille == 1000);
-        (all, news)
     }
 }
--- a/crates/nickelgw-node/examples/fleet.rs
+++ b/crates/nickelgw-node/examples/fleet.rs
@@ -149,7 +149,7 @@
         let others = x.accord.zone_peers(now);
         let round = x.together.update(now, &mut x.router, &others);
         x.accord.publish(now, round.reports, round.urgent);
-        if now >= LOST_AT && x.left_at.is_none() && x.together.ways()[1].1 == 0.0 {
+        if now >= LOST_AT && x.left_at.is_none() && x.together.zone_weights()[1].1 == 0.0 {
             x.left_at = Some(now);
         }
         let (out, _) = x.accord.poll_datagrams(now, unix_ms(now));
--- a/crates/nickelgw-node/src/event_loop.rs
+++ b/crates/nickelgw-node/src/event_loop.rs
@@ -317,7 +317,7 @@
             held_p99_s: ledger.unclaimed_quantile_s(0.99),
             held_longest_s: ledger.unclaimed_quantile_s(1.0),
             stories: c.traces.len(),
-            ways: c.zone_failover.as_ref().map(|t| t.ways()).unwrap_or_default(),
+            ways: c.zone_failover.as_ref().map(|t| t.zone_weights()).unwrap_or_default(),
         }
     }
 
@@ -501,7 +501,7 @@
                         self.core.attempt_ended(now, ticket, send, end);
                         again = true;
                     }
-                    Command::Answer { ticket, answer } => self.answer(ticket, answer),
+                    Command::Answer { request, answer } => self.answer(request, answer),
                     Command::Release { reservation_id: call, reservation: state, .. } => {
                         let task = self.engines.clone().let_go(call, state, self.events.clone());
                         self.ex.spawn(task).detach();
--- a/crates/nickelgw-node/tests/leaving.rs
+++ b/crates/nickelgw-node/tests/leaving.rs
@@ -111,9 +111,13 @@
         String::from_utf8(answer).unwrap()
     };
     let told = get("/why/lost-one");
-    for wanted in
-        ["model booking", "to be read at r0a", "written at w0a", "it may have run", "errored: AttemptsFailed"]
-    {
+    for wanted in [
+        "model booking",
+        "prefill dispatched to r0a",
+        "decode dispatched to w0a",
+        "it may have run",
+        "failed: AttemptsFailed",
+    ] {
         assert!(told.contains(wanted), "{wanted}: {told}");
     }
     assert_eq!(status(get("/why/unknown").as_bytes()), 404);
--- a/crates/nickelgw-platform/src/counters.rs
+++ b/crates/nickelgw-platform/src/counters.rs
@@ -19,7 +19,7 @@
         open = core.open(),
         reserved = core.ledger.len(),
         unclaimed_longest_s = core.ledger.unclaimed_quantile_s(1.0),
-        transitions_not_logged = core.ledger.unlogged,
+        transitions_not_logged = core.ledger.dropped_transitions(),
         violations = ?core.guard.counts(),
         "counters"
     );
--- a/crates/nickelgw-platform/src/node.rs
+++ b/crates/nickelgw-platform/src/node.rs
@@ -233,7 +233,7 @@
                         );
                         again = true;
                     }
-                    Command::Answer { ticket, answer } => self.answer(ticket, answer),
+                    Command::Answer { request, answer } => self.answer(request, answer),
                     Command::Release { reservation_id: call, reservation: state, endpoints: at } => {
                         let node = self.clone();
                         let task = async move {
