--- a/crates/nickelgw-node-core/src/ledger/tests.rs
+++ b/crates/nickelgw-node-core/src/ledger/tests.rs
@@ -239,7 +239,7 @@
         if served {
             self.ledger.claim_served(self.now, owner, attempt);
         } else {
-            self.ledger.claim_ended(self.now, owner, attempt, pick % 2 == 0);
+            self.ledger.claim_ended(self.now, owner, attempt, pick.is_multiple_of(2));
         }
     }
 
--- a/crates/nickelgw-node-core/src/membership.rs
+++ b/crates/nickelgw-node-core/src/membership.rs
@@ -28,9 +28,9 @@
 }
 
 /// The entry of an engine that has been removed.
-fn removed_engine(id: &String) -> EngineEntry {
+fn removed_engine(id: &str) -> EngineEntry {
     EngineEntry {
-        id: id.clone(),
+        id: id.to_string(),
         zone: 0,
         cell: 0,
         role: EngineRole::Prefill,
@@ -43,7 +43,7 @@
 impl NodeCore {
     /// Other processes than before run under these ids: what was known of the old ones is void with the next list.
     pub fn engines_replaced(&mut self, now: f64, ids: &[String]) {
-        let removed: Vec<EngineEntry> = ids.iter().map(removed_engine).collect();
+        let removed: Vec<EngineEntry> = ids.iter().map(|id| removed_engine(id)).collect();
         self.router.update_endpoints(now, &removed, false);
     }
 
--- a/crates/nickelgw-node-core/src/tests.rs
+++ b/crates/nickelgw-node-core/src/tests.rs
@@ -106,15 +106,17 @@
     AttemptResult { outcome, ..AttemptResult::default() }
 }
 
+/// The attempts that the core dispatches now.
+fn dispatched(core: &mut NodeCore, now: f64) -> Vec<AttemptRequest> {
+    let started = |command| match command {
+        Command::StartAttempt(attempt) => Some(attempt),
+        _ => None,
+    };
+    core.poll_commands(now).commands.into_iter().filter_map(started).collect()
+}
+
 fn next_attempt(core: &mut NodeCore, now: f64) -> AttemptRequest {
-    let found = core.poll_commands(now).commands.into_iter().find_map(|command| {
-        if let Command::StartAttempt(attempt) = command {
-            Some(attempt)
-        } else {
-            None
-        }
-    });
-    found.expect("an attempt")
+    dispatched(core, now).into_iter().next().expect("an attempt")
 }
 
 #[test]
@@ -209,12 +211,7 @@
     core.update_endpoints(1.0, &list(5, &[EngineState::Removed; 8]));
     core.update_endpoints(1.1, &list(4, &[EngineState::Active; 8]));
     core.accept_request(1.2, &admitted(0)).unwrap();
-    let attempts = core
-        .poll_commands(1.3)
-        .commands
-        .iter()
-        .filter(|command| matches!(command, Command::StartAttempt(_)))
-        .count();
+    let attempts = dispatched(&mut core, 1.3).len();
     assert_eq!((core.revision(), attempts), (Some(5), 0));
 }
 
@@ -228,14 +225,7 @@
     );
     let mut attempts = Vec::new();
     for round in 0..20 {
-        let commands = core.poll_commands(1.0 + 0.01 * f64::from(round)).commands;
-        attempts.extend(commands.into_iter().filter_map(|command| {
-            if let Command::StartAttempt(attempt) = command {
-                Some(attempt)
-            } else {
-                None
-            }
-        }));
+        attempts.extend(dispatched(&mut core, 1.0 + 0.01 * f64::from(round)));
     }
     let attempt_of = |request: &Result<RequestId, RejectReason>| {
         attempts.iter().find(|attempt| Ok(attempt.request) == *request).unwrap()
@@ -252,13 +242,10 @@
         attempt_of(&decoding).attempt,
         result(AttemptOutcome::Prefilled),
     );
-    let decode_attempts = core.poll_commands(1.3).commands;
-    for command in &decode_attempts {
-        // One decode engine has proved that it has not run.
-        if let Command::StartAttempt(attempt) = command {
-            if Ok(attempt.request) == reserved {
-                core.attempt_ended(1.31, attempt.request, attempt.attempt, result(AttemptOutcome::Rejected));
-            }
+    // One decode engine has proved that it has not run.
+    for attempt in dispatched(&mut core, 1.3) {
+        if Ok(attempt.request) == reserved {
+            core.attempt_ended(1.31, attempt.request, attempt.attempt, result(AttemptOutcome::Rejected));
         }
     }
     core.fail_all_open(1.32);
--- a/crates/nickelgw-node-core/src/tests/processes_and_tenants.rs
+++ b/crates/nickelgw-node-core/src/tests/processes_and_tenants.rs
@@ -5,42 +5,46 @@
 use nickelgw_chat::core::grant::{GrantChecker, GrantClaims, GrantKey};
 use nickelgw_tenants::core::fair_share;
 
+/// Makes the attempts that the core dispatches end 0.1 s later; gives the prefill engines among them.
+fn end_attempts(core: &mut NodeCore, now: f64, prefill_outcome: AttemptOutcome) -> Vec<String> {
+    let mut prefill_engines = Vec::new();
+    for command in core.poll_commands(now).commands {
+        let Command::StartAttempt(attempt) = command else { continue };
+        let is_prefill = attempt.kind == AttemptKind::Prefill;
+        let outcome = if is_prefill { prefill_outcome } else { AttemptOutcome::Prefilled };
+        core.attempt_ended(now + 0.1, attempt.request, attempt.attempt, result(outcome));
+        prefill_engines.extend(is_prefill.then(|| attempt.engine.id.clone()));
+    }
+    prefill_engines
+}
+
+/// What is cancelled as a client disconnects, or dispatched meanwhile, ends too.
+fn disconnect(core: &mut NodeCore, now: f64, request: RequestId) {
+    core.client_disconnected(now, request);
+    for command in core.poll_commands(now).commands {
+        if let Command::StartAttempt(AttemptRequest { request, attempt, .. })
+        | Command::CancelAttempt { request, attempt } = command
+        {
+            core.attempt_ended(now, request, attempt, result(AttemptOutcome::Cancelled));
+        }
+    }
+}
+
 #[test]
 fn learned_state_is_restored_by_its_confidence() {
     let mut old = core(64);
     let (mut now, mut failed_engine) = (1.0, None);
-    // Prefills take longer than first assumed, and the last one fails.
+    // Prefills take longer than first assumed, and those of the last request fail.
     for n in 0..3 {
+        let fails = n == 2;
+        let outcome = if fails { AttemptOutcome::ErrorStatus(500) } else { AttemptOutcome::Prefilled };
         let request = old.accept_request(now, &AdmittedRequest { timeout_s: 9.0, ..admitted(0) }).unwrap();
         for _ in 0..4 {
-            let commands = old.poll_commands(now).commands;
+            let prefill_engines = end_attempts(&mut old, now, outcome);
             now += 0.1;
-            for command in commands {
-                if let Command::StartAttempt(attempt) = command {
-                    let fails = n == 2 && attempt.kind == AttemptKind::Prefill;
-                    failed_engine = failed_engine.or(fails.then(|| attempt.engine.id.clone()));
-                    old.attempt_ended(
-                        now,
-                        attempt.request,
-                        attempt.attempt,
-                        result(if fails {
-                            AttemptOutcome::ErrorStatus(500)
-                        } else {
-                            AttemptOutcome::Prefilled
-                        }),
-                    );
-                }
-            }
-        }
-        old.client_disconnected(now, request);
-        // What is cancelled by that, or dispatched meanwhile, ends too.
-        for command in old.poll_commands(now).commands {
-            if let Command::StartAttempt(AttemptRequest { request, attempt, .. })
-            | Command::CancelAttempt { request, attempt } = command
-            {
-                old.attempt_ended(now, request, attempt, result(AttemptOutcome::Cancelled));
-            }
+            failed_engine = failed_engine.or(prefill_engines.into_iter().next().filter(|_| fails));
         }
+        disconnect(&mut old, now, request);
     }
     let record = old.learned_state(now);
     let learned = warm_state::decode(&record, 0.0).unwrap();
