--- a/crates/nickelgw-node/tests/stored_records.rs
+++ b/crates/nickelgw-node/tests/stored_records.rs
@@ -50,7 +50,7 @@
 fn learned_state_of_an_earlier_release_is_read() {
     let records = restore("node.store");
     let stored = records.iter().find(|record| record.kind == RecordKind::LearnedState).unwrap();
-    let learned = warm_state::read(&stored.value, 0.0).unwrap();
+    let learned = warm_state::decode(&stored.value, 0.0).unwrap();
     assert_eq!(learned.averages.len(), 21);
     assert_eq!(learned.averages[..3], [4.34508340877786, 6.0, 0.049116128454386794]);
     assert_eq!(learned.engines.len(), 1);
@@ -60,7 +60,7 @@
     assert_eq!(learned.engines[0].last_failure_at, 1796219370.6095526);
     // Written again it has the same fields in the same order: an earlier release could read it too. The numbers are
     // compared by value, as serde_json reads a float only to its last digit or so.
-    let written = String::from_utf8(warm_state::write(&learned, 0.0)).unwrap();
+    let written = String::from_utf8(warm_state::encode(&learned, 0.0)).unwrap();
     let stored = String::from_utf8(stored.value.clone()).unwrap();
     let (written_text, written_numbers) = split_numbers(&written);
     let (stored_text, stored_numbers) = split_numbers(&stored);
