--- a/crates/nickelgw-platform/src/node/commands.rs
+++ b/crates/nickelgw-platform/src/node/commands.rs
@@ -82,7 +82,7 @@
         match command {
             Command::StartAttempt(attempt) => return !self.start_attempt(now, attempt),
             Command::CancelAttempt { request, attempt } => return self.cancel_attempt(now, request, attempt),
-            Command::Answer { request: request, answer } => self.answer(request, answer),
+            Command::Answer { request, answer } => self.answer(request, answer),
             Command::Release { reservation_id, reservation, endpoints } => {
                 self.start_release(reservation_id, reservation, endpoints);
             }
