--- a/crates/nickelgw-platform-config/src/fields.rs
+++ b/crates/nickelgw-platform-config/src/fields.rs
@@ -3,46 +3,57 @@
 use serde_json::Value;
 
 /// Input that cannot be understood, in one sentence.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
+#[error("{0}")]
 pub struct ConfigError(pub String);
 
 impl ConfigError {
-    pub fn field(line: &Value, field: &str, wanted: &str) -> ConfigError {
-        let kind = line.get("kind").and_then(Value::as_str).unwrap_or("entry");
-        ConfigError(format!("{kind}: field {field} is not {wanted}"))
+    /// A field of an object that is not what is expected; the object is named by its `kind`.
+    pub fn field(object: &Value, field: &str, expected: &str) -> ConfigError {
+        let kind = object.get("kind").and_then(Value::as_str).unwrap_or("entry");
+        ConfigError(format!("{kind}: field {field} is not {expected}"))
     }
 }
 
-pub fn number(line: &Value, field: &str) -> Result<f64, ConfigError> {
-    line.get(field).and_then(Value::as_f64).ok_or_else(|| ConfigError::field(line, field, "a number"))
+/// A number that must be present.
+pub fn number(object: &Value, field: &str) -> Result<f64, ConfigError> {
+    object.get(field).and_then(Value::as_f64).ok_or_else(|| ConfigError::field(object, field, "a number"))
 }
 
-pub fn number_or(line: &Value, field: &str, absent: f64) -> Result<f64, ConfigError> {
-    line.get(field).map_or(Ok(absent), |_| number(line, field))
+/// A number, or the default where the field is absent.
+pub fn number_or(object: &Value, field: &str, default: f64) -> Result<f64, ConfigError> {
+    object.get(field).map_or(Ok(default), |_| number(object, field))
 }
 
-pub fn integer(line: &Value, field: &str) -> Result<u64, ConfigError> {
-    line.get(field).and_then(Value::as_u64).ok_or_else(|| ConfigError::field(line, field, "a whole number"))
+/// A whole number that must be present.
+pub fn integer(object: &Value, field: &str) -> Result<u64, ConfigError> {
+    let value = object.get(field).and_then(Value::as_u64);
+    value.ok_or_else(|| ConfigError::field(object, field, "a whole number"))
 }
 
-pub fn text<'a>(line: &'a Value, field: &str) -> Result<&'a str, ConfigError> {
-    line.get(field).and_then(Value::as_str).ok_or_else(|| ConfigError::field(line, field, "text"))
+/// Text that must be present.
+pub fn text<'a>(object: &'a Value, field: &str) -> Result<&'a str, ConfigError> {
+    object.get(field).and_then(Value::as_str).ok_or_else(|| ConfigError::field(object, field, "text"))
 }
 
-pub fn flag(line: &Value, field: &str) -> Result<bool, ConfigError> {
-    let wrong = || ConfigError::field(line, field, "true or false");
-    line.get(field).map_or(Ok(false), |v| v.as_bool().ok_or_else(wrong))
+/// A flag; false where the field is absent.
+pub fn flag(object: &Value, field: &str) -> Result<bool, ConfigError> {
+    let error = || ConfigError::field(object, field, "true or false");
+    object.get(field).map_or(Ok(false), |value| value.as_bool().ok_or_else(error))
 }
 
-pub fn list<'a>(line: &'a Value, field: &str) -> Result<&'a [Value], ConfigError> {
-    match line.get(field) {
+/// A list; empty where the field is absent.
+pub fn list<'a>(object: &'a Value, field: &str) -> Result<&'a [Value], ConfigError> {
+    let error = || ConfigError::field(object, field, "a list");
+    match object.get(field) {
         None => Ok(&[]),
-        Some(v) => v.as_array().map(Vec::as_slice).ok_or_else(|| ConfigError::field(line, field, "a list")),
+        Some(value) => value.as_array().map(Vec::as_slice).ok_or_else(error),
     }
 }
 
-pub fn names(line: &Value, field: &str) -> Result<Vec<String>, ConfigError> {
-    let name = |v: &Value| v.as_str().map(str::to_string);
-    let all = list(line, field)?.iter().map(name).collect::<Option<Vec<_>>>();
-    all.ok_or_else(|| ConfigError::field(line, field, "a list of names"))
+/// A list of names; empty where the field is absent.
+pub fn names(object: &Value, field: &str) -> Result<Vec<String>, ConfigError> {
+    let name = |value: &Value| value.as_str().map(str::to_string);
+    let names = list(object, field)?.iter().map(name).collect::<Option<Vec<_>>>();
+    names.ok_or_else(|| ConfigError::field(object, field, "a list of names"))
 }
--- a/crates/nickelgw-platform-config/tests/settings.rs
+++ b/crates/nickelgw-platform-config/tests/settings.rs
@@ -1,4 +1,6 @@
-//! Settings of other deployments: what they lack, and figures at the edge.
+//! Options of other deployments: absent fields, and values at the edge.
+
+#![allow(missing_docs)]
 
 use nickelgw::decide::Router;
 use nickelgw::interface::{EngineRole, Idempotency, IdempotencyScope, IncomingRequest};
@@ -6,8 +8,8 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-/// One zone, one class, no tenants, no reports, no probes, nothing that may be left out.
-fn least() -> Value {
+/// One zone, one route, no tenants, no reports, no probes, nothing that may be left out.
+fn minimal_options() -> Value {
     json!({"az": "z", "balancers": 1, "my_number": 0, "tick_s": 0.004, "zones": ["z"], "kinds": ["k1", "k2"],
         "classes": [{"name": "only", "slo_s": 1.0, "idempotency": "pure"}],
         "family_info": {"local_read": false, "release_s": 0.5, "role_by_kind": ["read", "write"]},
@@ -15,69 +17,77 @@
         "rules": {"cold_from": 0.3, "fall_s": 2.0, "tip_multiple": 3.0, "warm_within_s": 9.0}})
 }
 
-fn read(v: &Value) -> Result<PlatformConfig, String> {
-    PlatformConfig::parse(v, 7).map_err(|e| e.0)
+fn parse(options: &Value) -> Result<PlatformConfig, String> {
+    PlatformConfig::parse(options, 7).map_err(|error| error.0)
 }
 
 #[test]
-fn what_may_be_left_out_has_a_meaning_of_its_own() {
-    let told = read(&least()).unwrap();
-    let d = told.deployment;
-    assert_eq!((told.tenants, d.tenant_quotas), (vec![], vec![]));
-    assert_eq!((d.cross_cell_price, d.cross_zone_price, d.max_retry_after_s), (0.0, 0.0, None));
+fn absent_fields_have_defaults() {
+    let config = parse(&minimal_options()).unwrap();
+    let deployment = config.deployment;
+    assert_eq!((config.tenants, deployment.tenant_quotas), (vec![], vec![]));
+    assert_eq!(
+        (deployment.cross_cell_price, deployment.cross_zone_price, deployment.max_retry_after_s),
+        (0.0, 0.0, None)
+    );
     assert_eq!(
-        (d.must_poll_endpoints, d.can_cancel, d.can_probe, d.decode_engines_prefill),
+        (
+            deployment.must_poll_endpoints,
+            deployment.can_cancel,
+            deployment.can_probe,
+            deployment.decode_engines_prefill
+        ),
         (false, false, false, false)
     );
-    assert_eq!(d.routes[0].idempotency, Idempotency::Idempotent);
-    let kinds: Vec<_> = told.machine_kinds.iter().map(|k| (&*k.0, k.1)).collect();
+    assert_eq!(deployment.routes[0].idempotency, Idempotency::Idempotent);
+    let kinds: Vec<_> = config.machine_kinds.iter().map(|kind| (&*kind.name, kind.role)).collect();
     assert_eq!(kinds, [("k1", EngineRole::Prefill), ("k2", EngineRole::Decode)]);
 }
 
 #[test_case(false, None; "not allowed")]
 #[test_case(true, Some(0.5); "allowed")]
-fn a_come_back_time_is_told_only_where_it_is_allowed(allowed: bool, longest: Option<f64>) {
-    let mut v = least();
-    v["limits"]["retry_after"] = allowed.into();
-    v["limits"]["max_retry_after_s"] = 0.5.into();
-    assert_eq!(read(&v).unwrap().deployment.max_retry_after_s, longest);
+fn retry_after_is_set_only_where_it_is_allowed(allowed: bool, longest: Option<f64>) {
+    let mut options = minimal_options();
+    options["limits"]["retry_after"] = allowed.into();
+    options["limits"]["max_retry_after_s"] = 0.5.into();
+    assert_eq!(parse(&options).unwrap().deployment.max_retry_after_s, longest);
 }
 
 #[test_case("zone", IdempotencyScope::Zone)]
 #[test_case("cell", IdempotencyScope::Cell)]
 #[test_case("all", IdempotencyScope::All)]
-fn a_deduped_class_has_its_group_and_span(name: &str, group: IdempotencyScope) {
-    let mut v = least();
-    v["classes"][0] =
+fn a_keyed_route_has_its_scope_and_window(name: &str, scope: IdempotencyScope) {
+    let mut options = minimal_options();
+    options["classes"][0] =
         json!({"name": "d", "slo_s": 1.0, "idempotency": "token", "group": name, "memory_span_s": 0.7});
     assert_eq!(
-        read(&v).unwrap().deployment.routes[0].idempotency,
-        Idempotency::Keyed { scope: group, window_s: 0.7 }
+        parse(&options).unwrap().deployment.routes[0].idempotency,
+        Idempotency::Keyed { scope, window_s: 0.7 }
     );
 }
 
 #[test_case("/classes/0/idempotency", json!("perhaps"), "pure, token or side_effect"; "an unknown effect")]
 #[test_case("/classes/0/group", json!("rack"), "all, zone or cell"; "an unknown group")]
-#[test_case("/classes/0/slo_s", json!("1"), "slo_s"; "a target that is text")]
+#[test_case("/classes/0/slo_s", json!("1"), "slo_s"; "an objective that is text")]
 #[test_case("/family_info/role_by_kind", json!(["read"]), "role_by_kind"; "a kind without a role")]
 #[test_case("/az", json!("elsewhere"), "az"; "a zone that the settings lack")]
-#[test_case("/limits", json!([]), "limits"; "limits that are none")]
-fn what_cannot_be_meant_is_refused_with_its_field(at: &str, by: Value, field: &str) {
-    let mut v = least();
-    match v.pointer_mut(at) {
-        Some(x) => *x = by,
-        None => v["classes"][0]["group"] = by,
+#[test_case("/limits", json!([]), "limits"; "limits that are no object")]
+fn an_invalid_field_is_named_in_the_error(pointer: &str, value: Value, field: &str) {
+    let mut options = minimal_options();
+    match options.pointer_mut(pointer) {
+        Some(field) => *field = value,
+        None => options["classes"][0]["group"] = value,
     }
-    let why = read(&v).err().unwrap();
-    assert!(why.contains(field), "{why}");
+    let message = parse(&options).err().unwrap();
+    assert!(message.contains(field), "{message}");
 }
 
-/// A tenant that is promised nothing gets what others leave.
+/// A tenant without a quota gets what others leave.
 #[test]
-fn a_quota_of_zero_fails_nothing() {
-    let mut v = least();
-    v["accounts"] = json!([{"name": "none", "quota_per_s": 0.0}, {"name": "some", "quota_per_s": 5.0}]);
-    let line = |id: &str, role| nickelgw::interface::EngineEntry {
+fn a_quota_of_zero_rejects_nothing_while_there_is_room() {
+    let mut options = minimal_options();
+    options["accounts"] = json!([{"name": "none", "quota_per_s": 0.0}, {"name": "some", "quota_per_s": 5.0}]);
+    let entry = |id: &str, role| nickelgw::interface::EngineEntry {
         id: id.into(),
         zone: 0,
         cell: 0,
@@ -87,9 +97,13 @@
         started_at: None,
     };
     for tenant in [0, 1] {
-        let mut r = Router::new(read(&v).unwrap().deployment);
-        r.update_endpoints(0.0, &[line("r", EngineRole::Prefill), line("w", EngineRole::Decode)], true);
-        let a = IncomingRequest {
+        let mut router = Router::new(parse(&options).unwrap().deployment);
+        router.update_endpoints(
+            0.0,
+            &[entry("r", EngineRole::Prefill), entry("w", EngineRole::Decode)],
+            true,
+        );
+        let incoming = IncomingRequest {
             route: 0,
             tenant: Some(tenant),
             deadline: 6.0,
@@ -99,21 +113,28 @@
             prefix: None,
             is_background: false,
         };
-        let inf = r.admit_request(1.0, &a);
-        let todo = r.decide(1.0);
-        assert!(todo.dispatches.iter().any(|s| s.request == inf), "tenant {tenant}: {todo:?}");
+        let request = router.admit_request(1.0, &incoming);
+        let decisions = router.decide(1.0);
+        assert!(
+            decisions.dispatches.iter().any(|dispatch| dispatch.request == request),
+            "tenant {tenant}: {decisions:?}"
+        );
     }
 }
 
-/// Only names that a page explains are read; any other is as none.
+/// Only documented names are read; any other is ignored.
 #[test]
-fn a_report_is_read_by_the_names_of_the_pages() {
-    let of = |names: &[(&str, f64)]| {
-        let get = |n: &str| Ok::<_, ()>(names.iter().find(|x| x.0 == n).map(|x| x.1));
-        load(get).unwrap()
+fn a_report_is_read_by_its_documented_names() {
+    let load_of = |names: &[(&str, f64)]| {
+        let value = |name: &str| Ok::<_, ()>(names.iter().find(|x| x.0 == name).map(|x| x.1));
+        load(value).unwrap()
     };
-    let l = of(&[("x0", 0.4), ("x1", 2.0), ("load_share", 0.5), ("depth", 3.0), ("concurrent", 4.0)]);
-    assert_eq!((l.memory_share, l.pending_prompt_tokens, l.slot_share), (Some(0.4), Some(2000.0), Some(0.5)));
-    assert_eq!((l.queue_len, l.inflight), (Some(3.0), Some(4.0)));
-    assert_eq!(of(&[("mean_ms", 9.0), ("x7", 1.0)]), nickelgw::interface::EngineLoad::default());
+    let reported =
+        load_of(&[("x0", 0.4), ("x1", 2.0), ("load_share", 0.5), ("depth", 3.0), ("concurrent", 4.0)]);
+    assert_eq!(
+        (reported.memory_share, reported.pending_prompt_tokens, reported.slot_share),
+        (Some(0.4), Some(2000.0), Some(0.5))
+    );
+    assert_eq!((reported.queue_len, reported.inflight), (Some(3.0), Some(4.0)));
+    assert_eq!(load_of(&[("mean_ms", 9.0), ("x7", 1.0)]), nickelgw::interface::EngineLoad::default());
 }
--- a/crates/nickelgw-platform/src/lib.rs
+++ b/crates/nickelgw-platform/src/lib.rs
@@ -90,7 +90,9 @@
     let pool = Pool::new(start.connect_s, idle_s, for_engines, kept_back);
     let towards_discovery = Pool::new(start.connect_s, idle_s, discovery::CONNECTIONS, 0);
     let probe = if start.reports { "/load" } else { "/healthz" };
-    let roll = Roll::new(start.told.machine_kinds);
+    let machine_kinds = start.told.machine_kinds.into_iter();
+    let machine_kinds = machine_kinds.map(|kind| (kind.name, kind.role, kind.memory_tokens));
+    let roll = Roll::new(machine_kinds.collect());
     let node = Node::new(core, roll, ex.clone(), pool.clone(), began, start.connect_s, probe);
     if let Some(known) = start.known {
         node.hear(known);
--- a/crates/nickelgw-simulator-adapter/src/node.rs
+++ b/crates/nickelgw-simulator-adapter/src/node.rs
@@ -1,22 +1,77 @@
-//! One instance: its router, and which request each handle stands for.
+//! One node of the simulated fleet: its decision module, and which request each handle stands for.
 
+use crate::actions::ActionWriter;
 use nickelgw::decide::Router;
 use nickelgw::interface::*;
 use nickelgw_platform_config::fields::{flag, integer, number, number_or, text, ConfigError};
-use nickelgw_platform_config::{object, position_of, PlatformConfig};
-use serde_json::{json, Value};
+use nickelgw_platform_config::{object, position_of, MachineKind, PlatformConfig};
+use serde_json::Value;
 use std::collections::HashMap;
 
+/// The `remark` of an attempt that a decode engine rejected for want of a reservation.
+const REMARK_RESERVATION_MISSING: f64 = 1.0;
+
+/// One simulated node.
 pub struct Node {
     router: Router,
+    config: NodeConfig,
+    requests: RequestNumbers,
+    /// The wake-up that the simulator has been asked for.
+    wake_at: f64,
+}
+
+/// The names that events use.
+struct NodeConfig {
     routes: Vec<String>,
     tenants: Vec<String>,
     zones: Vec<String>,
-    kinds: Vec<(String, EngineRole, f64)>,
-    by_request: HashMap<u64, RequestHandle>,
-    /// By handle: the request it stands for, and how many sends it has had.
-    taken: Vec<(u64, u64)>,
-    wake_at: f64,
+    machine_kinds: Vec<MachineKind>,
+}
+
+/// The simulator's numbers of requests, and the module's handles.
+#[derive(Default)]
+pub struct RequestNumbers {
+    handle_by_number: HashMap<u64, RequestHandle>,
+    /// By handle.
+    requests: Vec<SimulatedRequest>,
+}
+
+#[derive(Clone, Default)]
+struct SimulatedRequest {
+    number: u64,
+    attempts: u64,
+}
+
+impl RequestNumbers {
+    fn insert(&mut self, number: u64, request: RequestHandle) {
+        let index = request.0 as usize;
+        let len = self.requests.len().max(index + 1);
+        self.requests.resize(len, SimulatedRequest::default());
+        self.requests[index] = SimulatedRequest { number, attempts: 0 };
+        self.handle_by_number.insert(number, request);
+    }
+
+    fn handle_of(&self, number: u64) -> Option<RequestHandle> {
+        self.handle_by_number.get(&number).copied()
+    }
+
+    /// The simulator's number of a request.
+    pub fn number_of(&self, request: RequestHandle) -> u64 {
+        self.requests[request.0 as usize].number
+    }
+
+    fn record_attempt(&mut self, request: RequestHandle) {
+        self.requests[request.0 as usize].attempts += 1;
+    }
+
+    fn attempts_of(&self, request: RequestHandle) -> u64 {
+        self.requests[request.0 as usize].attempts
+    }
+
+    fn remove(&mut self, request: RequestHandle) {
+        let number = self.number_of(request);
+        self.handle_by_number.remove(&number);
+    }
 }
 
 fn load(event: &Value) -> Result<Option<EngineLoad>, ConfigError> {
@@ -43,103 +98,120 @@
     })
 }
 
+fn lifecycle(entry: &Value) -> Result<Lifecycle, ConfigError> {
+    match text(entry, "state")? {
+        "IN" => Ok(Lifecycle::Active),
+        "LAME" => Ok(Lifecycle::Draining),
+        "OUT" => Ok(Lifecycle::Removed),
+        _ => Err(ConfigError::field(entry, "state", "IN, LAME or OUT")),
+    }
+}
+
+fn attempt_end(event: &Value) -> Result<AttemptEnd, ConfigError> {
+    let outcome = outcome(event)?;
+    let elapsed_s = number_or(event, "delay_seen_s", 0.0)?;
+    let request_finished = flag(event, "over")?;
+    // Its meaning depends on the outcome.
+    let remark = number_or(event, "remark", 0.0)?;
+    Ok(AttemptEnd {
+        outcome,
+        elapsed_s,
+        request_finished,
+        cached_tokens: if outcome == Outcome::Prefilled { remark } else { 0.0 },
+        reservation_missing: outcome == Outcome::Rejected && remark == REMARK_RESERVATION_MISSING,
+    })
+}
+
+impl NodeConfig {
+    fn engine_entry(&self, entry: &Value) -> Result<EngineEntry, ConfigError> {
+        let kind = text(entry, "family_type")?;
+        let kind = self.machine_kinds.iter().find(|machine_kind| machine_kind.name == kind);
+        let kind =
+            kind.ok_or_else(|| ConfigError::field(entry, "family_type", "a kind from the settings"))?;
+        let started_at = number_or(entry, "up_since_s", 0.0)?;
+        Ok(EngineEntry {
+            id: text(entry, "engine")?.to_string(),
+            zone: position_of(&self.zones, entry, "campus")? as u32,
+            cell: number_or(entry, "unit_group", 0.0)? as u32,
+            role: kind.role,
+            memory_tokens: kind.memory_tokens,
+            lifecycle: lifecycle(entry)?,
+            started_at: (started_at > 0.0).then_some(started_at),
+        })
+    }
+
+    fn incoming_request(&self, event: &Value) -> Result<IncomingRequest, ConfigError> {
+        let has_tenant = event.get("org").is_some_and(Value::is_string) && !self.tenants.is_empty();
+        let tenant = if has_tenant { Some(position_of(&self.tenants, event, "org")?) } else { None };
+        let prefix = event.get("prefix").map(|_| text(event, "prefix")).transpose()?;
+        Ok(IncomingRequest {
+            route: position_of(&self.routes, event, "cls")?,
+            tenant,
+            deadline: number(event, "due_s")?,
+            prompt_tokens: number_or(event, "prompt_len", 0.0)?,
+            prefix_tokens: number_or(event, "n_prefix", 0.0)?,
+            session: event.get("session").map_or(Ok(""), |_| text(event, "session"))?.to_string(),
+            prefix: prefix.map(str::to_string),
+            is_background: false,
+        })
+    }
+}
+
 impl Node {
+    /// A node as its PROVISION event describes it.
     pub fn new(event: &Value) -> Result<Node, ConfigError> {
-        let told = PlatformConfig::parse(object(event, "options")?, integer(event, "prng")?)?;
+        let config = PlatformConfig::parse(object(event, "options")?, integer(event, "prng")?)?;
         Ok(Node {
-            router: Router::new(told.deployment),
-            routes: told.routes,
-            tenants: told.tenants,
-            zones: told.zones,
-            kinds: told.machine_kinds,
-            by_request: HashMap::new(),
-            taken: Vec::new(),
+            router: Router::new(config.deployment),
+            config: NodeConfig {
+                routes: config.routes,
+                tenants: config.tenants,
+                zones: config.zones,
+                machine_kinds: config.machine_kinds,
+            },
+            requests: RequestNumbers::default(),
             wake_at: f64::INFINITY,
         })
     }
 
-    pub fn membership(&mut self, now: f64, event: &Value, page: &[Value]) -> Result<(), ConfigError> {
-        let full = match text(event, "how")? {
+    /// Takes in a MEMBERSHIP event with the page that it names.
+    pub fn update_endpoints(&mut self, now: f64, event: &Value, page: &[Value]) -> Result<(), ConfigError> {
+        let is_full = match text(event, "how")? {
             "full" | "cached" => true,
             "delta" => false,
             _ => return Err(ConfigError::field(event, "how", "delta, full, cached or failed")),
         };
-        let mut lines = Vec::new();
-        for entry in page {
-            let kind = text(entry, "family_type")?;
-            let kind = self.kinds.iter().find(|k| k.0 == kind);
-            let kind =
-                kind.ok_or_else(|| ConfigError::field(entry, "family_type", "a kind from the settings"))?;
-            let started = number_or(entry, "up_since_s", 0.0)?;
-            lines.push(EngineEntry {
-                id: text(entry, "engine")?.to_string(),
-                zone: position_of(&self.zones, entry, "campus")? as u32,
-                cell: number_or(entry, "unit_group", 0.0)? as u32,
-                role: kind.1,
-                memory_tokens: kind.2,
-                lifecycle: match text(entry, "state")? {
-                    "IN" => Lifecycle::Active,
-                    "LAME" => Lifecycle::Draining,
-                    "OUT" => Lifecycle::Removed,
-                    _ => return Err(ConfigError::field(entry, "state", "IN, LAME or OUT")),
-                },
-                started_at: (started > 0.0).then_some(started),
-            });
-        }
-        self.router.update_endpoints(now, &lines, full);
+        let entries = page.iter().map(|entry| self.config.engine_entry(entry));
+        let entries = entries.collect::<Result<Vec<EngineEntry>, ConfigError>>()?;
+        self.router.update_endpoints(now, &entries, is_full);
         Ok(())
     }
 
-    pub fn event(&mut self, now: f64, kind: &str, event: &Value) -> Result<(), ConfigError> {
+    /// Takes in any other event; kinds that are not known are skipped.
+    pub fn handle(&mut self, now: f64, kind: &str, event: &Value) -> Result<(), ConfigError> {
         match kind {
             "MEMBERSHIP" => self.router.endpoint_poll_failed(now),
             "REQUEST" => {
-                let org = event.get("org").filter(|v| v.is_string());
-                let tenant = match org {
-                    Some(_) if !self.tenants.is_empty() => Some(position_of(&self.tenants, event, "org")?),
-                    _ => None,
-                };
-                let prefix = event.get("prefix").map(|_| text(event, "prefix")).transpose()?;
-                let arrival = IncomingRequest {
-                    route: position_of(&self.routes, event, "cls")?,
-                    tenant,
-                    deadline: number(event, "due_s")?,
-                    prompt_tokens: number_or(event, "prompt_len", 0.0)?,
-                    prefix_tokens: number_or(event, "n_prefix", 0.0)?,
-                    session: event.get("session").map_or(Ok(""), |_| text(event, "session"))?.to_string(),
-                    prefix: prefix.map(str::to_string),
-                    is_background: false,
-                };
-                let request = integer(event, "req")?;
-                let inf = self.router.admit_request(now, &arrival);
-                let k = inf.0 as usize;
-                self.taken.resize(self.taken.len().max(k + 1), (0, 0));
-                self.taken[k] = (request, 0);
-                self.by_request.insert(request, inf);
+                let incoming = self.config.incoming_request(event)?;
+                let number = integer(event, "req")?;
+                let request = self.router.admit_request(now, &incoming);
+                self.requests.insert(number, request);
             }
             "SETTLED" => {
-                let outcome = outcome(event)?;
-                let remark = number_or(event, "remark", 0.0)?;
-                let ending = AttemptEnd {
-                    outcome,
-                    elapsed_s: number_or(event, "delay_seen_s", 0.0)?,
-                    request_finished: flag(event, "over")?,
-                    cached_tokens: remark,
-                    reservation_missing: remark == 1.0,
-                };
+                let end = attempt_end(event)?;
                 let load = load(event)?;
-                if let Some((inf, send)) = self.send_of(event)? {
-                    self.router.attempt_finished(now, inf, send, ending, load);
+                if let Some((request, attempt)) = self.attempt_of(event)? {
+                    self.router.attempt_finished(now, request, attempt, end, load);
                 }
             }
             "HEAD_RECEIVED" => {
-                if let Some((inf, send)) = self.send_of(event)? {
-                    self.router.first_token(now, inf, send);
+                if let Some((request, attempt)) = self.attempt_of(event)? {
+                    self.router.first_token(now, request, attempt);
                 }
             }
             "HANGUP" => {
-                if let Some(&inf) = self.by_request.get(&integer(event, "req")?) {
-                    self.router.client_disconnected(inf);
+                if let Some(request) = self.requests.handle_of(integer(event, "req")?) {
+                    self.router.client_disconnected(request);
                 }
             }
             "PROBED" => {
@@ -151,54 +223,30 @@
         Ok(())
     }
 
-    /// The handle and send that an event speaks of; none where the inference is long over.
-    fn send_of(&self, event: &Value) -> Result<Option<(RequestHandle, u32)>, ConfigError> {
-        let (request, n) = (integer(event, "req")?, integer(event, "n")?);
-        let Some(&inf) = self.by_request.get(&request) else { return Ok(None) };
-        if n >= self.taken[inf.0 as usize].1 {
+    /// The attempt that an event is about; `None` where the request is closed.
+    fn attempt_of(&self, event: &Value) -> Result<Option<(RequestHandle, u32)>, ConfigError> {
+        let (number, attempt) = (integer(event, "req")?, integer(event, "n")?);
+        let Some(request) = self.requests.handle_of(number) else { return Ok(None) };
+        if attempt >= self.requests.attempts_of(request) {
             return Err(ConfigError::field(event, "n", "the number of a send"));
         }
-        Ok(Some((inf, n as u32)))
+        Ok(Some((request, attempt as u32)))
     }
 
-    /// Writes the actions of this batch.
-    pub fn act(&mut self, now: f64, i: u64, reply: &mut String) {
-        let d = self.router.decide(now);
-        let mut say = |action: Value| {
-            reply.push_str(&action.to_string());
-            reply.push('\n');
-        };
-        d.dispatches.iter().for_each(|s| self.taken[s.request.0 as usize].1 += 1);
-        let req = |inf: RequestHandle| self.taken[inf.0 as usize].0;
-        for &(inf, n) in &d.cancelled {
-            say(json!({"kind": "RECALL", "i": i, "req": req(inf), "n": n}));
-        }
-        for s in &d.dispatches {
-            let engine = self.router.engine_id(s.engine);
-            let (req, patience) = (req(s.request), s.timeout_s);
-            say(json!({"kind": "ATTEMPT", "i": i, "req": req, "engine": engine, "patience_s": patience}));
-        }
-        for &(inf, back) in &d.rejected {
-            say(json!({"kind": "DENY", "i": i, "req": req(inf), "not_before_for_s": back}));
-        }
-        for &inf in &d.failed {
-            say(json!({"kind": "ERROR", "i": i, "req": req(inf)}));
-        }
-        for &inf in &d.released {
-            say(json!({"kind": "DROP_STATE", "i": i, "req": req(inf)}));
-        }
-        for &eng in &d.probes {
-            say(json!({"kind": "PROBE", "i": i, "engine": self.router.engine_id(eng)}));
-        }
-        if d.poll_endpoints {
-            say(json!({"kind": "TAIL", "i": i, "enable": true}));
+    /// Writes the actions that the events of this batch have led to.
+    pub fn write_actions(&mut self, now: f64, node: u64, reply: &mut String) {
+        let decisions = self.router.decide(now);
+        for dispatch in &decisions.dispatches {
+            self.requests.record_attempt(dispatch.request);
         }
-        if let Some(at) = d.wake_at.filter(|&at| at < self.wake_at) {
-            say(json!({"kind": "REMIND", "i": i, "wait_s": (at - now).max(0.0), "ref": 0}));
+        let mut actions = ActionWriter { node, router: &self.router, requests: &self.requests, reply };
+        actions.write(&decisions);
+        if let Some(at) = decisions.wake_at.filter(|&at| at < self.wake_at) {
+            actions.write_wake((at - now).max(0.0));
             self.wake_at = at;
         }
-        for inf in &d.closed {
-            self.by_request.remove(&self.taken[inf.0 as usize].0);
+        for &request in &decisions.closed {
+            self.requests.remove(request);
         }
     }
 }
--- a/crates/nickelgw-simulator-adapter/src/tests.rs
+++ b/crates/nickelgw-simulator-adapter/src/tests.rs
@@ -1,4 +1,5 @@
-use super::*;
+use crate::session::run;
+use nickelgw_platform_config::fields::ConfigError;
 use test_case::test_case;
 
 const PROVISION: &str = r#"{"kind":"PROVISION","i":1,"prng":5,"options":{"accounts":[],"az":"east","balancers":1,
@@ -19,11 +20,11 @@
     )
 }
 
-/// Plays batches, each after a clock of its own; gives what was written.
-fn play(batches: &[&[&str]]) -> Result<String, ConfigError> {
+/// Runs batches, each after a clock of its own; returns what was written.
+fn run_batches(batches: &[&[&str]]) -> Result<String, ConfigError> {
     let mut input = String::new();
-    for (k, batch) in batches.iter().enumerate() {
-        input += &format!("{{\"kind\":\"CLOCK\",\"time_s\":{}}}\n", 1.0 + 0.1 * k as f64);
+    for (index, batch) in batches.iter().enumerate() {
+        input += &format!("{{\"kind\":\"CLOCK\",\"time_s\":{}}}\n", 1.0 + 0.1 * index as f64);
         for line in *batch {
             input += &format!("{}\n", line.replace('\n', ""));
         }
@@ -34,54 +35,66 @@
 }
 
 const START: &[&str] = &[PROVISION, PAGE, MEMBERSHIP];
-/// The reader's answer to the probe that an arrival brings.
-const NEWS: &[&str] = &[r#"{"kind":"PROBED","i":1,"engine":"a:1","how":"served","delay_seen_s":0.001}"#];
+/// The prefill engine's answer to the probe that an arrival brings.
+const PROBE_ANSWER: &[&str] =
+    &[r#"{"kind":"PROBED","i":1,"engine":"a:1","how":"served","delay_seen_s":0.001}"#];
 
 #[test]
-fn an_inference_is_read_then_written() {
-    let read = settled(0, "a:1", "prefilled", false);
-    let out = play(&[START, &[REQUEST], NEWS, &[&read]]).unwrap();
-    let attempts: Vec<&str> = out.lines().filter(|l| l.contains("ATTEMPT")).collect();
+fn a_request_is_prefilled_then_decoded() {
+    let prefilled = settled(0, "a:1", "prefilled", false);
+    let out = run_batches(&[START, &[REQUEST], PROBE_ANSWER, &[&prefilled]]).unwrap();
+    let attempts: Vec<&str> = out.lines().filter(|line| line.contains("ATTEMPT")).collect();
     assert!(attempts[0].contains("a:1") && attempts[1].contains("b:2"), "{out}");
     assert_eq!(out.matches("DONE").count(), 4);
 }
 
 #[test]
-fn a_settled_inference_is_passed_over() {
-    let (read, done) = (settled(0, "a:1", "prefilled", false), settled(1, "b:2", "served", true));
-    let gone = r#"{"kind":"HANGUP","i":1,"req":77}"#;
-    assert!(play(&[START, &[REQUEST], NEWS, &[&read], &[&done, gone], &[gone]]).is_ok());
+fn events_of_a_closed_request_are_skipped() {
+    let (prefilled, served) = (settled(0, "a:1", "prefilled", false), settled(1, "b:2", "served", true));
+    let hangup = r#"{"kind":"HANGUP","i":1,"req":77}"#;
+    assert!(
+        run_batches(&[START, &[REQUEST], PROBE_ANSWER, &[&prefilled], &[&served, hangup], &[hangup]]).is_ok()
+    );
 }
 
 #[test]
-fn an_instance_killed_and_provisioned_in_one_batch_starts_empty() {
+fn a_node_killed_and_provisioned_in_one_batch_starts_empty() {
     let killed = r#"{"kind":"KILLED","i":1}"#;
-    let read = settled(0, "a:1", "prefilled", false);
-    let out = play(&[START, &[REQUEST], NEWS, &[killed, PROVISION, PAGE, MEMBERSHIP], &[&read]]).unwrap();
+    let prefilled = settled(0, "a:1", "prefilled", false);
+    let out = run_batches(&[
+        START,
+        &[REQUEST],
+        PROBE_ANSWER,
+        &[killed, PROVISION, PAGE, MEMBERSHIP],
+        &[&prefilled],
+    ])
+    .unwrap();
     assert_eq!(out.matches("ATTEMPT").count(), 1);
 }
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
-    assert_eq!(play(&[&[]]).unwrap(), "{\"kind\":\"DONE\"}\n");
+    assert_eq!(run_batches(&[&[]]).unwrap(), "{\"kind\":\"DONE\"}\n");
 }
 
 #[test]
 fn unknown_kinds_are_skipped() {
-    assert!(play(&[&[r#"{"kind":"WEATHER","i":1}"#, r#"{"kind":"TIDE"}"#]]).is_ok());
+    assert!(run_batches(&[&[r#"{"kind":"WEATHER","i":1}"#, r#"{"kind":"TIDE"}"#]]).is_ok());
 }
 
 #[test]
 fn equal_events_give_equal_actions() {
-    let day: &[&[&str]] = &[START, &[REQUEST], NEWS, &[&settled(0, "a:1", "server_error", false)]];
-    assert_eq!(play(day).unwrap(), play(day).unwrap());
+    let batches: &[&[&str]] =
+        &[START, &[REQUEST], PROBE_ANSWER, &[&settled(0, "a:1", "server_error", false)]];
+    assert_eq!(run_batches(batches).unwrap(), run_batches(batches).unwrap());
 }
 
 #[test]
-fn an_outcome_of_a_send_never_made_is_named() {
-    let ConfigError(why) =
-        play(&[START, &[REQUEST], NEWS, &[&settled(4, "a:1", "prefilled", false)]]).unwrap_err();
-    assert!(why.contains("SETTLED: field n"), "{why}");
+fn an_outcome_of_an_attempt_never_made_is_an_error() {
+    let ConfigError(message) =
+        run_batches(&[START, &[REQUEST], PROBE_ANSWER, &[&settled(4, "a:1", "prefilled", false)]])
+            .unwrap_err();
+    assert!(message.contains("SETTLED: field n"), "{message}");
 }
 
 #[test_case("nonsense", "not JSON"; "no json")]
@@ -94,7 +107,7 @@
 #[test_case(r#"{"kind":"REQUEST","i":1,"req":5,"cls":"other","due_s":3}"#, "REQUEST: field cls"; "unknown class")]
 #[test_case(r#"{"kind":"REQUEST","i":1,"req":5,"cls":"ask"}"#, "REQUEST: field due_s"; "no due time")]
 #[test_case(r#"{"kind":"SETTLED","i":1,"req":5,"n":0,"how":"vanished"}"#, "SETTLED: field how"; "unknown outcome")]
-fn bad_input_is_named(line: &str, said: &str) {
-    let ConfigError(why) = play(&[START, &[line]]).unwrap_err();
-    assert!(why.contains(said), "{why}");
+fn invalid_input_is_an_error_that_names_the_field(line: &str, expected: &str) {
+    let ConfigError(message) = run_batches(&[START, &[line]]).unwrap_err();
+    assert!(message.contains(expected), "{message}");
 }
