--- a/crates/nickelgw-platform/src/core/endpoint_list.rs
+++ b/crates/nickelgw-platform/src/core/endpoint_list.rs
@@ -1,6 +1,7 @@
 //! The engines as discovery announces them: the whole list, or what has changed of it.
 
 use nickelgw::interface::EngineRole;
+use nickelgw_platform_config::MachineKind;
 use nickelgw_protocol::list::{self, EndpointEntry, EndpointList, EngineState, MAX_ENTRIES};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -52,28 +53,28 @@
 
 /// The engines as last announced.
 pub struct DiscoveredEndpoints {
-    machine_kinds: Vec<(String, EngineRole, f64)>,
+    machine_kinds: Vec<MachineKind>,
     by_id: BTreeMap<String, EndpointEntry>,
     updates: u64,
 }
 
 impl DiscoveredEndpoints {
     /// An empty list; engines are of these kinds, with their role and memory in tokens.
-    pub fn new(machine_kinds: Vec<(String, EngineRole, f64)>) -> DiscoveredEndpoints {
+    pub fn new(machine_kinds: Vec<MachineKind>) -> DiscoveredEndpoints {
         DiscoveredEndpoints { machine_kinds, by_id: BTreeMap::new(), updates: 0 }
     }
 
     /// None for a machine kind that the settings do not name: such an engine cannot be used and is left out of the list.
     fn entry(&self, instance: Instance) -> Option<EndpointEntry> {
         let mut kinds = self.machine_kinds.iter();
-        let (_, role, memory_tokens) = kinds.find(|(name, ..)| *name == instance.machine_type)?;
+        let kind = kinds.find(|kind| kind.name == instance.machine_type)?;
         Some(EndpointEntry {
-            role: match role {
+            role: match kind.role {
                 EngineRole::Prefill => list::EngineRole::Prefill,
                 EngineRole::Decode => list::EngineRole::Decode,
                 EngineRole::Unified => list::EngineRole::Unified,
             },
-            memory_tokens: memory_tokens.max(1.0),
+            memory_tokens: kind.memory_tokens.max(1.0),
             state: if instance.lifecycle == "up" { EngineState::Active } else { EngineState::Draining },
             started_at: instance.started_at_ms.filter(|ms| *ms > 0.0).map(|ms| ms / 1e3),
             id: instance.instance_id,
--- a/crates/nickelgw-platform/src/core/tests.rs
+++ b/crates/nickelgw-platform/src/core/tests.rs
@@ -9,6 +9,7 @@
 use bytes::{Bytes, BytesMut};
 use nickelgw::interface::EngineRole;
 use nickelgw_node_core::{AdmittedRequest, AttemptOutcome};
+use nickelgw_platform_config::MachineKind;
 use nickelgw_protocol::list::EngineState;
 use nickelgw_protocol::load::PENDING_PROMPT_TOKENS_METRIC;
 use proptest::prelude::*;
@@ -231,8 +232,9 @@
 
 #[test]
 fn endpoint_list_is_replaced_or_updated() {
-    let machine_kinds =
-        vec![("m1".to_string(), EngineRole::Prefill, 9.0), ("m2".to_string(), EngineRole::Decode, 9.0)];
+    let machine_kind =
+        |name: &str, role: EngineRole| MachineKind { name: name.to_string(), role, memory_tokens: 9.0 };
+    let machine_kinds = vec![machine_kind("m1", EngineRole::Prefill), machine_kind("m2", EngineRole::Decode)];
     let mut endpoints = DiscoveredEndpoints::new(machine_kinds);
     let entry = |id: &str, lifecycle: &str| {
         format!(
