--- a/crates/nickelgw-node-core/src/tests/between.rs
+++ b/crates/nickelgw-node-core/src/tests/between.rs
@@ -64,7 +64,7 @@
     let mut c = core(100);
     let shares = FairShareConfig {
         limits: fair_share::FairShareLimits {
-            least: 4.0,
+            min_limit: 4.0,
             window: 10,
             ..fair_share::FairShareLimits::default()
         },
@@ -72,7 +72,7 @@
     };
     c.figures.fair_share = Some(shares);
     c.limit = fair_share::ConcurrencyLimit::new(
-        fair_share::FairShareLimits { least: 4.0, window: 10, ..fair_share::FairShareLimits::default() },
+        fair_share::FairShareLimits { min_limit: 4.0, window: 10, ..fair_share::FairShareLimits::default() },
         100.0,
     );
     let of = |tenant| AdmittedRequest { tenant: Some(tenant), ..ask(0) };
--- a/crates/nickelgw-tenants/src/core/mod.rs
+++ b/crates/nickelgw-tenants/src/core/mod.rs
@@ -1,5 +1,6 @@
-//! Rights and limits of tenants. No I/O.
+//! Permissions, quotas and fair admission of tenants. No I/O.
 
+pub mod concurrency_limit;
 pub mod fair_share;
 pub mod permissions;
 pub mod token_buckets;
