--- a/crates/nickelgw-ldap/src/core/sync_tests.rs
+++ b/crates/nickelgw-ldap/src/core/sync_tests.rs
@@ -67,7 +67,7 @@
     sync.message(SyncMessage::Put(id(4), entry(99)));
     sync.update_cookie(vec![3]);
     assert_eq!((sync.entries().len(), sync.version, sync.cookie()), (8, version + 2, Some(&[3][..])));
-    // One that is larger than is taken stays as it was.
+    // An entry that becomes too large stays as it was.
     sync.message(SyncMessage::Put(id(4), [("cn".to_string(), vec![vec![0; 5000]])].into()));
     assert_eq!((sync.entries()[&id(4)] == entry(99), sync.oversized), (true, 1));
 }
--- a/crates/nickelgw-tenants/src/core/weights_tests.rs
+++ b/crates/nickelgw-tenants/src/core/weights_tests.rs
@@ -17,7 +17,7 @@
         now += 0.1;
         if now >= shift_at {
             shift_at = now + shift_s;
-            // Traffic comes to some nodes more than to others.
+            // Some nodes get more traffic than others.
             weights.iter_mut().for_each(|weight| *weight = uniform().powi(3));
         }
         let sum: f64 = weights.iter().sum();
--- a/crates/nickelgw-tls/src/core/generation_tests.rs
+++ b/crates/nickelgw-tls/src/core/generation_tests.rs
@@ -47,7 +47,7 @@
     make_invalid(&mut invalid);
     assert_eq!(keyring.offer(10.0 * DAY_S, invalid), Err(error.clone()));
     assert_eq!((keyring.current().unwrap().number, keyring.refusal()), (1, Some(&error)));
-    // Put right, it comes into force, and the refusal is gone.
+    // Valid material comes into force, and the refusal is cleared.
     assert_eq!(keyring.offer(10.0 * DAY_S, material(2)), Ok(true));
     assert_eq!((keyring.current().unwrap().number, keyring.refusal()), (2, None));
     assert_eq!(keyring.offer(10.0 * DAY_S, material(2)), Ok(false));
--- a/crates/nickelgw-tls/src/core/pool_tests.rs
+++ b/crates/nickelgw-tls/src/core/pool_tests.rs
@@ -37,12 +37,12 @@
     assert_eq!(pool.checkout(0.0, "b", WaiterId(10)), Checkout::Open);
     assert_eq!(pool.checkout(0.0, "connection", WaiterId(20)), Checkout::Open);
     assert_eq!(pool.checkout(0.0, "d", WaiterId(30)), Checkout::Wait);
-    // Room for the node goes to the first who may use it.
+    // The node's free handshake goes to the first waiter that may use it.
     pool.handshake_succeeded(0.1, WaiterId(10), 0);
     assert_eq!(pool.poll_commands(0.1).0, [PoolCommand::Notify(WaiterId(30), Checkout::Open)]);
     let conn = pool.handshake_succeeded(0.2, WaiterId(0), 0).unwrap();
     assert_eq!(pool.poll_commands(0.2).0, [PoolCommand::Notify(WaiterId(2), Checkout::Open)]);
-    // A connection that comes back is better than a handshake.
+    // A returned connection is used before a handshake is made.
     assert_eq!(pool.checkout(0.3, "a", WaiterId(4)), Checkout::Wait);
     pool.returned(0.3, "a", conn);
     assert_eq!(pool.poll_commands(0.3).0, [PoolCommand::Notify(WaiterId(4), Checkout::Reuse(conn))]);
@@ -96,7 +96,7 @@
         now = poll_at.unwrap_or(now).max(now + 1e-3);
     }
     assert!(closed[1] - closed[0] >= 0.19, "{closed:?}");
-    // The one in use is closed when it comes back.
+    // The one in use is closed when it is returned.
     let used = all[2];
     pool.returned(now, "e", used);
     assert_eq!(pool.poll_commands(now).0, [PoolCommand::Close(used)]);
@@ -109,7 +109,7 @@
     assert_eq!((pool.waiting(), pool.checkout(0.0, "a", WaiterId(10))), (8, Checkout::Rejected));
     pool.abandon(0.1, WaiterId(5));
     assert_eq!((pool.waiting(), pool.checkout(0.1, "a", WaiterId(11))), (7, Checkout::Wait));
-    // An opener that goes gives its handshake to the next.
+    // An abandoned handshake frees its slot for the next waiter.
     pool.abandon(0.2, WaiterId(0));
     assert_eq!(pool.poll_commands(0.2).0, [PoolCommand::Notify(WaiterId(2), Checkout::Open)]);
 }
