--- a/crates/nickelgw-node-core/src/tests/processes_and_tenants.rs
+++ b/crates/nickelgw-node-core/src/tests/processes_and_tenants.rs
@@ -87,7 +87,7 @@
     };
     core.config.fair_share = Some(shares);
     core.concurrency_limit = fair_share::ConcurrencyLimit::new(
-        fair_share::FairShareLimits { least: 4.0, window: 10, ..fair_share::FairShareLimits::default() },
+        fair_share::FairShareLimits { min_limit: 4.0, window: 10, ..fair_share::FairShareLimits::default() },
         100.0,
     );
     let admitted_for = |tenant| AdmittedRequest { tenant: Some(tenant), ..admitted(0) };
