--- a/crates/nickelgw-cli/tests/platform_reservations.rs
+++ b/crates/nickelgw-cli/tests/platform_reservations.rs
@@ -29,11 +29,11 @@
         let w = World::start(100 + u8::from(probes), 1, 1, |all| {
             all["settings"]["limits"]["probes"] = probes.into()
         });
-        assert_eq!(w.ask("warm"), Outcome::Served);
-        w.decodes()[0].proxy.silence_open();
+        assert_eq!(w.ask("warm"), Outcome::Completed);
+        w.decodes()[0].proxy.silence_connections();
         let outcome = w.ask("silent");
         assert!(
-            !matches!(outcome, Outcome::Silent | Outcome::Closed | Outcome::Refused),
+            !matches!(outcome, Outcome::TimedOut | Outcome::ConnectionClosed | Outcome::ConnectionRefused),
             "no final answer: {outcome:?}"
         );
         w.assert_kept();
@@ -45,16 +45,16 @@
 #[test]
 fn what_a_prefill_left_whose_answer_was_lost_is_released_in_time() {
     let w = World::start(102, 1, 1, |_| {});
-    assert_eq!(w.ask("warm"), Outcome::Served);
+    assert_eq!(w.ask("warm"), Outcome::Completed);
     let prefill = &w.prefills()[0].engine.behaviour;
-    prefill.loses_answers.store(true, Relaxed);
+    prefill.loses_responses.store(true, Relaxed);
     // A node counts what it watches within half a second.
     prefill.work_ms.store(900, Relaxed);
     let asked = w.ask_in_background("lost");
     w.drain(0);
     let outcome = asked.join().unwrap();
     assert!(
-        !matches!(outcome, Outcome::Silent | Outcome::Closed | Outcome::Refused),
+        !matches!(outcome, Outcome::TimedOut | Outcome::ConnectionClosed | Outcome::ConnectionRefused),
         "no final answer: {outcome:?}"
     );
     assert_eq!(prefill.attempts.load(Relaxed), 2, "the prefill has run once");
@@ -65,20 +65,20 @@
 #[test]
 fn attempts_that_break_without_a_sign_do_not_renew_a_reservation() {
     let w = World::start(103, 1, 3, |all| all["settings"]["limits"]["most_tries"] = 6.into());
-    assert_eq!(w.ask("warm"), Outcome::Served);
+    assert_eq!(w.ask("warm"), Outcome::Completed);
     w.decodes().iter().for_each(|d| d.proxy.silence(true));
     let proxies: Vec<_> = w.decodes().iter().map(|d| d.proxy.clone()).collect();
     let breaking = std::thread::spawn(move || {
         let until = Instant::now() + ms(3500);
         while Instant::now() < until {
             sleep(ms(300));
-            proxies.iter().for_each(|p| p.break_open());
+            proxies.iter().for_each(|p| p.break_connections());
         }
     });
     let outcome = w.ask("breaks");
     breaking.join().unwrap();
     assert!(
-        !matches!(outcome, Outcome::Silent | Outcome::Closed | Outcome::Refused),
+        !matches!(outcome, Outcome::TimedOut | Outcome::ConnectionClosed | Outcome::ConnectionRefused),
         "no final answer: {outcome:?}"
     );
     w.assert_kept();
@@ -89,7 +89,7 @@
 fn a_decode_attempt_that_waits_at_its_engine_keeps_its_reservation() {
     let w = World::start(104, 1, 1, |_| {});
     w.decodes()[0].engine.behaviour.work_ms.store(950, Relaxed);
-    assert_eq!(w.ask("queued"), Outcome::Served);
+    assert_eq!(w.ask("queued"), Outcome::Completed);
     w.assert_kept();
 }
 
@@ -107,7 +107,7 @@
     w.terminate();
     let outcome = asked.join().unwrap();
     assert!(
-        !matches!(outcome, Outcome::Silent | Outcome::Closed | Outcome::Refused),
+        !matches!(outcome, Outcome::TimedOut | Outcome::ConnectionClosed | Outcome::ConnectionRefused),
         "no final answer: {outcome:?}"
     );
     w.wait_for_end();
@@ -129,7 +129,7 @@
         },
     );
     let outcomes: Vec<Outcome> = (0..30).map(|k| w.ask(&format!("shim{k}"))).collect();
-    let served = outcomes.iter().filter(|o| **o == Outcome::Served).count();
+    let served = outcomes.iter().filter(|o| **o == Outcome::Completed).count();
     assert!(served >= 29, "{outcomes:?}\n{}", w.log());
     w.assert_kept();
 }
@@ -139,17 +139,17 @@
 fn a_release_gets_through_though_every_open_connection_is_silent() {
     let w = World::start(107, 1, 3, |_| {});
     for k in 0..6 {
-        assert_eq!(w.ask(&format!("warm{k}")), Outcome::Served);
+        assert_eq!(w.ask(&format!("warm{k}")), Outcome::Completed);
     }
     w.prefills()[0].engine.behaviour.work_ms.store(300, Relaxed);
     let asked = w.ask_in_background("silent");
     sleep(ms(200));
-    w.decodes().iter().for_each(|d| d.proxy.silence_open());
+    w.decodes().iter().for_each(|d| d.proxy.silence_connections());
     sleep(ms(120));
-    w.prefills()[0].proxy.silence_open();
+    w.prefills()[0].proxy.silence_connections();
     let outcome = asked.join().unwrap();
     assert!(
-        !matches!(outcome, Outcome::Silent | Outcome::Closed | Outcome::Refused),
+        !matches!(outcome, Outcome::TimedOut | Outcome::ConnectionClosed | Outcome::ConnectionRefused),
         "no final answer: {outcome:?}"
     );
     w.assert_kept();
@@ -159,8 +159,8 @@
 #[test]
 fn a_node_that_is_held_up_releases_in_time() {
     let w = World::start(108, 1, 1, |_| {});
-    assert_eq!(w.ask("warm"), Outcome::Served);
-    w.decodes()[0].proxy.silence_open();
+    assert_eq!(w.ask("warm"), Outcome::Completed);
+    w.decodes()[0].proxy.silence_connections();
     let asked = w.ask_in_background("held-up");
     sleep(ms(350));
     w.signal(Signal::STOP);
@@ -174,8 +174,8 @@
 #[test]
 fn what_stands_at_an_engine_that_left_the_list_is_released() {
     let w = World::start(109, 1, 1, |_| {});
-    assert_eq!(w.ask("warm"), Outcome::Served);
-    w.decodes()[0].proxy.silence_open();
+    assert_eq!(w.ask("warm"), Outcome::Completed);
+    w.decodes()[0].proxy.silence_connections();
     let asked = w.ask_in_background("delisted");
     w.tell(|list| drop(list["instances"].as_array_mut().unwrap().remove(0)));
     asked.join().unwrap();
@@ -186,7 +186,7 @@
 #[test]
 fn what_stands_is_released_when_engines_are_back() {
     let w = World::start(110, 1, 1, |_| {});
-    assert_eq!(w.ask("warm"), Outcome::Served);
+    assert_eq!(w.ask("warm"), Outcome::Completed);
     // The prefill ends well before its client leaves, which ends the attempt.
     w.prefills()[0].engine.behaviour.work_ms.store(200, Relaxed);
     let asked = w.ask_and_leave("away", Some(ms(400)));
@@ -212,8 +212,8 @@
 fn leaving_and_reloading_do_not_keep_a_reservation() {
     for (n, reload) in [(111, false), (112, true)] {
         let w = World::start(n, 1, 1, |_| {});
-        assert_eq!(w.ask("warm"), Outcome::Served);
-        w.decodes()[0].proxy.silence_open();
+        assert_eq!(w.ask("warm"), Outcome::Completed);
+        w.decodes()[0].proxy.silence_connections();
         let asked = w.ask_and_leave("leaves", (!reload).then(|| ms(150)));
         sleep(ms(100));
         if reload {
--- a/crates/nickelgw-cli/tests/platform_reservations/world.rs
+++ b/crates/nickelgw-cli/tests/platform_reservations/world.rs
@@ -2,7 +2,9 @@
 
 use crate::common::{line, peer, plain, Peer, Then, LONG};
 use crate::processes::{configured, start_with, Node};
-use nickelgw_test_servers::platform::{request, Asked, Engine, Outcome, Proxy, Role, Rules, Table};
+use nickelgw_test_servers::platform::{
+    send_request, ClientRequest, Engine, Outcome, Proxy, RequestTable, Role, RuleLimits,
+};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 use std::process::{Command, Stdio};
@@ -22,7 +24,7 @@
 }
 
 pub struct World {
-    pub table: Arc<Table>,
+    pub table: Arc<RequestTable>,
     places: Vec<Place>,
     pub node: Node,
     log: std::path::PathBuf,
@@ -42,7 +44,7 @@
 }
 
 /// Engines behind proxies: prefill engines first.
-pub fn places(table: &Arc<Table>, prefills: usize, decodes: usize) -> Vec<Place> {
+pub fn places(table: &Arc<RequestTable>, prefills: usize, decodes: usize) -> Vec<Place> {
     let roles = (0..prefills + decodes).map(|n| if n < prefills { Role::Prefill } else { Role::Decode });
     let start = |(n, role)| {
         smol::block_on(async {
@@ -89,7 +91,7 @@
         but: impl Fn(&mut Value),
         command: impl FnOnce(&mut Command),
     ) -> World {
-        let table = Arc::new(Table::new(Rules::default()));
+        let table = Arc::new(RequestTable::new(RuleLimits::default()));
         let places = places(&table, prefills, decodes);
         let (agent, news) = discovery();
         let (address, path) = configured(n, &agent, endpoints(&places), but);
@@ -137,22 +139,28 @@
     /// A client asks, and goes after a while.
     pub fn ask_and_leave(&self, id: &str, leaves_after: Option<Duration>) -> JoinHandle<Outcome> {
         let (id, class) = (id.to_string(), "chat".to_string());
-        let asked = Asked { id, class, once: false, timeout: TIMEOUT, leaves_after };
+        let asked = ClientRequest {
+            id,
+            class,
+            at_most_once: false,
+            timeout: TIMEOUT,
+            disconnect_after: leaves_after,
+        };
         let (address, table) = (self.node.address, self.table.clone());
         std::thread::spawn(move || {
-            smol::block_on(request(address, &asked, &table, Rules::default().answer_slack))
+            smol::block_on(send_request(address, &asked, &table, RuleLimits::default().answer_slack))
         })
     }
 
     /// No rule was broken, and nothing stays reserved.
     pub fn assert_kept(&self) {
         let until = Instant::now() + Duration::from_secs(1);
-        while self.table.is_any_reserved() && Instant::now() < until {
+        while self.table.has_reservations() && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(5));
         }
         let found = self.table.violations();
         assert!(found.is_empty(), "{found:?}\n{}", self.log());
-        assert!(!self.table.is_any_reserved(), "something stays reserved");
+        assert!(!self.table.has_reservations(), "something stays reserved");
     }
 
     /// The node's log, for a test that fails.
--- a/crates/nickelgw-cli/tests/platform_soak.rs
+++ b/crates/nickelgw-cli/tests/platform_soak.rs
@@ -60,7 +60,7 @@
     let report = fleet.end();
     println!("seed {seed}: {report}");
     // No lateness explains that something ran twice.
-    let twice: Vec<_> = report.violations.iter().filter(|v| v.contains("RunTwice")).collect();
+    let twice: Vec<_> = report.violations.iter().filter(|v| v.contains("DuplicateRun")).collect();
     assert!(twice.is_empty(), "seed {seed}: {twice:?}");
     (report, faults.played)
 }
--- a/crates/nickelgw-cli/tests/platform_soak/faults.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/faults.rs
@@ -42,7 +42,7 @@
         let node = self.below(fleet.nodes());
         let name = match self.below(14) {
             0 | 1 => {
-                proxy.silence_open();
+                proxy.silence_connections();
                 "connections fall silent"
             }
             2 => {
@@ -51,7 +51,7 @@
                 "an engine is cut off"
             }
             3 => {
-                proxy.break_open();
+                proxy.break_connections();
                 "connections break"
             }
             4 => {
@@ -65,8 +65,8 @@
                 "connections are late"
             }
             6 => {
-                behaviour.loses_answers.store(true, Relaxed);
-                self.ends_in(600, move |_| behaviour.loses_answers.store(false, Relaxed));
+                behaviour.loses_responses.store(true, Relaxed);
+                self.ends_in(600, move |_| behaviour.loses_responses.store(false, Relaxed));
                 "answers get lost"
             }
             7 => {
@@ -75,8 +75,8 @@
                 "an engine hangs"
             }
             8 => {
-                behaviour.full.store(true, Relaxed);
-                self.ends_in(800, move |_| behaviour.full.store(false, Relaxed));
+                behaviour.is_full.store(true, Relaxed);
+                self.ends_in(800, move |_| behaviour.is_full.store(false, Relaxed));
                 "an engine is full"
             }
             9 => {
--- a/crates/nickelgw-cli/tests/platform_soak/fleet.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/fleet.rs
@@ -4,7 +4,7 @@
 use crate::processes::{configured, start_with};
 use crate::world::{endpoints, places, Place};
 use nanorand::{Rng, WyRand};
-use nickelgw_test_servers::platform::{request, Asked, Outcome, Rules, Table};
+use nickelgw_test_servers::platform::{send_request, ClientRequest, Outcome, RequestTable, RuleLimits};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::json;
 use std::net::SocketAddr;
@@ -69,7 +69,7 @@
 pub struct Fleet {
     pub places: Vec<Place>,
     members: Vec<Arc<Member>>,
-    table: Arc<Table>,
+    table: Arc<RequestTable>,
     on: Arc<AtomicBool>,
     clients: Vec<JoinHandle<Vec<(String, Outcome)>>>,
     ending: Mutex<Vec<JoinHandle<()>>>,
@@ -124,7 +124,7 @@
 
 impl Fleet {
     pub fn start(nodes: usize, seed: u64) -> Fleet {
-        let table = Arc::new(Table::new(Rules::default()));
+        let table = Arc::new(RequestTable::new(RuleLimits::default()));
         let places = places(&table, PREFILLS, DECODES);
         let discovery = silent();
         let members: Vec<Arc<Member>> = (0..nodes)
@@ -173,7 +173,7 @@
         }
         member.killed.lock().unwrap().push(Instant::now());
         let _ = member.child().kill();
-        self.table.forgive_all(&format!("s{node}x"));
+        self.table.excuse_requests(&format!("s{node}x"));
         member.restart();
     }
 
@@ -206,7 +206,7 @@
         self.ending.into_inner().unwrap().into_iter().for_each(|e| e.join().unwrap());
         sleep(Duration::from_secs(1));
         let mut violations: Vec<String> = self.table.violations().iter().map(|v| format!("{v:?}")).collect();
-        let reserved = self.table.reserved().into_iter();
+        let reserved = self.table.reserved_requests().into_iter();
         violations.extend(reserved.map(|(id, out)| format!("{id} stays reserved, {out} attempts out")));
         let judged = violations.len();
         for member in &self.members {
@@ -222,7 +222,7 @@
         }
         // The logs of a failed run are kept: a violation is followed by its request's id.
         println!("{judged} found outside of the nodes; logs: {}", self.members[0].log.display());
-        let served = outcomes.iter().filter(|o| o.1 == Outcome::Served).count();
+        let served = outcomes.iter().filter(|o| o.1 == Outcome::Completed).count();
         Report { asked: outcomes.len(), served, violations, late: self.lateness.most() }
     }
 }
@@ -232,7 +232,7 @@
     node: usize,
     seed: u64,
     member: &Arc<Member>,
-    table: &Arc<Table>,
+    table: &Arc<RequestTable>,
     on: &AtomicBool,
 ) -> Vec<(String, Outcome)> {
     let mut chance = WyRand::new_seed(seed ^ ((node as u64 + 1) << 32));
@@ -246,20 +246,21 @@
         k += 1;
         let once = chance.generate_range(0..4u32) == 0;
         let leaves = chance.generate_range(0..8u32) == 0;
-        let asked = Asked {
+        let asked = ClientRequest {
             id: format!("s{node}x{k}"),
             class: if once { "pay" } else { "chat" }.into(),
-            once,
+            at_most_once: once,
             timeout: TIMEOUT,
-            leaves_after: leaves.then(|| Duration::from_millis(chance.generate_range(0..600u64))),
+            disconnect_after: leaves.then(|| Duration::from_millis(chance.generate_range(0..600u64))),
         };
         let (member, table) = (member.clone(), table.clone());
         open.push(smol::spawn(async move {
             let began = Instant::now();
-            let outcome = request(member.address, &asked, &table, Rules::default().answer_slack).await;
-            let lost = matches!(outcome, Outcome::Closed | Outcome::Silent);
+            let outcome =
+                send_request(member.address, &asked, &table, RuleLimits::default().answer_slack).await;
+            let lost = matches!(outcome, Outcome::ConnectionClosed | Outcome::TimedOut);
             if lost && !member.was_killed_since(began) {
-                table.unanswered(&asked.id, format!("{outcome:?} after {:?}", began.elapsed()));
+                table.no_final_answer(&asked.id, format!("{outcome:?} after {:?}", began.elapsed()));
             }
             (asked.id, outcome)
         }));
--- a/crates/nickelgw-test-servers/src/platform/client.rs
+++ b/crates/nickelgw-test-servers/src/platform/client.rs
@@ -1,122 +1,132 @@
-//! A client of the platform: one request on a connection of its own, judged by what comes back.
+//! A client of the platform: one request on a connection of its own, and what became of it.
 
-use super::http::{chunk, read};
-use super::table::Table;
+use super::http::{chunk, read_some, LAST_CHUNK};
+use super::request_table::RequestTable;
 use futures_lite::{future, AsyncWriteExt};
 use smol::net::TcpStream;
 use smol::Timer;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A stream that its engine no longer continues is ended by the node in this time: 5 s, and some for the streams themselves.
-const LONGEST_STREAM: Duration = Duration::from_secs(7);
+/// A node ends a stream that its engine no longer continues within 5 s; the rest is for the stream itself.
+const MAX_STREAM: Duration = Duration::from_secs(7);
+/// First event of every stream.
+const FIRST_EVENT: &str = "data: {\"n\":1}\n\n";
+const BODY: &str = r#"{"model":"chat","stream":true,"messages":[]}"#;
 
-/// What it asks, and how long it stays.
+/// A request, and how long its client stays.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct ClientRequest {
+    /// Id of the request.
     pub id: String,
-    /// Its class's name, as the settings have it.
+    /// Name of its class in the configuration.
     pub class: String,
-    /// It may not run twice.
-    pub once: bool,
+    /// Whether it must not run twice.
+    pub at_most_once: bool,
+    /// Time for the first event.
     pub timeout: Duration,
-    /// It closes its connection after so long.
-    pub leaves_after: Option<Duration>,
+    /// The client disconnects after so long.
+    pub disconnect_after: Option<Duration>,
 }
 
 /// What became of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The whole stream came.
-    Served,
-    /// A status other than 200.
+    Completed,
+    /// A status other than 200 came.
     Status(u16),
     /// The stream has begun with these bytes.
-    Begun(Vec<u8>),
+    Streaming(Vec<u8>),
     /// The stream began and broke.
-    Broken,
-    /// No connection to the node came up.
-    Refused,
-    /// It ended before an answer.
-    Closed,
+    StreamBroken,
+    /// The node could not be reached.
+    ConnectionRefused,
+    /// The connection ended without a response.
+    ConnectionClosed,
     /// Nothing came within the deadline and its slack.
-    Silent,
-    /// The client left.
-    Left,
+    TimedOut,
+    /// The client disconnected.
+    Disconnected,
 }
 
-/// Asks a node, tells the table of it, and says what came.
-pub async fn request(node: SocketAddr, asked: &Asked, table: &Table, slack: Duration) -> Outcome {
-    let Ok(mut stream) = TcpStream::connect(node).await else { return Outcome::Refused };
-    let body = r#"{"model":"chat","stream":true,"messages":[]}"#;
-    let text = format!(
-        "POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: {}\r\nX-Call-Class: {}\r\nX-Route-Hash: {}\r\n\
-         X-Budget-Ms: {}\r\nX-Call-Info: prompt_len=20,prefix_len=0,max_out=9\r\nContent-Length: {}\r\n\r\n{body}",
-        asked.id,
-        asked.class,
-        asked.id,
-        asked.timeout.as_millis(),
-        body.len(),
-    );
-    table.client_sends(&asked.id, asked.timeout, asked.once);
-    if stream.write_all(text.as_bytes()).await.is_err() {
-        return Outcome::Closed;
+impl ClientRequest {
+    fn encode(&self) -> String {
+        format!(
+            "POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\n\
+             X-Route-Hash: {id}\r\nX-Budget-Ms: {budget_ms}\r\nX-Call-Info: prompt_len=20,prefix_len=0,max_out=9\r\n\
+             Content-Length: {length}\r\n\r\n{BODY}",
+            id = self.id,
+            class = self.class,
+            budget_ms = self.timeout.as_millis(),
+            length = BODY.len(),
+        )
     }
-    let begun = first(&mut stream);
-    let late = async {
-        Timer::after(asked.timeout + slack).await;
-        Outcome::Silent
-    };
-    let leaves = async {
-        match asked.leaves_after {
-            Some(after) => drop(Timer::after(after).await),
-            None => future::pending().await,
-        }
-        Outcome::Left
-    };
-    let outcome = match future::or(begun, future::or(leaves, late)).await {
-        // A begun stream has no deadline, but it has to end.
-        Outcome::Begun(all) => {
-            let ends = async {
-                Timer::after(LONGEST_STREAM).await;
-                Outcome::Silent
-            };
-            future::or(rest(&mut stream, all), ends).await
+}
+
+/// Sends a request to a node, enters it in the table, and returns what became of it.
+pub async fn send_request(
+    node: SocketAddr,
+    request: &ClientRequest,
+    table: &RequestTable,
+    answer_slack: Duration,
+) -> Outcome {
+    let Ok(mut stream) = TcpStream::connect(node).await else { return Outcome::ConnectionRefused };
+    table.request_sent(&request.id, request.timeout, request.at_most_once);
+    if stream.write_all(request.encode().as_bytes()).await.is_err() {
+        return Outcome::ConnectionClosed;
+    }
+    let timeout = outcome_after(Some(request.timeout + answer_slack), Outcome::TimedOut);
+    let disconnect = outcome_after(request.disconnect_after, Outcome::Disconnected);
+    let limits = future::or(disconnect, timeout);
+    let outcome = match future::or(read_first_event(&mut stream), limits).await {
+        // A stream that has begun has no deadline, but it has to end.
+        Outcome::Streaming(received) => {
+            let end = read_to_end(&mut stream, received);
+            future::or(end, outcome_after(Some(MAX_STREAM), Outcome::TimedOut)).await
         }
         other => other,
     };
     drop(stream);
-    if outcome == Outcome::Left {
-        table.client_leaves(&asked.id);
+    if outcome == Outcome::Disconnected {
+        table.client_disconnected(&request.id);
+    }
+    outcome
+}
+
+/// The outcome after a time; never without one.
+async fn outcome_after(time: Option<Duration>, outcome: Outcome) -> Outcome {
+    match time {
+        Some(time) => drop(Timer::after(time).await),
+        None => future::pending().await,
     }
     outcome
 }
 
-/// Up to the first event of a stream, or the whole of another answer.
-async fn first(stream: &mut TcpStream) -> Outcome {
-    let mut all = Vec::new();
+/// Reads up to the first event of a stream, or the whole of another response.
+async fn read_first_event(stream: &mut TcpStream) -> Outcome {
+    let mut received = Vec::new();
     loop {
-        let text = String::from_utf8_lossy(&all);
-        let status =
-            text.split(' ').nth(1).and_then(|s| s.parse().ok()).filter(|_| text.contains("\r\n\r\n"));
-        match status {
-            Some(200u16) if text.ends_with("0\r\n\r\n") => return Outcome::Served,
-            Some(200) if text.contains(&chunk("data: {\"n\":1}\n\n")) => return Outcome::Begun(all.clone()),
+        let text = String::from_utf8_lossy(&received);
+        let status = text.split(' ').nth(1).and_then(|status| status.parse().ok());
+        match status.filter(|_| text.contains("\r\n\r\n")) {
+            Some(200u16) if text.ends_with(LAST_CHUNK) => return Outcome::Completed,
+            Some(200) if text.contains(&chunk(FIRST_EVENT)) => return Outcome::Streaming(received.clone()),
             Some(200) | None => {}
             Some(status) => return Outcome::Status(status),
         }
-        if read(stream, &mut all).await == 0 {
-            return Outcome::Closed;
+        if read_some(stream, &mut received).await == 0 {
+            return Outcome::ConnectionClosed;
         }
     }
 }
 
-/// A begun stream, to its end: its deadline no longer runs.
-async fn rest(stream: &mut TcpStream, mut all: Vec<u8>) -> Outcome {
-    while !all.ends_with(b"0\r\n\r\n") {
-        if read(stream, &mut all).await == 0 {
-            return Outcome::Broken;
+/// Reads a stream that has begun to its end.
+async fn read_to_end(stream: &mut TcpStream, mut received: Vec<u8>) -> Outcome {
+    while !received.ends_with(LAST_CHUNK.as_bytes()) {
+        if read_some(stream, &mut received).await == 0 {
+            return Outcome::StreamBroken;
         }
     }
-    Outcome::Served
+    Outcome::Completed
 }
--- a/crates/nickelgw-test-servers/src/platform/engine.rs
+++ b/crates/nickelgw-test-servers/src/platform/engine.rs
@@ -1,7 +1,8 @@
-//! An engine of the platform: a reader (prefill) or a writer (decode), with times and failures as a test sets them.
+//! A prefill or decode engine of the platform, with times and faults as a test sets them.
 
-use super::http::{answer, chunk, message, read, Message};
-use super::table::Table;
+use super::http::{chunk, read_message, read_some, response, Message, LAST_CHUNK};
+use super::request_table::RequestTable;
+use super::Role;
 use futures_lite::{future, AsyncWriteExt};
 use smol::net::{TcpListener, TcpStream};
 use smol::Timer;
@@ -10,30 +11,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Path of the calls that release what is held for a request.
-const RELEASE: &str = "/internal/reservations/";
+/// Path of release calls, before the request's id.
+const RELEASE_PATH: &str = "/internal/reservations/";
+/// Time between checks whether the engine still hangs.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Work and stream time of a new engine.
+const DEFAULT_TIME_MS: u64 = 10;
+/// Header of responses to attempts that have not run.
+const REJECTED_HEADER: &str = "X-Rejected: 1\r\n";
+const STREAM_HEAD: &str =
+    "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
 
-/// What an engine is for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
-    Prefill,
-    Decode,
-}
-
-/// How it works, changed at any time.
+/// How an engine works; a test may change it at any time.
 #[derive(Default)]
 pub struct Behaviour {
     /// Time for a prefill, or until a decode attempt claims its reservation.
     pub work_ms: AtomicU64,
     /// Time from a stream's first event to its last.
     pub stream_ms: AtomicU64,
-    /// Attempts are taken and get no answer, until this ends.
+    /// Attempts get no response while this is set.
     pub hangs: AtomicBool,
-    /// Its work is done, and then the connection breaks in place of an answer.
-    pub loses_answers: AtomicBool,
-    /// Attempts are turned away.
-    pub full: AtomicBool,
-    /// Release calls that it has answered.
+    /// The work is done, and then the connection is closed without a response.
+    pub loses_responses: AtomicBool,
+    /// Attempts are rejected.
+    pub is_full: AtomicBool,
+    /// Release calls answered.
     pub releases: AtomicU64,
     /// Attempts that have arrived.
     pub attempts: AtomicU64,
@@ -42,126 +44,134 @@
 /// An engine that serves until the process ends.
 #[derive(Clone)]
 pub struct Engine {
+    /// Where it listens.
     pub address: SocketAddr,
+    /// Phase that it runs.
     pub role: Role,
+    /// How it works.
     pub behaviour: Arc<Behaviour>,
-    table: Arc<Table>,
-    number: usize,
+    table: Arc<RequestTable>,
+    index: usize,
 }
 
 impl Engine {
-    /// Starts an engine on a port of its own.
-    pub async fn start(number: usize, role: Role, table: Arc<Table>) -> std::io::Result<Engine> {
+    /// Starts an engine on a free port.
+    pub async fn start(index: usize, role: Role, table: Arc<RequestTable>) -> std::io::Result<Engine> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let behaviour =
-            Arc::new(Behaviour { work_ms: 10.into(), stream_ms: 10.into(), ..Behaviour::default() });
-        let engine = Engine { address: listener.local_addr()?, role, behaviour, table, number };
-        let serving = engine.clone();
-        smol::spawn(async move {
-            loop {
-                if let Ok((stream, _)) = listener.accept().await {
-                    let _ = stream.set_nodelay(true);
-                    smol::spawn(serving.clone().connection(stream)).detach();
-                }
-            }
-        })
-        .detach();
+        let behaviour = Arc::new(Behaviour {
+            work_ms: DEFAULT_TIME_MS.into(),
+            stream_ms: DEFAULT_TIME_MS.into(),
+            ..Behaviour::default()
+        });
+        let engine = Engine { address: listener.local_addr()?, role, behaviour, table, index };
+        smol::spawn(engine.clone().accept(listener)).detach();
         Ok(engine)
     }
 
-    async fn connection(self, mut stream: TcpStream) {
-        let mut buf = Vec::new();
-        while let Some(asked) = message(&mut stream, &mut buf).await {
-            let Some(bytes) = self.respond(&asked, &mut stream, &mut buf).await else { return };
-            if stream.write_all(bytes.as_bytes()).await.is_err() {
+    async fn accept(self, listener: TcpListener) {
+        loop {
+            if let Ok((stream, _)) = listener.accept().await {
+                let _ = stream.set_nodelay(true);
+                smol::spawn(self.clone().serve(stream)).detach();
+            }
+        }
+    }
+
+    async fn serve(self, mut stream: TcpStream) {
+        let mut buffer = Vec::new();
+        while let Some(request) = read_message(&mut stream, &mut buffer).await {
+            let response = self.respond(&request, &mut stream, &mut buffer).await;
+            let Some(response) = response else { return };
+            if stream.write_all(response.as_bytes()).await.is_err() {
                 return;
             }
         }
     }
 
-    /// The last bytes of the answer; none: the connection ends.
-    async fn respond(&self, asked: &Message, stream: &mut TcpStream, buf: &mut Vec<u8>) -> Option<String> {
-        if let Some(id) = asked.second().strip_prefix(RELEASE) {
+    /// The last bytes of the response; none: the connection is closed.
+    async fn respond(
+        &self,
+        request: &Message,
+        stream: &mut TcpStream,
+        buffer: &mut Vec<u8>,
+    ) -> Option<String> {
+        if let Some(id) = request.path().strip_prefix(RELEASE_PATH) {
             self.table.release(id);
             self.behaviour.releases.fetch_add(1, Relaxed);
-            return Some(answer("204 No Content", "", ""));
+            return Some(response("204 No Content", "", ""));
         }
-        if asked.line.starts_with("GET") {
-            return Some(answer("200 OK", "", "x0=0.1,x1=0"));
+        if request.first_line.starts_with("GET") {
+            return Some(response("200 OK", "", "x0=0.1,x1=0"));
         }
-        let id = asked.header("x-call-id")?.to_string();
-        let told = asked.header("x-budget-ms").and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
+        let id = request.header("x-call-id")?.to_string();
+        let budget_ms = request.header("x-budget-ms").and_then(|value| value.parse().ok());
         self.behaviour.attempts.fetch_add(1, Relaxed);
-        let decode = self.role == Role::Decode;
-        self.table.attempt_arrives(&id, told, decode);
-        let _out = Arrived { table: self.table.clone(), id: id.clone(), decode };
+        let attempt = OpenAttempt::new(self, id, budget_ms.map(Duration::from_millis));
+        if self.behaviour.is_full.load(Relaxed) {
+            return Some(response("503 Service Unavailable", REJECTED_HEADER, ""));
+        }
         match self.role {
-            Role::Prefill => self.prefill(&id, stream, buf).await,
-            Role::Decode => self.decode(&id, stream, buf).await,
+            Role::Prefill => self.prefill(&attempt.id, stream, buffer).await,
+            Role::Decode => self.decode(&attempt.id, stream, buffer).await,
         }
     }
 
-    fn turned_away(&self) -> Option<String> {
-        let full = self.behaviour.full.load(Relaxed);
-        full.then(|| answer("503 Service Unavailable", "X-Rejected: 1\r\n", ""))
-    }
-
-    /// Works for its time; false: the far side closed before.
-    async fn work(&self, stream: &mut TcpStream, buf: &mut Vec<u8>) -> bool {
+    /// Works for its time; false if the node closes the connection before.
+    async fn work(&self, stream: &mut TcpStream, buffer: &mut Vec<u8>) -> bool {
         let done = async {
             Timer::after(Duration::from_millis(self.behaviour.work_ms.load(Relaxed))).await;
             while self.behaviour.hangs.load(Relaxed) {
-                Timer::after(Duration::from_millis(10)).await;
+                Timer::after(POLL_INTERVAL).await;
             }
             true
         };
         let closed = async {
-            while read(stream, buf).await > 0 {}
+            while read_some(stream, buffer).await > 0 {}
             false
         };
         future::or(done, closed).await
     }
 
-    async fn prefill(&self, id: &str, stream: &mut TcpStream, buf: &mut Vec<u8>) -> Option<String> {
-        if let Some(rejected) = self.turned_away() {
-            return Some(rejected);
-        }
-        let releases = self.table.prefill_begins(id);
-        if !self.work(stream, buf).await {
+    async fn prefill(&self, id: &str, stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<String> {
+        let releases = self.table.prefill_started(id);
+        if !self.work(stream, buffer).await {
             return None;
         }
-        self.table.prefill_done(id, self.number, releases);
-        let answered = !self.behaviour.loses_answers.load(Relaxed);
-        answered.then(|| answer("202 Accepted", "", r#"{"cached_tokens":4}"#))
+        self.table.prefill_finished(id, self.index, releases);
+        let responds = !self.behaviour.loses_responses.load(Relaxed);
+        responds.then(|| response("202 Accepted", "", r#"{"cached_tokens":4}"#))
     }
 
-    async fn decode(&self, id: &str, stream: &mut TcpStream, buf: &mut Vec<u8>) -> Option<String> {
-        if let Some(rejected) = self.turned_away() {
-            return Some(rejected);
-        }
-        if !self.work(stream, buf).await || self.behaviour.loses_answers.load(Relaxed) {
+    async fn decode(&self, id: &str, stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<String> {
+        if !self.work(stream, buffer).await || self.behaviour.loses_responses.load(Relaxed) {
             return None;
         }
-        if !self.table.claim(id) {
-            return Some(answer("410 Gone", "X-Rejected: 1\r\n", ""));
+        if !self.table.claim_reservations(id) {
+            return Some(response("410 Gone", REJECTED_HEADER, ""));
         }
-        let head = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
-        let first = format!("{head}{}", chunk("data: {\"n\":1}\n\n"));
-        stream.write_all(first.as_bytes()).await.ok()?;
+        let begin = format!("{STREAM_HEAD}{}", chunk("data: {\"n\":1}\n\n"));
+        stream.write_all(begin.as_bytes()).await.ok()?;
         Timer::after(Duration::from_millis(self.behaviour.stream_ms.load(Relaxed))).await;
-        Some(format!("{}0\r\n\r\n", chunk("data: [DONE]\n\n")))
+        Some(format!("{}{LAST_CHUNK}", chunk("data: [DONE]\n\n")))
     }
 }
 
-/// An attempt at an engine; dropped, it has ended.
-struct Arrived {
-    table: Arc<Table>,
+/// An attempt at an engine; it ends when dropped.
+struct OpenAttempt {
+    table: Arc<RequestTable>,
     id: String,
-    decode: bool,
+    role: Role,
+}
+
+impl OpenAttempt {
+    fn new(engine: &Engine, id: String, budget: Option<Duration>) -> OpenAttempt {
+        engine.table.attempt_arrived(&id, budget, engine.role);
+        OpenAttempt { table: engine.table.clone(), id, role: engine.role }
+    }
 }
 
-impl Drop for Arrived {
+impl Drop for OpenAttempt {
     fn drop(&mut self) {
-        self.table.attempt_ends(&self.id, self.decode);
+        self.table.attempt_ended(&self.id, self.role);
     }
 }
--- a/crates/nickelgw-test-servers/src/platform/mod.rs
+++ b/crates/nickelgw-test-servers/src/platform/mod.rs
@@ -1,15 +1,18 @@
-//! Engines on the operators' platform protocol, behind fault proxies, with a table that judges from what arrived.
+//! Engines on the operators' platform protocol behind proxies that cause network faults, and clients.
 //!
-//! The engines share one [`Table`]: it knows every reservation, every attempt that has arrived and every client, and
-//! keeps the violations of the platform's rules. Nothing here reads the node's log.
+//! They share one [`RequestTable`]: it follows every reservation, every attempt that has arrived and every client, and
+//! collects violations of the platform's rules. No node's log is read.
 
 mod client;
 mod engine;
 mod http;
 mod proxy;
-mod table;
+mod request_table;
+mod violation;
 
-pub use client::{request, Asked, Outcome};
-pub use engine::{Behaviour, Engine, Role};
+pub use crate::engine_config::Role;
+pub use client::{send_request, ClientRequest, Outcome};
+pub use engine::{Behaviour, Engine};
 pub use proxy::Proxy;
-pub use table::{Rules, Table, Violation};
+pub use request_table::RequestTable;
+pub use violation::{RuleLimits, Violation};
--- a/crates/nickelgw-test-servers/src/platform/proxy.rs
+++ b/crates/nickelgw-test-servers/src/platform/proxy.rs
@@ -1,210 +1,220 @@
-//! A proxy in front of an engine that causes what networks do: connections that fall silent, break, are refused or late.
+//! A proxy in front of an engine that causes network faults: connections fall silent, break, are refused or delayed.
 
-use super::engine::{Engine, Role};
-use super::http::read;
-use super::table::Table;
+use super::engine::Engine;
+use super::http::read_some;
+use super::request_table::RequestTable;
+use super::Role;
 use futures_lite::AsyncWriteExt;
 use smol::net::{TcpListener, TcpStream};
 use std::net::{Shutdown, SocketAddr};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
+/// Header with a request's id, at the beginning of its line.
+const ID_HEADER: &str = "X-Call-Id: ";
+
 /// One connection through the proxy.
 struct Connection {
-    /// Bytes are taken and go nowhere; no end is told.
+    /// Bytes are read and dropped, and the engine's end is not passed on.
     silent: AtomicBool,
-    near: TcpStream,
-    far: TcpStream,
+    node: TcpStream,
+    engine: TcpStream,
     /// The node has closed its side.
-    node_ended: AtomicBool,
+    node_closed: AtomicBool,
     /// Id of the last request passed on.
-    last: Mutex<Option<String>>,
-    /// Id of a request whose answer nobody heard: its attempt is out until the node ends it.
-    unheard: Mutex<Option<String>>,
+    last_request: Mutex<Option<String>>,
+    /// Id of a request whose response was dropped: its attempt is open until the node ends it.
+    lost_response: Mutex<Option<String>>,
 }
 
 impl Connection {
     /// Remembers the id of a request that is passed on.
-    fn passes(&self, bytes: &[u8]) {
+    fn request_passed(&self, bytes: &[u8]) {
         let text = String::from_utf8_lossy(bytes);
-        let id = text.lines().find_map(|l| l.strip_prefix("X-Call-Id: "));
+        let id = text.lines().find_map(|line| line.strip_prefix(ID_HEADER));
         if let Some(id) = id {
-            *lock(&self.last) = Some(id.to_string());
+            *lock(&self.last_request) = Some(id.to_string());
         }
     }
 
-    /// An answer is swallowed, or the engine's end of the connection.
-    fn swallows(&self, engine: &Behind) {
-        // What the node has ended is not out any more, whatever its engine still says.
-        if self.node_ended.load(Relaxed) {
+    /// A response, or the engine's end of the connection, was dropped.
+    fn response_dropped(&self, upstream: &Upstream) {
+        // An attempt that the node has ended is not open, whatever the engine still sends.
+        if self.node_closed.load(Relaxed) {
             return;
         }
-        if let Some(id) = lock(&self.last).take() {
-            engine.table.answer_unheard(&id, engine.decode);
-            *lock(&self.unheard) = Some(id);
+        if let Some(id) = lock(&self.last_request).take() {
+            upstream.table.response_lost(&id, upstream.role);
+            *lock(&self.lost_response) = Some(id);
         }
     }
 
-    /// The node has ended it.
-    fn ends(&self, engine: &Behind) {
-        if let Some(id) = lock(&self.unheard).take() {
-            engine.table.attempt_ends(&id, engine.decode);
+    /// The node has ended the attempt whose response was dropped.
+    fn node_ended(&self, upstream: &Upstream) {
+        if let Some(id) = lock(&self.lost_response).take() {
+            upstream.table.attempt_ended(&id, upstream.role);
         }
     }
+
+    fn is_silent(&self) -> bool {
+        self.silent.load(Relaxed)
+    }
+
+    fn shut_down(&self) {
+        let _ = self.node.shutdown(Shutdown::Both);
+        let _ = self.engine.shutdown(Shutdown::Both);
+    }
 }
 
-fn lock<T>(of: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
+/// Open connections, and the faults of new ones.
 #[derive(Default)]
-struct Faults {
-    open: Mutex<Vec<Arc<Connection>>>,
+struct ProxyState {
+    connections: Mutex<Vec<Arc<Connection>>>,
     silent: AtomicBool,
     refuses: AtomicBool,
-    late_ms: AtomicU64,
+    delay_ms: AtomicU64,
 }
 
-/// Passes connections on to one engine.
+/// A proxy in front of one engine.
 #[derive(Clone)]
 pub struct Proxy {
-    /// Where it takes them.
+    /// Where it listens.
     pub address: SocketAddr,
-    faults: Arc<Faults>,
+    state: Arc<ProxyState>,
 }
 
 impl Proxy {
-    /// A proxy that takes connections on a port of its own until the process ends.
-    pub async fn start(engine: &Engine, table: Arc<Table>) -> std::io::Result<Proxy> {
+    /// Starts a proxy on a free port; it runs until the process ends.
+    pub async fn start(engine: &Engine, table: Arc<RequestTable>) -> std::io::Result<Proxy> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let proxy = Proxy { address: listener.local_addr()?, faults: Arc::default() };
-        let behind = Behind { address: engine.address, decode: engine.role == Role::Decode, table };
-        smol::spawn(accept(listener, behind, proxy.faults.clone())).detach();
+        let proxy = Proxy { address: listener.local_addr()?, state: Arc::default() };
+        let upstream = Upstream { address: engine.address, role: engine.role, table };
+        smol::spawn(accept(listener, upstream, proxy.state.clone())).detach();
         Ok(proxy)
     }
 
-    fn open(&self) -> Vec<Arc<Connection>> {
-        lock(&self.faults.open).clone()
+    fn connections(&self) -> Vec<Arc<Connection>> {
+        lock(&self.state.connections).clone()
     }
 
-    /// Connections that are open fall silent, for good; new ones work.
-    pub fn silence_open(&self) {
-        self.open().iter().for_each(|c| c.silent.store(true, Relaxed));
+    /// Open connections fall silent for good; new ones work.
+    pub fn silence_connections(&self) {
+        for connection in self.connections() {
+            connection.silent.store(true, Relaxed);
+        }
     }
 
-    /// The engine's machine is cut off: open connections fall silent, and new ones are from the start.
+    /// The engine is cut off: open connections fall silent, and new ones are silent from the start.
     pub fn silence(&self, on: bool) {
-        self.faults.silent.store(on, Relaxed);
+        self.state.silent.store(on, Relaxed);
         if on {
-            self.silence_open();
+            self.silence_connections();
         }
     }
 
     /// Open connections break.
-    pub fn break_open(&self) {
-        for c in self.open() {
-            let _ = c.near.shutdown(Shutdown::Both);
-            let _ = c.far.shutdown(Shutdown::Both);
-        }
+    pub fn break_connections(&self) {
+        self.connections().iter().for_each(|connection| connection.shut_down());
     }
 
-    /// New connections are closed as they come.
+    /// New connections are closed at once.
     pub fn refuse(&self, on: bool) {
-        self.faults.refuses.store(on, Relaxed);
+        self.state.refuses.store(on, Relaxed);
     }
 
-    /// What is sent on new connections is passed on only so long after they were opened.
-    pub fn delay(&self, by: Duration) {
-        self.faults.late_ms.store(by.as_millis() as u64, Relaxed);
+    /// New connections pass bytes on only so long after they were opened.
+    pub fn delay(&self, delay: Duration) {
+        self.state.delay_ms.store(delay.as_millis() as u64, Relaxed);
     }
 
-    /// All faults end; what has fallen silent breaks, as it does when a machine is back.
+    /// All faults end; silent connections break, as they do when a machine is back.
     pub fn heal(&self) {
         self.silence(false);
         self.refuse(false);
         self.delay(Duration::ZERO);
-        for c in self.open().iter().filter(|c| c.silent.load(Relaxed)) {
-            let _ = c.near.shutdown(Shutdown::Both);
-            let _ = c.far.shutdown(Shutdown::Both);
-        }
+        let connections = self.connections();
+        let silent = connections.iter().filter(|connection| connection.is_silent());
+        silent.for_each(|connection| connection.shut_down());
     }
 }
 
 /// The engine behind a proxy.
 #[derive(Clone)]
-struct Behind {
+struct Upstream {
     address: SocketAddr,
-    decode: bool,
-    table: Arc<Table>,
+    role: Role,
+    table: Arc<RequestTable>,
 }
 
-async fn accept(listener: TcpListener, engine: Behind, faults: Arc<Faults>) {
+async fn accept(listener: TcpListener, upstream: Upstream, state: Arc<ProxyState>) {
     loop {
-        let Ok((near, _)) = listener.accept().await else { continue };
-        if !faults.refuses.load(Relaxed) {
-            smol::spawn(serve(near, engine.clone(), faults.clone())).detach();
+        let Ok((node, _)) = listener.accept().await else { continue };
+        if !state.refuses.load(Relaxed) {
+            smol::spawn(serve(node, upstream.clone(), state.clone())).detach();
         }
     }
 }
 
-async fn serve(near: TcpStream, engine: Behind, faults: Arc<Faults>) {
-    let Ok(far) = TcpStream::connect(engine.address).await else { return };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let silent = AtomicBool::new(faults.silent.load(Relaxed));
+async fn serve(node: TcpStream, upstream: Upstream, state: Arc<ProxyState>) {
+    let Ok(engine) = TcpStream::connect(upstream.address).await else { return };
+    let _ = (node.set_nodelay(true), engine.set_nodelay(true));
     let connection = Arc::new(Connection {
-        silent,
-        near: near.clone(),
-        far: far.clone(),
-        node_ended: AtomicBool::new(false),
-        last: Mutex::default(),
-        unheard: Mutex::default(),
+        silent: AtomicBool::new(state.silent.load(Relaxed)),
+        node,
+        engine,
+        node_closed: AtomicBool::new(false),
+        last_request: Mutex::default(),
+        lost_response: Mutex::default(),
     });
-    lock(&faults.open).push(connection.clone());
-    smol::Timer::after(Duration::from_millis(faults.late_ms.load(Relaxed))).await;
-    let there = async {
-        pump(near.clone(), far.clone(), &connection, &engine, true).await;
-        connection.ends(&engine);
-    };
-    let back = async {
-        pump(far.clone(), near.clone(), &connection, &engine, false).await;
-        // The engine's end of a silent connection is not heard either.
-        if connection.silent.load(Relaxed) {
-            connection.swallows(&engine);
-        }
+    lock(&state.connections).push(connection.clone());
+    smol::Timer::after(Duration::from_millis(state.delay_ms.load(Relaxed))).await;
+    let requests = async {
+        copy_requests(&connection).await;
+        connection.node_ended(&upstream);
     };
-    futures_lite::future::zip(there, back).await;
-    let mut open = lock(&faults.open);
-    open.retain(|c| !Arc::ptr_eq(c, &connection));
+    let responses = copy_responses(&connection, &upstream);
+    futures_lite::future::zip(requests, responses).await;
+    lock(&state.connections).retain(|open| !Arc::ptr_eq(open, &connection));
 }
 
-/// Passes bytes on until the end. A node's end is always passed on, as what it has given up is not out any more; an engine's is not when the
-/// connection is silent.
-async fn pump(
-    mut from: TcpStream,
-    mut to: TcpStream,
-    connection: &Connection,
-    engine: &Behind,
-    from_node: bool,
-) {
-    let mut buf = Vec::new();
-    while read(&mut from, &mut buf).await > 0 {
-        let silent = connection.silent.load(Relaxed);
-        match (silent, from_node) {
-            (false, true) => connection.passes(&buf),
-            (true, false) => connection.swallows(engine),
-            _ => {}
+/// Passes bytes from the node on until its end. The end is always passed on, because an attempt that the node has
+/// ended is not open any more.
+async fn copy_requests(connection: &Connection) {
+    let (mut node, mut engine) = (connection.node.clone(), connection.engine.clone());
+    let mut buffer = Vec::new();
+    while read_some(&mut node, &mut buffer).await > 0 {
+        if !connection.is_silent() {
+            connection.request_passed(&buffer);
+            if engine.write_all(&buffer).await.is_err() {
+                break;
+            }
         }
-        if !silent && to.write_all(&buf).await.is_err() {
+        buffer.clear();
+    }
+    connection.node_closed.store(true, Relaxed);
+    connection.shut_down();
+}
+
+/// Passes bytes from the engine on until its end, which is not passed on when the connection is silent.
+async fn copy_responses(connection: &Connection, upstream: &Upstream) {
+    let (mut node, mut engine) = (connection.node.clone(), connection.engine.clone());
+    let mut buffer = Vec::new();
+    while read_some(&mut engine, &mut buffer).await > 0 {
+        if connection.is_silent() {
+            connection.response_dropped(upstream);
+        } else if node.write_all(&buffer).await.is_err() {
             break;
         }
-        buf.clear();
-    }
-    if from_node {
-        connection.node_ended.store(true, Relaxed);
+        buffer.clear();
     }
-    if from_node || !connection.silent.load(Relaxed) {
-        let _ = to.shutdown(Shutdown::Both);
-        let _ = from.shutdown(Shutdown::Both);
+    if connection.is_silent() {
+        connection.response_dropped(upstream);
+    } else {
+        connection.shut_down();
     }
 }
--- /dev/null
+++ b/crates/nickelgw-test-servers/src/platform/request_table.rs
@@ -0,0 +1,231 @@
+//! What all engines know together: reservations and attempts by request, and the violations found.
+
+use super::{Role, RuleLimits, Violation};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::time::{Duration, Instant};
+
+/// What is known of one request.
+#[derive(Default)]
+struct RequestState {
+    /// Engines that hold a reservation for it.
+    reserved_at: BTreeSet<usize>,
+    /// Release calls so far: a prefill during which one came leaves no reservation.
+    releases: u64,
+    /// Attempts that have arrived and have not ended.
+    attempts: u32,
+    /// Those of them that decode.
+    decode_attempts: u32,
+    /// Since when a reservation stands with no attempt at an engine.
+    unattended_since: Option<Instant>,
+    /// The longest such time that has ended.
+    longest_unattended: Duration,
+    /// Decode attempts that were not rejected.
+    runs: u32,
+    at_most_once: bool,
+    /// Its node was killed, and the platform frees what it left.
+    excused: bool,
+    deadline: Option<Instant>,
+    disconnected_at: Option<Instant>,
+}
+
+impl RequestState {
+    /// Starts or stops the clock of an unattended reservation.
+    fn update_unattended(&mut self, now: Instant) {
+        if !self.reserved_at.is_empty() && self.attempts == 0 {
+            self.unattended_since.get_or_insert(now);
+        } else if let Some(since) = self.unattended_since.take() {
+            self.longest_unattended = self.longest_unattended.max(now - since);
+        }
+    }
+
+    fn add_attempt(&mut self, role: Role) {
+        self.attempts += 1;
+        self.decode_attempts += u32::from(role == Role::Decode);
+    }
+
+    fn remove_attempt(&mut self, role: Role) {
+        self.attempts = self.attempts.saturating_sub(1);
+        self.decode_attempts = self.decode_attempts.saturating_sub(u32::from(role == Role::Decode));
+    }
+
+    fn longest_unattended(&self) -> Duration {
+        let current = self.unattended_since.map_or(Duration::ZERO, |since| since.elapsed());
+        self.longest_unattended.max(current)
+    }
+}
+
+/// Requests by their id, and violations.
+#[derive(Default)]
+pub struct RequestTable {
+    limits: RuleLimits,
+    requests: Mutex<BTreeMap<String, RequestState>>,
+    violations: Mutex<Vec<Violation>>,
+}
+
+impl RequestTable {
+    /// A table that judges by these limits.
+    pub fn new(limits: RuleLimits) -> RequestTable {
+        RequestTable { limits, ..RequestTable::default() }
+    }
+
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<String, RequestState>> {
+        self.requests.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn lock_violations(&self) -> MutexGuard<'_, Vec<Violation>> {
+        self.violations.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn report(&self, violation: Violation) {
+        self.lock_violations().push(violation);
+    }
+
+    fn update<T>(&self, id: &str, change: impl FnOnce(&mut RequestState) -> T) -> T {
+        let mut requests = self.lock();
+        let request = requests.entry(id.to_string()).or_default();
+        let result = change(request);
+        request.update_unattended(Instant::now());
+        result
+    }
+
+    /// A client sends a request with this timeout.
+    pub fn request_sent(&self, id: &str, timeout: Duration, at_most_once: bool) {
+        let deadline = Some(Instant::now() + timeout);
+        self.update(id, |request| {
+            request.deadline = deadline;
+            request.at_most_once = at_most_once;
+        });
+    }
+
+    /// The client has closed its connection.
+    pub fn client_disconnected(&self, id: &str) {
+        self.update(id, |request| request.disconnected_at = Some(Instant::now()));
+    }
+
+    /// A client got no final answer.
+    pub fn no_final_answer(&self, id: &str, outcome: String) {
+        self.report(Violation::NoFinalAnswer { id: id.to_string(), outcome });
+    }
+
+    /// The last byte of an attempt has arrived at an engine of this role, with its time budget.
+    pub fn attempt_arrived(&self, id: &str, budget: Option<Duration>, role: Role) {
+        let now = Instant::now();
+        let (disconnected_at, deadline) = self.update(id, |request| {
+            request.add_attempt(role);
+            (request.disconnected_at, request.deadline)
+        });
+        let late = disconnected_at.map(|at| now - at);
+        if let Some(late) = late.filter(|late| *late > self.limits.disconnect_slack) {
+            self.report(Violation::AttemptAfterDisconnect { id: id.to_string(), late });
+        }
+        if let (Some(budget), Some(deadline)) = (budget, deadline) {
+            let excess = budget.saturating_sub(deadline.saturating_duration_since(now));
+            if excess > self.limits.deadline_slack {
+                self.report(Violation::BudgetPastDeadline { id: id.to_string(), excess });
+            }
+        }
+    }
+
+    /// A response was lost on its way to the node, for which the attempt stays open until the node ends it.
+    pub fn response_lost(&self, id: &str, role: Role) {
+        self.update(id, |request| request.add_attempt(role));
+    }
+
+    /// An attempt has ended: it was answered, or its connection was closed.
+    pub fn attempt_ended(&self, id: &str, role: Role) {
+        self.update(id, |request| request.remove_attempt(role));
+    }
+
+    /// A prefill begins; returns the number of release calls so far.
+    pub fn prefill_started(&self, id: &str) -> u64 {
+        self.update(id, |request| request.releases)
+    }
+
+    /// A prefill is done. It leaves a reservation unless a release call came since it began.
+    pub fn prefill_finished(&self, id: &str, engine: usize, releases_at_start: u64) {
+        self.update(id, |request| {
+            if request.releases == releases_at_start && !request.excused {
+                request.reserved_at.insert(engine);
+            }
+        });
+    }
+
+    /// A decode attempt claims the reservations; false if there are none.
+    pub fn claim_reservations(&self, id: &str) -> bool {
+        let (found, is_duplicate) = self.update(id, |request| {
+            let found = !request.reserved_at.is_empty();
+            request.reserved_at.clear();
+            request.runs += u32::from(found);
+            (found, request.at_most_once && request.runs > 1)
+        });
+        if is_duplicate {
+            self.report(Violation::DuplicateRun { id: id.to_string() });
+        }
+        found
+    }
+
+    /// A release call: reservations end unless a decode attempt waits for them, and a prefill under way leaves none.
+    pub fn release(&self, id: &str) {
+        self.update(id, |request| {
+            request.releases += 1;
+            if request.decode_attempts == 0 {
+                request.reserved_at.clear();
+            }
+        });
+    }
+
+    /// The longest time for which a reservation of the request was unattended, up to now.
+    pub fn longest_unattended(&self, id: &str) -> Duration {
+        self.lock().get(id).map_or(Duration::ZERO, RequestState::longest_unattended)
+    }
+
+    /// Whether the request has a reservation.
+    pub fn is_reserved(&self, id: &str) -> bool {
+        self.lock().get(id).is_some_and(|request| !request.reserved_at.is_empty())
+    }
+
+    /// Requests with reservations, and the number of their open attempts.
+    pub fn reserved_requests(&self) -> Vec<(String, u32)> {
+        let requests = self.lock();
+        let reserved = requests.iter().filter(|(_, request)| !request.reserved_at.is_empty());
+        reserved.map(|(id, request)| (id.clone(), request.attempts)).collect()
+    }
+
+    /// Whether any request has a reservation.
+    pub fn has_reservations(&self) -> bool {
+        !self.reserved_requests().is_empty()
+    }
+
+    /// Number of requests known.
+    pub fn len(&self) -> usize {
+        self.lock().len()
+    }
+
+    /// Whether no request is known.
+    pub fn is_empty(&self) -> bool {
+        self.len() == 0
+    }
+
+    /// Excuses the requests of a node that was killed: the platform frees what it left.
+    pub fn excuse_requests(&self, id_prefix: &str) {
+        for (_, request) in self.lock().iter_mut().filter(|(id, _)| id.starts_with(id_prefix)) {
+            request.reserved_at.clear();
+            request.unattended_since = None;
+            request.excused = true;
+        }
+    }
+
+    /// All violations up to now.
+    pub fn violations(&self) -> Vec<Violation> {
+        let mut violations = self.lock_violations().clone();
+        let ids: Vec<String> = self.lock().keys().cloned().collect();
+        for id in ids {
+            let duration = self.longest_unattended(&id);
+            if duration > self.limits.max_unattended {
+                violations.push(Violation::UnattendedReservation { id, duration });
+            }
+        }
+        violations
+    }
+}
--- /dev/null
+++ b/crates/nickelgw-test-servers/src/platform/violation.rs
@@ -0,0 +1,66 @@
+//! Rules of the platform: their limits and their violations.
+
+use std::time::Duration;
+
+/// Limits of the platform's rules.
+#[derive(Clone, Copy, Debug)]
+pub struct RuleLimits {
+    /// Longest time in which a reservation stands with no attempt of its request at an engine.
+    pub max_unattended: Duration,
+    /// An attempt may arrive so long after its client has disconnected.
+    pub disconnect_slack: Duration,
+    /// The time budget of an attempt may exceed what its client has left by so much.
+    pub deadline_slack: Duration,
+    /// A final answer may come so long after the client's deadline.
+    pub answer_slack: Duration,
+}
+
+impl Default for RuleLimits {
+    /// The limits in the platform's documents, with `release_s` 0.5.
+    fn default() -> RuleLimits {
+        RuleLimits {
+            max_unattended: Duration::from_millis(800),
+            disconnect_slack: Duration::from_millis(100),
+            deadline_slack: Duration::from_millis(150),
+            answer_slack: Duration::from_millis(500),
+        }
+    }
+}
+
+/// A violation of a rule by one request.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Violation {
+    /// A reservation stood for too long with no attempt at an engine.
+    UnattendedReservation {
+        /// The request.
+        id: String,
+        /// For how long.
+        duration: Duration,
+    },
+    /// A request that may run once has run again.
+    DuplicateRun {
+        /// The request.
+        id: String,
+    },
+    /// An attempt arrived too long after its client had disconnected.
+    AttemptAfterDisconnect {
+        /// The request.
+        id: String,
+        /// How long after.
+        late: Duration,
+    },
+    /// An attempt had a larger time budget than its client had time left.
+    BudgetPastDeadline {
+        /// The request.
+        id: String,
+        /// By how much.
+        excess: Duration,
+    },
+    /// A client got no final answer in time.
+    NoFinalAnswer {
+        /// The request.
+        id: String,
+        /// What it got.
+        outcome: String,
+    },
+}
