--- a/crates/nickelgw-test-servers/src/client/raw.rs
+++ b/crates/nickelgw-test-servers/src/client/raw.rs
@@ -46,8 +46,8 @@
 }
 
 /// A control call to a test server; the body of its response.
-pub async fn control(address: &str, order: &Value) -> Option<Value> {
-    let body = order.to_string();
+pub async fn control(address: &str, command: &Value) -> Option<Value> {
+    let body = command.to_string();
     let request = format!(
         "POST /control HTTP/1.1\r\nhost: {address}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
--- a/crates/nickelgw-test-servers/src/engine/control.rs
+++ b/crates/nickelgw-test-servers/src/engine/control.rs
@@ -35,11 +35,11 @@
         self: Rc<Self>,
         request: Request<Incoming>,
     ) -> Result<HttpResponse, ConnectionClosed> {
-        let Ok(order) = serde_json::from_slice::<Value>(&read_body(request).await?) else {
+        let Ok(command) = serde_json::from_slice::<Value>(&read_body(request).await?) else {
             return Ok(error_response(400, "bad_json"));
         };
-        self.recorder.record("fault", order.clone());
-        if let Err(error) = self.apply_fault(&order) {
+        self.recorder.record("fault", command.clone());
+        if let Err(error) = self.apply_fault(&command) {
             return Ok(error_response(400, error.code()));
         }
         let model = self.model.borrow();
@@ -54,39 +54,39 @@
         Ok(json_response(200, state))
     }
 
-    fn apply_fault(&self, order: &Value) -> Result<(), ControlError> {
-        let until = unix_now() + order["for_s"].as_f64().unwrap_or(0.0);
+    fn apply_fault(&self, command: &Value) -> Result<(), ControlError> {
+        let until = unix_now() + command["for_s"].as_f64().unwrap_or(0.0);
         let mut model = self.model.borrow_mut();
-        if self.faults.borrow_mut().apply(order, until, &model.config.zone) {
+        if self.faults.borrow_mut().apply(command, until, &model.config.zone) {
             return Ok(());
         }
-        match fault_name(order) {
+        match fault_name(command) {
             "die" => drop(self.exit.try_send(())),
             "slow" => {
-                let factor = order["factor"].as_f64().unwrap_or(DEFAULT_SLOWDOWN);
+                let factor = command["factor"].as_f64().unwrap_or(DEFAULT_SLOWDOWN);
                 model.slowdown = Slowdown { until, factor };
             }
             "forget" => model.clear_prefix_cache(),
             "drain" => model.draining = true,
-            _ => return self.apply_tls_fault(order, until),
+            _ => return self.apply_tls_fault(command, until),
         }
         Ok(())
     }
 
-    fn apply_tls_fault(&self, order: &Value, until: f64) -> Result<(), ControlError> {
-        let fault = fault_name(order);
+    fn apply_tls_fault(&self, command: &Value, until: f64) -> Result<(), ControlError> {
+        let fault = fault_name(command);
         if !matches!(fault, "cert" | "handshake_slow" | "handshake_cut") {
             return Err(ControlError::UnknownFault);
         }
         let tls = self.tls.as_ref().ok_or(ControlError::NoTls)?;
         match fault {
             "cert" => {
-                let path = |field: &str| order[field].as_str().map(PathBuf::from);
+                let path = |field: &str| command[field].as_str().map(PathBuf::from);
                 tls.replace_files(path("chain"), path("key"), path("trust"));
             }
             "handshake_cut" => tls.cut_handshakes(until),
             _ => {
-                let delay_s = order["rest_s"].as_f64().unwrap_or(DEFAULT_HANDSHAKE_DELAY_S);
+                let delay_s = command["rest_s"].as_f64().unwrap_or(DEFAULT_HANDSHAKE_DELAY_S);
                 tls.delay_handshakes(until, delay_s);
             }
         }
--- a/crates/nickelgw-test-servers/src/engine/faults.rs
+++ b/crates/nickelgw-test-servers/src/engine/faults.rs
@@ -119,37 +119,37 @@
     }
 
     /// Applies a control call; false if it asks for no fault of this kind.
-    pub fn apply(&mut self, order: &Value, until: f64, own_zone: &str) -> bool {
-        self.apply_request_fault(order, until, own_zone) || self.apply_stream_fault(order)
+    pub fn apply(&mut self, command: &Value, until: f64, own_zone: &str) -> bool {
+        self.apply_request_fault(command, until, own_zone) || self.apply_stream_fault(command)
     }
 
-    fn apply_request_fault(&mut self, order: &Value, until: f64, own_zone: &str) -> bool {
-        let share = order["share"].as_f64().unwrap_or(1.0);
-        match fault_name(order) {
+    fn apply_request_fault(&mut self, command: &Value, until: f64, own_zone: &str) -> bool {
+        let share = command["share"].as_f64().unwrap_or(1.0);
+        match fault_name(command) {
             "silence" => self.silent_until = until,
             "cut" => {
-                let zone = order["zone"].as_str().unwrap_or(own_zone).to_string();
+                let zone = command["zone"].as_str().unwrap_or(own_zone).to_string();
                 self.partition = Partition { until, zone };
             }
             "fail" => self.fail = RandomFault { until, share },
             "lose" => self.lose_response = RandomFault { until, share },
             "pause" => {
-                let length_s = order["pause_s"].as_f64().unwrap_or(DEFAULT_PAUSE_S);
-                let period_s = order["every_s"].as_f64().unwrap_or(DEFAULT_PAUSE_PERIOD_S);
+                let length_s = command["pause_s"].as_f64().unwrap_or(DEFAULT_PAUSE_S);
+                let period_s = command["every_s"].as_f64().unwrap_or(DEFAULT_PAUSE_PERIOD_S);
                 self.pauses = Pauses { until, length_s, period_s: period_s.max(MIN_PAUSE_PERIOD_S) };
             }
-            "refuse" => self.reject_next = order["times"].as_u64().unwrap_or(1),
+            "refuse" => self.reject_next = command["times"].as_u64().unwrap_or(1),
             "die_in_fetch" => self.exit_in_fetch = true,
             _ => return false,
         }
         true
     }
 
-    fn apply_stream_fault(&mut self, order: &Value) -> bool {
-        let bytes = order["bytes"].as_u64().unwrap_or(0) as usize;
-        match fault_name(order) {
-            "ending" => self.stream.ending = StreamEnding::parse(order["how"].as_str().unwrap_or("")),
-            "say" => self.stream.text = order["text"].as_str().unwrap_or("").into(),
+    fn apply_stream_fault(&mut self, command: &Value) -> bool {
+        let bytes = command["bytes"].as_u64().unwrap_or(0) as usize;
+        match fault_name(command) {
+            "ending" => self.stream.ending = StreamEnding::parse(command["how"].as_str().unwrap_or("")),
+            "say" => self.stream.text = command["text"].as_str().unwrap_or("").into(),
             "pad" => self.stream.padding_bytes = bytes,
             "split" => self.stream.piece_bytes = bytes,
             _ => return false,
@@ -159,6 +159,6 @@
 }
 
 /// The fault that a control call asks for.
-pub(super) fn fault_name(order: &Value) -> &str {
-    order["fault"].as_str().unwrap_or("")
+pub(super) fn fault_name(command: &Value) -> &str {
+    command["fault"].as_str().unwrap_or("")
 }
--- a/crates/nickelgw-test-servers/src/list.rs
+++ b/crates/nickelgw-test-servers/src/list.rs
@@ -162,19 +162,19 @@
     state: &RefCell<ListState>,
     lag_s: f64,
 ) -> Result<HttpResponse, ConnectionClosed> {
-    let Ok(order) = serde_json::from_slice::<Value>(&read_body(request).await?) else {
+    let Ok(command) = serde_json::from_slice::<Value>(&read_body(request).await?) else {
         return Ok(error_response(400, "bad_json"));
     };
     let now = unix_now();
     let mut state = state.borrow_mut();
-    if let Some(stall_s) = order["stall_s"].as_f64() {
+    if let Some(stall_s) = command["stall_s"].as_f64() {
         state.stalled_until = now + stall_s;
     }
-    let visible_at = now + order["lag_s"].as_f64().unwrap_or(lag_s);
-    if let Ok(entry) = serde_json::from_value::<EndpointEntry>(order["line"].clone()) {
+    let visible_at = now + command["lag_s"].as_f64().unwrap_or(lag_s);
+    if let Ok(entry) = serde_json::from_value::<EndpointEntry>(command["line"].clone()) {
         state.pending.push(PendingChange { visible_at, change: Change::Put(entry) });
     }
-    if let Some(id) = order["remove"].as_str() {
+    if let Some(id) = command["remove"].as_str() {
         state.pending.push(PendingChange { visible_at, change: Change::Remove(id.to_string()) });
     }
     Ok(json_response(200, json!({"revision": state.revision})))
--- a/crates/nickelgw-test-servers/src/registry/control.rs
+++ b/crates/nickelgw-test-servers/src/registry/control.rs
@@ -7,22 +7,22 @@
 use serde_json::{json, Value};
 
 impl Registry {
-    pub(super) fn control(&self, order: &Value) -> HttpResponse {
+    pub(super) fn control(&self, command: &Value) -> HttpResponse {
         let state = &mut *self.state.borrow_mut();
-        let name = order["order"].as_str().unwrap_or("");
-        if !apply_key_change(state, name, order) && !apply_fault(state, name, order) {
+        let name = command["order"].as_str().unwrap_or("");
+        if !apply_key_change(state, name, command) && !apply_fault(state, name, command) {
             return error_response(400, "unknown_order");
         }
-        self.recorder.record("registry", json!({"order": order["order"], "revision": state.revision}));
+        self.recorder.record("registry", json!({"order": command["order"], "revision": state.revision}));
         let (revision, keys, leases) = (state.revision, state.keys.len(), state.leases.len());
         json_response(200, json!({"revision": revision, "keys": keys, "leases": leases}))
     }
 }
 
 /// Applies a call that changes keys; false if it is no such call.
-fn apply_key_change(state: &mut State, name: &str, order: &Value) -> bool {
-    let key = order["key"].as_str().unwrap_or("").as_bytes().to_vec();
-    let value = || order["value"].to_string().into_bytes();
+fn apply_key_change(state: &mut State, name: &str, command: &Value) -> bool {
+    let key = command["key"].as_str().unwrap_or("").as_bytes().to_vec();
+    let value = || command["value"].to_string().into_bytes();
     match name {
         "put" => state.put(key, value(), 0),
         "delete" => state.delete(vec![key]),
@@ -49,8 +49,8 @@
 }
 
 /// Applies a call that causes a fault; false if it is no such call.
-fn apply_fault(state: &mut State, name: &str, order: &Value) -> bool {
-    let length_s = order["for_s"].as_f64().unwrap_or(0.0);
+fn apply_fault(state: &mut State, name: &str, command: &Value) -> bool {
+    let length_s = command["for_s"].as_f64().unwrap_or(0.0);
     let until = unix_now() + length_s;
     match name {
         "restart" => {
@@ -68,7 +68,7 @@
         // Requires credentials from now on; a repeated call makes earlier tokens invalid.
         "auth" => {
             state.token_number += 1;
-            let text = |field: &str| order[field].as_str().unwrap_or("").to_string();
+            let text = |field: &str| command[field].as_str().unwrap_or("").to_string();
             state.credentials = Some(Credentials { user: text("user"), password: text("password") });
             state.restarts += 1;
         }
