--- a/crates/nickelgw-cli/tests/platform.rs
+++ b/crates/nickelgw-cli/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's node as a process: small limits filled by idle clients while discovery is down, and restarts.
+//! The platform's node as a process: small limits filled by idle clients while discovery is unavailable, and restarts.
 
 #[allow(dead_code)]
 #[path = "../../nickelgw-platform/tests/common/mod.rs"]
@@ -8,7 +8,7 @@
 mod processes;
 
 use common::*;
-use processes::{client, node, node_but, say, start, Node};
+use processes::{connect, exchange, start_node, start_node_with, start_process, Node};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -18,116 +18,117 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// A discovery that is silent until told otherwise; then it tells this list.
-fn sleeping(after: Value) -> (Peer, Arc<AtomicBool>) {
+/// A discovery service that does not answer until the flag is set; then it announces this list.
+fn unavailable_discovery(after: Value) -> (Peer, Arc<AtomicBool>) {
     let up = Arc::new(AtomicBool::new(false));
-    let on = up.clone();
-    let p = peer(move |asked, _| match on.load(Ordering::Relaxed) && !asked.contains("since=") {
-        true => Then::Answer(plain("200 OK", &after.to_string())),
-        false => Then::Hold,
-    });
-    (p, up)
+    let answers = up.clone();
+    let discovery =
+        peer(move |request, _| match answers.load(Ordering::Relaxed) && !request.contains("since=") {
+            true => PeerAction::Respond(http_response("200 OK", &after.to_string())),
+            false => PeerAction::Stall,
+        });
+    (discovery, up)
 }
 
-/// Descriptors are a budget: however many idle clients there are, the node answers, streams go on, and the list is read
-/// when discovery returns.
+/// However many idle clients there are, the node answers, streams continue, and the list is fetched when discovery recovers.
 #[test]
-fn idle_clients_may_fill_the_descriptors_while_discovery_is_down() {
+fn idle_clients_may_fill_the_descriptors_while_discovery_is_unavailable() {
     const LIMIT: usize = 72;
-    let (go, gone) = async_channel::bounded::<()>(1);
-    let (first, second) = (reader(), reader());
+    let (finish_first_stream, gate) = async_channel::bounded::<()>(1);
+    let (first, second) = (prefill_engine(), prefill_engine());
     // The first stream stays open until the end.
-    let w = peer(move |_, n| {
-        if n == 1 {
-            let _ = gone.recv_blocking();
+    let decode = peer(move |_, post_count| {
+        if post_count == 1 {
+            let _ = gate.recv_blocking();
         }
-        Then::Answer(stream())
+        PeerAction::Respond(stream_response())
     });
-    let known = list(&[&first], &[&w]);
-    let mut after = list(&[&first, &second], &[&w]);
+    let known = endpoint_list(&[&first], &[&decode]);
+    let mut after = endpoint_list(&[&first, &second], &[&decode]);
     after["instances"][0]["lifecycle"] = "draining".into();
-    let (discovery, up) = sleeping(after);
-    let n = node(1, &discovery, known, LIMIT, LIMIT);
-    n.ready_in();
-    let mut open = client(n.address);
-    open.write_all(ask("ea01").as_bytes()).unwrap();
-    w.wait("POST");
-    let (on, crowd) = n.crowd(200);
+    let (discovery, up) = unavailable_discovery(after);
+    let node = start_node(1, &discovery, known, LIMIT, LIMIT);
+    node.wait_until_ready();
+    let mut open = connect(node.address);
+    open.write_all(chat_request("ea01").as_bytes()).unwrap();
+    decode.wait_for("POST");
+    let (running, silent_clients) = node.start_silent_clients(200);
     sleep(Duration::from_millis(1500));
-    let (before, ticks) = (Instant::now(), n.ticks());
-    assert!(n.is_ready(), "it answers while the crowd is there");
+    let (before, ticks) = (Instant::now(), node.ticks());
+    assert!(node.is_ready(), "it answers while the silent clients are there");
     sleep(Duration::from_secs(1));
-    let used = (n.ticks() - ticks) as f64 / 100.0 / before.elapsed().as_secs_f64();
-    assert!(used < 0.3, "it turns: {used} of a core");
-    let used = n.descriptors();
-    // 31 of them are the clients', 11 the process's own and discovery's; no more, though 200 are at the door.
-    let sockets = used.iter().filter(|d| d.starts_with("socket:")).count();
-    assert!(sockets <= 31 + 11, "{used:?}");
+    let used = (node.ticks() - ticks) as f64 / 100.0 / before.elapsed().as_secs_f64();
+    assert!(used < 0.3, "it spins: {used} of a core");
+    let descriptors = node.descriptors();
+    // 31 of them are the clients', 11 the process's own and discovery's; no more, though 200 try to connect.
+    let sockets = descriptors.iter().filter(|target| target.starts_with("socket:")).count();
+    assert!(sockets <= 31 + 11, "{descriptors:?}");
     up.store(true, Ordering::Relaxed);
     let returned = Instant::now();
-    let mut k = 0;
-    while second.seen("POST").is_empty() {
-        assert!(returned.elapsed() < Duration::from_secs(5), "the list was not had");
-        say(n.address, ask(&format!("eb{k}")).as_bytes());
-        k += 1;
+    let mut number = 0;
+    while second.received("POST").is_empty() {
+        assert!(returned.elapsed() < Duration::from_secs(5), "the list was not applied");
+        exchange(node.address, chat_request(&format!("eb{number}")).as_bytes());
+        number += 1;
     }
-    let before = first.seen("POST").len();
-    (0..3).for_each(|k| drop(say(n.address, ask(&format!("ec{k}")).as_bytes())));
-    assert_eq!(first.seen("POST").len(), before, "it drains");
-    go.send_blocking(()).unwrap();
-    let got = answer(&mut open);
-    assert!(got.ends_with("0\r\n\r\n"), "the one with a request in it stayed: {got}");
-    on.store(false, Ordering::Relaxed);
-    crowd.join().unwrap();
+    let before = first.received("POST").len();
+    (0..3).for_each(|number| drop(exchange(node.address, chat_request(&format!("ec{number}")).as_bytes())));
+    assert_eq!(first.received("POST").len(), before, "it drains");
+    finish_first_stream.send_blocking(()).unwrap();
+    let response = read_response(&mut open);
+    assert!(response.ends_with("0\r\n\r\n"), "the connection with an open request stayed: {response}");
+    running.store(false, Ordering::Relaxed);
+    silent_clients.join().unwrap();
 }
 
-/// Fewer descriptors than it was told: what rests is closed, and it waits in between.
+/// Fewer descriptors than its configuration states: idle connections are closed, and it waits in between.
 #[test]
-fn out_of_descriptors_it_goes_on_without_turning() {
-    let (r, w) = (reader(), peer(|_, _| Then::Answer(stream())));
-    let n = node(2, &silent(), list(&[&r], &[&w]), 256, 40);
-    n.ready_in();
-    let (on, crowd) = n.crowd(60);
+fn node_out_of_descriptors_serves_without_spinning() {
+    let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
+    let node = start_node(2, &silent_discovery(), endpoint_list(&[&prefill], &[&decode]), 256, 40);
+    node.wait_until_ready();
+    let (running, silent_clients) = node.start_silent_clients(60);
     sleep(Duration::from_millis(800));
-    let (before, ticks) = (Instant::now(), n.ticks());
-    let ready = (0..4).filter(|_| n.is_ready()).count();
-    let rest = Duration::from_secs(1).saturating_sub(before.elapsed());
-    sleep(rest);
-    let used = (n.ticks() - ticks) as f64 / 100.0 / before.elapsed().as_secs_f64();
+    let (before, ticks) = (Instant::now(), node.ticks());
+    let ready = (0..4).filter(|_| node.is_ready()).count();
+    let remaining = Duration::from_secs(1).saturating_sub(before.elapsed());
+    sleep(remaining);
+    let used = (node.ticks() - ticks) as f64 / 100.0 / before.elapsed().as_secs_f64();
     assert!(ready >= 3 && used < 0.3, "ready {ready} of 4, {used} of a core");
-    on.store(false, Ordering::Relaxed);
-    crowd.join().unwrap();
-    // The crowd has gone: it serves.
+    running.store(false, Ordering::Relaxed);
+    silent_clients.join().unwrap();
+    // The silent clients have disconnected: it serves.
     sleep(Duration::from_millis(300));
-    let got = say(n.address, ask("ed01").as_bytes());
-    assert!(got.ends_with("0\r\n\r\n"), "{got}");
+    let response = exchange(node.address, chat_request("ed01").as_bytes());
+    assert!(response.ends_with("0\r\n\r\n"), "{response}");
 }
 
-/// Ten nodes are killed and started again, with discovery silent, idle clients at the door and requests coming all the
-/// while.
+/// Ten nodes are killed and restarted, without discovery, with silent clients and with requests all the time.
 #[test]
 fn nine_in_ten_restarted_processes_are_ready_in_time() {
-    let (r, w) = (reader(), peer(|_, _| Then::Answer(stream())));
-    let known = list(&[&r], &[&w]);
-    let discovery = silent();
-    let mut all: Vec<Node> = (0..10).map(|k| node(10 + k, &discovery, known.clone(), 128, 128)).collect();
-    for n in &all {
-        n.ready_in();
+    let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
+    let known = endpoint_list(&[&prefill], &[&decode]);
+    let discovery = silent_discovery();
+    let mut nodes: Vec<Node> =
+        (0..10).map(|number| start_node(10 + number, &discovery, known.clone(), 128, 128)).collect();
+    for node in &nodes {
+        node.wait_until_ready();
     }
-    let on = Arc::new(AtomicBool::new(true));
-    let load: Vec<_> = all
+    let running = Arc::new(AtomicBool::new(true));
+    let load: Vec<_> = nodes
         .iter()
         .enumerate()
-        .map(|(k, n)| {
-            let (on, to) = (on.clone(), n.address);
+        .map(|(number, node)| {
+            let (running, address) = (running.clone(), node.address);
             spawn(move || {
                 let (mut served, mut i) = (0, 0);
-                while on.load(Ordering::Relaxed) {
+                while running.load(Ordering::Relaxed) {
                     i += 1;
-                    if let Ok(mut c) = TcpStream::connect(to) {
-                        let _ = c.set_read_timeout(Some(Duration::from_secs(2)));
-                        let sent = c.write_all(ask(&format!("f{k}x{i}")).as_bytes()).is_ok();
-                        served += usize::from(sent && answer(&mut c).ends_with("0\r\n\r\n"));
+                    if let Ok(mut client) = TcpStream::connect(address) {
+                        let _ = client.set_read_timeout(Some(Duration::from_secs(2)));
+                        let sent =
+                            client.write_all(chat_request(&format!("f{number}x{i}")).as_bytes()).is_ok();
+                        served += usize::from(sent && read_response(&mut client).ends_with("0\r\n\r\n"));
                     }
                     sleep(Duration::from_millis(10));
                 }
@@ -135,189 +136,196 @@
             })
         })
         .collect();
-    let crowds: Vec<_> = all.iter().map(|n| n.crowd(100)).collect();
+    let silent_client_groups: Vec<_> = nodes.iter().map(|node| node.start_silent_clients(100)).collect();
     sleep(Duration::from_millis(300));
-    for n in &mut all {
-        kill_process(Pid::from_child(&n.child), Signal::KILL).unwrap();
-        n.child.wait().unwrap();
+    for node in &mut nodes {
+        kill_process(Pid::from_child(&node.child), Signal::KILL).unwrap();
+        node.child.wait().unwrap();
     }
-    let began = Instant::now();
-    all.iter_mut().for_each(|n| n.child = start(&n.path, 128));
-    let mut took: Vec<f64> = all
+    let started_at = Instant::now();
+    nodes.iter_mut().for_each(|node| node.child = start_process(&node.path, 128));
+    let mut ready_after_s: Vec<f64> = nodes
         .iter()
-        .map(|n| {
-            n.ready_in();
-            began.elapsed().as_secs_f64()
+        .map(|node| {
+            node.wait_until_ready();
+            started_at.elapsed().as_secs_f64()
         })
         .collect();
-    took.sort_by(f64::total_cmp);
+    ready_after_s.sort_by(f64::total_cmp);
     sleep(Duration::from_millis(500));
-    on.store(false, Ordering::Relaxed);
-    let served: Vec<usize> = load.into_iter().map(|l| l.join().unwrap()).collect();
-    for (still, crowd) in crowds {
-        still.store(false, Ordering::Relaxed);
-        crowd.join().unwrap();
+    running.store(false, Ordering::Relaxed);
+    let served: Vec<usize> = load.into_iter().map(|client| client.join().unwrap()).collect();
+    for (running, silent_clients) in silent_client_groups {
+        running.store(false, Ordering::Relaxed);
+        silent_clients.join().unwrap();
     }
-    println!("ready after {took:?} s, served {served:?}");
-    assert!(took[8] < 10.0, "{took:?}");
-    assert!(served.iter().all(|&n| n > 0), "they serve what they knew: {served:?}");
+    println!("ready after {ready_after_s:?} s, served {served:?}");
+    assert!(ready_after_s[8] < 10.0, "{ready_after_s:?}");
+    assert!(served.iter().all(|&count| count > 0), "they serve with the engines they knew: {served:?}");
 }
 
-/// Bytes that cannot be read: what one client sends costs that client alone, and the log one line.
+/// Malformed bytes of a client cost its connection alone, and the log one line.
 #[test]
-fn junk_costs_its_connection_alone_and_one_line_of_the_log() {
-    let (r, w) = (reader(), peer(|_, _| Then::Answer(stream())));
-    let mut n = node(3, &silent(), list(&[&r], &[&w]), 128, 128);
-    n.ready_in();
-    for k in 0..200 {
-        let Ok(mut c) = TcpStream::connect(n.address) else { continue };
-        let _ = c.set_read_timeout(Some(Duration::from_secs(3)));
-        let _ = c.write_all(&[b'a' + (k % 20) as u8; 700]);
-        let _ = c.write_all(b"\r\n\r\n");
-        let _ = c.read(&mut [0; 64]);
+fn malformed_bytes_cost_their_connection_alone_and_one_log_line() {
+    let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
+    let mut node = start_node(3, &silent_discovery(), endpoint_list(&[&prefill], &[&decode]), 128, 128);
+    node.wait_until_ready();
+    for number in 0..200 {
+        let Ok(mut client) = TcpStream::connect(node.address) else { continue };
+        let _ = client.set_read_timeout(Some(Duration::from_secs(3)));
+        let _ = client.write_all(&[b'a' + (number % 20) as u8; 700]);
+        let _ = client.write_all(b"\r\n\r\n");
+        let _ = client.read(&mut [0; 64]);
     }
-    assert!(say(n.address, ask("ee01").as_bytes()).ends_with("0\r\n\r\n"));
-    n.child.kill().unwrap();
+    assert!(exchange(node.address, chat_request("ee01").as_bytes()).ends_with("0\r\n\r\n"));
+    node.child.kill().unwrap();
     let mut log = String::new();
-    n.child.stderr.take().unwrap().read_to_string(&mut log).unwrap();
+    node.child.stderr.take().unwrap().read_to_string(&mut log).unwrap();
     assert_eq!(log.matches("malformed message rejected").count(), 1, "{log}");
 }
 
-/// Twenty processes, six of eight engines of each role fresh, twice what a fresh one bears as an even part: what all of
-/// them send one, reads, writes and probes together, is within its budget of N calls and 2 x root of N + 2 for chance.
+/// Twenty processes, six of eight engines of each role warming up, twice what such an engine bears as an even share: what
+/// all of them send one, attempts and probes together, is within its budget of N calls and 2 x root of N + 2 for chance.
 #[test]
-fn all_processes_keep_to_what_a_cold_engine_bears() {
+fn all_processes_together_respect_the_limit_of_a_cold_engine() {
     const NODES: u8 = 20;
-    /// Inferences a second that an engine bears when warm, and of all clients.
-    const BEARS: f64 = 10.0;
-    const RATE: f64 = 60.0;
+    /// Requests a second that a warm engine bears.
+    const ENGINE_CAPACITY: f64 = 10.0;
+    /// Requests a second of all clients.
+    const REQUEST_RATE: f64 = 60.0;
     let calls: Vec<Arc<std::sync::Mutex<Vec<Instant>>>> = (0..16).map(|_| Arc::default()).collect();
-    let engine = |k: usize| {
-        let at = calls[k].clone();
-        let busy = Duration::from_millis(20);
-        peer(move |asked, _| {
-            at.lock().unwrap().push(Instant::now());
-            sleep(busy);
-            match (asked.starts_with("GET"), k < 8) {
-                (true, _) => Then::Answer(plain("200 OK", "x0=0.1,x1=0")),
-                (_, true) => Then::Answer(plain("202 Accepted", r#"{"cached_tokens":0}"#)),
-                _ => Then::Answer(stream()),
+    let engine = |number: usize| {
+        let engine_calls = calls[number].clone();
+        let service_time = Duration::from_millis(20);
+        peer(move |request, _| {
+            engine_calls.lock().unwrap().push(Instant::now());
+            sleep(service_time);
+            match (request.starts_with("GET"), number < 8) {
+                (true, _) => PeerAction::Respond(http_response("200 OK", "x0=0.1,x1=0")),
+                (_, true) => PeerAction::Respond(http_response("202 Accepted", r#"{"cached_tokens":0}"#)),
+                _ => PeerAction::Respond(stream_response()),
             }
         })
     };
     let engines: Vec<Peer> = (0..16).map(engine).collect();
     let (readers, writers): (Vec<&Peer>, Vec<&Peer>) =
         (engines[..8].iter().collect(), engines[8..].iter().collect());
-    let mut known = list(&readers, &writers);
-    let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis() as u64;
-    for (k, i) in known["instances"].as_array_mut().unwrap().iter_mut().enumerate() {
-        i["startedAtMs"] = if k % 8 < 6 { unix.into() } else { 0.into() };
+    let mut known = endpoint_list(&readers, &writers);
+    let unix_ms =
+        std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis() as u64;
+    for (number, instance) in known["instances"].as_array_mut().unwrap().iter_mut().enumerate() {
+        instance["startedAtMs"] = if number % 8 < 6 { unix_ms.into() } else { 0.into() };
     }
-    let (began, discovery) = (Instant::now(), silent());
+    let (started_at, discovery) = (Instant::now(), silent_discovery());
     let nodes: Vec<Node> = (0..NODES)
-        .map(|k| {
-            node_but(40 + k, &discovery, known.clone(), 256, |all| {
-                all["settings"]["balancers"] = NODES.into();
-                all["settings"]["limits"]["probes"] = true.into();
+        .map(|number| {
+            start_node_with(40 + number, &discovery, known.clone(), 256, |config| {
+                config["settings"]["balancers"] = NODES.into();
+                config["settings"]["limits"]["probes"] = true.into();
             })
         })
         .collect();
-    for n in &nodes {
-        n.ready_in();
+    for node in &nodes {
+        node.wait_until_ready();
     }
     let load: Vec<_> = nodes
         .iter()
         .enumerate()
-        .map(|(k, n)| {
-            let to = n.address;
+        .map(|(number, node)| {
+            let address = node.address;
             spawn(move || {
-                let gap = Duration::from_secs_f64(f64::from(NODES) / RATE);
-                let first = Instant::now() + gap.mul_f64(k as f64 / f64::from(NODES));
+                let gap = Duration::from_secs_f64(f64::from(NODES) / REQUEST_RATE);
+                let first = Instant::now() + gap.mul_f64(number as f64 / f64::from(NODES));
                 let mut served = 0;
                 for i in 0..(4.0 / gap.as_secs_f64()) as u32 {
                     sleep((first + gap * i).saturating_duration_since(Instant::now()));
-                    // Each conversation of its own: the hash spreads them.
-                    let text = ask(&format!("a{k}x{i}"))
-                        .replace("X-Route-Hash: 7f3a", &format!("X-Route-Hash: {k}x{i}"));
-                    served += usize::from(say(to, text.as_bytes()).ends_with("0\r\n\r\n"));
+                    // Each request has a session of its own: the hash spreads them.
+                    let text = chat_request(&format!("a{number}x{i}"))
+                        .replace("X-Route-Hash: 7f3a", &format!("X-Route-Hash: {number}x{i}"));
+                    served += usize::from(exchange(address, text.as_bytes()).ends_with("0\r\n\r\n"));
                 }
                 served
             })
         })
         .collect();
-    let served: usize = load.into_iter().map(|l| l.join().unwrap()).sum();
-    let mut most: f64 = 0.0;
-    let fresh = || calls.iter().enumerate().filter(|(k, _)| k % 8 < 6).map(|(_, at)| at);
-    for at in fresh() {
-        let at = at.lock().unwrap();
-        for (n, t) in at.iter().enumerate() {
-            let within = at[..=n].iter().filter(|x| **x + Duration::from_secs(2) > *t).count() as f64;
-            let age = t.duration_since(began).as_secs_f64() / 9.0;
-            let budget = 3.0 * (0.3 + 0.7 * age * age) * BEARS * 2.0;
-            most = most.max(within / (budget + 2.0 * budget.sqrt() + 2.0));
+    let served: usize = load.into_iter().map(|client| client.join().unwrap()).sum();
+    let mut max_share: f64 = 0.0;
+    let cold_engines =
+        || calls.iter().enumerate().filter(|(number, _)| number % 8 < 6).map(|(_, calls)| calls);
+    for engine_calls in cold_engines() {
+        let engine_calls = engine_calls.lock().unwrap();
+        for (position, called_at) in engine_calls.iter().enumerate() {
+            let is_recent = |earlier: &&Instant| **earlier + Duration::from_secs(2) > *called_at;
+            let within = engine_calls[..=position].iter().filter(is_recent).count() as f64;
+            let age = called_at.duration_since(started_at).as_secs_f64() / 9.0;
+            let budget = 3.0 * (0.3 + 0.7 * age * age) * ENGINE_CAPACITY * 2.0;
+            max_share = max_share.max(within / (budget + 2.0 * budget.sqrt() + 2.0));
         }
     }
-    println!("{served} served, at most {most:.2} of the bound");
-    assert!(served as f64 > 0.8 * 4.0 * RATE, "{served}");
-    assert!(most <= 1.0, "{most}");
-    let used: usize = fresh().map(|at| at.lock().unwrap().len()).sum();
+    println!("{served} served, at most {max_share:.2} of the bound");
+    assert!(served as f64 > 0.8 * 4.0 * REQUEST_RATE, "{served}");
+    assert!(max_share <= 1.0, "{max_share}");
+    let used: usize = cold_engines().map(|calls| calls.lock().unwrap().len()).sum();
     assert!(used > 20, "they are used: {used}");
 }
 
-/// The client's end and what would have it sent on are there at once when the loop looks again: queued with no reader, and
-/// then the list brings one; read, and then the reader answers; not taken yet.
+/// A client's disconnection and the event that would dispatch its request are both there when the event loop runs again:
+/// queued without a prefill engine, and then the list brings one; prefilled, and then the engine answers; not accepted yet.
 #[test]
-fn what_left_while_the_loop_was_late_is_not_sent_on() {
-    let (open, opened) = async_channel::bounded::<()>(1);
-    let at_reader = opened.clone();
-    let r = peer(move |_, _| {
-        let _ = at_reader.recv_blocking();
-        Then::Answer(plain("202 Accepted", r#"{"cached_tokens":4}"#))
+fn request_of_a_client_that_disconnected_while_the_loop_was_late_is_not_dispatched() {
+    let (open_gate, opened) = async_channel::bounded::<()>(1);
+    let prefill_gate = opened.clone();
+    let prefill = peer(move |_, _| {
+        let _ = prefill_gate.recv_blocking();
+        PeerAction::Respond(http_response("202 Accepted", r#"{"cached_tokens":4}"#))
     });
-    let w = peer(|_, _| Then::Answer(stream()));
-    let told = list(&[&r], &[&w]).to_string();
-    let agent = peer(move |asked, _| {
-        if asked.contains("since=") {
-            return Then::Hold;
+    let decode = peer(|_, _| PeerAction::Respond(stream_response()));
+    let announced = endpoint_list(&[&prefill], &[&decode]).to_string();
+    let agent = peer(move |request, _| {
+        if request.contains("since=") {
+            return PeerAction::Stall;
         }
         let _ = opened.recv_blocking();
-        Then::Answer(plain("200 OK", &told))
+        PeerAction::Respond(http_response("200 OK", &announced))
     });
-    // One knows no reader until the agent tells it, the other has one from the start.
-    let (queues, reads) =
-        (node(60, &agent, list(&[], &[&w]), 128, 128), node(61, &silent(), list(&[&r], &[&w]), 128, 128));
-    let begin = |n: &Node, id: &str| {
-        n.ready_in();
-        let mut c = client(n.address);
-        c.write_all(ask(id).as_bytes()).unwrap();
-        c
+    // One knows no prefill engine until the agent announces it, the other knows one from the start.
+    let (queueing, prefilling) = (
+        start_node(60, &agent, endpoint_list(&[], &[&decode]), 128, 128),
+        start_node(61, &silent_discovery(), endpoint_list(&[&prefill], &[&decode]), 128, 128),
+    );
+    let send_request = |node: &Node, id: &str| {
+        node.wait_until_ready();
+        let mut client = connect(node.address);
+        client.write_all(chat_request(id).as_bytes()).unwrap();
+        client
     };
-    let queued: Vec<TcpStream> = (0..5).map(|k| begin(&queues, &format!("fa0{k}"))).collect();
-    let read = begin(&reads, "fb01");
-    r.wait("POST");
-    agent.wait("GET /v1/servers HTTP");
+    let queued: Vec<TcpStream> =
+        (0..5).map(|number| send_request(&queueing, &format!("fa0{number}"))).collect();
+    let prefilled = send_request(&prefilling, "fb01");
+    prefill.wait_for("POST");
+    agent.wait_for("GET /v1/servers HTTP");
     sleep(Duration::from_millis(50));
-    [&queues, &reads].into_iter().for_each(Node::freeze);
-    drop((queued, read));
-    for (n, id) in [(&queues, "fa09"), (&reads, "fb09")] {
-        let mut c = client(n.address);
-        c.write_all(ask(id).as_bytes()).unwrap();
+    [&queueing, &prefilling].into_iter().for_each(Node::suspend);
+    drop((queued, prefilled));
+    for (node, id) in [(&queueing, "fa09"), (&prefilling, "fb09")] {
+        let mut client = connect(node.address);
+        client.write_all(chat_request(id).as_bytes()).unwrap();
     }
-    // The agent tells of the reader, and the reader has read.
-    open.close();
+    // The agent announces the prefill engine, and the prefill finishes.
+    open_gate.close();
     sleep(Duration::from_millis(100));
-    [&queues, &reads].into_iter().for_each(Node::thaw);
-    // Both go on and serve who stays.
-    for (n, id) in [(&queues, "fa10"), (&reads, "fb10")] {
-        assert!(say(n.address, ask(id).as_bytes()).ends_with("0\r\n\r\n"));
+    [&queueing, &prefilling].into_iter().for_each(Node::resume);
+    // Both continue and serve clients that stay connected.
+    for (node, id) in [(&queueing, "fa10"), (&prefilling, "fb10")] {
+        assert!(exchange(node.address, chat_request(id).as_bytes()).ends_with("0\r\n\r\n"));
     }
     sleep(Duration::from_millis(500));
-    let ids = |p: &Peer| {
-        let id = |r: &String| r.split("X-Call-Id: ").nth(1).unwrap()[..4].to_string();
-        let mut all: Vec<String> = p.seen("POST").iter().map(id).collect();
-        all.sort();
-        all
+    let ids = |engine: &Peer| {
+        let id = |request: &String| request.split("X-Call-Id: ").nth(1).unwrap()[..4].to_string();
+        let mut ids: Vec<String> = engine.received("POST").iter().map(id).collect();
+        ids.sort();
+        ids
     };
-    assert_eq!(ids(&r), ["fa10", "fb01", "fb10"]);
-    assert_eq!(ids(&w), ["fa10", "fb10"]);
+    assert_eq!(ids(&prefill), ["fa10", "fb01", "fb10"]);
+    assert_eq!(ids(&decode), ["fa10", "fb10"]);
 }
--- a/crates/nickelgw-cli/tests/platform_reservations.rs
+++ b/crates/nickelgw-cli/tests/platform_reservations.rs
@@ -9,7 +9,7 @@
 #[path = "platform_reservations/world.rs"]
 mod world;
 
-use common::LONG;
+use common::TEST_TIMEOUT;
 use nickelgw_test_servers::platform::Outcome;
 use rustix::process::Signal;
 use std::sync::atomic::Ordering::Relaxed;
@@ -24,202 +24,187 @@
 /// Issue 39, cause: a decode attempt was written to a connection that had fallen silent; its reservation stood until the client's
 /// deadline.
 #[test]
-fn a_decode_attempt_on_a_silent_connection_does_not_keep_its_reservation() {
+fn decode_attempt_on_a_silent_connection_does_not_keep_its_reservation() {
     for probes in [false, true] {
-        let w = World::start(100 + u8::from(probes), 1, 1, |all| {
-            all["settings"]["limits"]["probes"] = probes.into()
+        let world = World::start(100 + u8::from(probes), 1, 1, |config| {
+            config["settings"]["limits"]["probes"] = probes.into()
         });
-        assert_eq!(w.ask("warm"), Outcome::Served);
-        w.decodes()[0].proxy.silence_open();
-        let outcome = w.ask("silent");
-        assert!(
-            !matches!(outcome, Outcome::Silent | Outcome::Closed | Outcome::Refused),
-            "no final answer: {outcome:?}"
-        );
-        w.assert_kept();
+        assert_eq!(world.request("warm"), Outcome::Served);
+        world.decodes()[0].proxy.silence_open();
+        let outcome = world.request("silent");
+        world.assert_final_answer(outcome);
+        world.assert_no_violation();
     }
 }
 
-/// A prefill ends well and its connection breaks in the same moment, and its engine was told to drain meanwhile: the request
-/// waits in the queue for one that may take it.
+/// A prefill succeeds and its connection breaks in the same moment, while its engine drains: the request waits in the queue
+/// for one that admits it.
 #[test]
-fn what_a_prefill_left_whose_answer_was_lost_is_released_in_time() {
-    let w = World::start(102, 1, 1, |_| {});
-    assert_eq!(w.ask("warm"), Outcome::Served);
-    let prefill = &w.prefills()[0].engine.behaviour;
+fn reservation_of_a_prefill_with_a_lost_response_is_released_in_time() {
+    let world = World::start(102, 1, 1, |_| {});
+    assert_eq!(world.request("warm"), Outcome::Served);
+    let prefill = &world.prefills()[0].engine.behaviour;
     prefill.loses_answers.store(true, Relaxed);
     // A node counts what it watches within half a second.
     prefill.work_ms.store(900, Relaxed);
-    let asked = w.ask_in_background("lost");
-    w.drain(0);
-    let outcome = asked.join().unwrap();
-    assert!(
-        !matches!(outcome, Outcome::Silent | Outcome::Closed | Outcome::Refused),
-        "no final answer: {outcome:?}"
-    );
+    let pending = world.request_in_background("lost");
+    world.drain(0);
+    let outcome = pending.join().unwrap();
+    world.assert_final_answer(outcome);
     assert_eq!(prefill.attempts.load(Relaxed), 2, "the prefill has run once");
-    w.assert_kept();
+    world.assert_no_violation();
 }
 
-/// Attempts that never arrive and break after a while do not give a reservation time anew, however many there are.
+/// Attempts that never arrive and break after a while do not renew a reservation, however many there are.
 #[test]
-fn attempts_that_break_without_a_sign_do_not_renew_a_reservation() {
-    let w = World::start(103, 1, 3, |all| all["settings"]["limits"]["most_tries"] = 6.into());
-    assert_eq!(w.ask("warm"), Outcome::Served);
-    w.decodes().iter().for_each(|d| d.proxy.silence(true));
-    let proxies: Vec<_> = w.decodes().iter().map(|d| d.proxy.clone()).collect();
+fn attempts_that_break_without_a_response_do_not_renew_a_reservation() {
+    let world = World::start(103, 1, 3, |config| config["settings"]["limits"]["most_tries"] = 6.into());
+    assert_eq!(world.request("warm"), Outcome::Served);
+    world.decodes().iter().for_each(|decode| decode.proxy.silence(true));
+    let proxies: Vec<_> = world.decodes().iter().map(|decode| decode.proxy.clone()).collect();
     let breaking = std::thread::spawn(move || {
-        let until = Instant::now() + ms(3500);
-        while Instant::now() < until {
+        let deadline = Instant::now() + ms(3500);
+        while Instant::now() < deadline {
             sleep(ms(300));
-            proxies.iter().for_each(|p| p.break_open());
+            proxies.iter().for_each(|proxy| proxy.break_open());
         }
     });
-    let outcome = w.ask("breaks");
+    let outcome = world.request("breaks");
     breaking.join().unwrap();
-    assert!(
-        !matches!(outcome, Outcome::Silent | Outcome::Closed | Outcome::Refused),
-        "no final answer: {outcome:?}"
-    );
-    w.assert_kept();
+    world.assert_final_answer(outcome);
+    world.assert_no_violation();
 }
 
 /// A decode attempt that has arrived keeps its reservation however long it waits there: it is served, late as it is.
 #[test]
-fn a_decode_attempt_that_waits_at_its_engine_keeps_its_reservation() {
-    let w = World::start(104, 1, 1, |_| {});
-    w.decodes()[0].engine.behaviour.work_ms.store(950, Relaxed);
-    assert_eq!(w.ask("queued"), Outcome::Served);
-    w.assert_kept();
+fn decode_attempt_that_waits_at_its_engine_keeps_its_reservation() {
+    let world = World::start(104, 1, 1, |_| {});
+    world.decodes()[0].engine.behaviour.work_ms.store(950, Relaxed);
+    assert_eq!(world.request("queued"), Outcome::Served);
+    world.assert_no_violation();
 }
 
-/// Told to end, a node leaves nothing reserved, whatever it still had out.
+/// A node that shuts down leaves nothing reserved, whatever attempts were under way.
 #[test]
-fn a_node_that_is_told_to_end_leaves_nothing_reserved() {
-    let mut w = World::start(105, 1, 1, |_| {});
-    w.decodes()[0].engine.behaviour.hangs.store(true, Relaxed);
-    let asked = w.ask_in_background("hangs");
-    let until = Instant::now() + LONG;
-    while w.decodes()[0].engine.behaviour.attempts.load(Relaxed) == 0 {
-        assert!(Instant::now() < until, "never sent");
+fn shutdown_leaves_nothing_reserved() {
+    let mut world = World::start(105, 1, 1, |_| {});
+    world.decodes()[0].engine.behaviour.hangs.store(true, Relaxed);
+    let pending = world.request_in_background("hangs");
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while world.decodes()[0].engine.behaviour.attempts.load(Relaxed) == 0 {
+        assert!(Instant::now() < deadline, "never sent");
         sleep(ms(5));
     }
-    w.terminate();
-    let outcome = asked.join().unwrap();
-    assert!(
-        !matches!(outcome, Outcome::Silent | Outcome::Closed | Outcome::Refused),
-        "no final answer: {outcome:?}"
-    );
-    w.wait_for_end();
-    assert!(!w.table.is_reserved("hangs"));
-    w.assert_kept();
+    world.terminate();
+    let outcome = pending.join().unwrap();
+    world.assert_final_answer(outcome);
+    world.wait_for_end();
+    assert!(!world.table.is_reserved("hangs"));
+    world.assert_no_violation();
 }
 
 /// System calls that fail for a moment, short reads and writes, a wall clock that steps by an hour: no matter.
 #[test]
 fn failing_system_calls_and_a_stepping_clock_cost_no_request() {
     let faults = world::shim();
-    let w = World::start_with(
+    let world = World::start_with(
         106,
         2,
         2,
         |_| {},
-        |c| {
-            c.env("LD_PRELOAD", &faults).env("FAULTS_EVERY", "7").env("FAULTS_STEP_S", "3600");
+        |process| {
+            process.env("LD_PRELOAD", &faults).env("FAULTS_EVERY", "7").env("FAULTS_STEP_S", "3600");
         },
     );
-    let outcomes: Vec<Outcome> = (0..30).map(|k| w.ask(&format!("shim{k}"))).collect();
+    let outcomes: Vec<Outcome> = (0..30).map(|number| world.request(&format!("shim{number}"))).collect();
     let served = outcomes.iter().filter(|o| **o == Outcome::Served).count();
-    assert!(served >= 29, "{outcomes:?}\n{}", w.log());
-    w.assert_kept();
+    assert!(served >= 29, "{outcomes:?}\n{}", world.log());
+    world.assert_no_violation();
 }
 
 /// All open connections fall silent while the prefill's answer is on its way back: release calls find new ones.
 #[test]
-fn a_release_gets_through_though_every_open_connection_is_silent() {
-    let w = World::start(107, 1, 3, |_| {});
-    for k in 0..6 {
-        assert_eq!(w.ask(&format!("warm{k}")), Outcome::Served);
+fn release_succeeds_though_every_open_connection_is_silent() {
+    let world = World::start(107, 1, 3, |_| {});
+    for number in 0..6 {
+        assert_eq!(world.request(&format!("warm{number}")), Outcome::Served);
     }
-    w.prefills()[0].engine.behaviour.work_ms.store(300, Relaxed);
-    let asked = w.ask_in_background("silent");
+    world.prefills()[0].engine.behaviour.work_ms.store(300, Relaxed);
+    let pending = world.request_in_background("silent");
     sleep(ms(200));
-    w.decodes().iter().for_each(|d| d.proxy.silence_open());
+    world.decodes().iter().for_each(|decode| decode.proxy.silence_open());
     sleep(ms(120));
-    w.prefills()[0].proxy.silence_open();
-    let outcome = asked.join().unwrap();
-    assert!(
-        !matches!(outcome, Outcome::Silent | Outcome::Closed | Outcome::Refused),
-        "no final answer: {outcome:?}"
-    );
-    w.assert_kept();
+    world.prefills()[0].proxy.silence_open();
+    let outcome = pending.join().unwrap();
+    world.assert_final_answer(outcome);
+    world.assert_no_violation();
 }
 
 /// The process is held up for 0.15 s as the lease is about to end.
 #[test]
-fn a_node_that_is_held_up_releases_in_time() {
-    let w = World::start(108, 1, 1, |_| {});
-    assert_eq!(w.ask("warm"), Outcome::Served);
-    w.decodes()[0].proxy.silence_open();
-    let asked = w.ask_in_background("held-up");
+fn suspended_node_releases_in_time() {
+    let world = World::start(108, 1, 1, |_| {});
+    assert_eq!(world.request("warm"), Outcome::Served);
+    world.decodes()[0].proxy.silence_open();
+    let pending = world.request_in_background("held-up");
     sleep(ms(350));
-    w.signal(Signal::STOP);
+    world.signal(Signal::STOP);
     sleep(ms(150));
-    w.signal(Signal::CONT);
-    asked.join().unwrap();
-    w.assert_kept();
+    world.signal(Signal::CONT);
+    pending.join().unwrap();
+    world.assert_no_violation();
 }
 
-/// An engine that has left the list may still run: what stands there is released through another one.
+/// An engine that was removed from the list may still run: what is reserved there is released through another one.
 #[test]
-fn what_stands_at_an_engine_that_left_the_list_is_released() {
-    let w = World::start(109, 1, 1, |_| {});
-    assert_eq!(w.ask("warm"), Outcome::Served);
-    w.decodes()[0].proxy.silence_open();
-    let asked = w.ask_in_background("delisted");
-    w.tell(|list| drop(list["instances"].as_array_mut().unwrap().remove(0)));
-    asked.join().unwrap();
-    w.assert_kept();
+fn reservation_at_a_removed_engine_is_released() {
+    let world = World::start(109, 1, 1, |_| {});
+    assert_eq!(world.request("warm"), Outcome::Served);
+    world.decodes()[0].proxy.silence_open();
+    let pending = world.request_in_background("delisted");
+    world.announce(|list| drop(list["instances"].as_array_mut().unwrap().remove(0)));
+    pending.join().unwrap();
+    world.assert_no_violation();
 }
 
-/// No engine can be reached for longer than any call is worth; then they are back, and are told.
+/// No engine can be reached for longer than any timeout; then they recover, and the release reaches them.
 #[test]
-fn what_stands_is_released_when_engines_are_back() {
-    let w = World::start(110, 1, 1, |_| {});
-    assert_eq!(w.ask("warm"), Outcome::Served);
+fn reservation_is_released_when_engines_recover() {
+    let world = World::start(110, 1, 1, |_| {});
+    assert_eq!(world.request("warm"), Outcome::Served);
     // The prefill ends well before its client leaves, which ends the attempt.
-    w.prefills()[0].engine.behaviour.work_ms.store(200, Relaxed);
-    let asked = w.ask_and_leave("away", Some(ms(400)));
+    world.prefills()[0].engine.behaviour.work_ms.store(200, Relaxed);
+    let pending = world.request_and_disconnect("away", Some(ms(400)));
     sleep(ms(100));
     // The prefill ends well behind a connection that tells nobody, and no call gets through.
-    for p in w.prefills().into_iter().chain(w.decodes()) {
-        p.proxy.silence(true);
-        p.proxy.refuse(true);
+    for proxied in world.prefills().into_iter().chain(world.decodes()) {
+        proxied.proxy.silence(true);
+        proxied.proxy.refuse(true);
     }
-    asked.join().unwrap();
+    pending.join().unwrap();
     sleep(ms(4000));
-    assert!(w.table.is_reserved("away"), "nothing stood there");
-    w.prefills().into_iter().chain(w.decodes()).for_each(|p| p.proxy.heal());
-    let until = Instant::now() + ms(1500);
-    while w.table.is_reserved("away") {
-        assert!(Instant::now() < until, "not released after their return");
+    assert!(world.table.is_reserved("away"), "nothing was reserved there");
+    world.prefills().into_iter().chain(world.decodes()).for_each(|proxied| proxied.proxy.heal());
+    let deadline = Instant::now() + ms(1500);
+    while world.table.is_reserved("away") {
+        assert!(Instant::now() < deadline, "not released after their recovery");
         sleep(ms(10));
     }
 }
 
-/// A client leaves, or a new configuration comes, while an attempt goes into a silent connection.
+/// A client disconnects, or the configuration is reloaded, while an attempt is written to a silent connection.
 #[test]
-fn leaving_and_reloading_do_not_keep_a_reservation() {
+fn disconnect_and_reload_do_not_keep_a_reservation() {
     for (n, reload) in [(111, false), (112, true)] {
-        let w = World::start(n, 1, 1, |_| {});
-        assert_eq!(w.ask("warm"), Outcome::Served);
-        w.decodes()[0].proxy.silence_open();
-        let asked = w.ask_and_leave("leaves", (!reload).then(|| ms(150)));
+        let world = World::start(n, 1, 1, |_| {});
+        assert_eq!(world.request("warm"), Outcome::Served);
+        world.decodes()[0].proxy.silence_open();
+        let pending = world.request_and_disconnect("leaves", (!reload).then(|| ms(150)));
         sleep(ms(100));
         if reload {
-            w.signal(Signal::HUP);
+            world.signal(Signal::HUP);
         }
-        asked.join().unwrap();
-        w.assert_kept();
+        pending.join().unwrap();
+        world.assert_no_violation();
     }
 }
--- a/crates/nickelgw-cli/tests/platform_reservations/world.rs
+++ b/crates/nickelgw-cli/tests/platform_reservations/world.rs
@@ -1,7 +1,7 @@
-//! One node's process, engines behind proxies, and clients.
+//! One node's process, engines behind fault proxies, and clients.
 
-use crate::common::{line, peer, plain, Peer, Then, LONG};
-use crate::processes::{configured, start_with, Node};
+use crate::common::{endpoint_entry, http_response, peer, Peer, PeerAction, TEST_TIMEOUT};
+use crate::processes::{start_process_with, write_config, Node};
 use nickelgw_test_servers::platform::{request, Asked, Engine, Outcome, Proxy, Role, Rules, Table};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
@@ -16,126 +16,127 @@
 const DESCRIPTORS: usize = 256;
 
 /// An engine and the proxy in front of it.
-pub struct Place {
+pub struct ProxiedEngine {
     pub engine: Engine,
     pub proxy: Proxy,
 }
 
 pub struct World {
     pub table: Arc<Table>,
-    places: Vec<Place>,
+    engines: Vec<ProxiedEngine>,
     pub node: Node,
     log: std::path::PathBuf,
-    /// What discovery tells next.
-    news: Arc<Mutex<Option<Value>>>,
+    /// What discovery announces next.
+    next_list: Arc<Mutex<Option<Value>>>,
 }
 
-/// A discovery that tells each list once, and is silent otherwise.
+/// A discovery service that announces each list once, and does not answer otherwise.
 fn discovery() -> (Peer, Arc<Mutex<Option<Value>>>) {
-    let news: Arc<Mutex<Option<Value>>> = Arc::default();
-    let next = news.clone();
+    let next_list: Arc<Mutex<Option<Value>>> = Arc::default();
+    let next = next_list.clone();
     let agent = peer(move |_, _| match next.lock().unwrap().take() {
-        Some(list) => Then::Answer(plain("200 OK", &list.to_string())),
-        None => Then::Hold,
+        Some(list) => PeerAction::Respond(http_response("200 OK", &list.to_string())),
+        None => PeerAction::Stall,
     });
-    (agent, news)
+    (agent, next_list)
 }
 
 /// Engines behind proxies: prefill engines first.
-pub fn places(table: &Arc<Table>, prefills: usize, decodes: usize) -> Vec<Place> {
+pub fn start_engines(table: &Arc<Table>, prefills: usize, decodes: usize) -> Vec<ProxiedEngine> {
     let roles = (0..prefills + decodes).map(|n| if n < prefills { Role::Prefill } else { Role::Decode });
     let start = |(n, role)| {
         smol::block_on(async {
             let engine = Engine::start(n, role, table.clone()).await.unwrap();
             let proxy = Proxy::start(&engine, table.clone()).await.unwrap();
-            Place { engine, proxy }
+            ProxiedEngine { engine, proxy }
         })
     };
     roles.enumerate().map(start).collect()
 }
 
-/// The list that discovery would tell of them, one zone for each half of a role.
-pub fn endpoints(places: &[Place]) -> Value {
-    let lines = places.iter().enumerate().map(|(n, p)| {
-        let kind = if p.engine.role == Role::Prefill { "m1" } else { "m2" };
-        line(&format!("e{n}"), kind, "a", p.proxy.address)
+/// The list that discovery would announce of them.
+pub fn endpoints(engines: &[ProxiedEngine]) -> Value {
+    let entries = engines.iter().enumerate().map(|(n, proxied)| {
+        let kind = if proxied.engine.role == Role::Prefill { "m1" } else { "m2" };
+        endpoint_entry(&format!("e{n}"), kind, "a", proxied.proxy.address)
     });
-    json!({"generation": 3, "reset": true, "instances": lines.collect::<Vec<_>>()})
+    json!({"generation": 3, "reset": true, "instances": entries.collect::<Vec<_>>()})
 }
 
 /// The library that lets system calls fail, built for this run.
 pub fn shim() -> std::path::PathBuf {
     let source = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/platform_reservations/faults.c");
     let built = std::env::temp_dir().join(format!("nickelgw-faults-{}.so", std::process::id()));
-    let cc = Command::new("cc")
+    let compiled = Command::new("cc")
         .args(["-shared", "-fPIC", "-O1", "-o"])
         .arg(&built)
         .args([source, "-ldl"])
         .status();
-    assert!(cc.is_ok_and(|s| s.success()), "a C compiler is wanted");
+    assert!(compiled.is_ok_and(|status| status.success()), "a C compiler is needed");
     built
 }
 
 impl World {
-    pub fn start(n: u8, prefills: usize, decodes: usize, but: impl Fn(&mut Value)) -> World {
-        World::start_with(n, prefills, decodes, but, |_| {})
+    pub fn start(n: u8, prefills: usize, decodes: usize, change: impl Fn(&mut Value)) -> World {
+        World::start_with(n, prefills, decodes, change, |_| {})
     }
 
-    /// With something else in the node's configuration, and in its command.
+    /// With a change of the node's configuration, and of its command.
     pub fn start_with(
         n: u8,
         prefills: usize,
         decodes: usize,
-        but: impl Fn(&mut Value),
+        change: impl Fn(&mut Value),
         command: impl FnOnce(&mut Command),
     ) -> World {
         let table = Arc::new(Table::new(Rules::default()));
-        let places = places(&table, prefills, decodes);
-        let (agent, news) = discovery();
-        let (address, path) = configured(n, &agent, endpoints(&places), but);
+        let engines = start_engines(&table, prefills, decodes);
+        let (agent, next_list) = discovery();
+        let (address, path) = write_config(n, &agent, endpoints(&engines), change);
         let log = path.with_extension("log");
         let file = std::fs::File::create(&log).unwrap();
-        let child = start_with(&path, DESCRIPTORS, |c| {
-            c.env("LEVEL", "--log-level debug").stderr(Stdio::from(file));
-            command(c);
+        let child = start_process_with(&path, DESCRIPTORS, |process| {
+            process.env("LEVEL", "--log-level debug").stderr(Stdio::from(file));
+            command(process);
         });
         let node = Node { child, address, path };
-        node.ready_in();
-        World { table, places, node, log, news }
+        node.wait_until_ready();
+        World { table, engines, node, log, next_list }
     }
 
-    pub fn prefills(&self) -> Vec<&Place> {
-        self.places.iter().filter(|p| p.engine.role == Role::Prefill).collect()
+    pub fn prefills(&self) -> Vec<&ProxiedEngine> {
+        self.engines.iter().filter(|proxied| proxied.engine.role == Role::Prefill).collect()
     }
 
-    pub fn decodes(&self) -> Vec<&Place> {
-        self.places.iter().filter(|p| p.engine.role == Role::Decode).collect()
+    pub fn decodes(&self) -> Vec<&ProxiedEngine> {
+        self.engines.iter().filter(|proxied| proxied.engine.role == Role::Decode).collect()
     }
 
-    /// Discovery tells that an engine drains.
+    /// Discovery announces that an engine drains.
     pub fn drain(&self, n: usize) {
-        self.tell(|list| list["instances"][n]["lifecycle"] = "draining".into());
+        self.announce(|list| list["instances"][n]["lifecycle"] = "draining".into());
     }
 
-    /// Discovery tells a list that differs from the first.
-    pub fn tell(&self, change: impl Fn(&mut Value)) {
-        let mut list = endpoints(&self.places);
+    /// Discovery announces a list that differs from the first.
+    pub fn announce(&self, change: impl Fn(&mut Value)) {
+        let mut list = endpoints(&self.engines);
         list["generation"] = 4.into();
         change(&mut list);
-        *self.news.lock().unwrap() = Some(list);
+        *self.next_list.lock().unwrap() = Some(list);
     }
 
-    /// A client asks and waits for what comes.
-    pub fn ask(&self, id: &str) -> Outcome {
-        self.ask_in_background(id).join().unwrap()
+    /// A client sends a request and waits for its outcome.
+    pub fn request(&self, id: &str) -> Outcome {
+        self.request_in_background(id).join().unwrap()
     }
 
-    pub fn ask_in_background(&self, id: &str) -> JoinHandle<Outcome> {
-        self.ask_and_leave(id, None)
+    /// A client sends a request in a thread of its own.
+    pub fn request_in_background(&self, id: &str) -> JoinHandle<Outcome> {
+        self.request_and_disconnect(id, None)
     }
 
-    /// A client asks, and goes after a while.
-    pub fn ask_and_leave(&self, id: &str, leaves_after: Option<Duration>) -> JoinHandle<Outcome> {
+    /// A client sends a request, and disconnects after a while.
+    pub fn request_and_disconnect(&self, id: &str, leaves_after: Option<Duration>) -> JoinHandle<Outcome> {
         let (id, class) = (id.to_string(), "chat".to_string());
         let asked = Asked { id, class, once: false, timeout: TIMEOUT, leaves_after };
         let (address, table) = (self.node.address, self.table.clone());
@@ -144,14 +145,22 @@
         })
     }
 
-    /// No rule was broken, and nothing stays reserved.
-    pub fn assert_kept(&self) {
-        let until = Instant::now() + Duration::from_secs(1);
-        while self.table.is_any_reserved() && Instant::now() < until {
+    /// The client got a final answer: its request was not lost, and its connection neither refused nor closed.
+    pub fn assert_final_answer(&self, outcome: Outcome) {
+        assert!(
+            !matches!(outcome, Outcome::Silent | Outcome::Closed | Outcome::Refused),
+            "no final answer: {outcome:?}"
+        );
+    }
+
+    /// No rule was violated, and nothing stays reserved.
+    pub fn assert_no_violation(&self) {
+        let deadline = Instant::now() + Duration::from_secs(1);
+        while self.table.is_any_reserved() && Instant::now() < deadline {
             std::thread::sleep(Duration::from_millis(5));
         }
-        let found = self.table.violations();
-        assert!(found.is_empty(), "{found:?}\n{}", self.log());
+        let violations = self.table.violations();
+        assert!(violations.is_empty(), "{violations:?}\n{}", self.log());
         assert!(!self.table.is_any_reserved(), "something stays reserved");
     }
 
@@ -169,9 +178,9 @@
     }
 
     pub fn wait_for_end(&mut self) {
-        let until = Instant::now() + LONG;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         while self.node.child.try_wait().unwrap().is_none() {
-            assert!(Instant::now() < until, "it does not end");
+            assert!(Instant::now() < deadline, "it does not end");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
--- a/crates/nickelgw-cli/tests/platform_soak.rs
+++ b/crates/nickelgw-cli/tests/platform_soak.rs
@@ -26,13 +26,13 @@
 const NODES: usize = 24;
 /// Time after the last fault in which all that is open comes to its end.
 const SETTLE: Duration = Duration::from_secs(5);
-/// Lateness of the harness up to which its word counts: a third of the tightest limit it judges by (0.15 s).
-const MOST_LATE: Duration = Duration::from_millis(50);
+/// Lateness of the harness up to which its judgement counts: a third of the tightest limit it judges by (0.15 s).
+const MAX_LATENESS: Duration = Duration::from_millis(50);
 /// Plays of a seed until the harness was not late.
 const PLAYS: usize = 5;
 
-fn setting(name: &str, usual: &str) -> String {
-    std::env::var(name).unwrap_or_else(|_| usual.to_string())
+fn setting(name: &str, default: &str) -> String {
+    std::env::var(name).unwrap_or_else(|_| default.to_string())
 }
 
 #[test]
@@ -41,7 +41,7 @@
     for seed in setting("SOAK_SEEDS", "1").split(',') {
         let seed: u64 = seed.trim().parse().expect("SOAK_SEEDS are numbers");
         // A harness that ran late can tell nothing of what was late: that play is played again, and then it has to hold.
-        let judged = (0..PLAYS).map(|_| play(seed, seconds)).find(|(report, _)| report.late < MOST_LATE);
+        let judged = (0..PLAYS).map(|_| play(seed, seconds)).find(|(report, _)| report.late < MAX_LATENESS);
         let (report, faults) = judged.expect("the machine is too busy to judge");
         assert!(report.served * 3 > report.asked, "hardly anything was served: {report}");
         assert!(report.violations.is_empty(), "seed {seed}, faults {faults:?}: {:#?}", report.violations);
@@ -51,8 +51,8 @@
 fn play(seed: u64, seconds: u64) -> (Report, Vec<&'static str>) {
     let fleet = Fleet::start(NODES, seed);
     let mut faults = Faults::new(seed);
-    let until = Instant::now() + Duration::from_secs(seconds);
-    while Instant::now() < until {
+    let deadline = Instant::now() + Duration::from_secs(seconds);
+    while Instant::now() < deadline {
         faults.next(&fleet);
     }
     faults.end(&fleet);
@@ -60,7 +60,7 @@
     let report = fleet.end();
     println!("seed {seed}: {report}");
     // No lateness explains that something ran twice.
-    let twice: Vec<_> = report.violations.iter().filter(|v| v.contains("RunTwice")).collect();
+    let twice: Vec<_> = report.violations.iter().filter(|violation| violation.contains("RunTwice")).collect();
     assert!(twice.is_empty(), "seed {seed}: {twice:?}");
     (report, faults.played)
 }
--- a/crates/nickelgw-cli/tests/platform_soak/faults.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/faults.rs
@@ -12,7 +12,7 @@
 type Ending = (Instant, Box<dyn Fn(&Fleet) + Send>);
 
 pub struct Faults {
-    chance: WyRand,
+    random: WyRand,
     endings: Vec<Ending>,
     /// Names of the faults so far.
     pub played: Vec<&'static str>,
@@ -20,11 +20,11 @@
 
 impl Faults {
     pub fn new(seed: u64) -> Faults {
-        Faults { chance: WyRand::new_seed(seed), endings: Vec::new(), played: Vec::new() }
+        Faults { random: WyRand::new_seed(seed), endings: Vec::new(), played: Vec::new() }
     }
 
     fn below(&mut self, n: usize) -> usize {
-        self.chance.generate_range(0..n)
+        self.random.generate_range(0..n)
     }
 
     fn ends_in(&mut self, ms: usize, end: impl Fn(&Fleet) + Send + 'static) {
@@ -35,10 +35,10 @@
     /// Waits a while, ends what is over, and begins one more.
     pub fn next(&mut self, fleet: &Fleet) {
         sleep(Duration::from_millis(self.below(200) as u64));
-        self.end_due(fleet, Instant::now());
-        let engine = self.below(fleet.places.len());
-        let proxy = fleet.places[engine].proxy.clone();
-        let behaviour = fleet.places[engine].engine.behaviour.clone();
+        self.end_expired(fleet, Instant::now());
+        let engine = self.below(fleet.engines.len());
+        let proxy = fleet.engines[engine].proxy.clone();
+        let behaviour = fleet.engines[engine].engine.behaviour.clone();
         let node = self.below(fleet.nodes());
         let name = match self.below(14) {
             0 | 1 => {
@@ -88,34 +88,35 @@
                 fleet.signal(node, Signal::STOP);
                 sleep(Duration::from_millis(self.below(140) as u64));
                 fleet.signal(node, Signal::CONT);
-                "a node is held up"
+                "a node is suspended"
             }
             11 => {
                 fleet.signal(node, Signal::HUP);
-                "a new configuration"
+                "a configuration is reloaded"
             }
             12 => {
                 fleet.kill_and_restart(node);
                 "a node is killed"
             }
             _ => {
-                fleet.end_and_restart(node);
-                "a node is told to end"
+                fleet.shut_down_and_restart(node);
+                "a node shuts down"
             }
         };
         self.played.push(name);
     }
 
-    fn end_due(&mut self, fleet: &Fleet, now: Instant) {
-        let (due, later) = std::mem::take(&mut self.endings).into_iter().partition(|e: &Ending| e.0 <= now);
+    fn end_expired(&mut self, fleet: &Fleet, now: Instant) {
+        let (ended, later) =
+            std::mem::take(&mut self.endings).into_iter().partition(|ending: &Ending| ending.0 <= now);
         self.endings = later;
-        due.iter().for_each(|e: &Ending| e.1(fleet));
+        ended.iter().for_each(|ending: &Ending| ending.1(fleet));
     }
 
     /// All faults end.
     pub fn end(&mut self, fleet: &Fleet) {
         let endings = std::mem::take(&mut self.endings);
-        endings.iter().for_each(|e| e.1(fleet));
-        fleet.places.iter().for_each(|p| p.proxy.heal());
+        endings.iter().for_each(|ending| ending.1(fleet));
+        fleet.engines.iter().for_each(|proxied| proxied.proxy.heal());
     }
 }
--- a/crates/nickelgw-cli/tests/platform_soak/fleet.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/fleet.rs
@@ -1,8 +1,8 @@
-//! Nodes as processes with a client each that asks all the time, and what is found in the end.
+//! Nodes as processes with a client each that sends requests all the time, and the violations found in the end.
 
-use crate::common::silent;
-use crate::processes::{configured, start_with};
-use crate::world::{endpoints, places, Place};
+use crate::common::silent_discovery;
+use crate::processes::{start_process_with, write_config};
+use crate::world::{endpoints, start_engines, ProxiedEngine};
 use nanorand::{Rng, WyRand};
 use nickelgw_test_servers::platform::{request, Asked, Outcome, Rules, Table};
 use rustix::process::{kill_process, Pid, Signal};
@@ -21,9 +21,9 @@
 const TIMEOUT: Duration = Duration::from_millis(2000);
 /// Gap between the requests of a node's client.
 const GAP: Duration = Duration::from_millis(60);
-/// After the order to end clients still come for so long; it is killed no sooner than its longest deadline and 0.7 s later.
-const STILL_COMING: Duration = Duration::from_millis(400);
-const KILLED_AFTER: Duration = Duration::from_millis(3700);
+/// After the request to shut down clients still come for so long; it is killed no sooner than its longest deadline and 0.7 s later.
+const ACCEPT_DURATION: Duration = Duration::from_millis(400);
+const KILL_AFTER: Duration = Duration::from_millis(3700);
 
 /// One node over the lives of its processes.
 struct Member {
@@ -31,8 +31,8 @@
     path: PathBuf,
     log: PathBuf,
     child: Mutex<Child>,
-    /// Its clients stay away.
-    away: AtomicBool,
+    /// It is being restarted: clients send it nothing.
+    restarting: AtomicBool,
     /// Requests that were open as it was killed are nobody's loss.
     killed: Mutex<Vec<Instant>>,
 }
@@ -44,8 +44,8 @@
 
     fn spawn(path: &std::path::Path, log: &std::path::Path) -> Child {
         let file = std::fs::OpenOptions::new().create(true).append(true).open(log).unwrap();
-        start_with(path, DESCRIPTORS, |c| {
-            c.env("LEVEL", "--log-level debug").stderr(Stdio::from(file));
+        start_process_with(path, DESCRIPTORS, |process| {
+            process.env("LEVEL", "--log-level debug").stderr(Stdio::from(file));
         })
     }
 
@@ -53,7 +53,7 @@
         let mut child = self.child();
         let _ = child.wait();
         *child = Member::spawn(&self.path, &self.log);
-        self.away.store(false, Relaxed);
+        self.restarting.store(false, Relaxed);
     }
 
     fn remove_files(self: &Arc<Self>) {
@@ -62,17 +62,17 @@
     }
 
     fn was_killed_since(&self, since: Instant) -> bool {
-        self.killed.lock().unwrap().iter().any(|at| *at >= since)
+        self.killed.lock().unwrap().iter().any(|killed_at| *killed_at >= since)
     }
 }
 
 pub struct Fleet {
-    pub places: Vec<Place>,
+    pub engines: Vec<ProxiedEngine>,
     members: Vec<Arc<Member>>,
     table: Arc<Table>,
-    on: Arc<AtomicBool>,
+    running: Arc<AtomicBool>,
     clients: Vec<JoinHandle<Vec<(String, Outcome)>>>,
-    ending: Mutex<Vec<JoinHandle<()>>>,
+    shutdowns: Mutex<Vec<JoinHandle<()>>>,
     lateness: Arc<Lateness>,
 }
 
@@ -88,21 +88,21 @@
         let every = Duration::from_millis(5);
         smol::spawn(async move {
             while Arc::strong_count(&measured) > 1 {
-                let due = Instant::now() + every;
-                smol::Timer::at(due).await;
-                measured.0.fetch_max(due.elapsed().as_micros() as u64, Relaxed);
+                let wake_at = Instant::now() + every;
+                smol::Timer::at(wake_at).await;
+                measured.0.fetch_max(wake_at.elapsed().as_micros() as u64, Relaxed);
             }
         })
         .detach();
         lateness
     }
 
-    fn most(&self) -> Duration {
+    fn max(&self) -> Duration {
         Duration::from_micros(self.0.load(Relaxed))
     }
 }
 
-/// What a soak came to.
+/// The result of a soak.
 pub struct Report {
     pub asked: usize,
     pub served: usize,
@@ -112,10 +112,10 @@
 }
 
 impl std::fmt::Display for Report {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
         let (asked, served, late) = (self.asked, self.served, self.late);
         write!(
-            f,
+            formatter,
             "{asked} asked, {served} served, {} violations; harness late by {late:?}",
             self.violations.len()
         )
@@ -125,35 +125,44 @@
 impl Fleet {
     pub fn start(nodes: usize, seed: u64) -> Fleet {
         let table = Arc::new(Table::new(Rules::default()));
-        let places = places(&table, PREFILLS, DECODES);
-        let discovery = silent();
+        let engines = start_engines(&table, PREFILLS, DECODES);
+        let discovery = silent_discovery();
         let members: Vec<Arc<Member>> = (0..nodes)
             .map(|n| {
-                let (address, path) = configured(120 + n as u8, &discovery, endpoints(&places), |all| {
-                    let settings = &mut all["settings"];
-                    settings["balancers"] = nodes.into();
-                    settings["limits"]["probes"] = seed.is_multiple_of(2).into();
-                    settings["limits"]["most_tries"] = 6.into();
-                    let once =
-                        json!({"name": "pay", "slo_s": 1.0, "idempotency": "side_effect", "worth": 1.0});
-                    settings["classes"].as_array_mut().unwrap().push(once);
-                    settings["family_info"]["aim_us_per_1000_prompt_tokens"] = json!([40000.0, 40000.0]);
-                    settings["family_info"]["token_aim_s"] = json!([0.06, 0.06]);
-                });
+                let (address, path) =
+                    write_config(120 + n as u8, &discovery, endpoints(&engines), |config| {
+                        let settings = &mut config["settings"];
+                        settings["balancers"] = nodes.into();
+                        settings["limits"]["probes"] = seed.is_multiple_of(2).into();
+                        settings["limits"]["most_tries"] = 6.into();
+                        let once =
+                            json!({"name": "pay", "slo_s": 1.0, "idempotency": "side_effect", "worth": 1.0});
+                        settings["classes"].as_array_mut().unwrap().push(once);
+                        settings["family_info"]["aim_us_per_1000_prompt_tokens"] = json!([40000.0, 40000.0]);
+                        settings["family_info"]["token_aim_s"] = json!([0.06, 0.06]);
+                    });
                 let log = path.with_extension("log");
                 let child = Mutex::new(Member::spawn(&path, &log));
-                let (away, killed) = (AtomicBool::new(false), Mutex::default());
-                Arc::new(Member { address, path, log, child, away, killed })
+                let (restarting, killed) = (AtomicBool::new(false), Mutex::default());
+                Arc::new(Member { address, path, log, child, restarting, killed })
             })
             .collect();
         sleep(Duration::from_secs(1));
-        let on = Arc::new(AtomicBool::new(true));
+        let running = Arc::new(AtomicBool::new(true));
         let client = |(n, member): (usize, &Arc<Member>)| {
-            let (member, table, on) = (member.clone(), table.clone(), on.clone());
-            spawn(move || asks(n, seed, &member, &table, &on))
+            let (member, table, running) = (member.clone(), table.clone(), running.clone());
+            spawn(move || send_requests(n, seed, &member, &table, &running))
         };
         let clients = members.iter().enumerate().map(client).collect();
-        Fleet { places, members, table, on, clients, ending: Mutex::default(), lateness: Lateness::measure() }
+        Fleet {
+            engines,
+            members,
+            table,
+            running,
+            clients,
+            shutdowns: Mutex::default(),
+            lateness: Lateness::measure(),
+        }
     }
 
     pub fn nodes(&self) -> usize {
@@ -165,10 +174,10 @@
         let _ = kill_process(Pid::from_child(&child), signal);
     }
 
-    /// A node dies at once; what it left is freed by the platform.
+    /// A node is killed; its reservations are released by the platform.
     pub fn kill_and_restart(&self, node: usize) {
         let member = &self.members[node];
-        if member.away.swap(true, Relaxed) {
+        if member.restarting.swap(true, Relaxed) {
             return;
         }
         member.killed.lock().unwrap().push(Instant::now());
@@ -177,20 +186,20 @@
         member.restart();
     }
 
-    /// A node is told to end, and is killed when its time is up.
-    pub fn end_and_restart(&self, node: usize) {
+    /// A node shuts down, and is killed when its time is up.
+    pub fn shut_down_and_restart(&self, node: usize) {
         let member = self.members[node].clone();
-        if member.away.load(Relaxed) {
+        if member.restarting.load(Relaxed) {
             return;
         }
         self.signal(node, Signal::TERM);
-        self.ending.lock().unwrap().push(spawn(move || {
-            sleep(STILL_COMING);
-            if member.away.swap(true, Relaxed) {
+        self.shutdowns.lock().unwrap().push(spawn(move || {
+            sleep(ACCEPT_DURATION);
+            if member.restarting.swap(true, Relaxed) {
                 return;
             }
-            let until = Instant::now() + KILLED_AFTER;
-            while member.child().try_wait().unwrap().is_none() && Instant::now() < until {
+            let deadline = Instant::now() + KILL_AFTER;
+            while member.child().try_wait().unwrap().is_none() && Instant::now() < deadline {
                 sleep(Duration::from_millis(10));
             }
             let _ = member.child().kill();
@@ -200,12 +209,13 @@
 
     /// Ends all, and judges.
     pub fn end(self) -> Report {
-        self.on.store(false, Relaxed);
+        self.running.store(false, Relaxed);
         let outcomes: Vec<(String, Outcome)> =
-            self.clients.into_iter().flat_map(|c| c.join().unwrap()).collect();
-        self.ending.into_inner().unwrap().into_iter().for_each(|e| e.join().unwrap());
+            self.clients.into_iter().flat_map(|client| client.join().unwrap()).collect();
+        self.shutdowns.into_inner().unwrap().into_iter().for_each(|thread| thread.join().unwrap());
         sleep(Duration::from_secs(1));
-        let mut violations: Vec<String> = self.table.violations().iter().map(|v| format!("{v:?}")).collect();
+        let mut violations: Vec<String> =
+            self.table.violations().iter().map(|violation| format!("{violation:?}")).collect();
         let reserved = self.table.reserved().into_iter();
         violations.extend(reserved.map(|(id, out)| format!("{id} stays reserved, {out} attempts out")));
         let judged = violations.len();
@@ -222,44 +232,44 @@
         }
         // The logs of a failed run are kept: a violation is followed by its request's id.
         println!("{judged} found outside of the nodes; logs: {}", self.members[0].log.display());
-        let served = outcomes.iter().filter(|o| o.1 == Outcome::Served).count();
-        Report { asked: outcomes.len(), served, violations, late: self.lateness.most() }
+        let served = outcomes.iter().filter(|(_, outcome)| *outcome == Outcome::Served).count();
+        Report { asked: outcomes.len(), served, violations, late: self.lateness.max() }
     }
 }
 
-/// A client that asks one node all the time, several requests at once.
-fn asks(
+/// A client that sends requests to one node all the time, several at once.
+fn send_requests(
     node: usize,
     seed: u64,
     member: &Arc<Member>,
     table: &Arc<Table>,
-    on: &AtomicBool,
+    running: &AtomicBool,
 ) -> Vec<(String, Outcome)> {
-    let mut chance = WyRand::new_seed(seed ^ ((node as u64 + 1) << 32));
+    let mut random = WyRand::new_seed(seed ^ ((node as u64 + 1) << 32));
     let mut open = Vec::new();
-    let mut k = 0;
-    while on.load(Relaxed) {
-        sleep(GAP.mul_f64(0.5 + chance.generate::<f64>()));
-        if member.away.load(Relaxed) {
+    let mut number = 0;
+    while running.load(Relaxed) {
+        sleep(GAP.mul_f64(0.5 + random.generate::<f64>()));
+        if member.restarting.load(Relaxed) {
             continue;
         }
-        k += 1;
-        let once = chance.generate_range(0..4u32) == 0;
-        let leaves = chance.generate_range(0..8u32) == 0;
+        number += 1;
+        let once = random.generate_range(0..4u32) == 0;
+        let leaves = random.generate_range(0..8u32) == 0;
         let asked = Asked {
-            id: format!("s{node}x{k}"),
+            id: format!("s{node}x{number}"),
             class: if once { "pay" } else { "chat" }.into(),
             once,
             timeout: TIMEOUT,
-            leaves_after: leaves.then(|| Duration::from_millis(chance.generate_range(0..600u64))),
+            leaves_after: leaves.then(|| Duration::from_millis(random.generate_range(0..600u64))),
         };
         let (member, table) = (member.clone(), table.clone());
         open.push(smol::spawn(async move {
-            let began = Instant::now();
+            let sent_at = Instant::now();
             let outcome = request(member.address, &asked, &table, Rules::default().answer_slack).await;
             let lost = matches!(outcome, Outcome::Closed | Outcome::Silent);
-            if lost && !member.was_killed_since(began) {
-                table.unanswered(&asked.id, format!("{outcome:?} after {:?}", began.elapsed()));
+            if lost && !member.was_killed_since(sent_at) {
+                table.unanswered(&asked.id, format!("{outcome:?} after {:?}", sent_at.elapsed()));
             }
             (asked.id, outcome)
         }));
--- a/crates/nickelgw-cli/tests/processes/mod.rs
+++ b/crates/nickelgw-cli/tests/processes/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes as processes, as the platform starts them.
+//! Nodes as processes, started as the platform starts them.
 
 use crate::common::*;
 use rustix::process::{kill_process, Pid, Signal};
@@ -27,85 +27,107 @@
     }
 }
 
-/// An address of loopback that no other test has.
-pub fn address(n: u8) -> SocketAddr {
+/// An address of loopback that no other test uses.
+pub fn loopback_address(n: u8) -> SocketAddr {
     TcpListener::bind((std::net::Ipv4Addr::new(127, 1, n, 1), 0)).unwrap().local_addr().unwrap()
 }
 
-pub fn start(path: &std::path::Path, descriptors: usize) -> Child {
-    start_with(path, descriptors, |command| {
+/// A node's process with this configuration file and limit of descriptors.
+pub fn start_process(path: &std::path::Path, descriptors: usize) -> Child {
+    start_process_with(path, descriptors, |command| {
         command.stderr(Stdio::piped());
     })
 }
 
-/// A node's process, with whatever else its command is to have.
-pub fn start_with(path: &std::path::Path, descriptors: usize, but: impl FnOnce(&mut Command)) -> Child {
+/// A node's process, with a change of its command.
+pub fn start_process_with(
+    path: &std::path::Path,
+    descriptors: usize,
+    change: impl FnOnce(&mut Command),
+) -> Child {
     let mut command = Command::new("/bin/sh");
     command
         .arg("-c")
         .arg(format!("ulimit -n {descriptors}; exec {} $LEVEL platform", env!("CARGO_BIN_EXE_nickelgw")))
         .env("RELAY_CONFIG", path)
         .stdout(Stdio::null());
-    but(&mut command);
+    change(&mut command);
     command.spawn().unwrap()
 }
 
-/// A node that was told it may have `told` descriptors, in a process that gets `real` of them.
-pub fn node(n: u8, discovery: &Peer, known: Value, told: usize, real: usize) -> Node {
-    node_but(n, discovery, known, real, |all| all["limits"]["sockets"] = json!(told))
+/// A node whose configuration states so many descriptors, in a process that gets `descriptors` of them.
+pub fn start_node(n: u8, discovery: &Peer, known: Value, stated: usize, descriptors: usize) -> Node {
+    start_node_with(n, discovery, known, descriptors, |config| config["limits"]["sockets"] = json!(stated))
 }
 
-/// A node with something else in its configuration.
-pub fn node_but(n: u8, discovery: &Peer, known: Value, real: usize, but: impl Fn(&mut Value)) -> Node {
-    let (address, path) = configured(n, discovery, known, but);
-    Node { child: start(&path, real), address, path }
+/// A node with a change of its configuration.
+pub fn start_node_with(
+    n: u8,
+    discovery: &Peer,
+    known: Value,
+    descriptors: usize,
+    change: impl Fn(&mut Value),
+) -> Node {
+    let (address, path) = write_config(n, discovery, known, change);
+    Node { child: start_process(&path, descriptors), address, path }
 }
 
-/// The address and the configuration of a node that is yet to be started.
-pub fn configured(n: u8, discovery: &Peer, known: Value, but: impl Fn(&mut Value)) -> (SocketAddr, PathBuf) {
-    let address = address(n);
-    let mut all = config(&address.to_string(), &discovery.address.to_string(), known);
-    but(&mut all);
+/// The address and the configuration file of a node that is yet to be started.
+pub fn write_config(
+    n: u8,
+    discovery: &Peer,
+    known: Value,
+    change: impl Fn(&mut Value),
+) -> (SocketAddr, PathBuf) {
+    let address = loopback_address(n);
+    let mut config = node_config(&address.to_string(), &discovery.address.to_string(), known);
+    change(&mut config);
     let path = std::env::temp_dir().join(format!("nickelgw-platform-{n}-{}.json", std::process::id()));
-    std::fs::write(&path, all.to_string()).unwrap();
+    std::fs::write(&path, config.to_string()).unwrap();
     (address, path)
 }
 
-pub fn client(to: SocketAddr) -> TcpStream {
-    let c = TcpStream::connect(to).unwrap();
-    c.set_read_timeout(Some(LONG)).unwrap();
-    c
+/// A client's connection to a node.
+pub fn connect(address: SocketAddr) -> TcpStream {
+    let client = TcpStream::connect(address).unwrap();
+    client.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    client
 }
 
-pub fn say(to: SocketAddr, bytes: &[u8]) -> String {
-    let mut c = client(to);
-    c.write_all(bytes).unwrap();
-    answer(&mut c)
+/// The node's response to these bytes.
+pub fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
+    let mut client = connect(address);
+    client.write_all(bytes).unwrap();
+    read_response(&mut client)
 }
 
 impl Node {
-    /// Silent clients have half a second each: behind 200 of them in a table of 31 it is its turn after some 3 s.
+    /// Whether it is ready. Silent clients keep their places for half a second each: behind 200 of them in a table of 31
+    /// this client is served after some 3 s.
     pub fn is_ready(&self) -> bool {
-        let Ok(mut c) = TcpStream::connect(self.address) else { return false };
-        c.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-        c.write_all(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").is_ok()
-            && answer(&mut c).starts_with("HTTP/1.1 200")
+        let Ok(mut client) = TcpStream::connect(self.address) else { return false };
+        client.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+        client.write_all(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").is_ok()
+            && read_response(&mut client).starts_with("HTTP/1.1 200")
     }
 
-    pub fn ready_in(&self) -> Duration {
-        let began = Instant::now();
+    /// Waits until it is ready, and returns how long that took.
+    pub fn wait_until_ready(&self) -> Duration {
+        let started_at = Instant::now();
         while !self.is_ready() {
-            assert!(began.elapsed() < 2 * LONG, "never ready");
+            assert!(started_at.elapsed() < 2 * TEST_TIMEOUT, "never ready");
             sleep(Duration::from_millis(20));
         }
-        began.elapsed()
+        started_at.elapsed()
     }
 
-    /// What its descriptors stand for.
+    /// What its descriptors refer to.
     pub fn descriptors(&self) -> Vec<String> {
-        let all = std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap();
-        let of = |e: std::fs::DirEntry| std::fs::read_link(e.path()).ok().map(|to| to.display().to_string());
-        all.flatten().filter_map(of).collect()
+        let entries = std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap();
+        let target = |entry: std::fs::DirEntry| {
+            std::fs::read_link(entry.path()).ok().map(|target| target.display().to_string())
+        };
+        entries.flatten().filter_map(target).collect()
     }
 
     /// Processor time used, in hundredths of a second.
@@ -115,41 +137,43 @@
         fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
     }
 
-    /// Clients that connect and say nothing, again and again as they are closed, until told to stop.
-    pub fn crowd(&self, of: usize) -> (Arc<AtomicBool>, std::thread::JoinHandle<()>) {
-        let (on, to) = (Arc::new(AtomicBool::new(true)), self.address);
-        let still = on.clone();
-        let work = move || {
-            let mut all: Vec<TcpStream> = Vec::new();
-            while still.load(Ordering::Relaxed) {
-                all.retain(|c| {
-                    c.set_nonblocking(true).unwrap();
-                    !matches!(c.peek(&mut [0]), Ok(0))
+    /// So many clients that connect and send nothing, repeatedly as they are closed, until the flag is cleared.
+    pub fn start_silent_clients(&self, clients: usize) -> (Arc<AtomicBool>, std::thread::JoinHandle<()>) {
+        let (running, address) = (Arc::new(AtomicBool::new(true)), self.address);
+        let still_running = running.clone();
+        let connect = move || {
+            let mut connections: Vec<TcpStream> = Vec::new();
+            while still_running.load(Ordering::Relaxed) {
+                connections.retain(|connection| {
+                    connection.set_nonblocking(true).unwrap();
+                    !matches!(connection.peek(&mut [0]), Ok(0))
                 });
-                while all.len() < of {
-                    let Ok(c) = TcpStream::connect_timeout(&to, Duration::from_millis(200)) else { break };
-                    all.push(c);
+                while connections.len() < clients {
+                    let connection = TcpStream::connect_timeout(&address, Duration::from_millis(200));
+                    let Ok(connection) = connection else { break };
+                    connections.push(connection);
                 }
                 sleep(Duration::from_millis(20));
             }
         };
-        (on, spawn(work))
+        (running, spawn(connect))
     }
 }
 
 impl Node {
-    /// The process does nothing from now on, whatever comes; as if its loop were late by all that time.
-    pub fn freeze(&self) {
+    /// Stops the process, as if its event loop were late by all that time.
+    pub fn suspend(&self) {
         kill_process(Pid::from_child(&self.child), Signal::STOP).unwrap();
-        let until = Instant::now() + LONG;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         let stat = || std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         while !stat().rsplit(')').next().unwrap().trim_start().starts_with('T') {
-            assert!(Instant::now() < until, "it goes on");
+            assert!(Instant::now() < deadline, "it still runs");
             sleep(Duration::from_millis(1));
         }
     }
 
-    pub fn thaw(&self) {
+    /// Lets the process continue.
+    pub fn resume(&self) {
         kill_process(Pid::from_child(&self.child), Signal::CONT).unwrap();
     }
 }
--- a/crates/nickelgw-platform/src/server.rs
+++ b/crates/nickelgw-platform/src/server.rs
@@ -71,18 +71,11 @@
     let descriptors = DescriptorLimits::new(config.max_descriptors);
     let shutdown_times = ShutdownTimes { kill_after_s: config.kill_after_s };
     let memory = MemoryBudget::new((REQUEST_MEMORY_SHARE * config.memory_mb * 1024.0 * 1024.0) as usize);
-    let known_names =
-        KnownNames { routes: config.platform.routes.clone(), tenants: config.platform.tenants.clone() };
+    let known_names = known_names(&config);
     let pools = Pools::new(&config, &descriptors);
     let timeouts = DiscoveryTimeouts::new(config.stop_dispatch_within_s);
     let discovery_address = Rc::new(RefCell::new(config.discovery.clone()));
-    let parts = NodeParts {
-        executor: executor.clone(),
-        pool: pools.engines.clone(),
-        started_at,
-        control_timeout_s: config.connect_timeout_s,
-        probe_path: if config.reports_load { "/load" } else { "/healthz" },
-    };
+    let parts = node_parts(&config, &executor, &pools, started_at);
     let node = new_node(config, parts, started_at_unix_s);
     let (address_changed, address_changes) = async_channel::bounded(1);
     let clients = ClientServer::new(node.clone(), known_names, descriptors.clients, memory);
@@ -138,6 +131,25 @@
     }
 }
 
+fn known_names(config: &NodeConfig) -> KnownNames {
+    KnownNames { routes: config.platform.routes.clone(), tenants: config.platform.tenants.clone() }
+}
+
+fn node_parts(
+    config: &NodeConfig,
+    executor: &Rc<LocalExecutor<'static>>,
+    pools: &Pools,
+    started_at: Instant,
+) -> NodeParts {
+    NodeParts {
+        executor: executor.clone(),
+        pool: pools.engines.clone(),
+        started_at,
+        control_timeout_s: config.connect_timeout_s,
+        probe_path: if config.reports_load { "/load" } else { "/healthz" },
+    }
+}
+
 fn new_node(config: NodeConfig, parts: NodeParts, started_at_unix_s: f64) -> Rc<Node> {
     let core_config = CoreConfig {
         incarnation: String::new(),
--- /dev/null
+++ b/crates/nickelgw-platform/tests/cases/client_disconnect.rs
@@ -0,0 +1,178 @@
+//! Clients that disconnect: no attempt starts for them, whatever the state of their request, and reservations are released.
+
+use crate::common::*;
+use serde_json::json;
+use std::io::Write;
+use std::net::Shutdown;
+use std::thread::sleep;
+use std::time::{Duration, Instant};
+use test_case::test_case;
+
+/// After a client has disconnected no attempt starts later than this.
+const MAX_DELAY: Duration = Duration::from_millis(100);
+
+fn sleep_ms(ms: u64) {
+    sleep(Duration::from_millis(ms));
+}
+
+/// A prefill engine that answers like this after so long.
+fn slow_prefill_engine(ms: u64, bytes: Vec<u8>) -> Peer {
+    peer(move |_, _| {
+        sleep_ms(ms);
+        PeerAction::Respond(bytes.clone())
+    })
+}
+
+fn prefill_response() -> Vec<u8> {
+    http_response("202 Accepted", r#"{"cached_tokens":4}"#)
+}
+
+/// How a client disconnects.
+#[derive(Clone, Copy)]
+enum Departure {
+    Closes,
+    /// It closes only its sending direction: on this platform that cancels an attempt, and a request as well.
+    HalfCloses,
+    /// It closes behind so many pipelined requests, of so many bytes each.
+    ClosesBehind(usize, usize),
+}
+
+fn request_and_leave(
+    node: &TestNode,
+    id: &str,
+    departure: Departure,
+    after_ms: u64,
+) -> Option<std::net::TcpStream> {
+    let mut client = node.connect();
+    client.write_all(chat_request(id).as_bytes()).unwrap();
+    if let Departure::ClosesBehind(n, bytes) = departure {
+        for number in 0..n {
+            let body = format!(r#"{{"model":"chat","messages":["{}"]}}"#, "x".repeat(bytes));
+            let head = chat_request(&format!("{id}-{number}"));
+            let head = head.split("Content-Length").next().unwrap();
+            let pipelined = format!("{head}Content-Length: {}\r\n\r\n{body}", body.len());
+            client.write_all(pipelined.as_bytes()).unwrap();
+        }
+    }
+    sleep_ms(after_ms);
+    if matches!(departure, Departure::HalfCloses) {
+        client.shutdown(Shutdown::Write).unwrap();
+        return Some(client);
+    }
+    None
+}
+
+#[test_case(Departure::Closes; "closed")]
+#[test_case(Departure::HalfCloses; "half closed")]
+#[test_case(Departure::ClosesBehind(6, 20_000); "closed behind pipelined requests")]
+fn no_attempt_starts_for_a_client_that_disconnected_while_queued(departure: Departure) {
+    // No prefill engine is known until a while after the client has disconnected.
+    let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
+    let list_text = endpoint_list(&[&prefill], &[&decode]).to_string();
+    let announced_at = Instant::now() + Duration::from_millis(400);
+    let discovery = peer(move |request, _| {
+        if request.contains("since=") {
+            return PeerAction::Stall;
+        }
+        sleep(announced_at.saturating_duration_since(Instant::now()));
+        PeerAction::Respond(http_response("200 OK", &list_text))
+    });
+    let node = start_node(&discovery, &[], &[&decode], None);
+    let _half_open = request_and_leave(&node, "ca01", departure, 60);
+    sleep_ms(900);
+    assert!(prefill.received("POST").is_empty() && decode.received("POST").is_empty());
+    // The prefill engine was idle because of the client, not because of the list.
+    assert!(node.exchange(chat_request("ca02").as_bytes()).starts_with("HTTP/1.1 200"));
+}
+
+#[test_case(Departure::Closes; "closed")]
+#[test_case(Departure::HalfCloses; "half closed")]
+#[test_case(Departure::ClosesBehind(6, 20_000); "closed behind pipelined requests")]
+fn no_decode_starts_for_a_client_that_disconnected_during_prefill(departure: Departure) {
+    let (prefill, decode) =
+        (slow_prefill_engine(400, prefill_response()), peer(|_, _| PeerAction::Respond(stream_response())));
+    let node = start_node(&silent_discovery(), &[&prefill], &[&decode], None);
+    let _half_open = request_and_leave(&node, "ca03", departure, 60);
+    prefill.wait_for("DELETE /internal/reservations/ca03 ");
+    sleep_ms(600);
+    assert!(
+        decode.received("POST").is_empty(),
+        "the prefill finished 340 ms after the client had disconnected"
+    );
+    assert_eq!(prefill.received("POST").len(), 1, "nor does an attempt start for a pipelined request");
+}
+
+#[test_case(Departure::Closes; "closed")]
+#[test_case(Departure::ClosesBehind(6, 20_000); "closed behind pipelined requests")]
+fn no_retry_starts_for_a_client_that_disconnected_before_it(departure: Departure) {
+    // Full: a further attempt is dispatched only after a while.
+    let rejection = http_response("503 Full\r\nX-Rejected: 1", "");
+    let (prefill, decode) =
+        (slow_prefill_engine(150, rejection), peer(|_, _| PeerAction::Respond(stream_response())));
+    let node = start_node(&silent_discovery(), &[&prefill], &[&decode], None);
+    let _half_open = request_and_leave(&node, "ca04", departure, 60);
+    let before = prefill.received("POST").len();
+    sleep_ms(MAX_DELAY.as_millis() as u64);
+    let within_delay = prefill.received("POST").len();
+    sleep_ms(600);
+    assert_eq!((before, within_delay, prefill.received("POST").len()), (1, 1, 1));
+}
+
+/// The attempt starts when its bytes are written: a connection established after the client has disconnected carries none.
+#[test_case(Departure::Closes; "closed")]
+#[test_case(Departure::ClosesBehind(6, 20_000); "closed behind pipelined requests")]
+fn connection_established_too_late_carries_no_attempt(departure: Departure) {
+    let unreachable = unreachable_host();
+    let decode = peer(|_, _| PeerAction::Respond(stream_response()));
+    let mut prefill = prefill_engine();
+    prefill.address = unreachable.address;
+    let known = endpoint_list(&[&prefill], &[&decode]);
+    let node = start_node_with(&silent_discovery(), known, None, |config| {
+        config["settings"]["limits"]["connect_timeout_s"] = json!(5.0);
+        config["settings"]["limits"]["most_tries"] = json!(2);
+    });
+    let _half_open = request_and_leave(&node, "ca05", departure, 150);
+    let bytes = unreachable.bytes_after_recovery(Duration::from_millis(2500));
+    assert_eq!(bytes, 0);
+    assert!(decode.received("POST").is_empty());
+}
+
+/// More than a request's bytes before the response: unread bytes would hide whether the client has disconnected.
+#[test]
+fn client_that_floods_its_connection_gets_an_error_and_its_attempt_is_cancelled() {
+    let (prefill, decode) =
+        (peer(|_, _| PeerAction::Stall), peer(|_, _| PeerAction::Respond(stream_response())));
+    let node = start_node(&silent_discovery(), &[&prefill], &[&decode], None);
+    let mut client = node.open_request("ca06", &prefill);
+    let junk = vec![b'x'; 64 * 1024];
+    let started_at = Instant::now();
+    while started_at.elapsed() < Duration::from_secs(2)
+        && client.write_all(&junk).is_ok()
+        && prefill.received("CLOSED").is_empty()
+    {}
+    prefill.wait_for("CLOSED");
+    let response = read_response(&mut client);
+    assert!(response.is_empty() || response.starts_with("HTTP/1.1 413"), "{response}");
+    assert!(node.exchange(b"GET /healthz HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200"));
+}
+
+/// Usual clients are answered however many requests they pipeline within reason.
+#[test]
+fn pipelined_requests_are_answered_in_their_order() {
+    let (prefill, decode) =
+        (slow_prefill_engine(20, prefill_response()), peer(|_, _| PeerAction::Respond(stream_response())));
+    let node = start_node(&silent_discovery(), &[&prefill], &[&decode], None);
+    let mut client = node.connect();
+    let requests: String = (0..5).map(|number| chat_request(&format!("cb{number}"))).collect();
+    client.write_all(requests.as_bytes()).unwrap();
+    for _ in 0..5 {
+        let response = read_response(&mut client);
+        assert!(response.starts_with("HTTP/1.1 200") && response.ends_with("0\r\n\r\n"), "{response}");
+    }
+    let ids: Vec<String> = prefill
+        .received("POST")
+        .iter()
+        .map(|request| request.split("X-Call-Id: ").nth(1).unwrap()[..3].into())
+        .collect();
+    assert_eq!(ids, ["cb0", "cb1", "cb2", "cb3", "cb4"]);
+}
--- a/crates/nickelgw-platform/tests/common/mod.rs
+++ b/crates/nickelgw-platform/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node on loopback, and engines and a discovery that answer as each test says. Every wait ends by itself.
+//! A node on loopback, and engines and a discovery service that answer as each test needs. Every wait has a timeout.
 
 use nickelgw_platform::config::NodeConfig;
 use nickelgw_platform::SignalSender;
@@ -9,48 +9,49 @@
 use std::time::{Duration, Instant};
 
 /// Far above scheduling noise.
-pub const LONG: Duration = Duration::from_secs(10);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What a peer does with a request.
-pub enum Then {
-    Answer(Vec<u8>),
+pub enum PeerAction {
+    /// Writes this response.
+    Respond(Vec<u8>),
     /// Writes this and closes.
-    Break(Vec<u8>),
-    /// Says nothing until the far side closes.
-    Hold,
-    /// Writes the first, then the second again and again until the far side closes.
-    Endless(&'static str, &'static str),
-    /// Does this with its connection, which then stays.
-    Do(Box<dyn FnOnce(&mut TcpStream) + Send>),
+    RespondAndClose(Vec<u8>),
+    /// Writes nothing until the far side closes.
+    Stall,
+    /// Writes the first, then the second repeatedly until the far side closes.
+    RespondEndlessly(&'static str, &'static str),
+    /// Does this with its connection, which then stays open.
+    UseConnection(Box<dyn FnOnce(&mut TcpStream) + Send>),
 }
 
-/// A machine that is cut off: connections to it never come up, as nobody takes those that wait at it.
-pub struct CutOff {
+/// A host that cannot be reached: connections to it are never established, since its backlog is full.
+pub struct UnreachableHost {
     pub address: SocketAddr,
     listener: TcpListener,
-    _held: Vec<TcpStream>,
+    _backlog: Vec<TcpStream>,
 }
 
-impl CutOff {
-    /// The machine is back: it takes all connections for so long, and counts the bytes that are sent on them.
-    pub fn bytes_when_back(&self, within: Duration) -> usize {
-        self.text_when_back(within).len()
+impl UnreachableHost {
+    /// The host recovers and accepts connections for so long. Returns how many bytes are sent on them.
+    pub fn bytes_after_recovery(&self, within: Duration) -> usize {
+        self.text_after_recovery(within).len()
     }
 
-    /// The machine is back: what is sent on the connections that it takes for so long.
-    pub fn text_when_back(&self, within: Duration) -> String {
+    /// The host recovers and accepts connections for so long. Returns what is sent on them.
+    pub fn text_after_recovery(&self, within: Duration) -> String {
         self.listener.set_nonblocking(true).unwrap();
-        let (mut all, mut text) = (Vec::new(), String::new());
-        let until = Instant::now() + within;
-        while Instant::now() < until {
-            if let Ok((c, _)) = self.listener.accept() {
-                c.set_nonblocking(true).unwrap();
-                all.push(c);
+        let (mut connections, mut text) = (Vec::new(), String::new());
+        let deadline = Instant::now() + within;
+        while Instant::now() < deadline {
+            if let Ok((connection, _)) = self.listener.accept() {
+                connection.set_nonblocking(true).unwrap();
+                connections.push(connection);
             }
-            for c in &mut all {
-                let mut some = [0; 512];
-                let n = c.read(&mut some).unwrap_or(0);
-                text.push_str(&String::from_utf8_lossy(&some[..n]));
+            for connection in &mut connections {
+                let mut bytes = [0; 512];
+                let n = connection.read(&mut bytes).unwrap_or(0);
+                text.push_str(&String::from_utf8_lossy(&bytes[..n]));
             }
             std::thread::sleep(Duration::from_millis(1));
         }
@@ -58,75 +59,78 @@
     }
 }
 
-pub fn cut_off() -> CutOff {
+pub fn unreachable_host() -> UnreachableHost {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let mut held = Vec::new();
-    while let Ok(c) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
-        held.push(c);
-        assert!(held.len() < 10_000, "it takes all that come");
+    let mut backlog = Vec::new();
+    while let Ok(connection) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
+        backlog.push(connection);
+        assert!(backlog.len() < 10_000, "it accepts all connections");
     }
-    CutOff { address, listener, _held: held }
+    UnreachableHost { address, listener, _backlog: backlog }
 }
 
 #[derive(Clone)]
 pub struct Peer {
     pub address: SocketAddr,
-    seen: Arc<Mutex<Vec<String>>>,
+    received: Arc<Mutex<Vec<String>>>,
 }
 
-fn request(c: &mut TcpStream) -> Option<String> {
-    let (mut all, mut some) = (Vec::new(), [0; 4096]);
+fn read_request(connection: &mut TcpStream) -> Option<String> {
+    let (mut bytes_read, mut bytes) = (Vec::new(), [0; 4096]);
     loop {
-        let text = String::from_utf8_lossy(&all).to_string();
+        let text = String::from_utf8_lossy(&bytes_read).to_string();
         if let Some((head, body)) = text.split_once("\r\n\r\n") {
-            let length = head.lines().find_map(|l| l.strip_prefix("content-length: "));
-            if body.len() >= length.map_or(0, |l| l.parse().unwrap()) {
+            let length = head.lines().find_map(|header| header.strip_prefix("content-length: "));
+            if body.len() >= length.map_or(0, |length| length.parse().unwrap()) {
                 return Some(text);
             }
         }
-        let n = c.read(&mut some).ok().filter(|n| *n > 0)?;
-        all.extend_from_slice(&some[..n]);
+        let n = connection.read(&mut bytes).ok().filter(|n| *n > 0)?;
+        bytes_read.extend_from_slice(&bytes[..n]);
     }
 }
 
-/// A peer that does with its nth request what it is told; calls that let go of states are always answered.
-pub fn peer(does: impl Fn(&str, usize) -> Then + Send + Sync + 'static) -> Peer {
-    peer_at(TcpListener::bind("127.0.0.1:0").unwrap(), does)
+/// A peer that handles its nth request by this function; release calls are always answered.
+pub fn peer(act: impl Fn(&str, usize) -> PeerAction + Send + Sync + 'static) -> Peer {
+    peer_on(TcpListener::bind("127.0.0.1:0").unwrap(), act)
 }
 
-pub fn peer_at(listener: TcpListener, does: impl Fn(&str, usize) -> Then + Send + Sync + 'static) -> Peer {
-    let p = Peer { address: listener.local_addr().unwrap(), seen: Arc::default() };
-    let (seen, does) = (p.seen.clone(), Arc::new(does));
+pub fn peer_on(
+    listener: TcpListener,
+    act: impl Fn(&str, usize) -> PeerAction + Send + Sync + 'static,
+) -> Peer {
+    let peer = Peer { address: listener.local_addr().unwrap(), received: Arc::default() };
+    let (received, act) = (peer.received.clone(), Arc::new(act));
     std::thread::spawn(move || {
-        for c in listener.incoming() {
-            let (mut c, seen, does) = (c.unwrap(), seen.clone(), does.clone());
+        for connection in listener.incoming() {
+            let (mut connection, received, act) = (connection.unwrap(), received.clone(), act.clone());
             std::thread::spawn(move || {
-                while let Some(r) = request(&mut c) {
-                    let n = {
-                        let mut seen = seen.lock().unwrap();
-                        seen.push(r.clone());
-                        seen.iter().filter(|r| r.starts_with("POST")).count()
+                while let Some(text) = read_request(&mut connection) {
+                    let post_count = {
+                        let mut received = received.lock().unwrap();
+                        received.push(text.clone());
+                        received.iter().filter(|request| request.starts_with("POST")).count()
                     };
-                    let then = match r.starts_with("DELETE") {
-                        true => Then::Answer(plain("204 No Content", "")),
-                        false => does(&r, n),
+                    let action = match text.starts_with("DELETE") {
+                        true => PeerAction::Respond(http_response("204 No Content", "")),
+                        false => act(&text, post_count),
                     };
-                    match then {
-                        Then::Answer(bytes) if c.write_all(&bytes).is_ok() => {}
-                        Then::Answer(_) => return,
-                        Then::Break(bytes) => return drop(c.write_all(&bytes)),
-                        Then::Do(does) => does(&mut c),
-                        Then::Endless(first, more) => {
-                            let mut going = c.write_all(first.as_bytes()).is_ok();
+                    match action {
+                        PeerAction::Respond(bytes) if connection.write_all(&bytes).is_ok() => {}
+                        PeerAction::Respond(_) => return,
+                        PeerAction::RespondAndClose(bytes) => return drop(connection.write_all(&bytes)),
+                        PeerAction::UseConnection(handle) => handle(&mut connection),
+                        PeerAction::RespondEndlessly(first, more) => {
+                            let mut going = connection.write_all(first.as_bytes()).is_ok();
                             while going {
-                                going = c.write_all(more.as_bytes()).is_ok();
+                                going = connection.write_all(more.as_bytes()).is_ok();
                             }
                             return;
                         }
-                        Then::Hold => {
-                            let _ = c.read(&mut [0]);
-                            seen.lock().unwrap().push("CLOSED".into());
+                        PeerAction::Stall => {
+                            let _ = connection.read(&mut [0]);
+                            received.lock().unwrap().push("CLOSED".into());
                             return;
                         }
                     }
@@ -134,36 +138,37 @@
             });
         }
     });
-    p
+    peer
 }
 
 impl Peer {
-    pub fn seen(&self, what: &str) -> Vec<String> {
-        self.seen.lock().unwrap().iter().filter(|r| r.starts_with(what)).cloned().collect()
+    /// Requests received that begin so; `CLOSED` stands for a connection that was closed while stalled.
+    pub fn received(&self, prefix: &str) -> Vec<String> {
+        self.received.lock().unwrap().iter().filter(|request| request.starts_with(prefix)).cloned().collect()
     }
 
-    /// Waits until it has seen one of these.
-    pub fn wait(&self, what: &str) -> String {
-        let until = Instant::now() + LONG;
+    /// Waits until it has received a request that begins so.
+    pub fn wait_for(&self, prefix: &str) -> String {
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
-            if let Some(r) = self.seen(what).into_iter().next() {
-                return r;
+            if let Some(request) = self.received(prefix).into_iter().next() {
+                return request;
             }
-            assert!(Instant::now() < until, "never saw {what}");
+            assert!(Instant::now() < deadline, "never received {prefix}");
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 }
 
-pub fn plain(status: &str, body: &str) -> Vec<u8> {
+pub fn http_response(status: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status}\r\ncontent-length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-pub fn reader() -> Peer {
-    peer(|_, _| Then::Answer(plain("202 Accepted", r#"{"cached_tokens":4}"#)))
+pub fn prefill_engine() -> Peer {
+    peer(|_, _| PeerAction::Respond(http_response("202 Accepted", r#"{"cached_tokens":4}"#)))
 }
 
-pub const HEAD: &str =
+pub const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
 pub const EVENTS: [&str; 2] = ["data: {\"n\":1}\n\n", "data: [DONE]\n\n: X-Load-Report: x0=0.1,x1=0\n\n"];
 
@@ -171,33 +176,34 @@
     format!("{:x}\r\n{data}\r\n", data.len())
 }
 
-pub fn stream() -> Vec<u8> {
-    format!("{HEAD}{}{}0\r\n\r\n", chunk(EVENTS[0]), chunk(EVENTS[1])).into_bytes()
+pub fn stream_response() -> Vec<u8> {
+    format!("{STREAM_HEAD}{}{}0\r\n\r\n", chunk(EVENTS[0]), chunk(EVENTS[1])).into_bytes()
 }
 
-pub struct World {
-    pub node: SocketAddr,
+pub struct TestNode {
+    pub address: SocketAddr,
     pub signals: SignalSender,
-    pub ended: std::thread::JoinHandle<()>,
+    pub thread: std::thread::JoinHandle<()>,
 }
 
-fn entry(id: &str, kind: &str, p: &Peer) -> Value {
-    line(id, kind, "a", p.address)
+fn peer_entry(id: &str, kind: &str, peer: &Peer) -> Value {
+    endpoint_entry(id, kind, "a", peer.address)
 }
 
-pub fn line(id: &str, kind: &str, zone: &str, address: SocketAddr) -> Value {
+pub fn endpoint_entry(id: &str, kind: &str, zone: &str, address: SocketAddr) -> Value {
     json!({"instanceId": id, "hostPort": address.to_string(), "zone": zone, "machineType": kind, "cell": 1,
         "lifecycle": "up", "weight": 1.0, "startedAtMs": 0})
 }
 
-pub fn list(readers: &[&Peer], writers: &[&Peer]) -> Value {
-    let r = readers.iter().enumerate().map(|(n, p)| entry(&format!("r{n}"), "m1", p));
-    let w = writers.iter().enumerate().map(|(n, p)| entry(&format!("w{n}"), "m2", p));
-    json!({"generation": 3, "reset": true, "instances": r.chain(w).collect::<Vec<_>>()})
+pub fn endpoint_list(prefill_engines: &[&Peer], decode_engines: &[&Peer]) -> Value {
+    let prefill =
+        prefill_engines.iter().enumerate().map(|(n, peer)| peer_entry(&format!("r{n}"), "m1", peer));
+    let decode = decode_engines.iter().enumerate().map(|(n, peer)| peer_entry(&format!("w{n}"), "m2", peer));
+    json!({"generation": 3, "reset": true, "instances": prefill.chain(decode).collect::<Vec<_>>()})
 }
 
-/// The whole of what a node is told at its start.
-pub fn config(listen: &str, discovery: &str, known: Value) -> Value {
+/// A node's whole configuration.
+pub fn node_config(listen: &str, discovery: &str, known: Value) -> Value {
     json!({"name": "n0", "listen": listen, "discovery": discovery, "seed": "8c1f", "known": known,
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
         "settings": {"accounts": [], "az": "a", "balancers": 1, "charges": {"cross_zone": 0.01},
@@ -212,40 +218,41 @@
             "rules": {"stop_sending_within_s": 1.0, "cold_from": 0.3, "fall_s": 2.0, "tip_multiple": 3.0, "warm_within_s": 9.0}}})
 }
 
-/// A node that knows these engines; `path`: where a new configuration is read.
-pub fn node(
+/// A node that knows these engines; `path`: its configuration file when it reloads.
+pub fn start_node(
     discovery: &Peer,
-    readers: &[&Peer],
-    writers: &[&Peer],
+    prefill_engines: &[&Peer],
+    decode_engines: &[&Peer],
     path: Option<std::path::PathBuf>,
-) -> World {
-    node_of(discovery, list(readers, writers), path, |_| {})
+) -> TestNode {
+    start_node_with(discovery, endpoint_list(prefill_engines, decode_engines), path, |_| {})
 }
 
-/// A node that knows these lines, with something else in its configuration.
-pub fn node_of(
+/// A node that knows this endpoint list, with a change of its configuration.
+pub fn start_node_with(
     discovery: &Peer,
     known: Value,
     path: Option<std::path::PathBuf>,
-    but: impl Fn(&mut Value),
-) -> World {
+    change: impl Fn(&mut Value),
+) -> TestNode {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let node = listener.local_addr().unwrap();
-    let mut told = config(&node.to_string(), &discovery.address.to_string(), known);
-    but(&mut told);
-    let start = NodeConfig::parse(&told, |_| None).map_err(|e| e.0).unwrap();
-    let (orders, told) = nickelgw_platform::signal_channel();
-    let work = move || smol::block_on(nickelgw_platform::run(listener, start, path, told)).unwrap();
-    World { node, signals: orders, ended: std::thread::spawn(work) }
+    let address = listener.local_addr().unwrap();
+    let mut config = node_config(&address.to_string(), &discovery.address.to_string(), known);
+    change(&mut config);
+    let parsed_config = NodeConfig::parse(&config, |_| None).map_err(|error| error.0).unwrap();
+    let (signals, receiver) = nickelgw_platform::signal_channel();
+    let work =
+        move || smol::block_on(nickelgw_platform::run(listener, parsed_config, path, receiver)).unwrap();
+    TestNode { address, signals, thread: std::thread::spawn(work) }
 }
 
-/// A discovery that tells nothing new.
-pub fn silent() -> Peer {
-    peer(|_, _| Then::Hold)
+/// A discovery service that never answers.
+pub fn silent_discovery() -> Peer {
+    peer(|_, _| PeerAction::Stall)
 }
 
 /// A client's request.
-pub fn ask(id: &str) -> String {
+pub fn chat_request(id: &str) -> String {
     let body = r#"{"model":"chat","stream":true,"messages":[]}"#;
     format!(
         "POST /v1/chat/completions?v=2 HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: {id}\r\nX-Call-Class: chat\r\n\
@@ -255,52 +262,57 @@
     )
 }
 
-impl World {
-    pub fn client(&self) -> TcpStream {
-        let c = TcpStream::connect(self.node).unwrap();
-        c.set_read_timeout(Some(LONG)).unwrap();
-        c
+impl TestNode {
+    pub fn connect(&self) -> TcpStream {
+        let connection = TcpStream::connect(self.address).unwrap();
+        connection.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        connection
     }
 
-    /// A client whose request has come to the writer.
-    pub fn open(&self, id: &str, writer: &Peer) -> TcpStream {
-        let mut c = self.client();
-        c.write_all(ask(id).as_bytes()).unwrap();
-        writer.wait("POST");
-        c
+    /// A client whose request has reached this engine.
+    pub fn open_request(&self, id: &str, engine: &Peer) -> TcpStream {
+        let mut connection = self.connect();
+        connection.write_all(chat_request(id).as_bytes()).unwrap();
+        engine.wait_for("POST");
+        connection
     }
 
-    /// What the node answers to these bytes, up to its end or the close.
-    pub fn say(&self, bytes: &[u8]) -> String {
-        let mut c = self.client();
-        let _ = c.write_all(bytes);
-        answer(&mut c)
+    /// The node's response to these bytes, up to its end or the close.
+    pub fn exchange(&self, bytes: &[u8]) -> String {
+        let mut connection = self.connect();
+        let _ = connection.write_all(bytes);
+        read_response(&mut connection)
     }
 }
 
-/// An answer to its end: by its length, its last chunk, or the close.
-pub fn answer(c: &mut TcpStream) -> String {
-    let (mut all, mut some) = (String::new(), [0; 4096]);
+/// A response to its end: by its length, its last chunk, or the close.
+pub fn read_response(connection: &mut TcpStream) -> String {
+    let (mut bytes_read, mut bytes) = (String::new(), [0; 4096]);
     loop {
-        if let Some((head, body)) = all.split_once("\r\n\r\n") {
-            let length = head.lines().find_map(|l| l.strip_prefix("content-length: "));
-            if length.is_some_and(|l| body.len() >= l.parse().unwrap()) || body.ends_with("0\r\n\r\n") {
-                return all;
+        if let Some((head, body)) = bytes_read.split_once("\r\n\r\n") {
+            let length = head.lines().find_map(|header| header.strip_prefix("content-length: "));
+            if length.is_some_and(|length| body.len() >= length.parse().unwrap())
+                || body.ends_with("0\r\n\r\n")
+            {
+                return bytes_read;
             }
         }
-        match c.read(&mut some) {
-            Ok(n) if n > 0 => all.push_str(&String::from_utf8_lossy(&some[..n])),
-            _ => return all,
+        match connection.read(&mut bytes) {
+            Ok(n) if n > 0 => bytes_read.push_str(&String::from_utf8_lossy(&bytes[..n])),
+            _ => return bytes_read,
         }
     }
 }
 
-/// What a client gets whose writer answers like this at first, and well when it is sent to again.
-pub fn after_a_bad_answer(id: &str, first: impl Fn() -> Then + Send + Sync + 'static) -> String {
-    let w = peer(move |_, n| match n {
+/// The response to a client whose decode engine fails the first attempt like this and serves the retry.
+pub fn response_after_failed_attempt(
+    id: &str,
+    first: impl Fn() -> PeerAction + Send + Sync + 'static,
+) -> String {
+    let decode = peer(move |_, n| match n {
         1 => first(),
-        _ => Then::Answer(stream()),
+        _ => PeerAction::Respond(stream_response()),
     });
-    let r = reader();
-    node(&silent(), &[&r], &[&w], None).say(ask(id).as_bytes())
+    let prefill = prefill_engine();
+    start_node(&silent_discovery(), &[&prefill], &[&decode], None).exchange(chat_request(id).as_bytes())
 }
