--- a/crates/nickelgw-node-core/src/tests/processes_and_tenants.rs
+++ b/crates/nickelgw-node-core/src/tests/processes_and_tenants.rs
@@ -79,7 +79,7 @@
     let mut core = core(100);
     let shares = FairShareConfig {
         limits: fair_share::FairShareLimits {
-            least: 4.0,
+            min_limit: 4.0,
             window: 10,
             ..fair_share::FairShareLimits::default()
         },
