--- a/src/decide/deadlines.rs
+++ b/src/decide/deadlines.rs
@@ -60,7 +60,7 @@
         }
         // No later than a tick before the first client's time is up.
         let answer_by = |&request: &usize| self.requests[request].deadline - self.limits.tick_s;
-        let usual = now + (WAKE_TICKS * self.limits.tick_s).max(WAKE_S);
-        Some(open_requests.iter().map(answer_by).fold(usual, f64::min))
+        let regular = now + (WAKE_TICKS * self.limits.tick_s).max(WAKE_S);
+        Some(open_requests.iter().map(answer_by).fold(regular, f64::min))
     }
 }
--- a/src/decide/load.rs
+++ b/src/decide/load.rs
@@ -39,12 +39,12 @@
         }
     }
 
-    /// Share of a decode engine that is taken or waited for (may pass 1), as reported: memory or slots, whichever
+    /// Share of a decode engine that is in use or waited for (may pass 1), as reported: memory or slots, whichever
     /// is fuller, and what waits there.
     pub(super) fn reported_load(&self, engine: usize) -> Option<f64> {
         let engine = &self.engines[engine];
         let load = &engine.reported_load;
-        let taken = match (load.memory_share, load.slot_share) {
+        let in_use = match (load.memory_share, load.slot_share) {
             (Some(memory_share), Some(slot_share)) => memory_share.max(slot_share),
             (memory_share, slot_share) => memory_share.or(slot_share)?,
         };
@@ -52,8 +52,8 @@
         let share_of = |requests: f64| requests * mean_prompt_tokens / engine.memory_tokens;
         let queued = load.queue_len.map(share_of);
         let pending = load.pending_prompt_tokens.map(|tokens| tokens / engine.memory_tokens);
-        let in_flight = load.inflight.map(|requests| share_of(requests) - taken);
-        Some(taken + queued.or(pending).or(in_flight).unwrap_or(0.0).max(0.0))
+        let in_flight = load.inflight.map(|requests| share_of(requests) - in_use);
+        Some(in_use + queued.or(pending).or(in_flight).unwrap_or(0.0).max(0.0))
     }
 
     /// Load of a decode engine now: as reported, and this node's attempts since, the more like the average the
--- a/src/decide/slow_start.rs
+++ b/src/decide/slow_start.rs
@@ -107,8 +107,8 @@
     /// What a request draws its part by; none beyond what this node usually starts, or its part of the tenants'
     /// quotas: retries in a rush are not traffic.
     pub(super) fn slow_start_draw(&mut self, now: f64) -> Option<u64> {
-        let usual_rate_per_s = 1.0 / self.slow_start.mean_start_gap_s.max(self.limits.tick_s);
-        let rate_per_s = self.tenant_quotas.total_rate_per_s().max(usual_rate_per_s);
+        let mean_rate_per_s = 1.0 / self.slow_start.mean_start_gap_s.max(self.limits.tick_s);
+        let rate_per_s = self.tenant_quotas.total_rate_per_s().max(mean_rate_per_s);
         self.slow_start.may_draw(now, rate_per_s).then(|| self.random.generate())
     }
 }
--- a/tests/cold_ramp/fleet.rs
+++ b/tests/cold_ramp/fleet.rs
@@ -20,11 +20,11 @@
 const END_S: f64 = 16.0;
 
 #[derive(Clone, Copy)]
-struct SentAttempt {
+struct DispatchedAttempt {
     request: RequestHandle,
     attempt: u32,
     engine: usize,
-    sent_at: f64,
+    dispatched_at: f64,
     serial: u64,
 }
 
@@ -38,12 +38,12 @@
     StartObserved(usize),
     NodeRestart,
     Probed(usize),
-    Prefilled(SentAttempt),
-    FirstToken(SentAttempt),
-    Completed(SentAttempt),
-    Failed(SentAttempt),
-    Cancelled(SentAttempt),
-    Rejected(SentAttempt),
+    Prefilled(DispatchedAttempt),
+    FirstToken(DispatchedAttempt),
+    Completed(DispatchedAttempt),
+    Failed(DispatchedAttempt),
+    Cancelled(DispatchedAttempt),
+    Rejected(DispatchedAttempt),
 }
 
 struct Node {
@@ -52,7 +52,7 @@
     /// The engines whose starts it knows of.
     observed_starts: Vec<bool>,
     /// The attempts of each request.
-    attempts: BTreeMap<u32, Vec<SentAttempt>>,
+    attempts: BTreeMap<u32, Vec<DispatchedAttempt>>,
     retries: BTreeMap<u32, u32>,
     wake_at: f64,
 }
@@ -71,7 +71,7 @@
     /// For which node, and which of its processes.
     events: EventQueue<(usize, u32, Event)>,
     /// Attempts so far.
-    sent_count: u64,
+    attempt_count: u64,
     /// Attempts without an ending.
     open_attempts: BTreeSet<u64>,
     random: WyRand,
@@ -119,7 +119,7 @@
                 .map(|engine| Engine { started_at: start(engine), in_flight: 0, calls: Vec::new() })
                 .collect(),
             events: EventQueue::new(),
-            sent_count: 0,
+            attempt_count: 0,
             open_attempts: BTreeSet::new(),
             random: WyRand::new_seed(seed),
             served: 0,
@@ -223,8 +223,8 @@
     fn carry_out_decisions(&mut self, now: f64, n: usize) {
         let decisions = self.nodes[n].router.decide(now);
         for &(request, attempt) in &decisions.cancelled {
-            let sent_attempt = self.nodes[n].attempts[&request.0][attempt as usize];
-            self.schedule(now, n, Event::Cancelled(sent_attempt));
+            let dispatched = self.nodes[n].attempts[&request.0][attempt as usize];
+            self.schedule(now, n, Event::Cancelled(dispatched));
         }
         for dispatch in &decisions.dispatches {
             self.dispatch(now, n, dispatch);
@@ -253,39 +253,39 @@
 
     fn dispatch(&mut self, now: f64, n: usize, dispatch: &Dispatch) {
         let engine = self.call(now, n, dispatch.engine);
-        self.sent_count += 1;
-        let serial = self.sent_count;
+        self.attempt_count += 1;
+        let serial = self.attempt_count;
         self.open_attempts.insert(serial);
         let attempts = self.nodes[n].attempts.entry(dispatch.request.0).or_default();
-        let sent_attempt = SentAttempt {
+        let dispatched = DispatchedAttempt {
             request: dispatch.request,
             attempt: attempts.len() as u32,
             engine,
-            sent_at: now,
+            dispatched_at: now,
             serial,
         };
-        attempts.push(sent_attempt);
+        attempts.push(dispatched);
         let ahead = f64::from(self.engines[engine].in_flight);
         self.engines[engine].in_flight += 1;
         if self.scenario.errors && self.random_fraction() < 0.2 {
-            self.schedule(now + 0.02, n, Event::Failed(sent_attempt));
+            self.schedule(now + 0.02, n, Event::Failed(dispatched));
         } else if role(engine) == EngineRole::Decode && ahead >= SLOTS {
-            self.schedule(now + 0.01, n, Event::Rejected(sent_attempt));
+            self.schedule(now + 0.01, n, Event::Rejected(dispatched));
         } else if role(engine) == EngineRole::Prefill {
-            self.schedule(now + (1.0 + ahead) / CAPACITY_PER_S, n, Event::Prefilled(sent_attempt));
+            self.schedule(now + (1.0 + ahead) / CAPACITY_PER_S, n, Event::Prefilled(dispatched));
         } else {
-            self.schedule(now + 0.05, n, Event::FirstToken(sent_attempt));
+            self.schedule(now + 0.05, n, Event::FirstToken(dispatched));
         }
     }
 
-    fn finish_attempt(&mut self, now: f64, n: usize, s: SentAttempt, outcome: Outcome) {
+    fn finish_attempt(&mut self, now: f64, n: usize, s: DispatchedAttempt, outcome: Outcome) {
         if !self.open_attempts.remove(&s.serial) {
             return;
         }
         self.engines[s.engine].in_flight -= 1;
         let attempt_end = AttemptEnd {
             outcome,
-            elapsed_s: now - s.sent_at,
+            elapsed_s: now - s.dispatched_at,
             request_finished: false,
             cached_tokens: 0.0,
             reservation_missing: false,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,7 +12,7 @@
 
 struct ScheduledEvent<Event> {
     at: f64,
-    order: u64,
+    sequence: u64,
     event: Event,
 }
 
@@ -29,7 +29,7 @@
 }
 impl<Event> Ord for ScheduledEvent<Event> {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        self.at.total_cmp(&other.at).then(self.order.cmp(&other.order))
+        self.at.total_cmp(&other.at).then(self.sequence.cmp(&other.sequence))
     }
 }
 
@@ -46,7 +46,7 @@
 
     pub fn schedule(&mut self, at: f64, event: Event) {
         self.scheduled_count += 1;
-        self.events.push(Reverse(ScheduledEvent { at, order: self.scheduled_count, event }));
+        self.events.push(Reverse(ScheduledEvent { at, sequence: self.scheduled_count, event }));
     }
 
     pub fn next(&mut self) -> Option<(f64, Event)> {
--- a/tests/shares/fleet.rs
+++ b/tests/shares/fleet.rs
@@ -23,11 +23,11 @@
 const SHARED_PREFIX_TOKENS: f64 = 1500.0;
 
 #[derive(Clone, Copy)]
-struct SentAttempt {
+struct DispatchedAttempt {
     request: RequestHandle,
     attempt: u32,
     engine: usize,
-    sent_at: f64,
+    dispatched_at: f64,
     cached_tokens: f64,
 }
 
@@ -35,10 +35,10 @@
 enum Event {
     Arrival,
     Wake,
-    Prefilled(SentAttempt),
-    FirstToken(SentAttempt),
-    Completed(SentAttempt),
-    Rejected(SentAttempt),
+    Prefilled(DispatchedAttempt),
+    FirstToken(DispatchedAttempt),
+    Completed(DispatchedAttempt),
+    Rejected(DispatchedAttempt),
     Probed(usize),
 }
 
@@ -276,38 +276,38 @@
     fn dispatch(&mut self, now: f64, n: usize, dispatch: &Dispatch) {
         let engine: usize = self.nodes[n].engine_id(dispatch.engine).parse().unwrap();
         let Some(open_request) = self.open[n].get_mut(&dispatch.request.0) else { return };
-        let sent_attempt = SentAttempt {
+        let dispatched = DispatchedAttempt {
             request: dispatch.request,
             attempt: open_request.attempts,
             engine,
-            sent_at: now,
+            dispatched_at: now,
             cached_tokens: 0.0,
         };
         open_request.attempts += 1;
         let open_request = open_request.clone();
         if engine < PREFILL_ENGINES {
             match self.prefill_engines[engine].enqueue(now, &open_request) {
-                None => self.schedule(now + 0.01, n, Event::Rejected(sent_attempt)),
+                None => self.schedule(now + 0.01, n, Event::Rejected(dispatched)),
                 Some((done_at, cached_tokens)) => {
-                    let prefilled = Event::Prefilled(SentAttempt { cached_tokens, ..sent_attempt });
+                    let prefilled = Event::Prefilled(DispatchedAttempt { cached_tokens, ..dispatched });
                     self.schedule(done_at, n, prefilled);
                 }
             }
         } else if self.decode_engines[engine - PREFILL_ENGINES] >= SLOTS {
-            self.schedule(now + 0.01, n, Event::Rejected(sent_attempt));
+            self.schedule(now + 0.01, n, Event::Rejected(dispatched));
         } else {
             self.decode_engines[engine - PREFILL_ENGINES] += 1;
-            self.schedule(now + 0.05, n, Event::FirstToken(sent_attempt));
+            self.schedule(now + 0.05, n, Event::FirstToken(dispatched));
         }
     }
 
-    fn finish_attempt(&mut self, now: f64, n: usize, s: SentAttempt, outcome: Outcome) {
+    fn finish_attempt(&mut self, now: f64, n: usize, s: DispatchedAttempt, outcome: Outcome) {
         if !self.open[n].contains_key(&s.request.0) {
             return;
         }
         let attempt_end = AttemptEnd {
             outcome,
-            elapsed_s: now - s.sent_at,
+            elapsed_s: now - s.dispatched_at,
             request_finished: false,
             cached_tokens: s.cached_tokens,
             reservation_missing: false,
