--- /dev/null
+++ b/crates/nickelgw-cli/src/bench/endpoint_changes.rs
@@ -0,0 +1,128 @@
+//! `nickelgw bench-fleet`: what a full read and a change of the endpoint list cost, how long a change takes until the
+//! node has it, and what a mistaken empty list costs with and without doubt.
+
+mod local_fleet;
+mod propagation;
+mod rolling_deploy;
+mod view;
+
+use super::statistics::Summary;
+use crate::error::CommandError;
+use crate::timing::sleep_s;
+use local_fleet::{Change, LocalFleet, NO_DOUBT, REGISTRY_SOURCE};
+use nickelgw_test_servers::record::unix_now;
+use nickelgw_test_servers::{client, Record};
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+use std::thread;
+use std::time::Duration;
+
+/// A registry that nobody runs.
+const UNREACHABLE_REGISTRY: &str = "registry { endpoint: '127.0.0.1:1' nodes_prefix: '' }";
+const START_RUNS: usize = 5;
+const EMPTY_REQUESTS: u32 = 240;
+const EMPTY_INTERVAL_S: f64 = 0.025;
+/// Time for the node to read the endpoints.
+const DISCOVERY: Duration = Duration::from_millis(300);
+const REQUEST_TIMEOUT_S: f64 = 4.0;
+const TTFT_OBJECTIVE_S: f64 = 1.0;
+
+#[derive(clap::Args)]
+pub struct BenchFleet {
+    /// Changes made for each source.
+    #[arg(long, default_value_t = 100)]
+    changes: usize,
+    /// Leaves the rolling deploys out, which take a minute.
+    #[arg(long)]
+    short: bool,
+}
+
+/// A streamed request that starts now.
+fn chat_request(id: String, address: String, prompt: String, max_tokens: u32) -> client::Ask {
+    client::Ask {
+        req: id,
+        address,
+        model: "chat".into(),
+        prompt,
+        max_tokens: Some(max_tokens),
+        stream: true,
+        timeout_s: REQUEST_TIMEOUT_S,
+        target_s: TTFT_OBJECTIVE_S,
+        intended: unix_now(),
+        ..client::Ask::default()
+    }
+}
+
+impl BenchFleet {
+    pub fn run(self) -> Result<ExitCode, CommandError> {
+        view::measure();
+        if !self.short {
+            rolling_deploy::measure()?;
+        }
+        let fleet = LocalFleet::start()?;
+        let result = self.measure(&fleet);
+        let _ = std::fs::remove_dir_all(&fleet.dir);
+        result?;
+        Ok(ExitCode::SUCCESS)
+    }
+
+    fn measure(&self, fleet: &LocalFleet) -> Result<(), CommandError> {
+        println!("from a change at the source to the list that the node keeps on disk:");
+        propagation::measure_registry(fleet, self.changes)?;
+        propagation::measure_file(fleet, self.changes)?;
+        let kept_list = propagation::measure_registry_restarts(fleet)?;
+        println!("a registry emptied by mistake for 3 s, 40 requests a second for 6 s:");
+        measure_empty_registry(fleet, "with doubt", "")?;
+        measure_empty_registry(fleet, "without", NO_DOUBT)?;
+        println!("from start to serving, of 5:");
+        measure_start(fleet, "registry there, nothing kept", REGISTRY_SOURCE, None)?;
+        measure_start(fleet, "registry down, the last list kept", UNREACHABLE_REGISTRY, Some(&kept_list))
+    }
+}
+
+fn measure_empty_registry(fleet: &LocalFleet, name: &str, doubt: &str) -> Result<(), CommandError> {
+    let kept_list = fleet.dir.join(format!("empty-{}.kept", doubt.len()));
+    let node = fleet.start_node(&format!("{REGISTRY_SOURCE} {doubt}"), &kept_list)?;
+    thread::sleep(DISCOVERY);
+    let requests: Vec<_> = (0..EMPTY_REQUESTS)
+        .map(|number| {
+            let address = node.address.clone();
+            thread::spawn(move || smol::block_on(completes(number, address)))
+        })
+        .collect();
+    thread::sleep(Duration::from_secs(1));
+    fleet.change(Change::DeleteAll);
+    thread::sleep(Duration::from_secs(3));
+    for entry in &fleet.entries {
+        fleet.change(Change::Put(entry));
+    }
+    let completed =
+        requests.into_iter().filter_map(|request| request.join().ok()).filter(|done| *done).count();
+    println!("  {name}: {completed} of {EMPTY_REQUESTS} completed");
+    Ok(())
+}
+
+async fn completes(number: u32, address: String) -> bool {
+    sleep_s(EMPTY_INTERVAL_S * f64::from(number)).await;
+    let request = chat_request(format!("q{number}"), address, "tell me".into(), 3);
+    client::ask(&request, &Record::default()).await.is_some_and(|seen| seen.how == "completed")
+}
+
+fn measure_start(
+    fleet: &LocalFleet,
+    name: &str,
+    source: &str,
+    kept_list: Option<&Path>,
+) -> Result<(), CommandError> {
+    let mut times_s = Vec::new();
+    for run in 0..START_RUNS {
+        let path: PathBuf = fleet.dir.join(format!("start-{run}-{}", source.len()));
+        if let Some(kept_list) = kept_list {
+            std::fs::copy(kept_list, &path)?;
+        }
+        times_s.push(fleet.start_node(source, &path)?.ready_after_s);
+    }
+    let Summary { median, max, .. } = Summary::of(times_s);
+    println!("  {name}: median {:.1} ms, longest {:.1} ms", 1e3 * median, 1e3 * max);
+    Ok(())
+}
--- /dev/null
+++ b/crates/nickelgw-cli/src/bench/tls/certificates.rs
@@ -0,0 +1,66 @@
+//! Certificates of the measured clients and engines.
+
+use crate::bench::temporary_path;
+use crate::error::{about, CommandError};
+use nickelgw_test_servers::authority::{put, Authority, Fault};
+use nickelgw_test_servers::model::{Figures as EngineConfig, TlsFiles};
+use nickelgw_test_servers::record::unix_now;
+use nickelgw_tls::{Client, Files, Versions};
+use std::path::PathBuf;
+
+/// The name of the client's certificate.
+pub(super) const NODE: &str = "node0";
+const TRUST_OVERLAP_S: f64 = 600.0;
+
+/// A test authority and a folder with what it has signed.
+pub(super) struct Certificates {
+    pub(super) dir: PathBuf,
+    authority: Authority,
+}
+
+impl Certificates {
+    pub(super) fn new() -> Result<Certificates, CommandError> {
+        let dir = temporary_path("tls");
+        std::fs::create_dir_all(&dir)?;
+        let authority = Authority::new("bench").map_err(about("no certificate was made"))?;
+        put(&dir.join("root.pem"), authority.root_pem.as_bytes(), 0o644)?;
+        let certificates = Certificates { dir, authority };
+        certificates.sign(NODE)?;
+        Ok(certificates)
+    }
+
+    /// A new certificate and key, in place of an earlier one.
+    pub(super) fn sign(&self, id: &str) -> Result<[PathBuf; 2], CommandError> {
+        let signed = self.authority.write(&self.dir, id, &tls_name(id), Fault::None);
+        signed.map_err(about("no certificate was made"))
+    }
+
+    pub(super) fn files(&self, id: &str) -> Files {
+        let path = |file: String| Some(self.dir.join(file));
+        Files {
+            chain: path(format!("{id}.pem")),
+            key: path(format!("{id}.key")),
+            trust: path("root.pem".into()),
+        }
+    }
+
+    pub(super) fn client(&self, resume: bool) -> Client {
+        let mut client = Client::new(self.files(NODE), Versions::Only13, TRUST_OVERLAP_S);
+        client.resume = resume;
+        client.look(unix_now());
+        client
+    }
+
+    /// An engine that serves TLS under a certificate of its own.
+    pub(super) fn engine(&self, id: &str, engine: &EngineConfig) -> Result<EngineConfig, CommandError> {
+        let [chain, key] = self.sign(id)?;
+        let trust = self.dir.join("root.pem");
+        let tls = TlsFiles { name: tls_name(id), chain, key, trust, mutual: true };
+        Ok(EngineConfig { id: id.into(), tls: Some(tls), ..engine.clone() })
+    }
+}
+
+/// The name on a certificate.
+pub(super) fn tls_name(id: &str) -> String {
+    format!("{id}.example.org")
+}
--- /dev/null
+++ b/crates/nickelgw-cli/src/bench/tls/rotation.rs
@@ -0,0 +1,163 @@
+//! The rush of handshakes at a node with many engines: after a rotation of its certificate, or when all engines are back
+//! at once, cold, and the node has no connection yet.
+
+use super::certificates::{tls_name, Certificates, NODE};
+use super::{fast_engine, Executor, ANSWER_TOKENS};
+use crate::bench::client::{unlimited_pool, BenchClient, Route};
+use crate::bench::load::{run_single_load, LoadPlan, LoadResult};
+use crate::error::CommandError;
+use crate::local_servers::{bind_loopback, endpoint_entry, node_settings, spawn_endpoint_list, spawn_node};
+use crate::timing::sleep_s;
+use nickelgw_node::NodeOptions;
+use nickelgw_protocol::list::EndpointEntry;
+use nickelgw_test_servers::model::{Figures as EngineConfig, Role};
+use nickelgw_test_servers::record::unix_now;
+use nickelgw_test_servers::Record;
+use serde_json::{json, Value};
+use smol::LocalExecutor;
+use std::net::TcpListener;
+use std::rc::Rc;
+use std::thread;
+
+const ENGINE_THREADS: usize = 4;
+const RATE_PER_S: f64 = 300.0;
+const NO_LIMIT: usize = 100_000;
+/// Time for the node to fetch the endpoint list.
+const DISCOVERY_S: f64 = 0.5;
+/// Half of the window in which handshakes at once are counted.
+const HALF_WINDOW_S: f64 = 0.05;
+
+/// Why many handshakes are due at once.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum RushCause {
+    Rotation,
+    ColdRestart,
+}
+
+/// One measurement.
+pub(super) struct Rush {
+    pub(super) engines: u16,
+    /// Whether the node limits its handshakes and spreads the closing of older connections.
+    pub(super) has_budget: bool,
+    pub(super) cause: RushCause,
+}
+
+fn load(rate_per_s: f64, duration_s: f64) -> LoadPlan {
+    LoadPlan { rate_per_s, duration_s, output_tokens: ANSWER_TOKENS }
+}
+
+impl Rush {
+    pub(super) async fn measure(
+        &self,
+        executor: &Executor,
+        certificates: &Certificates,
+    ) -> Result<Value, CommandError> {
+        let record = Record::memory("rush");
+        let entries = self.start_engines(certificates, &record)?;
+        let address = self.start_node(certificates, entries)?;
+        sleep_s(DISCOVERY_S).await;
+        let client = Rc::new(BenchClient::new(executor, unlimited_pool(), None, address));
+        let mut before = None;
+        if self.cause == RushCause::Rotation {
+            // Connections to all engines.
+            run_single_load(executor, &client, load(400.0, 4.0), Route::ThroughNode).await;
+            before =
+                Some(run_single_load(executor, &client, load(RATE_PER_S, 2.0), Route::ThroughNode).await);
+            certificates.sign(NODE)?;
+        }
+        let rush_began = unix_now();
+        let after = run_single_load(executor, &client, load(RATE_PER_S, 2.0), Route::ThroughNode).await;
+        Ok(self.json(&record.lines(), rush_began, before.as_ref(), &after))
+    }
+
+    fn start_node(
+        &self,
+        certificates: &Certificates,
+        entries: Vec<EndpointEntry>,
+    ) -> Result<String, CommandError> {
+        let list = spawn_endpoint_list(entries)?;
+        let settings = format!(
+            "{} engine_tls {{ trust: '{dir}/root.pem' chain: '{dir}/node0.pem' key: '{dir}/node0.key' reload_ms: 100 }}",
+            node_settings(0, 1, &list),
+            dir = certificates.dir.display()
+        );
+        let remove_budget = |options: &mut NodeOptions| {
+            if !self.has_budget {
+                options.tls.max_handshakes = NO_LIMIT;
+                options.tls.max_handshakes_per_engine = NO_LIMIT;
+                options.tls.retire_gap_s = 0.0;
+            }
+        };
+        Ok(spawn_node("rush", &settings, remove_budget)?.address)
+    }
+
+    /// Starts engines on a few threads, all with one record.
+    fn start_engines(
+        &self,
+        certificates: &Certificates,
+        record: &Record,
+    ) -> Result<Vec<EndpointEntry>, CommandError> {
+        let is_cold = self.cause == RushCause::ColdRestart;
+        let mut entries = Vec::new();
+        let mut threads: Vec<Vec<(TcpListener, EngineConfig)>> =
+            (0..ENGINE_THREADS).map(|_| Vec::new()).collect();
+        for number in 0..self.engines {
+            let (prefix, role) = if number % 2 == 0 { ("r", Role::Read) } else { ("w", Role::Write) };
+            let config = certificates.engine(&format!("{prefix}{number}"), &fast_engine())?;
+            let config = EngineConfig { role, cold: is_cold, slots: 16, ..config };
+            let listener = bind_loopback()?;
+            entries.push(EndpointEntry {
+                tls_name: Some(tls_name(&config.id)),
+                started_at: is_cold.then(unix_now),
+                ..endpoint_entry(&config, listener.local_addr()?.to_string())
+            });
+            threads[usize::from(number) % ENGINE_THREADS].push((listener, config));
+        }
+        for engines in threads {
+            let record = record.clone();
+            thread::spawn(move || run_engines(engines, &record));
+        }
+        Ok(entries)
+    }
+
+    fn json(
+        &self,
+        records: &[Value],
+        rush_began: f64,
+        before: Option<&LoadResult>,
+        after: &LoadResult,
+    ) -> Value {
+        // At decode engines only: prefill engines see those of decode engines that fetch, too.
+        let is_at_decode_engine = |line: &&Value| {
+            line["ev"] == "handshake" && line["who"].as_str().is_some_and(|id| id.starts_with('w'))
+        };
+        let times = records.iter().filter(is_at_decode_engine).filter_map(|line| line["t"].as_f64());
+        let times: Vec<f64> = times.filter(|at| *at > rush_began).collect();
+        let near = |at: &f64| times.iter().filter(|other| (**other - at).abs() <= HALF_WINDOW_S).count();
+        let overloaded = records.iter().filter(|line| line["ev"] == "fell").count();
+        let ms = |result: &LoadResult, quantile| result.first_token_us(quantile) / 1e3;
+        json!({"paced": self.has_budget, "back_cold": self.cause == RushCause::ColdRestart,
+            "writers_handshakes_in_2_s": times.len(),
+            "most_in_100_ms": times.iter().map(near).max().unwrap_or(0),
+            "first_p50_ms_before": before.map(|result| ms(result, 0.5)),
+            "first_p99_ms_before": before.map(|result| ms(result, 0.99)),
+            "first_p50_ms": ms(after, 0.5), "first_p99_ms": ms(after, 0.99),
+            "failed": after.failed, "pushed_over": overloaded})
+    }
+}
+
+fn run_engines(engines: Vec<(TcpListener, EngineConfig)>, record: &Record) {
+    let executor = Rc::new(LocalExecutor::new());
+    let tasks: Vec<_> = engines
+        .into_iter()
+        .map(|(listener, config)| {
+            let record = record.of(&config.id);
+            executor.spawn(nickelgw_test_servers::engine::run(listener, config, record, 1))
+        })
+        .collect();
+    smol::block_on(executor.run(async {
+        for task in tasks {
+            let _ = task.await;
+        }
+    }));
+}
--- a/crates/nickelgw-cli/src/platform.rs
+++ b/crates/nickelgw-cli/src/platform.rs
@@ -1,26 +1,26 @@
 //! `nickelgw platform`: a node in service on the operators' platform.
 
-use crate::signals::{Signal, Signals};
-use crate::Unusable;
+use crate::error::CommandError;
+use crate::signals::{Signal, SignalListener};
 use nickelgw_platform::start::{Start, CONFIG};
 use std::net::TcpListener;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-pub fn run() -> Result<ExitCode, Unusable> {
+pub fn run() -> Result<ExitCode, CommandError> {
     let env = |name: &str| std::env::var(name).ok();
-    let path = PathBuf::from(env(CONFIG).ok_or_else(|| Unusable(format!("{CONFIG} is not set")))?);
-    let start = Start::read(&path, env).map_err(Unusable)?;
+    let path = PathBuf::from(env(CONFIG).ok_or_else(|| CommandError(format!("{CONFIG} is not set")))?);
+    let start = Start::read(&path, env).map_err(CommandError)?;
     // Before anybody can connect: a signal that came between the two would end the process with what it had accepted.
-    let mut signals = Signals::new()?;
+    let mut signals = SignalListener::new()?;
     let listener = TcpListener::bind(&start.listen)
-        .map_err(|e| Unusable(format!("{}: cannot listen: {e}", start.listen)))?;
+        .map_err(|e| CommandError(format!("{}: cannot listen: {e}", start.listen)))?;
     let (orders, ordered) = nickelgw_platform::orders();
     let told = async {
         loop {
             match signals.next().await? {
-                Signal::End => orders.shut_down(),
-                Signal::Renew => orders.reload(),
+                Signal::Terminate => orders.shut_down(),
+                Signal::Reload => orders.reload(),
             }
         }
     };
--- /dev/null
+++ b/crates/nickelgw-cli/src/rehearse/certificates.rs
@@ -0,0 +1,78 @@
+//! Certificates of a day in TLS, and their rotations.
+
+use super::stage::Stage;
+use crate::error::{about, CommandError};
+use crate::timing::sleep_s;
+use nickelgw_settings::engine_names;
+use nickelgw_test_servers::authority::{put, Authority, Fault as CertificateFault};
+use serde_json::json;
+
+/// Time for all nodes to read new trust or certificates.
+const ROTATION_STEP_S: f64 = 1.5;
+
+/// The name on a process's certificate.
+pub(super) fn tls_name(process: &str) -> String {
+    format!("{process}.example.org")
+}
+
+impl Stage {
+    /// Writes the trust file: the authority's root, and others beside it.
+    pub(super) fn write_trust(&self, other_roots: &[&str]) -> Result<(), CommandError> {
+        let Some(authority) = &*self.authority.borrow() else { return Ok(()) };
+        let roots = [&[authority.root_pem.as_str()], other_roots].concat().concat();
+        put(&self.path("certs/root.pem"), roots.as_bytes(), 0o644)?;
+        Ok(())
+    }
+
+    pub(super) fn sign_certificate(
+        &self,
+        process: &str,
+        fault: CertificateFault,
+    ) -> Result<(), CommandError> {
+        let Some(authority) = &*self.authority.borrow() else { return Ok(()) };
+        let signed = authority.write(&self.path("certs"), process, &tls_name(process), fault);
+        signed.map_err(about("no certificate was made"))?;
+        Ok(())
+    }
+
+    /// A new certificate for an engine, which loads it at once.
+    pub(super) async fn rotate_certificate(
+        &self,
+        engine: &str,
+        fault: CertificateFault,
+    ) -> Result<(), CommandError> {
+        self.sign_certificate(engine, fault)?;
+        self.reload_certificate(engine).await;
+        Ok(())
+    }
+
+    async fn reload_certificate(&self, engine: &str) {
+        self.order_engine(engine, json!({"fault": "cert"})).await;
+    }
+
+    async fn reload_all_certificates(&self) {
+        for engine in engine_names(&self.day) {
+            self.reload_certificate(&engine).await;
+        }
+    }
+
+    /// A new authority: trust of both, new certificates for all, then trust of the new one alone.
+    pub(super) async fn rotate_authority(&self) -> Result<(), CommandError> {
+        let second = Authority::new("second").map_err(about("no certificate was made"))?;
+        // Both are trusted before the first certificate of the new one is shown.
+        self.write_trust(&[&second.root_pem])?;
+        self.reload_all_certificates().await;
+        sleep_s(ROTATION_STEP_S).await;
+        *self.authority.borrow_mut() = Some(second);
+        for number in 0..self.day.nodes() {
+            self.sign_certificate(&format!("node{number}"), CertificateFault::None)?;
+        }
+        for engine in engine_names(&self.day) {
+            self.rotate_certificate(&engine, CertificateFault::None).await?;
+        }
+        sleep_s(ROTATION_STEP_S).await;
+        self.write_trust(&[])?;
+        self.reload_all_certificates().await;
+        Ok(())
+    }
+}
--- a/crates/nickelgw-cli/src/rehearse/clients.rs
+++ b/crates/nickelgw-cli/src/rehearse/clients.rs
@@ -1,12 +1,41 @@
 //! Scripted clients of a rehearsal.
 
-use super::*;
+use super::stage::Stage;
+use crate::timing::sleep_s;
+use nanorand::{Rng, WyRand};
+use nickelgw_settings::proto::{Limits, ModelRoute, Traffic};
+use nickelgw_test_servers::client::{self, Ask, Leave};
+use nickelgw_test_servers::record::unix_now;
+use nickelgw_test_servers::Record;
+use serde_json::json;
+use smol::{LocalExecutor, Task};
+use std::rc::Rc;
 
-pub(super) fn dice(chance: &mut WyRand) -> f64 {
-    chance.generate::<u32>() as f64 / u32::MAX as f64
+type Executor = Rc<LocalExecutor<'static>>;
+
+/// The prefix that all traffic shares under a hot key, beside those of each kind of it.
+const HOT_PREFIX: u64 = 999_999;
+/// Keeps the prefixes of one kind of traffic apart from those of others.
+const PREFIXES_PER_TRAFFIC: u64 = 1_000_000;
+/// Share of a prompt that is its prefix, if it has one.
+const PREFIX_SHARE: f64 = 0.6;
+const SUFFIX_SHARE: f64 = 0.4;
+/// Tokens that the chat format adds to a prompt, at most.
+const FORMAT_TOKENS: f64 = 16.0;
+/// Time that slow clients take for each event.
+const SLOW_EVENT_S: f64 = 0.05;
+/// Retries of clients that abuse them.
+const ABUSIVE_RETRIES: u32 = 5;
+/// Beyond the node's own limit, for a malformed body.
+const MALFORMED_MARGIN_S: f64 = 2.0;
+
+/// From 0 to 1.
+fn uniform(random: &mut WyRand) -> f64 {
+    random.generate::<u32>() as f64 / u32::MAX as f64
 }
 
-pub(super) fn words(tokens: f64, salt: u64) -> String {
+/// A text of about so many tokens; equal salts give equal texts.
+fn text_of(tokens: f64, salt: u64) -> String {
     let mut text = format!("[{salt}] ");
     while (text.len() as f64) < 4.0 * tokens - 16.0 {
         text.push_str("line of a text ");
@@ -14,130 +43,219 @@
     text
 }
 
+/// When and how often a client retries.
+struct RetryPolicy {
+    max_retries: u32,
+    min_wait_s: f64,
+    /// Ignores Retry-After.
+    is_impatient: bool,
+}
+
+/// What a drawn client does.
+enum Behaviour {
+    Malformed,
+    Chat(Leave),
+}
+
 /// Open-loop arrivals of one kind of traffic: each at its time, however the earlier ones fare.
-pub(super) async fn traffic(stage: Rc<Stage>, n: usize, t: Traffic, ex: Rc<LocalExecutor<'static>>) {
-    let mut chance = WyRand::new_seed(stage.seed.wrapping_mul(1000) + n as u64);
-    let route = stage.day.model_route.iter().find(|r| r.model == t.model).cloned().unwrap_or_default();
-    let key = stage.day.tenant.iter().find(|x| x.name == t.tenant()).map(|x| x.key.clone());
-    let until = t.to_s().min(stage.day.length_s);
-    let mut at = t.from_s();
-    // Drawn at the day's highest rate, and thinned: a burst changes nothing of the others' chance.
-    let most_rate = stage.script.max_rate_multiple();
-    let begun_unix = unix_now() - stage.begun.elapsed().as_secs_f64();
-    let mut clients = Vec::new();
-    for k in 0u64.. {
-        at -= dice(&mut chance).max(1e-9).ln() / (t.rate_per_s * most_rate);
-        if at >= until {
-            break;
-        }
-        if dice(&mut chance) * most_rate > stage.script.rate_multiple(at) {
-            continue;
+pub(super) async fn run_traffic(stage: Rc<Stage>, number: usize, traffic: Traffic, executor: Executor) {
+    let mut arrivals = Arrivals::new(&stage, number, traffic);
+    let mut clients: Vec<Task<()>> = Vec::new();
+    while let Some(arrival) = arrivals.next() {
+        sleep_s(arrival.at_s - stage.elapsed_s()).await;
+        clients.extend(arrivals.start_client(&arrival, &executor));
+    }
+    for client in clients {
+        client.await;
+    }
+}
+
+/// When a request is wanted, and its number.
+struct Arrival {
+    at_s: f64,
+    number: u64,
+}
+
+/// Draws the arrivals of one kind of traffic and what their clients do. The order of draws decides what a seed gives.
+struct Arrivals {
+    stage: Rc<Stage>,
+    traffic_number: usize,
+    traffic: Traffic,
+    route: ModelRoute,
+    tenant_key: Option<String>,
+    random: WyRand,
+    /// Of the last arrival that was drawn, also of one that was thinned out.
+    at_s: f64,
+    next_number: u64,
+    max_rate_multiple: f64,
+    day_began_unix_s: f64,
+}
+
+impl Arrivals {
+    fn new(stage: &Rc<Stage>, traffic_number: usize, traffic: Traffic) -> Arrivals {
+        let day = &stage.day;
+        let route = day.model_route.iter().find(|route| route.model == traffic.model);
+        let tenant = day.tenant.iter().find(|tenant| tenant.name == traffic.tenant());
+        Arrivals {
+            stage: stage.clone(),
+            traffic_number,
+            route: route.cloned().unwrap_or_default(),
+            tenant_key: tenant.map(|tenant| tenant.key.clone()),
+            random: WyRand::new_seed(stage.seed.wrapping_mul(1000) + traffic_number as u64),
+            at_s: traffic.from_s(),
+            next_number: 0,
+            // Arrivals are drawn at the highest rate and thinned: a burst changes nothing of the other draws.
+            max_rate_multiple: stage.script.max_rate_multiple(),
+            day_began_unix_s: unix_now() - stage.elapsed_s(),
+            traffic,
         }
-        rest(at - stage.begun.elapsed().as_secs_f64()).await;
-        let Some((node, address)) = stage.node(chance.generate::<u32>() as usize) else { continue };
-        let size = t.prompt_tokens() * (0.5 + dice(&mut chance));
-        let hot = dice(&mut chance) < stage.script.hot_key_share(at);
-        let shared = hot || t.beginnings() > 0;
-        let some = if t.beginnings() > 0 { chance.generate::<u64>() % u64::from(t.beginnings()) } else { 0 };
-        // One that all traffic shares, beside those of each kind of it.
-        let beginning = if hot { 999_999 } else { some };
-        let fate = dice(&mut chance);
-        let (waiting, streaming) = (t.leave_waiting_share(), t.leave_streaming_share());
-        let bad = waiting + streaming + t.malformed_share();
-        let record = stage.record.of("client");
-        if fate >= waiting + streaming && fate < bad {
-            clients.push(ex.spawn(malformed(address, k, stage.day.clone(), record)));
-            continue;
+    }
+
+    /// The next arrival that is not thinned out; none after the end of the traffic.
+    fn next(&mut self) -> Option<Arrival> {
+        let end_s = self.traffic.to_s().min(self.stage.day.length_s);
+        loop {
+            let number = self.next_number;
+            self.next_number += 1;
+            let rate_per_s = self.traffic.rate_per_s * self.max_rate_multiple;
+            self.at_s -= uniform(&mut self.random).max(1e-9).ln() / rate_per_s;
+            if self.at_s >= end_s {
+                return None;
+            }
+            let threshold = uniform(&mut self.random) * self.max_rate_multiple;
+            if threshold <= self.stage.script.rate_multiple(self.at_s) {
+                return Some(Arrival { at_s: self.at_s, number });
+            }
         }
-        let leave = match fate {
-            f if f < waiting => Leave::Waiting(0.02 + 0.2 * dice(&mut chance)),
-            f if f < waiting + streaming => Leave::Streaming(1 + (10.0 * dice(&mut chance)) as usize),
-            _ => Leave::Never,
-        };
-        let per_token = route.target_per_1000_tokens_ms() / 1e6;
-        let stream = dice(&mut chance) < t.stream_share() || matches!(leave, Leave::Streaming(_));
-        let first_by = route.route_timeout_ms / 1e3 + 2.0 * per_token * (size + 16.0);
-        let ask = Ask {
-            req: format!("q{n}-{k}"),
-            node,
-            address,
-            model: t.model.clone(),
-            key: key.clone(),
-            system: if shared { words(0.6 * size, 1_000_000 * n as u64 + beginning) } else { String::new() },
-            prompt: words(if shared { 0.4 * size } else { size }, k),
-            max_tokens: t.max_tokens,
-            stream,
-            timeout_s: if stream { first_by } else { route.whole_timeout_ms() / 1e3 },
-            target_s: route.first_token_target_ms / 1e3 + per_token * size,
-            intended: begun_unix + at,
-            leave,
-            slow_s: if dice(&mut chance) < t.slow_share() { 0.05 } else { 0.0 },
-            ..Ask::default()
-        };
-        let abuses = dice(&mut chance) < stage.script.retry_abuse_share(at);
-        let retry = match abuses {
-            true => Retry { most: 5, wait_s: 0.0, impatient: true },
-            false => Retry { most: t.retries(), wait_s: t.retry_wait_ms() / 1e3, impatient: t.impatient() },
+    }
+
+    /// Starts the client of an arrival; none where no node is up.
+    fn start_client(&mut self, arrival: &Arrival, executor: &Executor) -> Option<Task<()>> {
+        let node = self.stage.node_for(self.random.generate::<u32>() as usize)?;
+        let mut request = Ask { node: node.name, address: node.address, ..Ask::default() };
+        let prompt_tokens = self.draw_prompt(arrival, &mut request);
+        let record = self.stage.record.of("client");
+        let leave = match self.draw_behaviour() {
+            Behaviour::Malformed => {
+                let limits = self.stage.day.limits.unwrap_or_default();
+                let client = send_malformed(request.address, arrival.number, limits, record);
+                return Some(executor.spawn(client));
+            }
+            Behaviour::Chat(leave) => leave,
         };
-        clients.push(ex.spawn(insist(stage.clone(), ask, retry, chance.generate::<u32>() as usize, record)));
+        self.fill_request(arrival, prompt_tokens, leave, &mut request);
+        let policy = self.draw_retry_policy(arrival.at_s);
+        let turn = self.random.generate::<u32>() as usize;
+        Some(executor.spawn(send_with_retries(self.stage.clone(), request, policy, turn, record)))
     }
-    for c in clients {
-        c.await;
+
+    /// Draws the prompt; gives its length in tokens.
+    fn draw_prompt(&mut self, arrival: &Arrival, request: &mut Ask) -> f64 {
+        let tokens = self.traffic.prompt_tokens() * (0.5 + uniform(&mut self.random));
+        let is_hot = uniform(&mut self.random) < self.stage.script.hot_key_share(arrival.at_s);
+        let prefixes = u64::from(self.traffic.beginnings());
+        let drawn_prefix = if prefixes > 0 { self.random.generate::<u64>() % prefixes } else { 0 };
+        if !is_hot && prefixes == 0 {
+            request.prompt = text_of(tokens, arrival.number);
+            return tokens;
+        }
+        let prefix = if is_hot { HOT_PREFIX } else { drawn_prefix };
+        let salt = PREFIXES_PER_TRAFFIC * self.traffic_number as u64 + prefix;
+        request.system = text_of(PREFIX_SHARE * tokens, salt);
+        request.prompt = text_of(SUFFIX_SHARE * tokens, arrival.number);
+        tokens
     }
-}
 
-pub(super) struct Retry {
-    pub(super) most: u32,
-    pub(super) wait_s: f64,
-    /// Heeds no come-back time.
-    pub(super) impatient: bool,
-}
+    fn draw_behaviour(&mut self) -> Behaviour {
+        let waiting = self.traffic.leave_waiting_share();
+        let leaving = waiting + self.traffic.leave_streaming_share();
+        let malformed = leaving + self.traffic.malformed_share();
+        let drawn = uniform(&mut self.random);
+        if drawn >= leaving && drawn < malformed {
+            return Behaviour::Malformed;
+        }
+        Behaviour::Chat(if drawn < waiting {
+            Leave::Waiting(0.02 + 0.2 * uniform(&mut self.random))
+        } else if drawn < leaving {
+            Leave::Streaming(1 + (10.0 * uniform(&mut self.random)) as usize)
+        } else {
+            Leave::Never
+        })
+    }
+
+    fn fill_request(&mut self, arrival: &Arrival, prompt_tokens: f64, leave: Leave, request: &mut Ask) {
+        let per_token_s = self.route.target_per_1000_tokens_ms() / 1e6;
+        let is_drawn_streaming = uniform(&mut self.random) < self.traffic.stream_share();
+        request.stream = is_drawn_streaming || matches!(leave, Leave::Streaming(_));
+        request.timeout_s = match request.stream {
+            true => self.route.route_timeout_ms / 1e3 + 2.0 * per_token_s * (prompt_tokens + FORMAT_TOKENS),
+            false => self.route.whole_timeout_ms() / 1e3,
+        };
+        request.req = format!("q{}-{}", self.traffic_number, arrival.number);
+        request.model = self.traffic.model.clone();
+        request.key = self.tenant_key.clone();
+        request.max_tokens = self.traffic.max_tokens;
+        request.target_s = self.route.first_token_target_ms / 1e3 + per_token_s * prompt_tokens;
+        request.intended = self.day_began_unix_s + arrival.at_s;
+        request.leave = leave;
+        let is_slow = uniform(&mut self.random) < self.traffic.slow_share();
+        request.slow_s = if is_slow { SLOW_EVENT_S } else { 0.0 };
+    }
 
-/// Asks, and asks again where nothing came of it.
-pub(super) async fn insist(stage: Rc<Stage>, mut ask: Ask, retry: Retry, turn: usize, record: Record) {
-    let first = ask.req.clone();
-    for again in 0..=retry.most {
-        if again > 0 {
-            let Some((node, address)) = stage.node(turn + again as usize) else { return };
-            (ask.node, ask.address, ask.again) = (node, address, again);
-            (ask.req, ask.of) = (format!("{first}-{again}"), Some(first.clone()));
-            ask.intended = unix_now();
+    fn draw_retry_policy(&mut self, at_s: f64) -> RetryPolicy {
+        if uniform(&mut self.random) < self.stage.script.retry_abuse_share(at_s) {
+            return RetryPolicy { max_retries: ABUSIVE_RETRIES, min_wait_s: 0.0, is_impatient: true };
         }
-        let seen = client::ask(&ask, &record).await;
-        if seen.as_ref().is_some_and(|s| matches!(s.how.as_str(), "completed" | "left")) {
-            return;
+        RetryPolicy {
+            max_retries: self.traffic.retries(),
+            min_wait_s: self.traffic.retry_wait_ms() / 1e3,
+            is_impatient: self.traffic.impatient(),
         }
-        let told = seen.and_then(|s| s.come_back_s).filter(|_| !retry.impatient);
-        rest(told.unwrap_or(0.0).max(retry.wait_s)).await;
     }
 }
 
-/// Where standard error is a terminal, how far the day is.
-pub(super) async fn progress(stage: Rc<Stage>) {
-    use std::io::IsTerminal;
-    let (name, length) = (stage.day.name.clone(), stage.day.length_s);
-    while std::io::stderr().is_terminal() {
-        let now = stage.begun.elapsed().as_secs_f64().min(length);
-        let done = (20.0 * now / length) as usize;
-        eprint!("\r{name}: [{}{}] {now:.0} of {length:.0} s ", "#".repeat(done), ".".repeat(20 - done));
-        rest(0.5).await;
+/// Sends a request, and retries it at other nodes until it completes or its client leaves.
+async fn send_with_retries(
+    stage: Rc<Stage>,
+    mut request: Ask,
+    policy: RetryPolicy,
+    turn: usize,
+    record: Record,
+) {
+    let first_id = request.req.clone();
+    for retry in 0..=policy.max_retries {
+        if retry > 0 {
+            let Some(node) = stage.node_for(turn + retry as usize) else { return };
+            request.node = node.name;
+            request.address = node.address;
+            request.again = retry;
+            request.req = format!("{first_id}-{retry}");
+            request.of = Some(first_id.clone());
+            request.intended = unix_now();
+        }
+        let seen = client::ask(&request, &record).await;
+        if seen.as_ref().is_some_and(|seen| matches!(seen.how.as_str(), "completed" | "left")) {
+            return;
+        }
+        let retry_after_s = seen.and_then(|seen| seen.come_back_s).filter(|_| !policy.is_impatient);
+        sleep_s(retry_after_s.unwrap_or(0.0).max(policy.min_wait_s)).await;
     }
 }
 
-/// Clients that speak badly: each must get an error, and cost nothing more.
-pub(super) async fn malformed(address: String, k: u64, day: Day, record: Record) {
-    let most = day.limits.unwrap_or_default().most_body_bytes();
-    let head = |len: usize| {
-        format!("POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: {len}\r\n\r\n")
+/// A client that sends what is no request: it must get an error, and cost nothing more.
+async fn send_malformed(address: String, number: u64, limits: Limits, record: Record) {
+    let head = |length: usize| {
+        format!("POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n")
     };
-    let (kind, pieces, rest_s) = match k % 4 {
+    let too_long = limits.most_body_bytes() as usize + 1;
+    let (kind, pieces, pause_s) = match number % 4 {
         0 => ("json", vec![head(9).into_bytes(), b"{\"model\":".to_vec()], 0.0),
-        1 => ("large", vec![head(most as usize + 1).into_bytes(), vec![b'x'; 1024]], 0.0),
+        1 => ("large", vec![head(too_long).into_bytes(), vec![b'x'; 1024]], 0.0),
         2 => ("slow", vec![head(100).into_bytes(), b"{".to_vec(), b" ".to_vec(), b" ".to_vec()], 0.6),
         _ => ("head", vec![b"POST /v1/chat".to_vec()], 0.0),
     };
     let pieces: Vec<&[u8]> = pieces.iter().map(Vec::as_slice).collect();
-    let patience = day.limits.unwrap_or_default().body_ms() / 1e3 + 2.0;
-    let answer = client::raw(&address, &pieces, rest_s, patience).await;
+    let timeout_s = limits.body_ms() / 1e3 + MALFORMED_MARGIN_S;
+    let answer = client::raw(&address, &pieces, pause_s, timeout_s).await;
     record.note("malformed", json!({"kind": kind, "status": client::status(&answer)}));
 }
--- /dev/null
+++ b/crates/nickelgw-cli/src/rehearse/faults.rs
@@ -0,0 +1,135 @@
+//! The single faults of a day's script, each at its time.
+
+use super::stage::Stage;
+use crate::error::CommandError;
+use crate::timing::sleep_s;
+use nickelgw_protocol::list::{EndpointEntry, EngineState};
+use nickelgw_settings::engine_names;
+use nickelgw_settings::proto::{fault::Kind, Fault};
+use nickelgw_test_servers::authority::Fault as CertificateFault;
+use nickelgw_test_servers::client;
+use serde_json::json;
+
+/// The order by which an engine has a fault by itself.
+fn engine_order(kind: Kind) -> Option<&'static str> {
+    match kind {
+        Kind::Silence => Some("silence"),
+        Kind::Slow => Some("slow"),
+        Kind::Fail => Some("fail"),
+        Kind::Lose => Some("lose"),
+        Kind::Pause => Some("pause"),
+        Kind::Forget => Some("forget"),
+        Kind::HandshakeCut => Some("handshake_cut"),
+        _ => None,
+    }
+}
+
+/// The order by which the registry has a fault, and whether that lasts.
+fn registry_order(kind: Kind) -> Option<(&'static str, bool)> {
+    match kind {
+        Kind::RegistryRestart => Some(("restart", true)),
+        Kind::RegistryCompact => Some(("compact", false)),
+        Kind::RegistryPartition => Some(("silence", true)),
+        Kind::WatchStall => Some(("stall", true)),
+        Kind::RegistryRollback => Some(("roll_back", false)),
+        _ => None,
+    }
+}
+
+impl Stage {
+    /// Waits for a fault's time, and makes it happen.
+    pub(super) async fn inject(&self, fault: &Fault) -> Result<(), CommandError> {
+        sleep_s(fault.at_s - self.elapsed_s()).await;
+        let kind = fault.kind();
+        let plan = json!({"kind": kind.as_str_name(), "target": fault.target(), "for_s": fault.for_s()});
+        self.record.note("plan", plan);
+        if let Some(order) = engine_order(kind) {
+            self.order_engine_fault(order, fault).await;
+            return Ok(());
+        }
+        if let Some((order, lasts)) = registry_order(kind) {
+            self.order_registry(order, if lasts { fault.for_s() } else { 0.0 }).await;
+            return Ok(());
+        }
+        self.inject_compound(fault).await
+    }
+
+    /// Faults that take more than one order.
+    async fn inject_compound(&self, fault: &Fault) -> Result<(), CommandError> {
+        let (target, for_s) = (fault.target(), fault.for_s());
+        match fault.kind() {
+            Kind::Die => self.restart_engine(fault).await?,
+            Kind::Drain => self.drain_engine(fault).await,
+            Kind::CutZone => self.cut_zone(target, for_s).await,
+            Kind::CertRotate => self.rotate_certificate(target, CertificateFault::None).await?,
+            Kind::CertExpire => self.rotate_certificate(target, CertificateFault::Expired).await?,
+            Kind::CertWrongName => self.rotate_certificate(target, CertificateFault::WrongName).await?,
+            Kind::CaRotate => self.rotate_authority().await?,
+            Kind::HandshakeSlow => {
+                let order = json!({"fault": "handshake_slow", "for_s": for_s, "rest_s": fault.factor()});
+                self.order_engine(target, order).await;
+            }
+            Kind::StallList => drop(client::control(&self.list, &json!({"stall_s": for_s})).await),
+            Kind::KillNode => self.restart_node(target, for_s).await?,
+            Kind::RegistryEmpty => self.empty_registry(for_s).await,
+            // The script has expanded all others to these.
+            _ => {}
+        }
+        Ok(())
+    }
+
+    async fn order_engine_fault(&self, order: &str, fault: &Fault) {
+        let order = json!({"fault": order, "for_s": fault.for_s(), "share": fault.share(),
+            "factor": fault.factor()});
+        self.order_engine(fault.target(), order).await;
+    }
+
+    /// The engine dies, and is back cold after a while if the fault says so.
+    async fn restart_engine(&self, fault: &Fault) -> Result<(), CommandError> {
+        let engine = fault.target();
+        self.order_engine_fault("die", fault).await;
+        self.kill_engine(engine).await;
+        self.record.of(engine).note("died", json!({}));
+        self.withdraw(engine).await;
+        if fault.for_s() > 0.0 {
+            sleep_s(fault.for_s()).await;
+            let entry = self.start_engine(engine, true).await?;
+            self.publish(&entry).await;
+        }
+        Ok(())
+    }
+
+    async fn drain_engine(&self, fault: &Fault) {
+        let Some(entry) = self.entry_of(fault.target()) else { return };
+        self.publish(&EndpointEntry { state: EngineState::Draining, ..entry }).await;
+        // It rejects requests once every node has had the time to know.
+        sleep_s((self.day.list_lag_ms() + self.day.drain_grace_ms()) / 1e3).await;
+        self.order_engine_fault("drain", fault).await;
+    }
+
+    async fn cut_zone(&self, zone: &str, for_s: f64) {
+        let order = json!({"fault": "cut", "for_s": for_s, "zone": zone});
+        for engine in engine_names(&self.day) {
+            self.order_engine(&engine, order.clone()).await;
+        }
+    }
+
+    async fn restart_node(&self, node: &str, for_s: f64) -> Result<(), CommandError> {
+        let number: u32 = node.trim_start_matches("node").parse().unwrap_or(0);
+        self.kill_node(number).await;
+        if for_s > 0.0 {
+            sleep_s(for_s).await;
+            self.start_node(number).await?;
+        }
+        Ok(())
+    }
+
+    async fn empty_registry(&self, for_s: f64) {
+        self.order_registry("empty", 0.0).await;
+        sleep_s(for_s).await;
+        let entries = self.initial_entries.borrow().clone();
+        for entry in &entries {
+            self.publish_now(entry).await;
+        }
+    }
+}
--- a/crates/nickelgw-cli/src/rehearse/stage.rs
+++ b/crates/nickelgw-cli/src/rehearse/stage.rs
@@ -1,92 +1,135 @@
-//! Child processes of a rehearsal, and the faults that they are made to have.
+//! The child processes of a rehearsal and the files that they share.
 
-use super::*;
+use super::certificates::tls_name;
+use super::performance::NodeVariants;
+use crate::child_process::{spawn_command, strings, ListeningChild};
+use crate::error::CommandError;
+use crate::local_servers::endpoint_entry;
+use nickelgw_protocol::list::EndpointEntry;
+use nickelgw_rehearsal::core::script::Script;
+use nickelgw_settings::proto::{EngineGroup, EngineRole};
+use nickelgw_settings::Day;
+use nickelgw_test_servers::authority::{Authority, Fault as CertificateFault};
+use nickelgw_test_servers::client;
+use nickelgw_test_servers::model::{Figures as EngineConfig, Role, TlsFiles};
+use nickelgw_test_servers::record::unix_now;
+use nickelgw_test_servers::Record;
+use serde_json::{json, Value};
+use smol::process::Child;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::path::PathBuf;
+use std::time::Instant;
 
-/// Child processes and where they listen.
+/// Where engines' entries stand in a registry.
+const ENGINES_PREFIX: &str = "nickelgw/engines/";
+
+fn engine_key(id: &str) -> String {
+    format!("{ENGINES_PREFIX}{id}")
+}
+
+/// What a stage is made for.
+pub(super) struct StageConfig {
+    pub(super) day: Day,
+    pub(super) variants: NodeVariants,
+    pub(super) seed: u64,
+    pub(super) dir: PathBuf,
+    /// Address of the endpoint list or registry.
+    pub(super) list: String,
+    pub(super) record: Record,
+    pub(super) authority: Option<Authority>,
+}
+
+/// Child processes, where they listen, and what the day does to them.
 pub(super) struct Stage {
     pub(super) day: Day,
     pub(super) script: Script,
-    pub(super) cold: bool,
-    pub(super) fair: bool,
+    pub(super) variants: NodeVariants,
     pub(super) seed: u64,
-    pub(super) dir: PathBuf,
+    dir: PathBuf,
+    /// Address of the endpoint list or registry.
     pub(super) list: String,
     pub(super) record: Record,
-    pub(super) engines: RefCell<BTreeMap<String, (Child, String)>>,
+    engines: RefCell<BTreeMap<String, ListeningChild>>,
     /// By number; none while the node is down.
-    pub(super) nodes: RefCell<Vec<Option<(Child, String)>>>,
-    pub(super) begun: Instant,
-    pub(super) stall: RefCell<f64>,
-    /// The authority in force, on TLS days.
+    nodes: RefCell<Vec<Option<ListeningChild>>>,
+    began: Cell<Instant>,
+    pub(super) longest_stall_s: Cell<f64>,
+    /// The authority in force, on days with TLS.
     pub(super) authority: RefCell<Option<Authority>>,
-    /// Engines' lines as the day began.
-    pub(super) lines: RefCell<Vec<EndpointEntry>>,
+    /// Engines' entries as the day began.
+    pub(super) initial_entries: RefCell<Vec<EndpointEntry>>,
 }
 
-pub(super) fn no_certificate(e: nickelgw_test_servers::authority::Failed) -> Unusable {
-    Unusable(format!("no certificate was made: {e}"))
-}
-
-pub(super) fn tls_name(who: &str) -> String {
-    format!("{who}.example.org")
+/// A node that a client may call.
+pub(super) struct NodeAddress {
+    pub(super) name: String,
+    pub(super) address: String,
 }
 
 impl Stage {
-    /// Writes the trust file: the authority's root and others beside it.
-    pub(super) fn trust(&self, others: &[&str]) -> Result<(), Unusable> {
-        let Some(a) = &*self.authority.borrow() else { return Ok(()) };
-        let text = [&[a.root_pem.as_str()], others].concat().concat();
-        nickelgw_test_servers::authority::put(&self.file("certs/root.pem"), text.as_bytes(), 0o644)?;
-        Ok(())
+    /// Without processes yet.
+    pub(super) fn new(config: StageConfig) -> Stage {
+        let StageConfig { day, variants, seed, dir, list, record, authority } = config;
+        Stage {
+            script: Script::from_day(&day, seed),
+            nodes: RefCell::new((0..day.nodes()).map(|_| None).collect()),
+            day,
+            variants,
+            seed,
+            dir,
+            list,
+            record,
+            engines: RefCell::default(),
+            began: Cell::new(Instant::now()),
+            longest_stall_s: Cell::new(0.0),
+            authority: RefCell::new(authority),
+            initial_entries: RefCell::default(),
+        }
     }
 
-    pub(super) fn certificate(&self, who: &str, fault: CertFault) -> Result<(), Unusable> {
-        let Some(a) = &*self.authority.borrow() else { return Ok(()) };
-        a.write(&self.file("certs"), who, &tls_name(who), fault).map_err(no_certificate)?;
-        Ok(())
+    /// The day's time counts from now on.
+    pub(super) fn begin(&self) {
+        self.began.set(Instant::now());
     }
 
-    /// A new certificate for an engine, which takes it at once.
-    pub(super) async fn rotate(&self, engine: &str, fault: CertFault) -> Result<(), Unusable> {
-        self.certificate(engine, fault)?;
-        self.engine_fault(engine, json!({"fault": "cert"})).await;
-        Ok(())
+    /// Seconds since the day began.
+    pub(super) fn elapsed_s(&self) -> f64 {
+        self.began.get().elapsed().as_secs_f64()
     }
 
-    pub(super) async fn rotate_authority(&self) -> Result<(), Unusable> {
-        let second = Authority::new("second").map_err(no_certificate)?;
-        // Both are trusted before the first certificate of the new one is shown.
-        self.trust(&[&second.root_pem])?;
-        for e in engine_names(&self.day) {
-            self.engine_fault(&e, json!({"fault": "cert"})).await;
-        }
-        rest(1.5).await;
-        *self.authority.borrow_mut() = Some(second);
-        for n in 0..self.day.nodes() {
-            self.certificate(&format!("node{n}"), CertFault::None)?;
-        }
-        for e in engine_names(&self.day) {
-            self.rotate(&e, CertFault::None).await?;
-        }
-        rest(1.5).await;
-        self.trust(&[])?;
-        for e in engine_names(&self.day) {
-            self.engine_fault(&e, json!({"fault": "cert"})).await;
-        }
-        Ok(())
+    pub(super) fn path(&self, name: &str) -> PathBuf {
+        self.dir.join(name)
+    }
+
+    pub(super) fn path_text(&self, name: &str) -> String {
+        self.path(name).display().to_string()
     }
 
-    /// Tells the list, or the registry, of an engine's line.
-    pub(super) async fn publish(&self, line: &EndpointEntry, at_once: bool) {
+    pub(super) fn record_path(&self, process: &str) -> String {
+        self.path_text(&format!("records/{process}.jsonl"))
+    }
+
+    /// Shows an engine's entry in the list, or in the registry, after the list's lag.
+    pub(super) async fn publish(&self, entry: &EndpointEntry) {
         let order = match self.day.registry() {
-            true => json!({"order": "put", "key": engine_key(&line.id), "value": line}),
-            false if at_once => json!({"line": line, "lag_s": 0.0}),
-            false => json!({"line": line}),
+            true => json!({"order": "put", "key": engine_key(&entry.id), "value": entry}),
+            false => json!({"line": entry}),
         };
         client::control(&self.list, &order).await;
     }
 
-    pub(super) async fn take_out(&self, engine: &str) {
+    /// Shows an engine's entry without a lag.
+    pub(super) async fn publish_now(&self, entry: &EndpointEntry) {
+        if self.day.registry() {
+            self.publish(entry).await;
+        } else {
+            client::control(&self.list, &json!({"line": entry, "lag_s": 0.0})).await;
+        }
+    }
+
+    /// Removes an engine's entry.
+    pub(super) async fn withdraw(&self, engine: &str) {
         let order = match self.day.registry() {
             true => json!({"order": "delete", "key": engine_key(engine)}),
             false => json!({"remove": engine}),
@@ -94,213 +137,156 @@
         client::control(&self.list, &order).await;
     }
 
-    pub(super) async fn registry(&self, order: &str, for_s: f64) {
-        client::control(&self.list, &json!({"order": order, "for_s": for_s, "key": ENGINES})).await;
+    pub(super) async fn order_registry(&self, order: &str, for_s: f64) {
+        client::control(&self.list, &json!({"order": order, "for_s": for_s, "key": ENGINES_PREFIX})).await;
     }
 
-    pub(super) fn file(&self, name: &str) -> PathBuf {
-        self.dir.join(name)
+    pub(super) async fn order_engine(&self, engine: &str, order: Value) {
+        if let Some(address) = self.engine_address(engine) {
+            client::control(&address, &order).await;
+        }
     }
 
-    pub(super) fn record_of(&self, name: &str) -> String {
-        self.file(&format!("records/{name}.jsonl")).display().to_string()
+    pub(super) fn engine_address(&self, engine: &str) -> Option<String> {
+        self.engines.borrow().get(engine).map(|child| child.address.clone())
     }
 
-    /// The group of an engine and its figures.
-    pub(super) fn figures(&self, name: &str) -> Option<Figures> {
-        let rules = self.day.rules.unwrap_or_default();
-        let of = |e: &&nickelgw_settings::proto::EngineGroup| {
-            (0..e.count()).any(|n| format!("{}{n}", e.name) == name)
+    /// The entry of an engine that runs already.
+    pub(super) fn entry_of(&self, engine: &str) -> Option<EndpointEntry> {
+        let config = self.engine_config(engine)?;
+        Some(self.entry(&config, self.engine_address(engine).unwrap_or_default()))
+    }
+
+    fn entry(&self, config: &EngineConfig, address: String) -> EndpointEntry {
+        let tls_name = self.day.tls().then(|| tls_name(&config.id));
+        EndpointEntry { tls_name, ..endpoint_entry(config, address) }
+    }
+
+    fn group_of(&self, engine: &str) -> Option<&EngineGroup> {
+        let contains = |group: &&EngineGroup| {
+            (0..group.count()).any(|number| format!("{}{number}", group.name) == engine)
         };
-        let e = self.day.engines.iter().find(of)?;
-        let reader = e.role() == EngineRole::Reader;
-        let f = Figures {
-            id: name.to_string(),
-            zone: e.zone.clone(),
-            cell: e.cell(),
-            role: if reader { Role::Read } else { Role::Write },
-            slots: e.slots() as usize,
-            queue: e.queue() as usize,
-            memory_tokens: e.memory_tokens(),
-            read_s: e.read_ms() / 1e3,
-            read_tokens_per_s: e.read_tokens_per_s(),
-            step_s: e.step_ms() / 1e3,
-            step_per_stream_s: e.step_per_stream_ms() / 1e3,
-            out_tokens: e.out_tokens() as usize,
-            state_bytes_per_token: e.state_bytes_per_token(),
-            state_ttl_s: e.state_ttl_ms() / 1e3,
+        self.day.engines.iter().find(contains)
+    }
+
+    fn engine_config(&self, engine: &str) -> Option<EngineConfig> {
+        let rules = self.day.rules.unwrap_or_default();
+        let group = self.group_of(engine)?;
+        let grant_keys = self.day.state_grants.iter().flat_map(|grants| &grants.key);
+        Some(EngineConfig {
+            id: engine.to_string(),
+            zone: group.zone.clone(),
+            cell: group.cell(),
+            role: match group.role() {
+                EngineRole::Reader => Role::Read,
+                EngineRole::Writer => Role::Write,
+            },
+            slots: group.slots() as usize,
+            queue: group.queue() as usize,
+            memory_tokens: group.memory_tokens(),
+            read_s: group.read_ms() / 1e3,
+            read_tokens_per_s: group.read_tokens_per_s(),
+            step_s: group.step_ms() / 1e3,
+            step_per_stream_s: group.step_per_stream_ms() / 1e3,
+            out_tokens: group.out_tokens() as usize,
+            state_bytes_per_token: group.state_bytes_per_token(),
+            state_ttl_s: group.state_ttl_ms() / 1e3,
             cold: false,
             cold_from: rules.cold_share(),
             warm_s: rules.warm_within_ms() / 1e3,
             tip_multiple: rules.tip_multiple(),
             tip_window_s: rules.tip_window_ms() / 1e3,
             tls: None,
-            grant_keys: self
-                .day
-                .state_grants
-                .iter()
-                .flat_map(|g| &g.key)
-                .map(|k| (k.number, k.secret.clone()))
-                .collect(),
-        };
-        Some(f)
+            grant_keys: grant_keys.map(|key| (key.number, key.secret.clone())).collect(),
+        })
     }
 
-    pub(super) async fn start_engine(&self, name: &str, cold: bool) -> Result<EndpointEntry, Unusable> {
-        let mut f = self.figures(name).ok_or_else(|| Unusable(format!("no engine {name}")))?;
+    fn engine_tls_files(&self, engine: &str) -> Result<TlsFiles, CommandError> {
+        self.sign_certificate(engine, CertificateFault::None)?;
+        Ok(TlsFiles {
+            name: tls_name(engine),
+            chain: self.path(&format!("certs/{engine}.pem")),
+            key: self.path(&format!("certs/{engine}.key")),
+            trust: self.path("certs/root.pem"),
+            mutual: true,
+        })
+    }
+
+    /// Starts an engine's process; gives its entry, which is not published yet.
+    pub(super) async fn start_engine(
+        &self,
+        name: &str,
+        is_cold: bool,
+    ) -> Result<EndpointEntry, CommandError> {
+        let config = self.engine_config(name);
+        let mut config = config.ok_or_else(|| CommandError(format!("no engine {name}")))?;
         if self.day.tls() {
-            self.certificate(name, CertFault::None)?;
-            let file = |end: &str| self.file(&format!("certs/{name}.{end}"));
-            let (chain, key, trust) = (file("pem"), file("key"), self.file("certs/root.pem"));
-            f.tls = Some(TlsFiles { name: tls_name(name), chain, key, trust, mutual: true });
+            config.tls = Some(self.engine_tls_files(name)?);
         }
-        let figures = serde_json::to_string(&f)?;
-        let read = f.role == Role::Read;
-        let (cell, seed) = (f.cell.to_string(), self.seed.to_string());
-        let mut args = texts(&["engine", "--id", name, "--role", if read { "read" } else { "write" }]);
-        args.extend(texts(&["--zone", &f.zone, "--cell", &cell, "--figures", &figures, "--seed", &seed]));
-        args.extend(texts(&["--record", &self.record_of(name)]));
-        if cold {
+        let args = self.engine_args(&config, is_cold)?;
+        let child = spawn_command(&args, &self.path(&format!("logs/{name}.log"))).await?;
+        let entry = self.entry(&config, child.address.clone());
+        self.engines.borrow_mut().insert(name.to_string(), child);
+        Ok(EndpointEntry { started_at: is_cold.then(unix_now), ..entry })
+    }
+
+    fn engine_args(&self, config: &EngineConfig, is_cold: bool) -> Result<Vec<String>, CommandError> {
+        let figures = serde_json::to_string(config)?;
+        let (cell, seed) = (config.cell.to_string(), self.seed.to_string());
+        let role = match config.role {
+            Role::Read => "read",
+            Role::Write => "write",
+        };
+        let record = self.record_path(&config.id);
+        let mut args = strings(&["engine", "--id", &config.id, "--role", role, "--zone", &config.zone]);
+        args.extend(strings(&["--cell", &cell, "--figures", &figures, "--seed", &seed, "--record", &record]));
+        if is_cold {
             args.push("--cold".into());
         }
-        let (child, address) = child(&args, &self.file(&format!("logs/{name}.log"))).await?;
-        self.engines.borrow_mut().insert(name.to_string(), (child, address.clone()));
-        Ok(self.line(f, address, EngineState::Active, cold.then(unix_now)))
+        Ok(args)
     }
 
-    /// An engine's line in the list.
-    pub(super) fn line(
-        &self,
-        f: Figures,
-        address: String,
-        state: EngineState,
-        started_at: Option<f64>,
-    ) -> EndpointEntry {
-        EndpointEntry {
-            tls_name: self.day.tls().then(|| tls_name(&f.id)),
-            id: f.id,
-            address,
-            zone: f.zone,
-            cell: f.cell,
-            role: if f.role == Role::Read { list::EngineRole::Prefill } else { list::EngineRole::Decode },
-            memory_tokens: f.memory_tokens,
-            state,
-            started_at,
+    /// Kills an engine's process.
+    pub(super) async fn kill_engine(&self, name: &str) {
+        let killed = self.engines.borrow_mut().remove(name);
+        if let Some(mut killed) = killed {
+            let _ = killed.child.kill();
+            let _ = killed.child.status().await;
         }
     }
 
-    pub(super) async fn start_node(&self, number: u32) -> Result<(), Unusable> {
-        let name = format!("node{number}");
-        let path = self.file(&format!("{name}.txtpb"));
-        let config = path.display().to_string();
-        let log = self.file(&format!("logs/{name}.log"));
-        let args = texts(&["serve", "--config", &config, "--log", "json", "--log-level", "debug"]);
-        let started = child(&args, &log).await?;
+    pub(super) async fn start_node(&self, number: u32) -> Result<(), CommandError> {
+        let settings = self.path_text(&format!("node{number}.txtpb"));
+        let args = strings(&["serve", "--config", &settings, "--log", "json", "--log-level", "debug"]);
+        let started = spawn_command(&args, &self.path(&format!("logs/node{number}.log"))).await?;
         self.nodes.borrow_mut()[number as usize] = Some(started);
         Ok(())
     }
 
-    pub(super) fn address_of(&self, engine: &str) -> Option<String> {
-        self.engines.borrow().get(engine).map(|e| e.1.clone())
-    }
-
-    pub(super) async fn engine_fault(&self, engine: &str, order: Value) {
-        if let Some(address) = self.address_of(engine) {
-            client::control(&address, &order).await;
+    /// Kills a node's process with SIGKILL, and records it.
+    pub(super) async fn kill_node(&self, number: u32) {
+        let killed = self.nodes.borrow_mut()[number as usize].take();
+        if let Some(mut killed) = killed {
+            let _ = killed.child.kill();
+            self.record.note("killed", json!({"node": format!("node{number}")}));
+            let _ = killed.child.status().await;
         }
     }
 
-    pub(super) async fn fault(&self, f: &Fault) -> Result<(), Unusable> {
-        rest(f.at_s - self.begun.elapsed().as_secs_f64()).await;
-        let (name, for_s) = (f.target().to_string(), f.for_s());
-        self.record.note("plan", json!({"kind": f.kind().as_str_name(), "target": name, "for_s": for_s}));
-        let word =
-            |fault: &str| json!({"fault": fault, "for_s": for_s, "share": f.share(), "factor": f.factor()});
-        match f.kind() {
-            Kind::Die => {
-                self.engine_fault(&name, word("die")).await;
-                let dead = self.engines.borrow_mut().remove(&name);
-                if let Some((mut child, _)) = dead {
-                    let _ = child.kill();
-                    let _ = child.status().await;
-                }
-                self.record.of(&name).note("died", json!({}));
-                self.take_out(&name).await;
-                if for_s > 0.0 {
-                    rest(for_s).await;
-                    let line = self.start_engine(&name, true).await?;
-                    self.publish(&line, false).await;
-                }
-            }
-            Kind::Silence => self.engine_fault(&name, word("silence")).await,
-            Kind::Slow => self.engine_fault(&name, word("slow")).await,
-            Kind::Fail => self.engine_fault(&name, word("fail")).await,
-            Kind::Lose => self.engine_fault(&name, word("lose")).await,
-            Kind::Pause => self.engine_fault(&name, word("pause")).await,
-            Kind::Forget => self.engine_fault(&name, word("forget")).await,
-            Kind::Drain => {
-                let Some(figures) = self.figures(&name) else { return Ok(()) };
-                let address = self.address_of(&name).unwrap_or_default();
-                let line = self.line(figures, address, EngineState::Draining, None);
-                self.publish(&line, false).await;
-                // It turns work away once every node has had the time to hear of it.
-                rest((self.day.list_lag_ms() + self.day.drain_grace_ms()) / 1e3).await;
-                self.engine_fault(&name, word("drain")).await;
-            }
-            Kind::CutZone => {
-                let order = json!({"fault": "cut", "for_s": for_s, "zone": name});
-                for engine in engine_names(&self.day) {
-                    self.engine_fault(&engine, order.clone()).await;
-                }
-            }
-            Kind::CertRotate => self.rotate(&name, CertFault::None).await?,
-            Kind::CertExpire => self.rotate(&name, CertFault::Expired).await?,
-            Kind::CertWrongName => self.rotate(&name, CertFault::WrongName).await?,
-            Kind::CaRotate => self.rotate_authority().await?,
-            Kind::HandshakeSlow => {
-                let order = json!({"fault": "handshake_slow", "for_s": for_s, "rest_s": f.factor()});
-                self.engine_fault(&name, order).await;
-            }
-            Kind::HandshakeCut => self.engine_fault(&name, word("handshake_cut")).await,
-            Kind::StallList => drop(client::control(&self.list, &json!({"stall_s": for_s})).await),
-            Kind::KillNode => {
-                let number: u32 = name.trim_start_matches("node").parse().unwrap_or(0);
-                let down = self.nodes.borrow_mut()[number as usize].take();
-                if let Some((mut child, _)) = down {
-                    // SIGKILL, to its own id.
-                    let _ = child.kill();
-                    self.record.note("killed", json!({"node": name}));
-                    let _ = child.status().await;
-                }
-                if for_s > 0.0 {
-                    rest(for_s).await;
-                    self.start_node(number).await?;
-                }
-            }
-            Kind::RegistryRestart => self.registry("restart", for_s).await,
-            Kind::RegistryCompact => self.registry("compact", 0.0).await,
-            Kind::RegistryPartition => self.registry("silence", for_s).await,
-            Kind::WatchStall => self.registry("stall", for_s).await,
-            Kind::RegistryRollback => self.registry("roll_back", 0.0).await,
-            Kind::RegistryEmpty => {
-                self.registry("empty", 0.0).await;
-                rest(for_s).await;
-                let lines = self.lines.borrow().clone();
-                for l in &lines {
-                    self.publish(l, true).await;
-                }
-            }
-            // Troubles of many have become single faults in the script.
-            _ => {}
-        }
-        Ok(())
+    /// A node that is up, each in turn; none where all are down.
+    pub(super) fn node_for(&self, turn: usize) -> Option<NodeAddress> {
+        let nodes = self.nodes.borrow();
+        let running = nodes.iter().enumerate().filter_map(|(number, node)| Some((number, node.as_ref()?)));
+        let running: Vec<_> = running.collect();
+        let (number, node) = running.get(turn % running.len().max(1))?;
+        Some(NodeAddress { name: format!("node{number}"), address: node.address.clone() })
     }
 
-    /// A node that is up, each in turn; the front of today sends to no dead one for long.
-    pub(super) fn node(&self, turn: usize) -> Option<(String, String)> {
-        let nodes = self.nodes.borrow();
-        let up: Vec<_> =
-            nodes.iter().enumerate().filter_map(|(n, x)| Some((n, x.as_ref()?.1.clone()))).collect();
-        up.get(turn % up.len().max(1)).map(|(n, a)| (format!("node{n}"), a.clone()))
+    /// All processes that still run: nodes first.
+    pub(super) fn take_children(&self) -> Vec<Child> {
+        let mut nodes = self.nodes.borrow_mut();
+        let nodes = nodes.iter_mut().filter_map(Option::take);
+        let engines = std::mem::take(&mut *self.engines.borrow_mut()).into_values();
+        nodes.chain(engines).map(|running| running.child).collect()
     }
 }
--- a/crates/nickelgw-cli/src/serve.rs
+++ b/crates/nickelgw-cli/src/serve.rs
@@ -1,17 +1,28 @@
-//! `nickelgw serve`: a node as a process. SIGTERM: it goes by stages, each further one hastens. SIGHUP: a new process
-//! with the settings as they are now takes the listening socket; is anything wrong with them, this one serves on.
+//! `nickelgw serve`: a node as a process. SIGTERM drains it in stages, each further one skips a stage. SIGHUP starts a
+//! new process with the settings as they are now, which takes the listening socket over; is anything wrong with them,
+//! this one serves on.
 
-use crate::signals::{Signal, Signals};
-use crate::{start, Unusable};
-use futures_lite::{AsyncBufReadExt, StreamExt};
-use nickelgw_node::ProcessSignal;
-use smol::process::{Command, Stdio};
+mod handover;
+
+use crate::error::{about, CommandError};
+use crate::node_options;
+use crate::signals::{Signal, SignalListener};
+use async_channel::Sender;
+use nickelgw_node::{LatencyMetrics, NodeOptions, ProcessSignal};
+use nickelgw_settings::Node;
 use std::io::Write;
 use std::net::{TcpListener, UdpSocket};
-use std::os::fd::{AsFd, OwnedFd};
-use std::path::PathBuf;
+use std::os::fd::AsFd;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use std::time::Duration;
+use std::sync::{Arc, Mutex, PoisonError};
+
+/// Signals that may wait for the node; the channel's bound.
+const MAX_QUEUED_SIGNALS: usize = 16;
+/// What a process prints once it serves.
+const SERVING: &str = "serving";
+/// Added to the longest time that the process before may run, for it to end.
+const PREDECESSOR_MARGIN_S: f64 = 1.0;
 
 #[derive(clap::Args)]
 pub struct Serve {
@@ -26,124 +37,113 @@
     inherited: bool,
 }
 
-/// A new process must say that it serves within this time.
-const TAKE_OVER_S: u64 = 15;
-
-/// Standard output may be gone by now: whoever started this read what it wanted.
-fn say(word: &str) {
-    let mut out = std::io::stdout();
-    let _ = writeln!(out, "{word}").and_then(|()| out.flush());
+/// Prints a line for the process that started this one. Standard output may be closed by now: then nobody reads it.
+fn announce(line: &str) {
+    let mut output = std::io::stdout();
+    let _ = writeln!(output, "{line}").and_then(|()| output.flush());
 }
 
 impl Serve {
-    pub fn run(self) -> Result<ExitCode, Unusable> {
-        let node = nickelgw_settings::load_node(&self.config).map_err(|p| start::problems(&p))?;
-        let measured = self.meter.is_some().then(Default::default);
-        // Whatever is wrong is said before anything listens.
-        let mut start = start::start(&node, measured.clone())?;
-        start.accept_when_ready = self.inherited;
+    pub fn run(self) -> Result<ExitCode, CommandError> {
+        let node = nickelgw_settings::load_node(&self.config).map_err(CommandError::from_settings)?;
+        let latency = self.meter.is_some().then(Arc::<Mutex<LatencyMetrics>>::default);
+        // Whatever is wrong is reported before anything listens.
+        let mut options = node_options::from_settings(&node, latency.clone())?;
         if self.inherited {
-            // The process before needs its states until it has gone.
-            let l = start.shutdown;
-            let gone = l.announce_s + l.drain_timeout_s + l.exit_timeout_s + 1.0;
-            start.core_config.orphan_cleanup_window_s =
-                (gone, start.core_config.orphan_cleanup_window_s.1 + gone);
+            expect_predecessor(&mut options);
         }
-        let listener = match self.inherited {
-            true => TcpListener::from(std::io::stdin().as_fd().try_clone_to_owned()?),
-            false => TcpListener::bind(node.listen())
-                .map_err(|e| Unusable(format!("{}: cannot listen: {e}", node.listen())))?,
-        };
-        let address = listener
-            .local_addr()
-            .map_err(|e| Unusable(format!("the socket taken over listens nowhere: {e}")))?;
-        say(&format!("listening {address}"));
+        let listener = self.listener(&node)?;
+        let address = listener.local_addr().map_err(about("the socket taken over listens nowhere"))?;
+        announce(&format!("listening {address}"));
         if self.inherited {
-            start.admin_address = node.admin.clone();
-        } else if let Some(a) = &node.admin {
-            let l = TcpListener::bind(a).map_err(|e| Unusable(format!("{a}: cannot listen: {e}")))?;
-            say(&format!("admin {}", l.local_addr()?));
-            start.admin = Some(l);
+            options.admin_address = node.admin.clone();
+        } else {
+            bind_admin(&node, &mut options)?;
+            bind_gossip(&node, &mut options)?;
         }
-        if let Some(t) = start.gossip.as_mut().filter(|_| !self.inherited) {
-            let at = t.sockets.listen.clone();
-            let s =
-                UdpSocket::bind(&at).map_err(|e| Unusable(format!("{at}: cannot listen for nodes: {e}")))?;
-            let bound = s.local_addr()?.to_string();
-            say(&format!("accord {bound}"));
-            if node.accord.as_ref().is_some_and(|a| a.address.is_none()) {
-                t.gossip.set_own_address(bound);
-            }
-            t.sockets.socket = Some(s);
-        }
-        let spare = listener.try_clone()?;
-        let (tell, orders) = async_channel::bounded(16);
-        start.signals = orders;
-        start.on_serving = Some(Box::new(|| say("serving")));
-        let mut signals = Signals::new()?;
-        let told = async {
-            let mut leaving = false;
-            loop {
-                let order = match (signals.next().await?, leaving) {
-                    (Signal::End, false) => ProcessSignal::Drain,
-                    (Signal::End, true) => ProcessSignal::SkipStage,
-                    (Signal::Renew, true) => continue,
-                    (Signal::Renew, false) => match renew(&tell, &spare).await {
-                        Ok(()) => ProcessSignal::DrainHandedOver,
-                        Err(Unusable(why)) => {
-                            let _ = tell.send(ProcessSignal::ResumeStore).await;
-                            tracing::error!("no new process took over, this one serves on: {why}");
-                            continue;
-                        }
-                    },
-                };
-                leaving = true;
-                let _ = tell.send(order).await;
-            }
-        };
-        let exit = smol::block_on(futures_lite::future::or(nickelgw_node::run(listener, start), told))?;
-        if let (Some(path), Some(m)) = (self.meter, measured) {
-            let m = m.lock().unwrap_or_else(|e| e.into_inner());
-            std::fs::write(path, m.json().to_string())?;
+        let handover_listener = listener.try_clone()?;
+        let (signal_sender, signals) = async_channel::bounded(MAX_QUEUED_SIGNALS);
+        options.signals = signals;
+        options.on_serving = Some(Box::new(|| announce(SERVING)));
+        let signal_listener = SignalListener::new()?;
+        let forwarding = forward_signals(signal_listener, signal_sender, &handover_listener);
+        let serving = nickelgw_node::run(listener, options);
+        let exit = smol::block_on(futures_lite::future::or(serving, forwarding))?;
+        if let (Some(path), Some(latency)) = (&self.meter, &latency) {
+            write_latency(path, latency)?;
         }
         Ok(ExitCode::from(exit.code()))
     }
+
+    fn listener(&self, node: &Node) -> Result<TcpListener, CommandError> {
+        if self.inherited {
+            return Ok(TcpListener::from(std::io::stdin().as_fd().try_clone_to_owned()?));
+        }
+        let address = node.listen();
+        TcpListener::bind(address).map_err(about(format!("{address}: cannot listen")))
+    }
+}
+
+/// The process before still serves: this one accepts once it is ready itself, and leaves the reservations of the other
+/// alone until that has ended.
+fn expect_predecessor(options: &mut NodeOptions) {
+    options.accept_when_ready = true;
+    let shutdown = options.shutdown;
+    let gone_after_s =
+        shutdown.announce_s + shutdown.drain_timeout_s + shutdown.exit_timeout_s + PREDECESSOR_MARGIN_S;
+    let window_s = options.core_config.orphan_cleanup_window_s;
+    options.core_config.orphan_cleanup_window_s = (gone_after_s, window_s.1 + gone_after_s);
 }
 
-async fn renew(tell: &async_channel::Sender<ProcessSignal>, spare: &TcpListener) -> Result<(), Unusable> {
-    let _ = tell.send(ProcessSignal::ReleaseStore).await;
-    take_over(spare).await
+fn bind_admin(node: &Node, options: &mut NodeOptions) -> Result<(), CommandError> {
+    let Some(address) = &node.admin else { return Ok(()) };
+    let listener = TcpListener::bind(address).map_err(about(format!("{address}: cannot listen")))?;
+    announce(&format!("admin {}", listener.local_addr()?));
+    options.admin = Some(listener);
+    Ok(())
 }
 
-/// Starts this command anew with the listening socket in its hands, and waits until it serves.
-async fn take_over(listener: &TcpListener) -> Result<(), Unusable> {
-    let mut args: Vec<String> = std::env::args().skip(1).collect();
-    if !args.iter().any(|a| a == "--inherited") {
-        args.push("--inherited".into());
+fn bind_gossip(node: &Node, options: &mut NodeOptions) -> Result<(), CommandError> {
+    let Some(gossip) = &mut options.gossip else { return Ok(()) };
+    let address = &gossip.sockets.listen;
+    let socket = UdpSocket::bind(address).map_err(about(format!("{address}: cannot listen for nodes")))?;
+    let bound = socket.local_addr()?.to_string();
+    announce(&format!("accord {bound}"));
+    if node.accord.as_ref().is_some_and(|accord| accord.address.is_none()) {
+        gossip.gossip.set_own_address(bound);
     }
-    let socket = OwnedFd::from(listener.try_clone()?);
-    let mut command = Command::new(std::env::current_exe()?);
-    command.args(args).stdin(Stdio::from(socket)).stdout(Stdio::piped());
-    let mut child = command.spawn()?;
-    let out = child.stdout.take().ok_or_else(|| Unusable("it has no output".into()))?;
-    let mut lines = smol::io::BufReader::new(out).lines();
-    let serving = async {
-        while let Some(Ok(line)) = lines.next().await {
-            if line == "serving" {
-                return true;
-            }
-        }
-        false
-    };
-    let late = async {
-        smol::Timer::after(Duration::from_secs(TAKE_OVER_S)).await;
-        false
-    };
-    if futures_lite::future::or(serving, late).await {
-        tracing::info!(process = child.id(), "a new process serves");
-        return Ok(());
+    gossip.sockets.socket = Some(socket);
+    Ok(())
+}
+
+/// Passes the process's signals on to the node, for as long as it runs.
+async fn forward_signals<T>(
+    mut signals: SignalListener,
+    node: Sender<ProcessSignal>,
+    listener: &TcpListener,
+) -> std::io::Result<T> {
+    let mut is_draining = false;
+    loop {
+        let signal = match (signals.next().await?, is_draining) {
+            (Signal::Terminate, false) => ProcessSignal::Drain,
+            (Signal::Terminate, true) => ProcessSignal::SkipStage,
+            (Signal::Reload, true) => continue,
+            (Signal::Reload, false) => match handover::hand_over(&node, listener).await {
+                Ok(()) => ProcessSignal::DrainHandedOver,
+                Err(CommandError(reason)) => {
+                    let _ = node.send(ProcessSignal::ResumeStore).await;
+                    tracing::error!("no new process took over, this one serves on: {reason}");
+                    continue;
+                }
+            },
+        };
+        is_draining = true;
+        let _ = node.send(signal).await;
     }
-    let _ = child.kill();
-    let status = child.status().await?;
-    Err(Unusable(format!("it did not come to serve ({status}); its own log says why")))
+}
+
+fn write_latency(path: &Path, latency: &Mutex<LatencyMetrics>) -> Result<(), CommandError> {
+    let latency = latency.lock().unwrap_or_else(PoisonError::into_inner);
+    std::fs::write(path, latency.json().to_string())?;
+    Ok(())
 }
--- a/crates/nickelgw-cli/src/up.rs
+++ b/crates/nickelgw-cli/src/up.rs
@@ -1,12 +1,18 @@
-//! `nickelgw up`: nodes and stand-ins in one process, to try things out.
+//! `nickelgw up`: nodes and test engines in one process, to try things out.
 
-use crate::{signals, start, Unusable};
-use nickelgw_protocol::list::{self, EndpointEntry, EngineState};
-use nickelgw_test_servers::model::{Figures, Role};
-use nickelgw_test_servers::{client, Record};
+use crate::error::CommandError;
+use crate::local_servers::{is_healthy, node_settings, spawn_endpoint_list, spawn_engine};
+use crate::{node_options, signals};
+use nickelgw_protocol::list::EndpointEntry;
+use nickelgw_settings::Node;
+use nickelgw_test_servers::model::{Figures as EngineConfig, Role};
 use std::net::TcpListener;
 use std::process::ExitCode;
 use std::thread;
+use std::time::{Duration, Instant};
+
+/// A node that is not ready after this time is shown nevertheless.
+const READY_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(clap::Args)]
 pub struct Up {
@@ -21,93 +27,71 @@
     port: u16,
 }
 
-/// Stand-ins on threads of their own; they end with the process.
-pub fn engines(readers: u16, writers: u16, figures: &Figures) -> Result<Vec<EndpointEntry>, Unusable> {
-    let mut lines = Vec::new();
-    for n in 0..readers + writers {
-        let read = n < readers;
-        let (id, role) = match read {
-            true => (format!("reader{n}"), Role::Read),
-            false => (format!("writer{}", n - readers), Role::Write),
-        };
-        let f = Figures { id: id.clone(), role, ..figures.clone() };
-        let listener = TcpListener::bind("127.0.0.1:0")?;
-        lines.push(EndpointEntry {
-            id,
-            address: listener.local_addr()?.to_string(),
-            zone: f.zone.clone(),
-            cell: f.cell,
-            role: if read { list::EngineRole::Prefill } else { list::EngineRole::Decode },
-            memory_tokens: f.memory_tokens,
-            state: EngineState::Active,
-            started_at: None,
-            tls_name: None,
-        });
-        thread::spawn(move || {
-            smol::block_on(nickelgw_test_servers::engine::run(listener, f, Record::default(), u64::from(n)))
-        });
+impl Up {
+    pub fn run(self) -> Result<ExitCode, CommandError> {
+        if self.nodes == 0 || self.readers == 0 || self.writers == 0 {
+            return Err(CommandError("up needs a node, a reader and a writer at least".into()));
+        }
+        let terminated = signals::terminated()?;
+        let list = spawn_endpoint_list(self.spawn_engines()?)?;
+        let addresses: Vec<String> =
+            (0..self.nodes).map(|number| self.spawn_node(number, &list)).collect::<Result<_, _>>()?;
+        // Before it has fetched the list, a node rejects all requests.
+        addresses.iter().for_each(|address| wait_until_ready(address));
+        self.print_usage(&addresses);
+        smol::block_on(terminated)?;
+        Ok(ExitCode::SUCCESS)
     }
-    Ok(lines)
-}
 
-pub fn list(lines: Vec<EndpointEntry>) -> Result<String, Unusable> {
-    let listener = TcpListener::bind("127.0.0.1:0")?;
-    let address = listener.local_addr()?.to_string();
-    thread::spawn(move || {
-        smol::block_on(nickelgw_test_servers::list::run(listener, lines, 0.0, Record::default()))
-    });
-    Ok(address)
-}
+    fn spawn_engines(&self) -> Result<Vec<EndpointEntry>, CommandError> {
+        let prefill_engines = (0..self.readers).map(|number| (format!("reader{number}"), Role::Read));
+        let decode_engines = (0..self.writers).map(|number| (format!("writer{number}"), Role::Write));
+        let engines = prefill_engines.chain(decode_engines).zip(0..);
+        let spawned = engines.map(|((id, role), seed)| {
+            spawn_engine(EngineConfig { id, role, ..EngineConfig::default() }, seed)
+        });
+        spawned.collect()
+    }
 
-pub fn settings(number: u16, nodes: u16, list: &str) -> String {
-    format!(
-        "name: 'node{number}' number: {number} nodes: {nodes} zone: 'a' zones: 'a' list: '{list}'
-         model_route {{ model: 'chat' first_token_target_ms: 1000 route_timeout_ms: 5000 }}
-         model_route {{ model: 'review' first_token_target_ms: 2500 route_timeout_ms: 10000 }}"
-    )
-}
+    /// Runs a node on a thread; gives its address.
+    fn spawn_node(&self, number: u16, list: &str) -> Result<String, CommandError> {
+        let port = if self.port == 0 { 0 } else { self.port + number };
+        let address = format!("127.0.0.1:{port}");
+        let listener = TcpListener::bind(&address).map_err(|error| {
+            CommandError(format!("{address}: cannot listen: {error}; another --port may be free"))
+        })?;
+        let address = listener.local_addr()?.to_string();
+        let settings = node_settings(number, self.nodes, list);
+        let node = nickelgw_settings::parse_node("up", &settings).map_err(CommandError::from_settings)?;
+        thread::spawn(move || run_node(&node, listener));
+        Ok(address)
+    }
 
-impl Up {
-    pub fn run(self) -> Result<ExitCode, Unusable> {
-        if self.nodes == 0 || self.readers == 0 || self.writers == 0 {
-            return Err(Unusable("up needs a node, a reader and a writer at least".into()));
-        }
-        let until = signals::ended()?;
-        let listed = list(engines(self.readers, self.writers, &Figures::default())?)?;
-        let mut urls = Vec::new();
-        for n in 0..self.nodes {
-            let port = if self.port == 0 { 0 } else { self.port + n };
-            let address = format!("127.0.0.1:{port}");
-            let wrong = |e| Unusable(format!("{address}: cannot listen: {e}; another --port may be free"));
-            let listener = TcpListener::bind(&address).map_err(wrong)?;
-            urls.push(format!("http://{}", listener.local_addr()?));
-            let text = settings(n, self.nodes, &listed);
-            let node = nickelgw_settings::parse_node("up", &text).map_err(|p| start::problems(&p))?;
-            thread::spawn(move || match start::start(&node, None) {
-                Ok(s) => drop(smol::block_on(nickelgw_node::run(listener, s))),
-                Err(Unusable(why)) => eprintln!("nickelgw: {why}"),
-            });
-        }
-        // Asked before it has heard the list, a node sheds.
-        for u in &urls {
-            let address = u.trim_start_matches("http://");
-            let from = std::time::Instant::now();
-            let call = b"GET /healthz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-            let ready = || client::status(&smol::block_on(client::raw(address, &[call], 0.0, 1.0))) == 200;
-            while !ready() && from.elapsed().as_secs() < 5 {
-                thread::sleep(std::time::Duration::from_millis(10));
-            }
-        }
+    fn print_usage(&self, addresses: &[String]) {
         println!("{} readers and {} writers, stand-ins, behind", self.readers, self.writers);
-        urls.iter().for_each(|u| println!("  {u}/v1/chat/completions"));
+        for address in addresses {
+            println!("  http://{address}/v1/chat/completions");
+        }
         println!("try:");
         println!(
-            "  curl -N {}/v1/chat/completions -H 'content-type: application/json' -d \
+            "  curl -N http://{}/v1/chat/completions -H 'content-type: application/json' -d \
              '{{\"model\":\"chat\",\"stream\":true,\"messages\":[{{\"role\":\"user\",\"content\":\"Hello\"}}]}}'",
-            urls[0]
+            addresses[0]
         );
         println!("Ctrl-C ends all.");
-        smol::block_on(until)?;
-        Ok(ExitCode::SUCCESS)
+    }
+}
+
+fn run_node(node: &Node, listener: TcpListener) {
+    match node_options::from_settings(node, None) {
+        Ok(options) => drop(smol::block_on(nickelgw_node::run(listener, options))),
+        Err(CommandError(reason)) => eprintln!("nickelgw: {reason}"),
+    }
+}
+
+fn wait_until_ready(address: &str) {
+    let began = Instant::now();
+    while !is_healthy(address) && began.elapsed() < READY_TIMEOUT {
+        thread::sleep(Duration::from_millis(10));
     }
 }
