--- a/crates/nickelgw-cli/src/bench/overhead.rs
+++ b/crates/nickelgw-cli/src/bench/overhead.rs
@@ -53,6 +53,9 @@
     total_p99: f64,
 }
 
+/// Reads one of the differences.
+type Column = fn(&AddedLatency) -> f64;
+
 impl AddedLatency {
     fn between(through: &LoadResult, direct: &LoadResult) -> AddedLatency {
         let first = |quantile| through.first_token_us(quantile) - direct.first_token_us(quantile);
@@ -146,7 +149,7 @@
             runs.push(AddedLatency::between(through, direct));
             print_comparison(through, direct);
         }
-        let columns: [(&str, fn(&AddedLatency) -> f64); 4] = [
+        let columns: [(&str, Column); 4] = [
             ("first_p50", |run| run.first_p50),
             ("first_p99", |run| run.first_p99),
             ("whole_p50", |run| run.total_p50),
--- a/crates/nickelgw-cli/src/platform.rs
+++ b/crates/nickelgw-cli/src/platform.rs
@@ -14,7 +14,7 @@
     // Before anybody can connect: a signal that came between the two would end the process with what it had accepted.
     let mut signals = SignalListener::new()?;
     let listener = TcpListener::bind(&start.listen)
-        .map_err(|e| CommandError(format!("{}: cannot listen: {e}", start.listen)))?;
+        .map_err(|error| CommandError(format!("{}: cannot listen: {error}", start.listen)))?;
     let (orders, ordered) = nickelgw_platform::orders();
     let told = async {
         loop {
--- a/crates/nickelgw-cli/tests/fleet/main.rs
+++ b/crates/nickelgw-cli/tests/fleet/main.rs
@@ -1,7 +1,9 @@
 //! Several processes of the program over three zones, and faults between them.
 
-mod parked;
-mod site;
+#![warn(clippy::min_ident_chars, clippy::too_many_lines, clippy::cognitive_complexity)]
+
+mod deferred;
+mod test_fleet;
 
 use nickelgw_gossip::core::record::{Datagram, Message, NodeRecord, SharedKey, ZoneReport};
 use nickelgw_test_servers::model::Figures;
@@ -9,232 +11,251 @@
 use nickelgw_test_servers::relay::Mode;
 use rustix::process::Signal;
 use serde_json::json;
-use site::*;
-use std::net::UdpSocket;
+use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
+use test_fleet::{exclusive, served_share, FleetPlan, Node, TestFleet, GOSSIP_KEY, ZONES};
 
-fn rest(s: f64) {
-    thread::sleep(Duration::from_secs_f64(s));
+fn sleep_s(seconds: f64) {
+    thread::sleep(Duration::from_secs_f64(seconds));
 }
 
-fn sound(site: &Site) {
-    let breaks = site.breaks();
-    assert!(breaks.is_empty(), "{breaks:?}");
+/// What came of the loss of a zone.
+struct LostZone {
+    /// Attempts sent to the zone in the three seconds after.
+    attempts: usize,
+    /// How long the last node took to evacuate the zone after the first; with gossip only.
+    spread: Option<Duration>,
+    /// Share of the requests of four seconds that were served in target.
+    served_share: f64,
 }
 
-/// A zone's engines fall silent at once: sends thrown at them in three seconds, how long the last node took to leave it after
-/// the first, and what was served in time meanwhile.
-fn lost_zone(exchange: bool) -> (usize, Option<Duration>, f64) {
-    let site = Arc::new(Site::new("lost", Plan { nodes: 4, engines: 8, exchange, ..Plan::default() }));
-    let traffic = site.traffic(4.0);
-    rest(2.0);
-    let at = unix_now();
-    site.fault("b", &json!({"fault": "silence", "for_s": 30.0}));
-    let spread = exchange.then(|| {
-        site.wait("a node has left it", || site.nodes.iter().any(|n| n.part("b") == Some(0.0)));
-        site.wait("all have left it", || site.all_give(&ZONES, "b", 0.0))
+/// A zone's engines become silent at once.
+fn lose_zone(with_gossip: bool) -> LostZone {
+    let plan = FleetPlan { nodes: 4, engines: 8, with_gossip, ..FleetPlan::default() };
+    let fleet = Arc::new(TestFleet::new("lost", plan));
+    let traffic = fleet.start_traffic(4.0);
+    sleep_s(2.0);
+    let lost_at = unix_now();
+    fleet.silence_zone("b", 30.0);
+    let spread = with_gossip.then(|| {
+        fleet.wait_until("a node has left it", || {
+            fleet.nodes.iter().any(|node| node.zone_weight("b") == Some(0.0))
+        });
+        fleet.wait_until("all have left it", || fleet.all_weights_are(&ZONES, "b", 0.0))
     });
-    rest((at + 4.0 - unix_now()).max(0.0));
-    let asked = traffic.end();
-    sound(&site);
-    (site.sends("b", at, at + 3.0), spread, served(&asked, at, at + 3.0))
+    sleep_s((lost_at + 4.0 - unix_now()).max(0.0));
+    let requests = traffic.stop();
+    fleet.assert_rules_kept();
+    LostZone {
+        attempts: fleet.attempts("b", lost_at, lost_at + 3.0),
+        spread,
+        served_share: served_share(&requests, lost_at, lost_at + 3.0),
+    }
 }
 
 #[test]
-fn a_lost_zone_is_left_by_all_at_once_and_little_is_thrown_at_it() {
-    let _one = alone();
-    let (alone, _, served_alone) = lost_zone(false);
-    let (sends, spread, served) = lost_zone(true);
-    println!("thrown {sends}, {alone} without the exchange; in time {served:.3}, {served_alone:.3}; last after {spread:?}");
-    assert!(spread.is_some_and(|s| s < Duration::from_secs(3)), "{spread:?}");
-    assert!(sends * 3 < alone * 2, "{sends} beside {alone}");
+fn lost_zone_is_evacuated_by_all_nodes_with_few_attempts_lost() {
+    let _exclusive = exclusive();
+    let alone = lose_zone(false);
+    let together = lose_zone(true);
+    println!(
+        "thrown {}, {} without the exchange; in time {:.3}, {:.3}; last after {:?}",
+        together.attempts, alone.attempts, together.served_share, alone.served_share, together.spread
+    );
+    assert!(together.spread.is_some_and(|spread| spread < Duration::from_secs(3)), "{:?}", together.spread);
+    assert!(together.attempts * 3 < alone.attempts * 2, "{} beside {}", together.attempts, alone.attempts);
 }
 
 /// A cut between two zones, and one that lets only questions through: the third goes on, the zone's own nodes serve from it.
 #[test]
-fn a_cut_between_two_zones_is_a_matter_of_these_two() {
-    let _one = alone();
-    let site = Arc::new(Site::new("cut", Plan::default()));
-    let traffic = site.traffic(10.0);
-    rest(1.0);
+fn cut_between_two_zones_affects_only_these_two() {
+    let _exclusive = exclusive();
+    let fleet = Arc::new(TestFleet::new("cut", FleetPlan::default()));
+    let traffic = fleet.start_traffic(10.0);
+    sleep_s(1.0);
     for mode in [Mode::Hold, Mode::HoldAnswers] {
-        site.ways("a", "b", mode);
-        site.wait("a's nodes have left b", || site.all_give(&["a"], "b", 0.0));
-        rest(1.0);
-        assert!(site.all_give(&["b", "c"], "b", 1.0), "the others use it");
-        assert!(site.all_give(&["a"], "c", 1.0) && site.all_give(&["a"], "a", 1.0));
-        site.ways("a", "b", Mode::Pass);
-        site.wait("a's nodes are back", || site.all_give(&["a"], "b", 1.0));
+        fleet.set_relays("a", "b", mode);
+        fleet.wait_until("a's nodes have left b", || fleet.all_weights_are(&["a"], "b", 0.0));
+        sleep_s(1.0);
+        assert!(fleet.all_weights_are(&["b", "c"], "b", 1.0), "the others use it");
+        assert!(fleet.all_weights_are(&["a"], "c", 1.0) && fleet.all_weights_are(&["a"], "a", 1.0));
+        fleet.set_relays("a", "b", Mode::Pass);
+        fleet.wait_until("a's nodes are back", || fleet.all_weights_are(&["a"], "b", 1.0));
     }
-    traffic.end();
-    sound(&site);
+    traffic.stop();
+    fleet.assert_rules_kept();
 }
 
-/// The fleet itself is cut in halves, each of which leaves a lost zone by itself; healed, they return together.
+/// The fleet itself is cut in halves, each of which evacuates a lost zone by itself; healed, they return together.
 #[test]
-fn halves_of_a_fleet_each_act_on_what_they_have() {
-    let _one = alone();
-    let site = Arc::new(Site::new("halves", Plan { nodes: 4, ..Plan::default() }));
-    let traffic = site.traffic(6.0);
-    site.part_fleet(Mode::Drop);
-    let half = site.nodes.len() as f64 / 2.0;
-    site.wait("halves know of themselves alone", || {
-        site.nodes.iter().all(|n| n.metric("nodes") == Some(half))
-    });
-    site.fault("b", &json!({"fault": "silence", "for_s": 4.0}));
-    site.wait("both have left it", || site.all_give(&ZONES, "b", 0.0));
-    site.part_fleet(Mode::Pass);
-    let agreed = site
-        .wait("they hear each other", || site.nodes.iter().all(|n| n.metric("nodes") == Some(2.0 * half)));
-    println!("halves heard each other {agreed:?} after healing");
-    assert!(agreed < Duration::from_secs(8), "{agreed:?}");
-    site.wait("all are back", || site.all_give(&ZONES, "b", 1.0));
-    traffic.end();
-    sound(&site);
+fn partitioned_halves_evacuate_by_themselves_and_agree_once_healed() {
+    let _exclusive = exclusive();
+    let fleet = Arc::new(TestFleet::new("halves", FleetPlan { nodes: 4, ..FleetPlan::default() }));
+    let traffic = fleet.start_traffic(6.0);
+    let all_know = |nodes: f64| fleet.nodes.iter().all(|node| node.metric("nodes") == Some(nodes));
+    fleet.partition(Mode::Drop);
+    let half = fleet.nodes.len() as f64 / 2.0;
+    fleet.wait_until("halves know of themselves alone", || all_know(half));
+    fleet.silence_zone("b", 4.0);
+    fleet.wait_until("both have left it", || fleet.all_weights_are(&ZONES, "b", 0.0));
+    fleet.partition(Mode::Pass);
+    let healed_after = fleet.wait_until("they hear each other", || all_know(2.0 * half));
+    println!("halves heard each other {healed_after:?} after healing");
+    assert!(healed_after < Duration::from_secs(8), "{healed_after:?}");
+    fleet.wait_until("all are back", || fleet.all_weights_are(&ZONES, "b", 1.0));
+    traffic.stop();
+    fleet.assert_rules_kept();
 }
 
-/// New engines, cold, take the place of a lost zone's under full load: none of them is pushed over by all nodes together.
+/// New engines, cold, take the place of a lost zone's under full load: all nodes together overload none of them.
 #[test]
-fn a_zone_that_returns_cold_is_not_pushed_over() {
-    let _one = alone();
-    // A cold engine stands what it can do cold, and no more: six reads in two seconds.
+fn zone_that_returns_cold_is_not_overloaded() {
+    let _exclusive = exclusive();
+    // A cold engine bears what it can do cold, and no more: six reads in two seconds.
     let engine = Figures { out_tokens: 4, read_s: 0.1, step_s: 0.004, slots: 1, ..Figures::default() };
     let engine = Figures { tip_multiple: 1.0, ..engine };
-    let more = "rules { tip_multiple: 1 }";
-    let plan = Plan { nodes: 4, engines: 4, engine: engine.clone(), more, ..Plan::default() };
-    let site = Arc::new(Site::new("cold", plan));
-    let traffic = site.traffic(4.0);
-    rest(1.0);
-    site.fault("b", &json!({"fault": "silence", "for_s": 60.0}));
-    site.wait("all have left it", || site.all_give(&ZONES, "b", 0.0));
-    let at = unix_now();
-    site.renew("b", &engine);
-    let took = site.wait("all are back", || site.all_give(&ZONES, "b", 1.0));
-    rest(1.0);
-    let asked = traffic.end();
-    let lines = site.record.lines();
-    let fell: Vec<_> = lines.iter().filter(|l| l["ev"] == "fell").collect();
-    let anew =
-        lines.iter().filter(|l| l["ev"] == "send" && l["who"].as_str().is_some_and(|w| w.ends_with("anew")));
+    let more_settings = "rules { tip_multiple: 1 }";
+    let plan =
+        FleetPlan { nodes: 4, engines: 4, engine: engine.clone(), more_settings, ..FleetPlan::default() };
+    let fleet = Arc::new(TestFleet::new("cold", plan));
+    let traffic = fleet.start_traffic(4.0);
+    sleep_s(1.0);
+    fleet.silence_zone("b", 60.0);
+    fleet.wait_until("all have left it", || fleet.all_weights_are(&ZONES, "b", 0.0));
+    let replaced_at = unix_now();
+    fleet.replace_engines("b", &engine);
+    let failback = fleet.wait_until("all are back", || fleet.all_weights_are(&ZONES, "b", 1.0));
+    sleep_s(1.0);
+    let requests = traffic.stop();
+    let lines = fleet.record.lines();
+    let overloaded: Vec<_> = lines.iter().filter(|line| line["ev"] == "fell").collect();
+    let at_new_engines = lines.iter().filter(|line| {
+        line["ev"] == "send" && line["who"].as_str().is_some_and(|engine| engine.ends_with("anew"))
+    });
     println!(
-        "back after {took:?}; {} sends to the new engines; in time {:.3} while it was left, {:.3} after",
-        anew.count(),
-        served(&asked, at - 1.0, at),
-        served(&asked, at, unix_now())
+        "back after {failback:?}; {} sends to the new engines; in time {:.3} while it was left, {:.3} after",
+        at_new_engines.count(),
+        served_share(&requests, replaced_at - 1.0, replaced_at),
+        served_share(&requests, replaced_at, unix_now())
     );
-    let nearest = site.nearest_cold();
+    let nearest = fleet.nearest_overload();
     println!("nearest to being pushed over: {nearest:.2} of what one stands");
-    // The module gives fresh engines half of what they stand.
+    // The router gives cold engines half of what they bear.
     assert!(nearest <= 0.5, "{nearest}");
-    assert!(fell.is_empty(), "{fell:?}");
-    sound(&site);
+    assert!(overloaded.is_empty(), "{overloaded:?}");
+    fleet.assert_rules_kept();
 }
 
-/// A zone that comes and goes is left fewer times than it goes: each return waits longer.
+/// A zone that comes and goes is evacuated fewer times than it goes: each failback waits longer.
 #[test]
-fn a_zone_that_flaps_is_returned_to_ever_more_slowly() {
-    let _one = alone();
-    let site = Arc::new(Site::new("flaps", Plan::default()));
-    let traffic = site.traffic(10.0);
-    rest(1.0);
+fn flapping_zone_is_returned_to_ever_more_slowly() {
+    let _exclusive = exclusive();
+    let fleet = Arc::new(TestFleet::new("flaps", FleetPlan::default()));
+    let traffic = fleet.start_traffic(10.0);
+    sleep_s(1.0);
     for _ in 0..10 {
-        site.fault("b", &json!({"fault": "silence", "for_s": 1.2}));
-        rest(2.0);
+        fleet.silence_zone("b", 1.2);
+        sleep_s(2.0);
     }
-    let left = |n: &Node| n.log().matches("a zone is left").count();
-    let most = site.nodes.iter().map(left).max();
-    println!("left {most:?} times of ten");
-    assert!(most.is_some_and(|m| (1..=6).contains(&m)), "{most:?}");
-    site.wait("it is back for good", || site.all_give(&ZONES, "b", 1.0));
-    traffic.end();
-    sound(&site);
+    let evacuations = |node: &Node| node.log().matches("a zone is left").count();
+    let max_evacuations = fleet.nodes.iter().map(evacuations).max();
+    println!("left {max_evacuations:?} times of ten");
+    assert!(max_evacuations.is_some_and(|count| (1..=6).contains(&count)), "{max_evacuations:?}");
+    fleet.wait_until("it is back for good", || fleet.all_weights_are(&ZONES, "b", 1.0));
+    traffic.stop();
+    fleet.assert_rules_kept();
 }
 
-/// A node that lies, one without the key, datagrams played again: nobody leaves a zone for them.
+/// A datagram of a node that does not exist, which says that no engine of zone b answers.
+fn forged_datagram(key: &str, seq: u64, address: SocketAddr) -> Vec<u8> {
+    let record = NodeRecord {
+        name: "liar".into(),
+        incarnation: 1,
+        seq,
+        address: address.to_string(),
+        zone: "a".into(),
+        deferred_by_tenant: vec![],
+        zone_reports: vec![ZoneReport {
+            zone: "b".into(),
+            last_response_age_ms: None,
+            unreachable: (0..8).map(|engine| (engine, 10)).collect(),
+            weight_per_mille: 0,
+        }],
+    };
+    let at_ms = (unix_now() * 1e3) as u64;
+    let message = Message::Records(vec![(0, record)]);
+    SharedKey::from_secret(key).seal(&Datagram { from: "liar".into(), at_ms, message }).unwrap()
+}
+
+/// A node that lies, one without the key, replayed datagrams: nobody evacuates a zone for them.
 #[test]
-fn lies_forgeries_and_old_datagrams_move_nobody() {
-    let _one = alone();
-    let site = Arc::new(Site::new("lies", Plan::default()));
-    let traffic = site.traffic(10.0);
-    let played = site.nodes[0].way.datagrams();
+fn lies_forgeries_and_replays_evacuate_no_zone() {
+    let _exclusive = exclusive();
+    let fleet = Arc::new(TestFleet::new("lies", FleetPlan::default()));
+    let traffic = fleet.start_traffic(10.0);
+    let recorded = fleet.nodes[0].gossip_relay.datagrams();
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let lie = |key: &str, seq: u64| {
-        let silent = (0..8).map(|e| (e, 10)).collect();
-        let record = NodeRecord {
-            name: "liar".into(),
-            incarnation: 1,
-            seq,
-            address: socket.local_addr().unwrap().to_string(),
-            zone: "a".into(),
-            deferred_by_tenant: vec![],
-            zone_reports: vec![ZoneReport {
-                zone: "b".into(),
-                last_response_age_ms: None,
-                unreachable: silent,
-                weight_per_mille: 0,
-            }],
-        };
-        let at_ms = (unix_now() * 1e3) as u64;
-        let word = Message::Records(vec![(0, record)]);
-        SharedKey::from_secret(key).seal(&Datagram { from: "liar".into(), at_ms, message: word }).unwrap()
-    };
+    let own_address = socket.local_addr().unwrap();
     for seq in 0..20 {
-        for n in &site.nodes {
-            for key in [SECRET, "another secret than the fleet's"] {
-                socket.send_to(&lie(key, seq), n.port).unwrap();
+        for node in &fleet.nodes {
+            for key in [GOSSIP_KEY, "another secret than the fleet's"] {
+                socket.send_to(&forged_datagram(key, seq, own_address), node.gossip_address).unwrap();
             }
-            played.iter().for_each(|d| drop(socket.send_to(d, n.port)));
-            socket.send_to(&[7; 40], n.port).unwrap();
+            recorded.iter().for_each(|datagram| drop(socket.send_to(datagram, node.gossip_address)));
+            socket.send_to(&[7; 40], node.gossip_address).unwrap();
         }
-        assert!(site.nodes.iter().all(|n| n.part("b") == Some(1.0)), "nobody believes it");
-        rest(0.05);
+        let none_believes = fleet.nodes.iter().all(|node| node.zone_weight("b") == Some(1.0));
+        assert!(none_believes, "nobody believes it");
+        sleep_s(0.05);
     }
-    let refused = |n: &Node, how: &str| n.metric(&format!("datagrams_total{{how=\"{how}\"}}"));
-    for n in &site.nodes {
-        assert!(
-            refused(n, "key").is_some_and(|k| k >= 20.0) && refused(n, "version").is_some_and(|v| v >= 20.0)
-        );
-        assert_eq!(n.log().matches("a datagram between nodes was refused").count(), 1, "one line a minute");
+    let rejected = |node: &Node, reason: &str| node.metric(&format!("datagrams_total{{how=\"{reason}\"}}"));
+    for node in &fleet.nodes {
+        assert!(rejected(node, "key").is_some_and(|count| count >= 20.0));
+        assert!(rejected(node, "version").is_some_and(|count| count >= 20.0));
+        let log_lines = node.log().matches("a datagram between nodes was refused").count();
+        assert_eq!(log_lines, 1, "one line a minute");
     }
-    traffic.end();
-    sound(&site);
+    traffic.stop();
+    fleet.assert_rules_kept();
 }
 
-/// While a zone is left one node sleeps over all of it, two are killed and started anew, the rest restart in turn.
+/// While a zone is evacuated one node is stopped all the time, two are killed and restarted, the rest restart in turn.
 #[test]
-fn nodes_that_sleep_die_or_restart_meanwhile_find_the_zone_left() {
-    let _one = alone();
-    let site = Arc::new(Site::new("restart", Plan { nodes: 4, ..Plan::default() }));
-    let traffic = site.traffic(4.0);
-    rest(1.0);
-    let sleeper = &site.nodes[0];
-    sleeper.signal(Signal::STOP);
-    site.fault("b", &json!({"fault": "silence", "for_s": 60.0}));
-    let awake = |part: f64| site.nodes[1..].iter().all(|n| n.part("b") == Some(part));
-    site.wait("the others have left it", || awake(0.0));
-    for n in &site.nodes[1..3] {
-        site.record.note("killed", json!({"node": n.name}));
-        n.kill();
-        n.start();
+fn stopped_killed_and_restarted_nodes_learn_that_a_zone_is_evacuated() {
+    let _exclusive = exclusive();
+    let fleet = Arc::new(TestFleet::new("restart", FleetPlan { nodes: 4, ..FleetPlan::default() }));
+    let traffic = fleet.start_traffic(4.0);
+    sleep_s(1.0);
+    let stopped = &fleet.nodes[0];
+    stopped.send_signal(Signal::STOP);
+    fleet.silence_zone("b", 60.0);
+    let others_have_left = || fleet.nodes[1..].iter().all(|node| node.zone_weight("b") == Some(0.0));
+    fleet.wait_until("the others have left it", others_have_left);
+    for node in &fleet.nodes[1..3] {
+        fleet.record.note("killed", json!({"node": node.name}));
+        node.kill();
+        node.start();
     }
-    let mut slowest = site.wait("those started anew follow", || awake(0.0));
-    for n in &site.nodes[3..6] {
-        site.record.note("killed", json!({"node": n.name}));
-        n.signal(Signal::TERM);
-        n.ended();
-        n.start();
-        slowest = slowest.max(site.wait("so does each that restarts", || n.part("b") == Some(0.0)));
+    let mut slowest = fleet.wait_until("those started anew follow", others_have_left);
+    for node in &fleet.nodes[3..6] {
+        fleet.record.note("killed", json!({"node": node.name}));
+        node.send_signal(Signal::TERM);
+        node.wait_for_exit();
+        node.start();
+        let learned = fleet.wait_until("so does each that restarts", || node.zone_weight("b") == Some(0.0));
+        slowest = slowest.max(learned);
     }
-    sleeper.signal(Signal::CONT);
-    slowest = slowest.max(site.wait("and the one that wakes up", || sleeper.part("b") == Some(0.0)));
+    stopped.send_signal(Signal::CONT);
+    let learned = fleet.wait_until("and the one that wakes up", || stopped.zone_weight("b") == Some(0.0));
+    slowest = slowest.max(learned);
     println!("the slowest took {slowest:?}");
     assert!(slowest < Duration::from_secs(6), "{slowest:?}");
-    site.fault("b", &json!({"fault": "silence", "for_s": 0.0}));
-    site.wait("all are back", || site.all_give(&ZONES, "b", 1.0));
-    traffic.end();
-    // What was asked of the one that slept had no answer in time: nobody was there to give one.
-    let breaks = site.breaks_but(&sleeper.name);
-    assert!(breaks.is_empty(), "{breaks:?}");
+    fleet.silence_zone("b", 0.0);
+    fleet.wait_until("all are back", || fleet.all_weights_are(&ZONES, "b", 1.0));
+    traffic.stop();
+    // What was sent to the stopped node had no answer in time: nobody was there to give one.
+    let broken = fleet.broken_rules_except(&stopped.name);
+    assert!(broken.is_empty(), "{broken:?}");
 }
--- /dev/null
+++ b/crates/nickelgw-cli/tests/fleet/test_fleet.rs
@@ -0,0 +1,330 @@
+//! Nodes as processes over three zones, test engines of a list for each zone, and a relay between any two parties.
+
+mod node;
+mod traffic;
+
+use nickelgw_protocol::list::{self, EndpointEntry, EngineState};
+use nickelgw_test_servers::client;
+use nickelgw_test_servers::model::{Figures, Role};
+use nickelgw_test_servers::record::unix_now;
+use nickelgw_test_servers::relay::{self, Mode, Way};
+use nickelgw_test_servers::Record;
+use serde_json::{json, Value};
+use std::net::{SocketAddr, TcpListener, UdpSocket};
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::thread;
+use std::time::{Duration, Instant};
+
+pub use node::Node;
+pub use traffic::served_share;
+
+pub const ZONES: [&str; 3] = ["a", "b", "c"];
+/// The key of the fleet's gossip.
+pub const GOSSIP_KEY: &str = "the secret of a fleet on loopback";
+/// A state that the test waits for must come within this time.
+const STATE_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// One fleet at a time: each is a dozen processes' worth of work.
+pub fn exclusive() -> MutexGuard<'static, ()> {
+    static ONE: Mutex<()> = Mutex::new(());
+    ONE.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+pub struct Engine {
+    pub id: String,
+    pub zone: &'static str,
+    pub role: Role,
+    pub address: SocketAddr,
+    /// Relays from each zone's nodes.
+    pub relays: Vec<Way>,
+}
+
+pub struct TestFleet {
+    pub nodes: Vec<Node>,
+    engines: Vec<Engine>,
+    /// Addresses of each zone's list.
+    lists: Vec<String>,
+    pub record: Record,
+    dir: PathBuf,
+}
+
+impl Drop for TestFleet {
+    fn drop(&mut self) {
+        self.nodes.iter().for_each(|node| node.kill());
+        let _ = std::fs::remove_dir_all(&self.dir);
+    }
+}
+
+fn bind() -> (TcpListener, SocketAddr) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    (listener, address)
+}
+
+/// An engine as the lists have it.
+fn endpoint_entry(engine: &Figures, address: SocketAddr, started_at: Option<f64>) -> EndpointEntry {
+    EndpointEntry {
+        id: engine.id.clone(),
+        address: address.to_string(),
+        zone: engine.zone.clone(),
+        cell: 0,
+        role: if engine.role == Role::Read { list::EngineRole::Prefill } else { list::EngineRole::Decode },
+        memory_tokens: engine.memory_tokens,
+        state: EngineState::Active,
+        started_at,
+        tls_name: None,
+    }
+}
+
+fn spawn<F: std::future::Future>(server: impl FnOnce() -> F + Send + 'static) {
+    thread::spawn(move || drop(smol::block_on(server())));
+}
+
+/// What a fleet consists of.
+pub struct FleetPlan<'a> {
+    /// In each zone.
+    pub nodes: usize,
+    /// Of each role, in each zone.
+    pub engines: usize,
+    /// Whether the nodes gossip.
+    pub with_gossip: bool,
+    /// Settings beside the ordinary ones; `FILE` stands for a path of the node's own.
+    pub more_settings: &'a str,
+    pub engine: Figures,
+}
+
+impl Default for FleetPlan<'_> {
+    fn default() -> Self {
+        let engine = Figures { out_tokens: 4, read_s: 0.004, step_s: 0.004, slots: 64, ..Figures::default() };
+        FleetPlan { nodes: 2, engines: 3, with_gossip: true, more_settings: "", engine }
+    }
+}
+
+/// Starts an engine, and relays to it for each zone's nodes; adds it to each zone's list.
+fn spawn_engine(
+    engine: Figures,
+    zone: &'static str,
+    seed: u64,
+    record: &Record,
+    entries_by_zone: &mut [Vec<EndpointEntry>],
+) -> Engine {
+    let (listener, address) = bind();
+    let own_record = record.of(&engine.id);
+    let config = engine.clone();
+    spawn(move || nickelgw_test_servers::engine::run(listener, config, own_record, seed));
+    let mut relays = Vec::new();
+    for entries in entries_by_zone {
+        let (listener, relayed_address) = bind();
+        let relay = Way::default();
+        let running = relay.clone();
+        spawn(move || relay::tcp(listener, address, running));
+        relays.push(relay);
+        entries.push(endpoint_entry(&engine, relayed_address, None));
+    }
+    Engine { id: engine.id, zone, role: engine.role, address, relays }
+}
+
+fn spawn_list(entries: Vec<EndpointEntry>) -> String {
+    let (listener, address) = bind();
+    spawn(move || nickelgw_test_servers::list::run(listener, entries, 0.0, Record::default()));
+    address.to_string()
+}
+
+impl TestFleet {
+    pub fn new(name: &str, plan: FleetPlan) -> TestFleet {
+        let dir = std::env::temp_dir().join(format!("nickelgw-fleet-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&dir).unwrap();
+        let record = Record::memory("driver");
+        let rules = json!({"drain_grace_s": 0.5, "hold_limit_s": 0.5, "slack_s": 1.0,
+            "routes": {"chat": {"repeat": "retriable"}, "booking": {"repeat": "non_retriable"}}});
+        record.note("rules", rules);
+        let mut engines = Vec::new();
+        let mut entries_by_zone: Vec<Vec<EndpointEntry>> = vec![Vec::new(); ZONES.len()];
+        for zone in ZONES {
+            for (role, letter) in [(Role::Read, 'r'), (Role::Write, 'w')] {
+                for number in 0..plan.engines {
+                    let id = format!("{zone}-{letter}{number}");
+                    let engine = Figures { id, zone: zone.into(), role, ..plan.engine.clone() };
+                    let seed = number as u64;
+                    engines.push(spawn_engine(engine, zone, seed, &record, &mut entries_by_zone));
+                }
+            }
+        }
+        let lists: Vec<String> = entries_by_zone.into_iter().map(spawn_list).collect();
+        let nodes = new_nodes(&plan, &lists, &dir);
+        let fleet = TestFleet { nodes, engines, lists, record, dir };
+        fleet.nodes.iter().for_each(Node::start);
+        if plan.with_gossip {
+            let count = fleet.nodes.len() as f64;
+            fleet.wait_until("all nodes hear of all", || {
+                fleet.nodes.iter().all(|node| node.metric("nodes") == Some(count))
+            });
+        }
+        fleet
+    }
+
+    pub fn wait_until(&self, what: &str, is_so: impl Fn() -> bool) -> Duration {
+        let began = Instant::now();
+        while !is_so() {
+            assert!(began.elapsed() < STATE_TIMEOUT, "not seen in twenty seconds: {what}");
+            thread::sleep(Duration::from_millis(10));
+        }
+        began.elapsed()
+    }
+
+    /// Sends an order to all engines of a zone.
+    pub fn order_engines(&self, zone: &str, order: &Value) {
+        for engine in self.engines.iter().filter(|engine| engine.zone == zone) {
+            let answer = smol::block_on(client::control(&engine.address.to_string(), order));
+            answer.expect("an engine that listens");
+        }
+    }
+
+    /// Makes all engines of a zone silent for some time.
+    pub fn silence_zone(&self, zone: &str, for_s: f64) {
+        self.order_engines(zone, &json!({"fault": "silence", "for_s": for_s}));
+    }
+
+    /// Sets what the relays from one zone's nodes to another's engines do.
+    pub fn set_relays(&self, from: &str, to: &str, mode: Mode) {
+        let from = ZONES.iter().position(|zone| *zone == from).unwrap();
+        for engine in self.engines.iter().filter(|engine| engine.zone == to) {
+            engine.relays[from].set(mode);
+        }
+    }
+
+    pub fn nodes_of(&self, zone: &'static str) -> impl Iterator<Item = &Node> {
+        self.nodes.iter().filter(move |node| node.zone == zone)
+    }
+
+    /// Replaces a zone's engines by new ones, cold, under new names.
+    pub fn replace_engines(&self, zone: &'static str, config: &Figures) {
+        for old in self.engines.iter().filter(|engine| engine.zone == zone) {
+            let id = format!("{}-anew", old.id);
+            let engine = Figures { id, zone: zone.into(), role: old.role, cold: true, ..config.clone() };
+            let (listener, address) = bind();
+            let record = self.record.of(&engine.id);
+            let entry = endpoint_entry(&engine, address, Some(unix_now()));
+            spawn(move || nickelgw_test_servers::engine::run(listener, engine, record, 1));
+            for list in &self.lists {
+                order_list(list, &json!({"line": entry}));
+                order_list(list, &json!({"remove": old.id}));
+            }
+        }
+    }
+
+    /// Whether all nodes of some zones have this traffic weight of a zone.
+    pub fn all_weights_are(&self, node_zones: &[&'static str], zone: &str, weight: f64) -> bool {
+        node_zones.iter().all(|of| self.nodes_of(of).all(|node| node.zone_weight(zone) == Some(weight)))
+    }
+
+    /// Sets what happens to datagrams between the two halves of the fleet.
+    pub fn partition(&self, mode: Mode) {
+        let half = self.nodes.len() / 2;
+        for (receiver_number, receiver) in self.nodes.iter().enumerate() {
+            for (sender_number, sender) in self.nodes.iter().enumerate() {
+                if (sender_number < half) != (receiver_number < half) {
+                    receiver.gossip_relay.set_of(sender.gossip_address, mode);
+                }
+            }
+        }
+    }
+
+    /// Attempts that reached engines of a zone between two moments (Unix time).
+    pub fn attempts(&self, zone: &str, from: f64, to: f64) -> usize {
+        let is_in_zone = |id: &str| self.engines.iter().any(|engine| engine.zone == zone && engine.id == id);
+        let lines = self.record.lines();
+        let attempts = lines
+            .iter()
+            .filter(|line| line["ev"] == "send" && is_in_zone(line["who"].as_str().unwrap_or("")));
+        attempts.filter(|line| line["t"].as_f64().is_some_and(|at| at >= from && at < to)).count()
+    }
+
+    fn verdict(&self, except_node: &str) -> nickelgw_audit::Verdict {
+        let mut lines: Vec<_> = self.record.lines().iter().filter_map(nickelgw_audit::Line::of).collect();
+        lines.retain(|line| line.ev != "ask" || line.text("node") != except_node);
+        nickelgw_audit::sort(&mut lines);
+        nickelgw_audit::judge(&lines)
+    }
+
+    /// Nearest that a cold engine came to overload, as a share of what it bears.
+    pub fn nearest_overload(&self) -> f64 {
+        self.verdict("").nearest_cold
+    }
+
+    /// What the auditor finds wrong in all that crossed the wire.
+    pub fn broken_rules(&self) -> Vec<String> {
+        self.broken_rules_except("")
+    }
+
+    /// Without what was asked of this node.
+    pub fn broken_rules_except(&self, node: &str) -> Vec<String> {
+        let verdict = self.verdict(node);
+        assert!(verdict.judged.get("lost").is_some_and(|judged| *judged > 0), "nothing was judged");
+        let breaks = verdict.breaks.iter().take(10);
+        breaks.map(|broken| format!("{}: {}", broken.rule.name(), broken.what)).collect()
+    }
+
+    pub fn assert_rules_kept(&self) {
+        let broken = self.broken_rules();
+        assert!(broken.is_empty(), "{broken:?}");
+    }
+}
+
+fn order_list(list: &str, order: &Value) {
+    smol::block_on(client::control(list, order)).expect("a list that listens");
+}
+
+/// Nodes that are not started yet, round the zones.
+fn new_nodes(plan: &FleetPlan, lists: &[String], dir: &Path) -> Vec<Node> {
+    static FLEETS: AtomicUsize = AtomicUsize::new(0);
+    let fleet = FLEETS.fetch_add(1, Ordering::Relaxed);
+    let mut nodes: Vec<Node> = Vec::new();
+    for number in 0..plan.nodes * ZONES.len() {
+        // Ports that a restarted node can listen on again: on an address of its own nothing else takes them.
+        let own = format!("127.{}.{}.{}:0", 1 + std::process::id() % 250, 1 + fleet % 250, 1 + number);
+        let gossip_address = UdpSocket::bind(&own).unwrap().local_addr().unwrap();
+        let free_address = || TcpListener::bind(&own).unwrap().local_addr().unwrap();
+        let (chat, admin) = (free_address(), free_address());
+        let (relay_socket, gossip_relay) = (UdpSocket::bind("127.0.0.1:0").unwrap(), Way::default());
+        let relay_address = relay_socket.local_addr().unwrap();
+        let running = gossip_relay.clone();
+        spawn(move || relay::udp(relay_socket, gossip_address, running));
+        // Each knows two others from its settings; it learns of the rest by gossip.
+        let peers: String =
+            nodes.iter().take(2).map(|peer| format!(" peer: '{}'", peer.relay_address)).collect();
+        let gossip = format!(
+            "accord {{ listen: '{gossip_address}' address: '{relay_address}'{peers} key: '{GOSSIP_KEY}' step_ms: 500 }}\n"
+        );
+        let name = format!("node{number}");
+        let file = dir.join(format!("{name}.txtpb"));
+        let deferred_file = dir.join(format!("{name}.parked")).display().to_string();
+        let zone = number % ZONES.len();
+        let settings = format!(
+            "name: '{name}' number: {number} nodes: {} zone: '{}' zones: 'a' zones: 'b' zones: 'c' seed: {number}\n\
+             listen: '{chat}' list: '{}' admin: '{admin}'\n\
+             model_route {{ model: 'chat' first_token_target_ms: 1000 route_timeout_ms: 4000 }}\n\
+             leaving {{ notice_ms: 50 grace_ms: 2000 end_ms: 500 }}\n{}{}\n",
+            plan.nodes * ZONES.len(),
+            ZONES[zone],
+            lists[zone],
+            if plan.with_gossip { gossip } else { String::new() },
+            plan.more_settings.replace("FILE", &deferred_file),
+        );
+        nodes.push(Node {
+            name,
+            zone: ZONES[zone],
+            gossip_address,
+            relay_address,
+            gossip_relay,
+            address: chat.to_string(),
+            admin: admin.to_string(),
+            child: Mutex::new(None),
+            settings,
+            file,
+        });
+    }
+    nodes
+}
--- /dev/null
+++ b/crates/nickelgw-cli/tests/fleet/test_fleet/node.rs
@@ -0,0 +1,109 @@
+//! A node's process, and what is asked of it.
+
+use nickelgw_test_servers::client;
+use nickelgw_test_servers::relay::Way;
+use rustix::process::{kill_process, Pid, Signal};
+use serde_json::Value;
+use std::io::{BufRead, BufReader};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::process::{Child, Command, Stdio};
+use std::sync::Mutex;
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// A node that drains must exit within this time.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(15);
+
+pub struct Node {
+    pub name: String,
+    pub zone: &'static str,
+    /// Its own port for datagrams.
+    pub gossip_address: SocketAddr,
+    /// The relay before that port, where other nodes reach it.
+    pub relay_address: SocketAddr,
+    pub gossip_relay: Way,
+    pub(super) address: String,
+    pub(super) admin: String,
+    pub(super) child: Mutex<Option<Child>>,
+    pub(super) settings: String,
+    pub(super) file: PathBuf,
+}
+
+impl Node {
+    /// Starts the process and waits until it serves.
+    pub fn start(&self) {
+        std::fs::write(&self.file, &self.settings).unwrap();
+        let log = std::fs::OpenOptions::new().create(true).append(true).open(self.file.with_extension("log"));
+        let mut child = Command::new(env!("CARGO_BIN_EXE_nickelgw"))
+            .args(["--log-level", "info", "serve", "--config"])
+            .arg(&self.file)
+            .stdout(Stdio::piped())
+            .stderr(log.unwrap())
+            .spawn()
+            .unwrap();
+        let mut lines = BufReader::new(child.stdout.take().unwrap()).lines();
+        let serves = lines.any(|line| line.is_ok_and(|line| line == "serving"));
+        assert!(serves, "{} did not come to serve", self.name);
+        *self.child.lock().unwrap() = Some(child);
+    }
+
+    pub fn kill(&self) {
+        if let Some(mut child) = self.child.lock().unwrap().take() {
+            let _ = child.kill();
+            let _ = child.wait();
+        }
+    }
+
+    pub fn send_signal(&self, signal: Signal) {
+        let child = self.child.lock().unwrap();
+        kill_process(Pid::from_child(child.as_ref().unwrap()), signal).unwrap();
+    }
+
+    /// Waits until it has exited by itself.
+    pub fn wait_for_exit(&self) {
+        let mut child = self.child.lock().unwrap().take().unwrap();
+        let began = Instant::now();
+        while child.try_wait().unwrap().is_none() {
+            assert!(began.elapsed() < EXIT_TIMEOUT, "{} has not ended", self.name);
+            thread::sleep(Duration::from_millis(10));
+        }
+    }
+
+    /// The file of its deferred requests.
+    pub fn deferred_file(&self) -> PathBuf {
+        self.file.with_extension("parked")
+    }
+
+    /// A call of the chat API: status and body.
+    pub fn call(&self, method: &str, path: &str, key: &str, body: &str) -> (u16, Value) {
+        let request = format!(
+            "{method} {path} HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {key}\r\nconnection: close\r\n\
+             content-length: {}\r\n\r\n{body}",
+            body.len()
+        );
+        let response = smol::block_on(client::raw(&self.address, &[request.as_bytes()], 0.0, 5.0));
+        let text = String::from_utf8_lossy(&response).to_string();
+        let body = text.split_once("\r\n\r\n").map_or("", |(_, body)| body);
+        (client::status(&response), serde_json::from_str(body).unwrap_or_default())
+    }
+
+    pub fn log(&self) -> String {
+        std::fs::read_to_string(self.file.with_extension("log")).unwrap_or_default()
+    }
+
+    /// A metric by its name and labels, from the operators' port.
+    pub fn metric(&self, name: &str) -> Option<f64> {
+        let request = format!("GET /metrics HTTP/1.1\r\nhost: {}\r\nconnection: close\r\n\r\n", self.admin);
+        let response = smol::block_on(client::raw(&self.admin, &[request.as_bytes()], 0.0, 1.0));
+        let text = String::from_utf8_lossy(&response).to_string();
+        let name = format!("nickelgw_{name} ");
+        let value = text.lines().find_map(|line| line.strip_prefix(&name));
+        value.and_then(|value| value.trim().parse().ok())
+    }
+
+    /// The traffic weight that it gives a zone.
+    pub fn zone_weight(&self, zone: &str) -> Option<f64> {
+        self.metric(&format!("zone_part{{zone=\"{zone}\"}}"))
+    }
+}
--- /dev/null
+++ b/crates/nickelgw-cli/tests/fleet/test_fleet/traffic.rs
@@ -0,0 +1,126 @@
+//! Open-loop clients of all nodes of a fleet.
+
+use super::TestFleet;
+use nickelgw_test_servers::client::{self, Ask};
+use nickelgw_test_servers::record::unix_now;
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread::{self, JoinHandle};
+use std::time::{Duration, Instant};
+
+const TTFT_OBJECTIVE_S: f64 = 1.0;
+
+/// A request that a client has sent, and what came of it.
+pub struct SentRequest {
+    /// Unix time.
+    sent_at: f64,
+    seen: Option<client::Seen>,
+}
+
+/// Clients that run until they are stopped.
+pub struct Traffic {
+    stop: Arc<AtomicBool>,
+    sent: Arc<Mutex<Vec<SentRequest>>>,
+    clients: Vec<JoinHandle<()>>,
+}
+
+/// The client of one node.
+struct NodeClient {
+    fleet: Arc<TestFleet>,
+    node: usize,
+    /// Tells the requests of different runs apart.
+    run: usize,
+    rate_per_s: f64,
+    tenant_key: Option<&'static str>,
+    stop: Arc<AtomicBool>,
+    sent: Arc<Mutex<Vec<SentRequest>>>,
+}
+
+impl TestFleet {
+    /// Clients that send each node so many requests a second, until they are stopped.
+    pub fn start_traffic(self: &Arc<Self>, rate_per_s: f64) -> Traffic {
+        self.start_tenant_traffic(rate_per_s, None)
+    }
+
+    /// With a tenant's key.
+    pub fn start_tenant_traffic(
+        self: &Arc<Self>,
+        rate_per_s: f64,
+        tenant_key: Option<&'static str>,
+    ) -> Traffic {
+        static RUNS: AtomicUsize = AtomicUsize::new(0);
+        let run = RUNS.fetch_add(1, Ordering::Relaxed);
+        let stop = Arc::new(AtomicBool::new(false));
+        let sent = Arc::new(Mutex::new(Vec::new()));
+        let start_client = |node: usize| {
+            let (fleet, stop, sent) = (self.clone(), stop.clone(), sent.clone());
+            let client = NodeClient { fleet, node, run, rate_per_s, tenant_key, stop, sent };
+            thread::spawn(move || client.run())
+        };
+        let clients = (0..self.nodes.len()).map(start_client).collect();
+        Traffic { stop, sent, clients }
+    }
+}
+
+impl NodeClient {
+    fn run(&self) {
+        let executor = smol::LocalExecutor::new();
+        smol::block_on(executor.run(async {
+            let mut tasks = Vec::new();
+            let began = Instant::now();
+            for number in 0.. {
+                let at = Duration::from_secs_f64(f64::from(number) / self.rate_per_s);
+                smol::Timer::at(began + at).await;
+                if self.stop.load(Ordering::Relaxed) {
+                    break;
+                }
+                tasks.push(executor.spawn(self.send(number)));
+            }
+            for task in tasks {
+                task.await;
+            }
+        }));
+    }
+
+    async fn send(&self, number: i32) {
+        let node = &self.fleet.nodes[self.node];
+        let request = Ask {
+            req: format!("q{}-{}-{number}", self.run, self.node),
+            node: node.name.clone(),
+            address: node.address.clone(),
+            model: "chat".into(),
+            key: self.tenant_key.map(str::to_string),
+            prompt: format!("session {number} of {}: tell me more", self.node),
+            stream: true,
+            timeout_s: 4.0,
+            target_s: TTFT_OBJECTIVE_S,
+            intended: unix_now(),
+            ..Ask::default()
+        };
+        let sent_at = unix_now();
+        let seen = client::ask(&request, &self.fleet.record).await;
+        self.sent.lock().unwrap().push(SentRequest { sent_at, seen });
+    }
+}
+
+impl Traffic {
+    /// Waits for all answers; gives the requests by the time of their sending.
+    pub fn stop(self) -> Vec<SentRequest> {
+        self.stop.store(true, Ordering::Relaxed);
+        self.clients.into_iter().for_each(|client| client.join().unwrap());
+        let mut sent = std::mem::take(&mut *self.sent.lock().unwrap());
+        sent.sort_by(|left, right| left.sent_at.total_cmp(&right.sent_at));
+        sent
+    }
+}
+
+/// Share of the requests sent between two moments (Unix time) that were served with their first token in target.
+pub fn served_share(requests: &[SentRequest], from: f64, to: f64) -> f64 {
+    let sent: Vec<_> =
+        requests.iter().filter(|request| request.sent_at >= from && request.sent_at < to).collect();
+    let is_served = |seen: &client::Seen| {
+        seen.how == "completed" && seen.first_s.is_some_and(|first_s| first_s <= TTFT_OBJECTIVE_S)
+    };
+    let served = sent.iter().filter(|request| request.seen.as_ref().is_some_and(is_served)).count();
+    served as f64 / sent.len().max(1) as f64
+}
--- /dev/null
+++ b/crates/nickelgw-cli/tests/lifecycle/main.rs
@@ -0,0 +1,176 @@
+//! A node as a process: taken over under load, killed, drained.
+
+#![warn(clippy::min_ident_chars, clippy::too_many_lines, clippy::cognitive_complexity)]
+
+mod test_site;
+
+use nickelgw_test_servers::client;
+use rustix::process::Signal;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use std::thread;
+use std::time::{Duration, Instant};
+use test_site::{exit_code, kill, send_signal, TestSite};
+
+/// Requests that a client has sent, and the outcomes of those that did not complete.
+struct ClientResult {
+    sent: usize,
+    not_completed: Vec<String>,
+}
+
+fn send_until_stopped(site: &TestSite, client: usize, stop: &AtomicBool) -> ClientResult {
+    let mut result = ClientResult { sent: 0, not_completed: Vec::new() };
+    while !stop.load(Ordering::Relaxed) {
+        match site.chat(&format!("q{client}-{}", result.sent)) {
+            Some(seen) if seen.how == "completed" => {}
+            other => result.not_completed.push(format!("{other:?}")),
+        }
+        result.sent += 1;
+    }
+    result
+}
+
+#[test]
+fn handover_under_load_loses_no_request_and_no_stream() {
+    let site = Arc::new(TestSite::new("over", 0.02));
+    let mut old_node = site.start_node();
+    let stop = Arc::new(AtomicBool::new(false));
+    let clients: Vec<_> = (0..6)
+        .map(|client| {
+            let (site, stop) = (site.clone(), stop.clone());
+            thread::spawn(move || send_until_stopped(&site, client, &stop))
+        })
+        .collect();
+    thread::sleep(Duration::from_millis(400));
+    send_signal(&old_node, Signal::HUP);
+    assert_eq!(exit_code(&mut old_node), 0);
+    thread::sleep(Duration::from_millis(400));
+    stop.store(true, Ordering::Relaxed);
+    let results: Vec<_> = clients.into_iter().map(|client| client.join().unwrap()).collect();
+    let sent: usize = results.iter().map(|result| result.sent).sum();
+    let not_completed: Vec<&String> = results.iter().flat_map(|result| &result.not_completed).collect();
+    let after = site.chat("after");
+    site.kill_successor();
+    assert!(sent > 20 && not_completed.is_empty(), "{sent} asked: {not_completed:?}");
+    assert!(after.is_some_and(|seen| seen.how == "completed"), "the new process serves");
+}
+
+#[test]
+fn handover_with_invalid_settings_leaves_the_old_process_serving() {
+    let site = TestSite::new("bad", 0.005);
+    let mut old_node = site.start_node();
+    site.write_settings("most_of_all: 3");
+    send_signal(&old_node, Signal::HUP);
+    thread::sleep(Duration::from_millis(600));
+    assert!(old_node.try_wait().unwrap().is_none());
+    assert!(site.chat_completes("q"));
+    // With valid settings it is taken over.
+    site.write_settings("limits { most_open: 100 }");
+    send_signal(&old_node, Signal::HUP);
+    let code = exit_code(&mut old_node);
+    let after = site.chat("after");
+    site.kill_successor();
+    assert_eq!((code, after.map(|seen| seen.how)), (0, Some("completed".into())));
+}
+
+#[test]
+fn sigterm_lets_streams_end_and_further_ones_skip_stages() {
+    let site = Arc::new(TestSite::new("term", 0.1));
+    let start_stream = || {
+        let site = site.clone();
+        thread::spawn(move || site.chat("q"))
+    };
+    let mut node = site.start_node();
+    let stream = start_stream();
+    thread::sleep(Duration::from_millis(300));
+    send_signal(&node, Signal::TERM);
+    assert!(stream.join().unwrap().is_some_and(|seen| seen.how == "completed"));
+    assert_eq!(exit_code(&mut node), 0);
+    let mut node = site.start_node();
+    let stream = start_stream();
+    thread::sleep(Duration::from_millis(300));
+    for _ in 0..3 {
+        send_signal(&node, Signal::TERM);
+        thread::sleep(Duration::from_millis(30));
+    }
+    assert!(stream.join().unwrap().is_some_and(|seen| seen.how != "completed"));
+    assert_eq!(exit_code(&mut node), 3);
+    assert_eq!(site.held_states(), 0);
+}
+
+#[test]
+fn restarted_node_rejects_repeats_of_non_idempotent_requests() {
+    let site = TestSite::new("twice", 0.05);
+    let mut node = site.start_node();
+    // Killed while it streams.
+    thread::scope(|scope| {
+        let first = scope.spawn(|| site.send_keyed("booking", "a"));
+        site.wait_until("it has run", || site.count("ran") == 1);
+        kill(&mut node);
+        assert!(!first.join().unwrap().contains("[DONE]"));
+    });
+    let mut node = site.start_node();
+    let repeat = site.send_keyed("booking", "a");
+    assert!(repeat.starts_with("HTTP/1.1 409") && repeat.contains("already_taken"), "{repeat}");
+    // An idempotent request runs again.
+    assert!(site.send_keyed("chat", "b").contains("[DONE]"));
+    kill(&mut node);
+    let mut node = site.start_node();
+    assert!(site.send_keyed("chat", "b").contains("[DONE]"));
+    assert!(site.send_keyed("booking", "a").starts_with("HTTP/1.1 409"));
+    // After a handover, the new process knows the key too.
+    assert!(site.send_keyed("booking", "c").contains("[DONE]"));
+    send_signal(&node, Signal::HUP);
+    assert_eq!(exit_code(&mut node), 0);
+    let repeat = site.send_keyed("booking", "c");
+    site.kill_successor();
+    assert!(repeat.starts_with("HTTP/1.1 409"), "{repeat}");
+    assert_eq!(site.count("ran"), 4);
+}
+
+#[test]
+fn reservations_of_a_killed_node_are_released_by_its_successor() {
+    let site = TestSite::new("held", 0.01);
+    let mut node = site.start_node();
+    for decode_engine in &site.engines[1..] {
+        let silence = serde_json::json!({"fault": "silence", "for_s": 2.0});
+        smol::block_on(client::control(decode_engine, &silence));
+    }
+    thread::scope(|scope| {
+        let site = &site;
+        let requests: Vec<_> =
+            (0..5).map(|number| scope.spawn(move || site.chat(&format!("q{number}")))).collect();
+        site.wait_until("all are read", || site.count("read") == 5);
+        kill(&mut node);
+        requests.into_iter().for_each(|request| drop(request.join()));
+    });
+    assert!(site.held_states() > 0);
+    let mut node = site.start_node();
+    let began = Instant::now();
+    site.wait_until("they are let go of", || site.held_states() == 0);
+    assert!(began.elapsed() < Duration::from_millis(1500), "{:?}", began.elapsed());
+    kill(&mut node);
+}
+
+#[test]
+fn restarted_node_serves_whatever_the_state_of_its_store() {
+    let site = TestSite::new("often", 0.002);
+    for number in 0..5 {
+        let mut node = site.start_node();
+        assert!(site.send_keyed("booking", &format!("k{number}")).contains("[DONE]"));
+        kill(&mut node);
+    }
+    let mut node = site.start_node();
+    for number in 0..5 {
+        assert!(site.send_keyed("booking", &format!("k{number}")).starts_with("HTTP/1.1 409"));
+    }
+    kill(&mut node);
+    let store = site.dir.join("node.store");
+    let intact = std::fs::read(&store).unwrap();
+    for damaged in [b"no store at all".to_vec(), intact[..intact.len() / 2].to_vec(), Vec::new()] {
+        std::fs::write(&store, damaged).unwrap();
+        let mut node = site.start_node();
+        assert!(site.chat_completes("q"));
+        kill(&mut node);
+    }
+}
