--- a/crates/nickelgw-cli/src/bench/endpoint_changes.rs
+++ b/crates/nickelgw-cli/src/bench/endpoint_changes.rs
@@ -70,19 +70,19 @@
         println!("from a change at the source to the list that the node keeps on disk:");
         propagation::measure_registry(fleet, self.changes)?;
         propagation::measure_file(fleet, self.changes)?;
-        let kept_list = propagation::measure_registry_restarts(fleet)?;
+        let endpoint_cache = propagation::measure_registry_restarts(fleet)?;
         println!("a registry emptied by mistake for 3 s, 40 requests a second for 6 s:");
         measure_empty_registry(fleet, "with doubt", "")?;
         measure_empty_registry(fleet, "without", NO_DOUBT)?;
         println!("from start to serving, of 5:");
         measure_start(fleet, "registry there, nothing kept", REGISTRY_SOURCE, None)?;
-        measure_start(fleet, "registry down, the last list kept", UNREACHABLE_REGISTRY, Some(&kept_list))
+        measure_start(fleet, "registry down, the last list kept", UNREACHABLE_REGISTRY, Some(&endpoint_cache))
     }
 }
 
 fn measure_empty_registry(fleet: &LocalFleet, name: &str, doubt: &str) -> Result<(), CommandError> {
-    let kept_list = fleet.dir.join(format!("empty-{}.kept", doubt.len()));
-    let node = fleet.start_node(&format!("{REGISTRY_SOURCE} {doubt}"), &kept_list)?;
+    let endpoint_cache = fleet.dir.join(format!("empty-{}.kept", doubt.len()));
+    let node = fleet.start_node(&format!("{REGISTRY_SOURCE} {doubt}"), &endpoint_cache)?;
     thread::sleep(DISCOVERY);
     let requests: Vec<_> = (0..EMPTY_REQUESTS)
         .map(|number| {
@@ -112,13 +112,13 @@
     fleet: &LocalFleet,
     name: &str,
     source: &str,
-    kept_list: Option<&Path>,
+    endpoint_cache: Option<&Path>,
 ) -> Result<(), CommandError> {
     let mut times_s = Vec::new();
     for run in 0..START_RUNS {
         let path: PathBuf = fleet.dir.join(format!("start-{run}-{}", source.len()));
-        if let Some(kept_list) = kept_list {
-            std::fs::copy(kept_list, &path)?;
+        if let Some(endpoint_cache) = endpoint_cache {
+            std::fs::copy(endpoint_cache, &path)?;
         }
         times_s.push(fleet.start_node(source, &path)?.ready_after_s);
     }
--- a/crates/nickelgw-cli/src/bench/endpoint_changes/local_fleet.rs
+++ b/crates/nickelgw-cli/src/bench/endpoint_changes/local_fleet.rs
@@ -49,7 +49,7 @@
 }
 
 /// Sends an order to a server of this process.
-pub(super) fn send_order(address: &str, order: &Value) {
+pub(super) fn send_control(address: &str, order: &Value) {
     smol::block_on(client::control(address, order));
 }
 
@@ -83,15 +83,15 @@
             Change::Delete(id) => json!({"order": "delete", "key": format!("{KEY_PREFIX}{id}")}),
             Change::DeleteAll => json!({"order": "empty", "key": KEY_PREFIX}),
         };
-        send_order(&self.registry, &order);
+        send_control(&self.registry, &order);
     }
 
     /// Starts a node and waits until it is ready.
-    pub(super) fn start_node(&self, source: &str, kept_list: &Path) -> Result<ReadyNode, CommandError> {
+    pub(super) fn start_node(&self, source: &str, endpoint_cache: &Path) -> Result<ReadyNode, CommandError> {
         let settings = format!(
             "name: 'node0' zone: 'a' zones: 'a' listen: '127.0.0.1:0' last_list: '{}' {source}
          model_route {{ model: 'chat' first_token_target_ms: 1000 route_timeout_ms: 4000 }}",
-            kept_list.display()
+            endpoint_cache.display()
         );
         let node = spawn_node("bench", &settings.replace("REGISTRY", &self.registry), |_| ())?;
         while !is_healthy(&node.address) {
--- a/crates/nickelgw-cli/src/bench/endpoint_changes/propagation.rs
+++ b/crates/nickelgw-cli/src/bench/endpoint_changes/propagation.rs
@@ -1,6 +1,6 @@
 //! Times from a change at the source of endpoints to the list that the node keeps on disk.
 
-use super::local_fleet::{send_order, Change, LocalFleet, REGISTRY_SOURCE};
+use super::local_fleet::{send_control, Change, LocalFleet, REGISTRY_SOURCE};
 use crate::bench::statistics::{new_histogram, quantile};
 use crate::error::CommandError;
 use hdrhistogram::Histogram;
@@ -22,7 +22,7 @@
 const CHANGED: usize = 1;
 
 /// An engine's entry in the list that a node keeps.
-fn kept_entry(list: &Path, id: &str) -> Value {
+fn cached_entry(list: &Path, id: &str) -> Value {
     let text = std::fs::read_to_string(list).unwrap_or_default();
     let list: Value = serde_json::from_str(&text).unwrap_or_default();
     let mut entries = list["engines"].as_array().into_iter().flatten();
@@ -30,9 +30,9 @@
 }
 
 pub(super) fn measure_registry(fleet: &LocalFleet, changes: usize) -> Result<(), CommandError> {
-    let kept_list = fleet.dir.join("registry.kept");
-    fleet.start_node(REGISTRY_SOURCE, &kept_list)?;
-    let times = measure_changes(fleet, &kept_list, changes, |entries| {
+    let endpoint_cache = fleet.dir.join("registry.kept");
+    fleet.start_node(REGISTRY_SOURCE, &endpoint_cache)?;
+    let times = measure_changes(fleet, &endpoint_cache, changes, |entries| {
         fleet.change(Change::Put(&entries[CHANGED]));
         Ok(())
     })?;
@@ -43,9 +43,9 @@
 pub(super) fn measure_file(fleet: &LocalFleet, changes: usize) -> Result<(), CommandError> {
     let file = fleet.dir.join("engines.json");
     write_list(fleet, &file, &fleet.entries)?;
-    let kept_list = fleet.dir.join("file.kept");
-    fleet.start_node(&format!("list_file: '{}'", file.display()), &kept_list)?;
-    let times = measure_changes(fleet, &kept_list, changes / FILE_CHANGES_DIVISOR, |entries| {
+    let endpoint_cache = fleet.dir.join("file.kept");
+    fleet.start_node(&format!("list_file: '{}'", file.display()), &endpoint_cache)?;
+    let times = measure_changes(fleet, &endpoint_cache, changes / FILE_CHANGES_DIVISOR, |entries| {
         write_list(fleet, &file, entries)
     })?;
     print_changes("file", &times);
@@ -62,7 +62,7 @@
 
 fn measure_changes(
     fleet: &LocalFleet,
-    kept_list: &Path,
+    endpoint_cache: &Path,
     changes: usize,
     apply: impl Fn(&[EndpointEntry]) -> std::io::Result<()>,
 ) -> Result<Histogram<u64>, CommandError> {
@@ -74,7 +74,7 @@
         let began = Instant::now();
         apply(&entries)?;
         let id = &entries[CHANGED].id;
-        while kept_entry(kept_list, id)["memory_tokens"] != entries[CHANGED].memory_tokens
+        while cached_entry(endpoint_cache, id)["memory_tokens"] != entries[CHANGED].memory_tokens
             && began.elapsed() < CHANGE_TIMEOUT
         {
             thread::sleep(Duration::from_micros(500));
@@ -99,17 +99,19 @@
 
 /// The registry restarts with its history compacted, just before a change. Gives the list that the node keeps.
 pub(super) fn measure_registry_restarts(fleet: &LocalFleet) -> Result<PathBuf, CommandError> {
-    let kept_list = fleet.dir.join("breaks.kept");
-    fleet.start_node(REGISTRY_SOURCE, &kept_list)?;
+    let endpoint_cache = fleet.dir.join("breaks.kept");
+    fleet.start_node(REGISTRY_SOURCE, &endpoint_cache)?;
     let mut times = new_histogram(MAX_TIME_US);
     for number in 0..RESTARTS {
         let entry = &fleet.entries[2 + number % 10];
-        send_order(&fleet.registry, &json!({"order": "restart", "for_s": 0.2}));
+        send_control(&fleet.registry, &json!({"order": "restart", "for_s": 0.2}));
         let draining = EndpointEntry { state: EngineState::Draining, ..entry.clone() };
         fleet.change(Change::Put(&draining));
-        send_order(&fleet.registry, &json!({"order": "compact"}));
+        send_control(&fleet.registry, &json!({"order": "compact"}));
         let began = Instant::now();
-        while kept_entry(&kept_list, &entry.id)["state"] != "draining" && began.elapsed() < RESTART_TIMEOUT {
+        while cached_entry(&endpoint_cache, &entry.id)["state"] != "draining"
+            && began.elapsed() < RESTART_TIMEOUT
+        {
             thread::sleep(Duration::from_millis(1));
         }
         times.saturating_record(began.elapsed().as_micros() as u64);
@@ -123,5 +125,5 @@
         ms(1.0),
         times.len()
     );
-    Ok(kept_list)
+    Ok(endpoint_cache)
 }
--- a/crates/nickelgw-cli/src/bench/endpoint_changes/rolling_deploy.rs
+++ b/crates/nickelgw-cli/src/bench/endpoint_changes/rolling_deploy.rs
@@ -2,7 +2,7 @@
 //! doubt.
 
 use super::chat_request;
-use super::local_fleet::{role_of, send_order, Change, LocalFleet, NO_DOUBT, REGISTRY_SOURCE};
+use super::local_fleet::{role_of, send_control, Change, LocalFleet, NO_DOUBT, REGISTRY_SOURCE};
 use crate::bench::temporary_path;
 use crate::error::CommandError;
 use crate::local_servers::{spawn_engine, spawn_registry};
@@ -67,9 +67,9 @@
     for entry in &fleet.entries {
         fleet.change(Change::Put(entry));
     }
-    let kept_list = temporary_path("rolling");
-    let _ = std::fs::remove_file(&kept_list);
-    let node = fleet.start_node(&format!("{REGISTRY_SOURCE} {doubt}"), &kept_list)?;
+    let endpoint_cache = temporary_path("rolling");
+    let _ = std::fs::remove_file(&endpoint_cache);
+    let node = fleet.start_node(&format!("{REGISTRY_SOURCE} {doubt}"), &endpoint_cache)?;
     thread::sleep(Duration::from_millis(500));
     let clients = thread::spawn(move || send_requests(&node.address));
     thread::sleep(Duration::from_secs(2));
@@ -77,7 +77,7 @@
         replace_engines(&fleet, replacement)?;
     }
     print_result(name, clients.join().unwrap_or_default());
-    let _ = std::fs::remove_file(&kept_list);
+    let _ = std::fs::remove_file(&endpoint_cache);
     Ok(())
 }
 
@@ -94,7 +94,7 @@
         while leaving.len() > drain_intervals {
             if let Some(gone) = leaving.pop_front() {
                 fleet.change(Change::Delete(&gone.id));
-                send_order(&gone.address, &json!({"fault": "die"}));
+                send_control(&gone.address, &json!({"fault": "die"}));
             }
         }
         thread::sleep(REPLACE_INTERVAL.saturating_sub(began.elapsed()));
--- a/crates/nickelgw-cli/src/bench/overhead.rs
+++ b/crates/nickelgw-cli/src/bench/overhead.rs
@@ -113,25 +113,25 @@
 impl Bench {
     pub fn run(self) -> Result<ExitCode, CommandError> {
         let executor = Rc::new(LocalExecutor::new());
-        let figures = smol::block_on(executor.run(self.measure(executor.clone())))?;
+        let results = smol::block_on(executor.run(self.measure(executor.clone())))?;
         if let Some(path) = &self.json {
-            std::fs::write(path, serde_json::to_string_pretty(&figures)?)?;
+            std::fs::write(path, serde_json::to_string_pretty(&results)?)?;
         }
         Ok(ExitCode::SUCCESS)
     }
 
     async fn measure(&self, executor: Executor) -> Result<Value, CommandError> {
-        let mut figures = json!({});
-        self.measure_added_latency(&executor, &mut figures).await?;
-        self.measure_rates(&executor, &mut figures).await?;
-        self.measure_memory(&executor, &mut figures).await?;
-        Ok(figures)
+        let mut results = json!({});
+        self.measure_added_latency(&executor, &mut results).await?;
+        self.measure_rates(&executor, &mut results).await?;
+        self.measure_memory(&executor, &mut results).await?;
+        Ok(results)
     }
 
     async fn measure_added_latency(
         &self,
         executor: &Executor,
-        figures: &mut Value,
+        results: &mut Value,
     ) -> Result<(), CommandError> {
         let fleet = ProcessFleet::start(executor, plan("added", 2, fast_engine())).await?;
         let routes = [Route::ThroughNode, Route::Direct];
@@ -158,14 +158,14 @@
         for (name, column) in columns {
             let Summary { median, min, max } = Summary::of(runs.iter().map(column).collect());
             println!("  added to {name}: {median:.0} us (runs {min:.0} to {max:.0})");
-            figures["added_us"][name] = json!([median, min, max]);
+            results["added_us"][name] = json!([median, min, max]);
         }
-        figures["meter_quiet"] = fleet.shut_down().await;
-        println!("  in the node: {}", figures["meter_quiet"]);
+        results["meter_quiet"] = fleet.shut_down().await;
+        println!("  in the node: {}", results["meter_quiet"]);
         Ok(())
     }
 
-    async fn measure_rates(&self, executor: &Executor, figures: &mut Value) -> Result<(), CommandError> {
+    async fn measure_rates(&self, executor: &Executor, results: &mut Value) -> Result<(), CommandError> {
         println!("rate on one core, 4 tokens an answer, until the first token's p99 doubles:");
         let fleet = ProcessFleet::start(executor, plan("rate", 2, fast_engine())).await?;
         warm_up(executor, &fleet, SHORT_ANSWER_TOKENS, &[Route::ThroughNode]).await;
@@ -180,11 +180,11 @@
             if point.first_p99_us > 2.0 * unloaded_p99_us || point.failed > 0 {
                 break;
             }
-            figures["rate_kept"] = json!(rate_per_s);
+            results["rate_kept"] = json!(rate_per_s);
         }
-        figures["rates"] = json!(rates);
-        figures["meter_rate"] = fleet.shut_down().await;
-        println!("  in the node: {}", figures["meter_rate"]);
+        results["rates"] = json!(rates);
+        results["meter_rate"] = fleet.shut_down().await;
+        println!("  in the node: {}", results["meter_rate"]);
         Ok(())
     }
 
@@ -204,7 +204,7 @@
         }
     }
 
-    async fn measure_memory(&self, executor: &Executor, figures: &mut Value) -> Result<(), CommandError> {
+    async fn measure_memory(&self, executor: &Executor, results: &mut Value) -> Result<(), CommandError> {
         println!("memory for open streams:");
         let slow_engine = EngineConfig { step_s: SLOW_STEP_S, ..fast_engine() };
         let fleet = ProcessFleet::start(executor, plan("memory", 4, slow_engine)).await?;
@@ -226,7 +226,7 @@
         println!(
             "  {open} streams open: {full_kib:.0} KiB, empty {empty_kib:.0} KiB, {kib_per_stream:.1} KiB a stream"
         );
-        figures["memory"] = json!({"streams": open, "kib_each": kib_per_stream, "kib_empty": empty_kib,
+        results["memory"] = json!({"streams": open, "kib_each": kib_per_stream, "kib_empty": empty_kib,
             "kib_full": full_kib});
         drop(streams);
         fleet.shut_down().await;
--- a/crates/nickelgw-cli/src/bench/tls.rs
+++ b/crates/nickelgw-cli/src/bench/tls.rs
@@ -31,7 +31,7 @@
 /// Connections opened for the memory figure.
 const OPEN_CONNECTIONS: u32 = 2000;
 /// Unused connections that a client keeps, unless it opens one for each request.
-const KEPT_CONNECTIONS: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
 #[derive(clap::Args)]
 pub struct BenchTls {
@@ -69,35 +69,35 @@
     pub fn run(self) -> Result<ExitCode, CommandError> {
         let executor = Rc::new(LocalExecutor::new());
         let certificates = Certificates::new()?;
-        let figures = smol::block_on(executor.run(self.measure(&executor, &certificates)));
+        let results = smol::block_on(executor.run(self.measure(&executor, &certificates)));
         let _ = std::fs::remove_dir_all(&certificates.dir);
-        let figures = figures?;
+        let results = results?;
         if let Some(path) = &self.json {
-            std::fs::write(path, serde_json::to_string_pretty(&figures)?)?;
+            std::fs::write(path, serde_json::to_string_pretty(&results)?)?;
         }
         Ok(ExitCode::SUCCESS)
     }
 
     async fn measure(&self, executor: &Executor, certificates: &Certificates) -> Result<Value, CommandError> {
-        let mut figures = json!({});
-        self.measure_handshakes(certificates, &mut figures)?;
+        let mut results = json!({});
+        self.measure_handshakes(certificates, &mut results)?;
         println!("first token of a read and a write, 50 requests a second, by how connections are had:");
         let mut children = Vec::new();
         let paths = start_paths(executor, certificates, &mut children).await?;
-        self.measure_first_token(executor, &paths, &mut figures).await;
-        measure_memory(&paths, &mut figures).await?;
+        self.measure_first_token(executor, &paths, &mut results).await;
+        measure_memory(&paths, &mut results).await?;
         for mut child in children {
             let _ = child.kill();
             let _ = child.status().await;
         }
-        self.measure_rushes(executor, certificates, &mut figures).await?;
-        Ok(figures)
+        self.measure_rushes(executor, certificates, &mut results).await?;
+        Ok(results)
     }
 
     fn measure_handshakes(
         &self,
         certificates: &Certificates,
-        figures: &mut Value,
+        results: &mut Value,
     ) -> Result<(), CommandError> {
         println!("handshakes on one core, both sides in memory, both verified, ECDSA P-256:");
         for (name, resume) in [("full", false), ("resumed", true)] {
@@ -116,12 +116,12 @@
                 "  {name}: {rate:.0} a second (median of {}), the client's part {client_us:.0} us each",
                 self.runs
             );
-            figures["handshakes"][name] = json!({"per_s": rate, "client_us": client_us});
+            results["handshakes"][name] = json!({"per_s": rate, "client_us": client_us});
         }
         Ok(())
     }
 
-    async fn measure_first_token(&self, executor: &Executor, paths: &[DirectPath], figures: &mut Value) {
+    async fn measure_first_token(&self, executor: &Executor, paths: &[DirectPath], results: &mut Value) {
         let load = |duration_s| LoadPlan { rate_per_s: RATE_PER_S, duration_s, output_tokens: ANSWER_TOKENS };
         for path in paths {
             run_single_load(executor, &path.client, load(0.5), Route::Direct).await;
@@ -137,7 +137,7 @@
         for (path, (p50_us, p99_us)) in paths.iter().zip(runs) {
             let (p50_us, p99_us) = (Summary::of(p50_us).median, Summary::of(p99_us).median);
             println!("  {}: p50 {p50_us:.0} us, p99 {p99_us:.0} us (medians of {})", path.name, self.runs);
-            figures["first_token_us"][path.name] = json!([p50_us, p99_us]);
+            results["first_token_us"][path.name] = json!([p50_us, p99_us]);
         }
     }
 
@@ -145,7 +145,7 @@
         &self,
         executor: &Executor,
         certificates: &Certificates,
-        figures: &mut Value,
+        results: &mut Value,
     ) -> Result<(), CommandError> {
         println!(
             "rush after the node's certificate rotates, {} engines, 300 requests a second:",
@@ -160,7 +160,7 @@
                 rushes.push(result);
             }
         }
-        figures["rush"] = json!(rushes);
+        results["rush"] = json!(rushes);
         Ok(())
     }
 }
@@ -171,9 +171,9 @@
     children: &mut Vec<Child>,
 ) -> Result<Vec<DirectPath>, CommandError> {
     let mut paths = Vec::new();
-    for (name, transport, kept_connections) in [
-        ("plain, open", Transport::Plain, KEPT_CONNECTIONS),
-        ("TLS, open", Transport::ResumedHandshakes, KEPT_CONNECTIONS),
+    for (name, transport, max_idle_connections) in [
+        ("plain, open", Transport::Plain, MAX_IDLE_CONNECTIONS),
+        ("TLS, open", Transport::ResumedHandshakes, MAX_IDLE_CONNECTIONS),
         ("TLS, resumed", Transport::ResumedHandshakes, 0),
         ("TLS, full", Transport::FullHandshakes, 0),
     ] {
@@ -182,7 +182,7 @@
             let resume = transport == Transport::ResumedHandshakes;
             Tls(Arc::new(Mutex::new(certificates.client(resume))))
         });
-        let pool = PoolConfig { most_idle: kept_connections, ..unlimited_pool() };
+        let pool = PoolConfig { most_idle: max_idle_connections, ..unlimited_pool() };
         let mut client = BenchClient::new(executor, pool, tls, String::new());
         let [prefill_engine, decode_engine] = engines;
         client.prefill_engines = vec![prefill_engine];
@@ -219,7 +219,7 @@
     Ok(EngineAddress { address: started.address, tls_name: config.tls.map(|tls| tls.name) })
 }
 
-async fn measure_memory(paths: &[DirectPath], figures: &mut Value) -> Result<(), CommandError> {
+async fn measure_memory(paths: &[DirectPath], results: &mut Value) -> Result<(), CommandError> {
     println!("memory of an open connection, client's side:");
     // Earlier connections stay open: memory that they freed would be used again and count as none.
     let mut open_connections = Vec::new();
@@ -227,7 +227,7 @@
         let (kib, connections) = memory_per_connection(&path.client).await?;
         open_connections.extend(connections);
         println!("  {name}: {kib:.1} KiB");
-        figures["memory_kib"][name] = json!(kib);
+        results["memory_kib"][name] = json!(kib);
     }
     Ok(())
 }
--- a/crates/nickelgw-cli/src/rehearse.rs
+++ b/crates/nickelgw-cli/src/rehearse.rs
@@ -77,8 +77,8 @@
             let reports: Vec<DayReport> = outcomes.iter().map(Outcome::report).collect();
             std::fs::write(root.join("report.html"), render_page("Rehearsal", &reports))?;
         }
-        let all_kept = outcomes.iter().all(|outcome| outcome.verdict.breaks.is_empty());
-        Ok(if all_kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        let has_no_breaks = outcomes.iter().all(|outcome| outcome.verdict.breaks.is_empty());
+        Ok(if has_no_breaks { ExitCode::SUCCESS } else { ExitCode::FAILURE })
     }
 
     fn run_day(&self, selected: SelectedDay, root: &Path) -> Result<Outcome, CommandError> {
--- a/crates/nickelgw-cli/src/rehearse/certificates.rs
+++ b/crates/nickelgw-cli/src/rehearse/certificates.rs
@@ -47,7 +47,7 @@
     }
 
     async fn reload_certificate(&self, engine: &str) {
-        self.order_engine(engine, json!({"fault": "cert"})).await;
+        self.control_engine(engine, json!({"fault": "cert"})).await;
     }
 
     async fn reload_all_certificates(&self) {
--- a/crates/nickelgw-cli/src/rehearse/faults.rs
+++ b/crates/nickelgw-cli/src/rehearse/faults.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 
 /// The order by which an engine has a fault by itself.
-fn engine_order(kind: Kind) -> Option<&'static str> {
+fn engine_fault_name(kind: Kind) -> Option<&'static str> {
     match kind {
         Kind::Silence => Some("silence"),
         Kind::Slow => Some("slow"),
@@ -25,7 +25,7 @@
 }
 
 /// The order by which the registry has a fault, and whether that lasts.
-fn registry_order(kind: Kind) -> Option<(&'static str, bool)> {
+fn registry_fault(kind: Kind) -> Option<(&'static str, bool)> {
     match kind {
         Kind::RegistryRestart => Some(("restart", true)),
         Kind::RegistryCompact => Some(("compact", false)),
@@ -43,12 +43,12 @@
         let kind = fault.kind();
         let plan = json!({"kind": kind.as_str_name(), "target": fault.target(), "for_s": fault.for_s()});
         self.record.note("plan", plan);
-        if let Some(order) = engine_order(kind) {
-            self.order_engine_fault(order, fault).await;
+        if let Some(order) = engine_fault_name(kind) {
+            self.send_engine_fault(order, fault).await;
             return Ok(());
         }
-        if let Some((order, lasts)) = registry_order(kind) {
-            self.order_registry(order, if lasts { fault.for_s() } else { 0.0 }).await;
+        if let Some((order, lasts)) = registry_fault(kind) {
+            self.control_registry(order, if lasts { fault.for_s() } else { 0.0 }).await;
             return Ok(());
         }
         self.inject_compound(fault).await
@@ -67,7 +67,7 @@
             Kind::CaRotate => self.rotate_authority().await?,
             Kind::HandshakeSlow => {
                 let order = json!({"fault": "handshake_slow", "for_s": for_s, "rest_s": fault.factor()});
-                self.order_engine(target, order).await;
+                self.control_engine(target, order).await;
             }
             Kind::StallList => drop(client::control(&self.list, &json!({"stall_s": for_s})).await),
             Kind::KillNode => self.restart_node(target, for_s).await?,
@@ -78,16 +78,16 @@
         Ok(())
     }
 
-    async fn order_engine_fault(&self, order: &str, fault: &Fault) {
+    async fn send_engine_fault(&self, order: &str, fault: &Fault) {
         let order = json!({"fault": order, "for_s": fault.for_s(), "share": fault.share(),
             "factor": fault.factor()});
-        self.order_engine(fault.target(), order).await;
+        self.control_engine(fault.target(), order).await;
     }
 
     /// The engine dies, and is back cold after a while if the fault says so.
     async fn restart_engine(&self, fault: &Fault) -> Result<(), CommandError> {
         let engine = fault.target();
-        self.order_engine_fault("die", fault).await;
+        self.send_engine_fault("die", fault).await;
         self.kill_engine(engine).await;
         self.record.of(engine).note("died", json!({}));
         self.withdraw(engine).await;
@@ -104,13 +104,13 @@
         self.publish(&EndpointEntry { state: EngineState::Draining, ..entry }).await;
         // It rejects requests once every node has had the time to know.
         sleep_s((self.day.list_lag_ms() + self.day.drain_grace_ms()) / 1e3).await;
-        self.order_engine_fault("drain", fault).await;
+        self.send_engine_fault("drain", fault).await;
     }
 
     async fn cut_zone(&self, zone: &str, for_s: f64) {
         let order = json!({"fault": "cut", "for_s": for_s, "zone": zone});
         for engine in engine_names(&self.day) {
-            self.order_engine(&engine, order.clone()).await;
+            self.control_engine(&engine, order.clone()).await;
         }
     }
 
@@ -125,7 +125,7 @@
     }
 
     async fn empty_registry(&self, for_s: f64) {
-        self.order_registry("empty", 0.0).await;
+        self.control_registry("empty", 0.0).await;
         sleep_s(for_s).await;
         let entries = self.initial_entries.borrow().clone();
         for entry in &entries {
--- a/crates/nickelgw-cli/src/rehearse/outcome.rs
+++ b/crates/nickelgw-cli/src/rehearse/outcome.rs
@@ -69,9 +69,9 @@
         let troubles: Vec<Value> =
             self.script.troubles.iter().map(|trouble| self.trouble_json(trouble)).collect();
         let worst = self.series.worst_window();
-        json!({"day": self.day.name, "seed": self.seed, "served": self.series.whole_day().served_share(),
+        json!({"day": self.day.name, "seed": self.seed, "served": self.series.whole_day().served_fraction(),
             "rules": rules, "routes": routes,
-            "worst_10_s": worst.map(|worst| json!({"at_s": worst.start_s, "served": worst.served_share})),
+            "worst_10_s": worst.map(|worst| json!({"at_s": worst.start_s, "served": worst.served_fraction})),
             "troubles": troubles, "judged": verdict.judged, "excused_states": verdict.excused,
             "doubted_sends": verdict.doubted, "nearest_cold": verdict.nearest_cold,
             "breaks": verdict.breaks.iter().map(break_json).collect::<Vec<_>>(),
@@ -85,8 +85,8 @@
         let at = trouble.from_s as usize;
         let after = self.series.total(at..at + TROUBLE_SPAN_S);
         let before = self.series.total(at.saturating_sub(TROUBLE_SPAN_S)..at);
-        json!({"trouble": trouble.name, "at_s": trouble.from_s, "served_10_s": after.served_share(),
-            "served_before": before.served_share(),
+        json!({"trouble": trouble.name, "at_s": trouble.from_s, "served_10_s": after.served_fraction(),
+            "served_before": before.served_fraction(),
             "back_after_s": self.series.recovery_s(at, RECOVERED_SHARE)})
     }
 }
--- a/crates/nickelgw-cli/src/rehearse/performance.rs
+++ b/crates/nickelgw-cli/src/rehearse/performance.rs
@@ -54,7 +54,7 @@
     stage.begin();
     stage.record.note("begin", json!({}));
     if stage.day.registry() {
-        stage.order_registry("save", 0.0).await;
+        stage.control_registry("save", 0.0).await;
     }
     let observers =
         [executor.spawn(show_progress(stage.clone())), executor.spawn(measure_stalls(stage.clone()))];
--- a/crates/nickelgw-cli/src/rehearse/stage.rs
+++ b/crates/nickelgw-cli/src/rehearse/stage.rs
@@ -137,11 +137,11 @@
         client::control(&self.list, &order).await;
     }
 
-    pub(super) async fn order_registry(&self, order: &str, for_s: f64) {
+    pub(super) async fn control_registry(&self, order: &str, for_s: f64) {
         client::control(&self.list, &json!({"order": order, "for_s": for_s, "key": ENGINES_PREFIX})).await;
     }
 
-    pub(super) async fn order_engine(&self, engine: &str, order: Value) {
+    pub(super) async fn control_engine(&self, engine: &str, order: Value) {
         if let Some(address) = self.engine_address(engine) {
             client::control(&address, &order).await;
         }
@@ -231,7 +231,7 @@
     }
 
     fn engine_args(&self, config: &EngineConfig, is_cold: bool) -> Result<Vec<String>, CommandError> {
-        let figures = serde_json::to_string(config)?;
+        let config_json = serde_json::to_string(config)?;
         let (cell, seed) = (config.cell.to_string(), self.seed.to_string());
         let role = match config.role {
             Role::Read => "read",
@@ -239,7 +239,16 @@
         };
         let record = self.record_path(&config.id);
         let mut args = strings(&["engine", "--id", &config.id, "--role", role, "--zone", &config.zone]);
-        args.extend(strings(&["--cell", &cell, "--figures", &figures, "--seed", &seed, "--record", &record]));
+        args.extend(strings(&[
+            "--cell",
+            &cell,
+            "--figures",
+            &config_json,
+            "--seed",
+            &seed,
+            "--record",
+            &record,
+        ]));
         if is_cold {
             args.push("--cold".into());
         }
--- a/crates/nickelgw-cli/src/rehearse/summary.rs
+++ b/crates/nickelgw-cli/src/rehearse/summary.rs
@@ -27,9 +27,9 @@
 
 /// One day of several, in a line.
 pub(super) fn print_line(outcome: &Outcome) {
-    let served = 100.0 * outcome.series.whole_day().served_share().unwrap_or(0.0);
+    let served = 100.0 * outcome.series.whole_day().served_fraction().unwrap_or(0.0);
     let worst = outcome.series.worst_window();
-    let worst = worst.map_or("-".into(), |worst| format!("{:.0}%", 100.0 * worst.served_share));
+    let worst = worst.map_or("-".into(), |worst| format!("{:.0}%", 100.0 * worst.served_fraction));
     println!(
         "{:<16} served {served:>5.1}%, worst 10 s {worst:>4}, rules broken {}",
         outcome.day.name,
--- a/crates/nickelgw-cli/tests/fleet/deferred.rs
+++ b/crates/nickelgw-cli/tests/fleet/deferred.rs
@@ -1,6 +1,6 @@
 //! Deferred requests at a site that is cut off, run when capacity returns.
 
-use crate::test_fleet::{exclusive, served_share, FleetPlan, Node, TestFleet, ZONES};
+use crate::test_fleet::{exclusive, served_fraction, FleetPlan, Node, TestFleet, ZONES};
 use nickelgw_test_servers::model::Figures;
 use nickelgw_test_servers::record::unix_now;
 use serde_json::{json, Value};
@@ -102,7 +102,7 @@
     let began = unix_now();
     let traffic = fleet.start_tenant_traffic(30.0, Some("key-of-live"));
     thread::sleep(Duration::from_secs(4));
-    served_share(&traffic.stop(), began, unix_now())
+    served_fraction(&traffic.stop(), began, unix_now())
 }
 
 /// Another tenant's ticket and one that does not exist look the same.
@@ -152,7 +152,7 @@
     assert_eq!(succeeded, 500);
     assert!(runs.values().all(|times| times.len() == 1));
     assert!(served_during >= served_before - 0.02, "{served_during} beside {served_before}");
-    fleet.assert_rules_kept();
+    fleet.assert_no_violations();
 }
 
 fn assert_final_answer(request: &DeferredRequest, answer: &TicketAnswer, runs: usize) {
--- a/crates/nickelgw-cli/tests/fleet/main.rs
+++ b/crates/nickelgw-cli/tests/fleet/main.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use test_fleet::{exclusive, served_share, FleetPlan, Node, TestFleet, GOSSIP_KEY, ZONES};
+use test_fleet::{exclusive, served_fraction, FleetPlan, Node, TestFleet, GOSSIP_KEY, ZONES};
 
 fn sleep_s(seconds: f64) {
     thread::sleep(Duration::from_secs_f64(seconds));
@@ -28,7 +28,7 @@
     /// How long the last node took to evacuate the zone after the first; with gossip only.
     spread: Option<Duration>,
     /// Share of the requests of four seconds that were served in target.
-    served_share: f64,
+    served_fraction: f64,
 }
 
 /// A zone's engines become silent at once.
@@ -47,11 +47,11 @@
     });
     sleep_s((lost_at + 4.0 - unix_now()).max(0.0));
     let requests = traffic.stop();
-    fleet.assert_rules_kept();
+    fleet.assert_no_violations();
     LostZone {
         attempts: fleet.attempts("b", lost_at, lost_at + 3.0),
         spread,
-        served_share: served_share(&requests, lost_at, lost_at + 3.0),
+        served_fraction: served_fraction(&requests, lost_at, lost_at + 3.0),
     }
 }
 
@@ -62,7 +62,7 @@
     let together = lose_zone(true);
     println!(
         "thrown {}, {} without the exchange; in time {:.3}, {:.3}; last after {:?}",
-        together.attempts, alone.attempts, together.served_share, alone.served_share, together.spread
+        together.attempts, alone.attempts, together.served_fraction, alone.served_fraction, together.spread
     );
     assert!(together.spread.is_some_and(|spread| spread < Duration::from_secs(3)), "{:?}", together.spread);
     assert!(together.attempts * 3 < alone.attempts * 2, "{} beside {}", together.attempts, alone.attempts);
@@ -85,7 +85,7 @@
         fleet.wait_until("a's nodes are back", || fleet.all_weights_are(&["a"], "b", 1.0));
     }
     traffic.stop();
-    fleet.assert_rules_kept();
+    fleet.assert_no_violations();
 }
 
 /// The fleet itself is cut in halves, each of which evacuates a lost zone by itself; healed, they return together.
@@ -106,7 +106,7 @@
     assert!(healed_after < Duration::from_secs(8), "{healed_after:?}");
     fleet.wait_until("all are back", || fleet.all_weights_are(&ZONES, "b", 1.0));
     traffic.stop();
-    fleet.assert_rules_kept();
+    fleet.assert_no_violations();
 }
 
 /// New engines, cold, take the place of a lost zone's under full load: all nodes together overload none of them.
@@ -137,15 +137,15 @@
     println!(
         "back after {failback:?}; {} sends to the new engines; in time {:.3} while it was left, {:.3} after",
         at_new_engines.count(),
-        served_share(&requests, replaced_at - 1.0, replaced_at),
-        served_share(&requests, replaced_at, unix_now())
+        served_fraction(&requests, replaced_at - 1.0, replaced_at),
+        served_fraction(&requests, replaced_at, unix_now())
     );
     let nearest = fleet.nearest_overload();
     println!("nearest to being pushed over: {nearest:.2} of what one stands");
     // The router gives cold engines half of what they bear.
     assert!(nearest <= 0.5, "{nearest}");
     assert!(overloaded.is_empty(), "{overloaded:?}");
-    fleet.assert_rules_kept();
+    fleet.assert_no_violations();
 }
 
 /// A zone that comes and goes is evacuated fewer times than it goes: each failback waits longer.
@@ -165,7 +165,7 @@
     assert!(max_evacuations.is_some_and(|count| (1..=6).contains(&count)), "{max_evacuations:?}");
     fleet.wait_until("it is back for good", || fleet.all_weights_are(&ZONES, "b", 1.0));
     traffic.stop();
-    fleet.assert_rules_kept();
+    fleet.assert_no_violations();
 }
 
 /// A datagram of a node that does not exist, which says that no engine of zone b answers.
@@ -218,7 +218,7 @@
         assert_eq!(log_lines, 1, "one line a minute");
     }
     traffic.stop();
-    fleet.assert_rules_kept();
+    fleet.assert_no_violations();
 }
 
 /// While a zone is evacuated one node is stopped all the time, two are killed and restarted, the rest restart in turn.
@@ -231,14 +231,14 @@
     let stopped = &fleet.nodes[0];
     stopped.send_signal(Signal::STOP);
     fleet.silence_zone("b", 60.0);
-    let others_have_left = || fleet.nodes[1..].iter().all(|node| node.zone_weight("b") == Some(0.0));
-    fleet.wait_until("the others have left it", others_have_left);
+    let others_have_evacuated = || fleet.nodes[1..].iter().all(|node| node.zone_weight("b") == Some(0.0));
+    fleet.wait_until("the others have left it", others_have_evacuated);
     for node in &fleet.nodes[1..3] {
         fleet.record.note("killed", json!({"node": node.name}));
         node.kill();
         node.start();
     }
-    let mut slowest = fleet.wait_until("those started anew follow", others_have_left);
+    let mut slowest = fleet.wait_until("those started anew follow", others_have_evacuated);
     for node in &fleet.nodes[3..6] {
         fleet.record.note("killed", json!({"node": node.name}));
         node.send_signal(Signal::TERM);
@@ -256,6 +256,6 @@
     fleet.wait_until("all are back", || fleet.all_weights_are(&ZONES, "b", 1.0));
     traffic.stop();
     // What was sent to the stopped node had no answer in time: nobody was there to give one.
-    let broken = fleet.broken_rules_except(&stopped.name);
+    let broken = fleet.violations_except(&stopped.name);
     assert!(broken.is_empty(), "{broken:?}");
 }
--- a/crates/nickelgw-cli/tests/fleet/test_fleet.rs
+++ b/crates/nickelgw-cli/tests/fleet/test_fleet.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 
 pub use node::Node;
-pub use traffic::served_share;
+pub use traffic::served_fraction;
 
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
 /// The key of the fleet's gossip.
@@ -175,7 +175,7 @@
     }
 
     /// Sends an order to all engines of a zone.
-    pub fn order_engines(&self, zone: &str, order: &Value) {
+    pub fn control_engines(&self, zone: &str, order: &Value) {
         for engine in self.engines.iter().filter(|engine| engine.zone == zone) {
             let answer = smol::block_on(client::control(&engine.address.to_string(), order));
             answer.expect("an engine that listens");
@@ -184,7 +184,7 @@
 
     /// Makes all engines of a zone silent for some time.
     pub fn silence_zone(&self, zone: &str, for_s: f64) {
-        self.order_engines(zone, &json!({"fault": "silence", "for_s": for_s}));
+        self.control_engines(zone, &json!({"fault": "silence", "for_s": for_s}));
     }
 
     /// Sets what the relays from one zone's nodes to another's engines do.
@@ -209,8 +209,8 @@
             let entry = endpoint_entry(&engine, address, Some(unix_now()));
             spawn(move || nickelgw_test_servers::engine::run(listener, engine, record, 1));
             for list in &self.lists {
-                order_list(list, &json!({"line": entry}));
-                order_list(list, &json!({"remove": old.id}));
+                control_list(list, &json!({"line": entry}));
+                control_list(list, &json!({"remove": old.id}));
             }
         }
     }
@@ -255,25 +255,25 @@
     }
 
     /// What the auditor finds wrong in all that crossed the wire.
-    pub fn broken_rules(&self) -> Vec<String> {
-        self.broken_rules_except("")
+    pub fn violations(&self) -> Vec<String> {
+        self.violations_except("")
     }
 
     /// Without what was asked of this node.
-    pub fn broken_rules_except(&self, node: &str) -> Vec<String> {
+    pub fn violations_except(&self, node: &str) -> Vec<String> {
         let verdict = self.verdict(node);
         assert!(verdict.judged.get("lost").is_some_and(|judged| *judged > 0), "nothing was judged");
         let breaks = verdict.breaks.iter().take(10);
         breaks.map(|broken| format!("{}: {}", broken.rule.name(), broken.what)).collect()
     }
 
-    pub fn assert_rules_kept(&self) {
-        let broken = self.broken_rules();
+    pub fn assert_no_violations(&self) {
+        let broken = self.violations();
         assert!(broken.is_empty(), "{broken:?}");
     }
 }
 
-fn order_list(list: &str, order: &Value) {
+fn control_list(list: &str, order: &Value) {
     smol::block_on(client::control(list, order)).expect("a list that listens");
 }
 
--- a/crates/nickelgw-cli/tests/fleet/test_fleet/traffic.rs
+++ b/crates/nickelgw-cli/tests/fleet/test_fleet/traffic.rs
@@ -11,16 +11,16 @@
 const TTFT_OBJECTIVE_S: f64 = 1.0;
 
 /// A request that a client has sent, and what came of it.
-pub struct SentRequest {
+pub struct RequestOutcome {
     /// Unix time.
-    sent_at: f64,
+    started_at: f64,
     seen: Option<client::Seen>,
 }
 
 /// Clients that run until they are stopped.
 pub struct Traffic {
     stop: Arc<AtomicBool>,
-    sent: Arc<Mutex<Vec<SentRequest>>>,
+    sent: Arc<Mutex<Vec<RequestOutcome>>>,
     clients: Vec<JoinHandle<()>>,
 }
 
@@ -33,7 +33,7 @@
     rate_per_s: f64,
     tenant_key: Option<&'static str>,
     stop: Arc<AtomicBool>,
-    sent: Arc<Mutex<Vec<SentRequest>>>,
+    sent: Arc<Mutex<Vec<RequestOutcome>>>,
 }
 
 impl TestFleet {
@@ -97,27 +97,27 @@
             intended: unix_now(),
             ..Ask::default()
         };
-        let sent_at = unix_now();
+        let started_at = unix_now();
         let seen = client::ask(&request, &self.fleet.record).await;
-        self.sent.lock().unwrap().push(SentRequest { sent_at, seen });
+        self.sent.lock().unwrap().push(RequestOutcome { started_at, seen });
     }
 }
 
 impl Traffic {
     /// Waits for all answers; gives the requests by the time of their sending.
-    pub fn stop(self) -> Vec<SentRequest> {
+    pub fn stop(self) -> Vec<RequestOutcome> {
         self.stop.store(true, Ordering::Relaxed);
         self.clients.into_iter().for_each(|client| client.join().unwrap());
         let mut sent = std::mem::take(&mut *self.sent.lock().unwrap());
-        sent.sort_by(|left, right| left.sent_at.total_cmp(&right.sent_at));
+        sent.sort_by(|left, right| left.started_at.total_cmp(&right.started_at));
         sent
     }
 }
 
 /// Share of the requests sent between two moments (Unix time) that were served with their first token in target.
-pub fn served_share(requests: &[SentRequest], from: f64, to: f64) -> f64 {
+pub fn served_fraction(requests: &[RequestOutcome], from: f64, to: f64) -> f64 {
     let sent: Vec<_> =
-        requests.iter().filter(|request| request.sent_at >= from && request.sent_at < to).collect();
+        requests.iter().filter(|request| request.started_at >= from && request.started_at < to).collect();
     let is_served = |seen: &client::Seen| {
         seen.how == "completed" && seen.first_s.is_some_and(|first_s| first_s <= TTFT_OBJECTIVE_S)
     };
--- a/crates/nickelgw-rehearsal/src/core/series.rs
+++ b/crates/nickelgw-rehearsal/src/core/series.rs
@@ -25,7 +25,7 @@
 
 impl ServiceCounts {
     /// Share served in target; none where nothing was wanted.
-    pub fn served_share(&self) -> Option<f64> {
+    pub fn served_fraction(&self) -> Option<f64> {
         (self.wanted > 0).then(|| f64::from(self.served) / f64::from(self.wanted))
     }
 
@@ -43,7 +43,7 @@
     /// Second of the day at which it begins.
     pub start_s: usize,
     /// Share served in target.
-    pub served_share: f64,
+    pub served_fraction: f64,
 }
 
 /// Counts of each second of a day.
@@ -64,8 +64,8 @@
 }
 
 impl Series {
-    /// `begun` is the Unix time at which the day began. A request counts in the second in which it was first wanted.
-    pub fn from_records(records: &[Line], begun: f64, length_s: f64) -> Series {
+    /// `day_start` is the Unix time at which the day began. A request counts in the second in which it was first wanted.
+    pub fn from_records(records: &[Line], day_start: f64, length_s: f64) -> Series {
         let seconds = length_s.ceil().max(1.0) as usize;
         let mut series = Series { routes: BTreeMap::new(), seconds };
         let mut calls: BTreeMap<&str, Call> = BTreeMap::new();
@@ -74,7 +74,7 @@
         for record in records {
             let id = record.text("req");
             if record.ev == "ask" {
-                let call = series.count_call(&calls, record, begun);
+                let call = series.count_call(&calls, record, day_start);
                 calls.insert(id, call);
                 continue;
             }
@@ -98,11 +98,11 @@
     }
 
     /// Counts a call as wanted unless it is a retry.
-    fn count_call<'a>(&mut self, calls: &BTreeMap<&str, Call>, record: &'a Line, begun: f64) -> Call<'a> {
+    fn count_call<'a>(&mut self, calls: &BTreeMap<&str, Call>, record: &'a Line, day_start: f64) -> Call<'a> {
         let first_id = record.text("of");
         let second = match calls.get(first_id) {
             Some(first) => first.second,
-            None => ((record.num("intended") - begun).max(0.0) as usize).min(self.seconds - 1),
+            None => ((record.num("intended") - day_start).max(0.0) as usize).min(self.seconds - 1),
         };
         let model = record.text("model");
         if first_id.is_empty() {
@@ -137,11 +137,11 @@
     pub fn worst_window(&self) -> Option<WorstWindow> {
         let last = self.seconds.saturating_sub(WORST_WINDOW_S);
         let windows = (0..=last).filter_map(|start_s| {
-            let served_share = self.total(start_s..start_s + WORST_WINDOW_S).served_share()?;
-            Some(WorstWindow { start_s, served_share })
+            let served_fraction = self.total(start_s..start_s + WORST_WINDOW_S).served_fraction()?;
+            Some(WorstWindow { start_s, served_fraction })
         });
         windows.fold(None, |worst: Option<WorstWindow>, window| match worst {
-            Some(worst) if worst.served_share <= window.served_share => Some(worst),
+            Some(worst) if worst.served_fraction <= window.served_fraction => Some(worst),
             _ => Some(window),
         })
     }
@@ -149,9 +149,9 @@
     /// Seconds from `at` until service is back within a share of what it was in the ten seconds before; none where it
     /// is not until the end.
     pub fn recovery_s(&self, at: usize, share: f64) -> Option<usize> {
-        let before = self.total(at.saturating_sub(WORST_WINDOW_S)..at).served_share()?;
+        let before = self.total(at.saturating_sub(WORST_WINDOW_S)..at).served_fraction()?;
         let has_recovered = |start: &usize| {
-            let now = self.total(*start..*start + RECOVERY_WINDOW_S).served_share();
+            let now = self.total(*start..*start + RECOVERY_WINDOW_S).served_fraction();
             now.is_some_and(|now| now >= share * before)
         };
         (at..self.seconds.saturating_sub(1)).find(has_recovered).map(|start| start - at)
--- a/crates/nickelgw-rehearsal/src/report.rs
+++ b/crates/nickelgw-rehearsal/src/report.rs
@@ -63,10 +63,10 @@
         "<h2 id=\"{0}\">{0}</h2><p>seed {1}; served in target: {2:.1}%",
         escape_html(report.name),
         report.seed,
-        100.0 * report.series.whole_day().served_share().unwrap_or(0.0)
+        100.0 * report.series.whole_day().served_fraction().unwrap_or(0.0)
     );
     if let Some(worst) = report.series.worst_window() {
-        let percent = 100.0 * worst.served_share;
+        let percent = 100.0 * worst.served_fraction;
         let _ = write!(html, "; worst {WORST_WINDOW_S} s: {percent:.1}%, from second {}", worst.start_s);
     }
     html.push_str("</p>");
--- a/crates/nickelgw-rehearsal/src/report/chart.rs
+++ b/crates/nickelgw-rehearsal/src/report/chart.rs
@@ -77,5 +77,5 @@
     for counts in &seconds[second..seconds.len().min(second + SMOOTHING_S)] {
         total.add(counts);
     }
-    Some((second as f64, 100.0 * total.served_share()?))
+    Some((second as f64, 100.0 * total.served_fraction()?))
 }
