--- a/crates/nickelgw-cli/src/platform.rs
+++ b/crates/nickelgw-cli/src/platform.rs
@@ -1,28 +1,28 @@
 //! `nickelgw platform`: a node in service on the operators' platform.
 
-use crate::signals::{Signal, Signals};
-use crate::Unusable;
+use crate::error::CommandError;
+use crate::signals::{Signal, SignalListener};
 use nickelgw_platform::config::{NodeConfig, CONFIG_PATH_VARIABLE};
 use std::net::TcpListener;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 /// Runs a node until a signal ends it.
-pub fn run() -> Result<ExitCode, Unusable> {
+pub fn run() -> Result<ExitCode, CommandError> {
     let environment = |name: &str| std::env::var(name).ok();
-    let not_set = || Unusable(format!("{CONFIG_PATH_VARIABLE} is not set"));
+    let not_set = || CommandError(format!("{CONFIG_PATH_VARIABLE} is not set"));
     let path = PathBuf::from(environment(CONFIG_PATH_VARIABLE).ok_or_else(not_set)?);
-    let config = NodeConfig::read(&path, environment).map_err(|error| Unusable(error.to_string()))?;
+    let config = NodeConfig::read(&path, environment).map_err(|error| CommandError(error.to_string()))?;
     // Before anybody can connect: a signal that came between the two would end the process with what it had accepted.
-    let mut signals = Signals::new()?;
+    let mut signals = SignalListener::new()?;
     let listener = TcpListener::bind(&config.listen)
-        .map_err(|error| Unusable(format!("{}: cannot listen: {error}", config.listen)))?;
+        .map_err(|error| CommandError(format!("{}: cannot listen: {error}", config.listen)))?;
     let (sender, receiver) = nickelgw_platform::signal_channel();
     let forward_signals = async {
         loop {
             match signals.next().await? {
-                Signal::End => sender.request_shutdown(),
-                Signal::Renew => sender.request_reload(),
+                Signal::Terminate => sender.request_shutdown(),
+                Signal::Reload => sender.request_reload(),
             }
         }
     };
--- /dev/null
+++ b/crates/nickelgw-cli/src/rehearse/outcome.rs
@@ -0,0 +1,103 @@
+//! What came of one day, and its report as JSON.
+
+use nickelgw_audit::{AuditReport, RecordEntry, RouteStats, Rule, Violation};
+use nickelgw_rehearsal::core::script::{Script, Trouble};
+use nickelgw_rehearsal::core::series::Series;
+use nickelgw_rehearsal::report::DayReport;
+use nickelgw_settings::Day;
+use serde_json::{json, Map, Value};
+use std::collections::BTreeMap;
+
+/// Service has recovered from a trouble once it is back at this share of what it was before.
+const RECOVERED_SHARE: f64 = 0.95;
+/// Span before and after a trouble that the report has, in seconds.
+const TROUBLE_SPAN_S: usize = 10;
+
+/// What came of one day.
+pub(super) struct Outcome {
+    pub(super) day: Day,
+    seed: u64,
+    script: Script,
+    pub(super) series: Series,
+    pub(super) routes: BTreeMap<String, RouteStats>,
+    pub(super) verdict: AuditReport,
+    notes: Vec<String>,
+    pub(super) longest_stall_s: f64,
+}
+
+impl Outcome {
+    pub(super) fn from_records(
+        records: &[RecordEntry],
+        day: Day,
+        seed: u64,
+        notes: Vec<String>,
+        longest_stall_s: f64,
+    ) -> Outcome {
+        let began = records.iter().find(|record| record.event == "begin").map_or(0.0, |record| record.time_s);
+        Outcome {
+            script: Script::from_day(&day, seed),
+            series: Series::from_records(records, began, day.length_s),
+            routes: nickelgw_audit::route_stats(records),
+            verdict: nickelgw_audit::audit(records),
+            day,
+            seed,
+            notes,
+            longest_stall_s,
+        }
+    }
+
+    /// For the page.
+    pub(super) fn report(&self) -> DayReport<'_> {
+        DayReport {
+            name: &self.day.name,
+            seed: self.seed,
+            series: &self.series,
+            troubles: &self.script.troubles,
+            routes: &self.routes,
+            verdict: &self.verdict,
+            notes: &self.notes,
+        }
+    }
+
+    /// For `report.json`.
+    pub(super) fn json(&self) -> Value {
+        let verdict = &self.verdict;
+        let rules: Map<String, Value> =
+            Rule::ALL.iter().map(|rule| (rule.name().to_string(), json!(verdict.count(*rule)))).collect();
+        let routes: Map<String, Value> =
+            self.routes.iter().map(|(name, service)| (name.clone(), service_json(service))).collect();
+        let troubles: Vec<Value> =
+            self.script.troubles.iter().map(|trouble| self.trouble_json(trouble)).collect();
+        let worst = self.series.worst_window();
+        json!({"day": self.day.name, "seed": self.seed, "served": self.series.whole_day().served_fraction(),
+            "rules": rules, "routes": routes,
+            "worst_10_s": worst.map(|worst| json!({"at_s": worst.start_s, "served": worst.served_fraction})),
+            "troubles": troubles, "judged": verdict.checked, "excused_states": verdict.excused_reservations,
+            "doubted_sends": verdict.unconfirmed_removal_attempts, "nearest_cold": verdict.max_slow_start_load,
+            "breaks": verdict.violations.iter().map(violation_json).collect::<Vec<_>>(),
+            "driver_stall_s": self.longest_stall_s, "held": verdict.unattended_s.len(),
+            "held_p50_s": verdict.unattended_quantile(0.5), "held_p99_s": verdict.unattended_quantile(0.99),
+            "held_longest_s": verdict.unattended_quantile(1.0), "notes": self.notes})
+    }
+
+    /// Service in the first ten seconds of a trouble, and the time until it is back.
+    fn trouble_json(&self, trouble: &Trouble) -> Value {
+        let at = trouble.from_s as usize;
+        let after = self.series.total(at..at + TROUBLE_SPAN_S);
+        let before = self.series.total(at.saturating_sub(TROUBLE_SPAN_S)..at);
+        json!({"trouble": trouble.name, "at_s": trouble.from_s, "served_10_s": after.served_fraction(),
+            "served_before": before.served_fraction(),
+            "back_after_s": self.series.recovery_s(at, RECOVERED_SHARE)})
+    }
+}
+
+fn service_json(service: &RouteStats) -> Value {
+    json!({"taken": service.requests, "completed": service.completed, "shed": service.rejected,
+        "errored": service.failed, "in_target": service.completed_in_target, "wanted": service.distinct_requests,
+        "served": service.distinct_in_target, "left": service.client_disconnects, "cut": service.connection_failures,
+        "first_token_p50_s": service.ttft_quantile(0.5), "first_token_p99_s": service.ttft_quantile(0.99)})
+}
+
+fn violation_json(violation: &Violation) -> Value {
+    json!({"rule": violation.rule.name(), "what": violation.description, "evidence": violation.evidence})
+}
