--- a/crates/nickelgw-cli/src/bench.rs
+++ b/crates/nickelgw-cli/src/bench.rs
@@ -52,7 +52,7 @@
 }
 
 fn peer(e: &Engine) -> Peer<'_> {
-    Peer { address: &e.0, name: e.1.as_deref(), out: None }
+    Peer { address: &e.0, tls_name: e.1.as_deref(), sent: None }
 }
 
 /// Engines whose own times are small and which are never full: what is left is the node's.
@@ -107,7 +107,7 @@
                 done |= e == Event::Done;
             }
         }
-        self.pool.give_back(conn);
+        self.pool.return_connection(conn);
         done.then_some((first?, from.elapsed().as_secs_f64()))
     }
 
--- a/crates/nickelgw-node/src/background.rs
+++ b/crates/nickelgw-node/src/background.rs
@@ -1,7 +1,6 @@
-//! Runs what the scheduler of background work names, on the node's own thread; what a run takes of it is what its polls
-//! take.
+//! Runs the tasks that the background scheduler picks, on the node's own thread; a run's cost is the time of its polls.
 
-use crate::Clock;
+use crate::clock::{within, Clock};
 use async_channel::{bounded, Receiver, Sender};
 use nickelgw_background_tasks::core::{Figures, Scheduler, TaskCommand, TaskId, TaskSpec};
 use smol::{LocalExecutor, Task};
@@ -13,105 +12,131 @@
 use std::task::{Context, Poll};
 use std::time::Instant;
 
+/// Bounds of the scheduler's sleep.
+const MIN_SLEEP_S: f64 = 0.001;
+const MAX_SLEEP_S: f64 = 1.0;
+
 /// How a run ended.
-pub struct Done {
+pub struct TaskResult {
+    /// Bytes that it processed.
     pub bytes: f64,
+    /// Whether it did what it is for.
     pub done: bool,
 }
 
-type Work = Rc<dyn Fn() -> Pin<Box<dyn Future<Output = Done>>>>;
+type StartRun = Rc<dyn Fn() -> Pin<Box<dyn Future<Output = TaskResult>>>>;
+
+struct RegisteredTask {
+    name: &'static str,
+    start_run: StartRun,
+}
 
+/// The node's background tasks.
 pub struct Background {
     scheduler: RefCell<Scheduler>,
-    works: RefCell<Vec<(&'static str, Work)>>,
+    /// By [`TaskId`].
+    tasks: RefCell<Vec<RegisteredTask>>,
     runs: RefCell<HashMap<TaskId, Task<()>>>,
-    bell: (Sender<()>, Receiver<()>),
-    ex: Rc<LocalExecutor<'static>>,
+    wakeup: (Sender<()>, Receiver<()>),
+    executor: Rc<LocalExecutor<'static>>,
     clock: Clock,
 }
 
 /// Adds up the time that a future's polls take.
-struct Timed<F> {
+struct PollTimed<F> {
     inner: Pin<Box<F>>,
-    took: Rc<Cell<f64>>,
+    elapsed_s: Rc<Cell<f64>>,
 }
 
-impl<F: Future> Future for Timed<F> {
+impl<F: Future> Future for PollTimed<F> {
     type Output = F::Output;
+
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<F::Output> {
-        let began = Instant::now();
-        let p = self.inner.as_mut().poll(cx);
-        self.took.set(self.took.get() + began.elapsed().as_secs_f64());
-        p
+        let started_at = Instant::now();
+        let poll = self.inner.as_mut().poll(cx);
+        self.elapsed_s.set(self.elapsed_s.get() + started_at.elapsed().as_secs_f64());
+        poll
     }
 }
 
 impl Background {
-    pub fn new(ex: Rc<LocalExecutor<'static>>, clock: Clock, seed: u64) -> Rc<Background> {
+    /// Without tasks.
+    pub fn new(executor: Rc<LocalExecutor<'static>>, clock: Clock, seed: u64) -> Rc<Background> {
         Rc::new(Background {
             scheduler: RefCell::new(Scheduler::new(Figures::default(), seed)),
-            works: RefCell::default(),
+            tasks: RefCell::default(),
             runs: RefCell::default(),
-            bell: bounded(1),
-            ex,
+            wakeup: bounded(1),
+            executor,
             clock,
         })
     }
 
-    pub fn add<F: Future<Output = Done> + 'static>(
+    /// Registers a task; `start_run` makes the future of one run.
+    pub fn add<F: Future<Output = TaskResult> + 'static>(
         &self,
         name: &'static str,
         spec: TaskSpec,
-        work: impl Fn() -> F + 'static,
-    ) -> TaskId {
-        let id = self.scheduler.borrow_mut().add(self.clock.now(), spec);
-        self.works.borrow_mut().push((name, Rc::new(move || Box::pin(work()))));
-        id
+        start_run: impl Fn() -> F + 'static,
+    ) {
+        self.scheduler.borrow_mut().add(self.clock.now(), spec);
+        let start_run: StartRun = Rc::new(move || Box::pin(start_run()));
+        self.tasks.borrow_mut().push(RegisteredTask { name, start_run });
     }
 
-    /// Names of tasks that are overdue, and how long each has waited.
+    /// Names of overdue tasks, and how many seconds each has waited.
     pub fn overdue(&self) -> Vec<(&'static str, f64)> {
-        let works = self.works.borrow();
-        let late = self.scheduler.borrow().overdue(self.clock.now());
-        late.into_iter().filter_map(|(id, s)| Some((works.get(id.0)?.0, s))).collect()
+        let tasks = self.tasks.borrow();
+        let overdue = self.scheduler.borrow().overdue(self.clock.now());
+        overdue.into_iter().filter_map(|(id, waited_s)| Some((tasks.get(id.0)?.name, waited_s))).collect()
     }
 
-    /// Seconds that all runs have taken so far.
-    pub fn took_s(&self) -> f64 {
-        let s = self.scheduler.borrow();
-        (0..self.works.borrow().len()).map(|n| s.account(TaskId(n)).took_s).sum()
+    /// Seconds of the node's thread that all runs have taken so far.
+    pub fn elapsed_s(&self) -> f64 {
+        let scheduler = self.scheduler.borrow();
+        (0..self.tasks.borrow().len()).map(|n| scheduler.account(TaskId(n)).took_s).sum()
     }
 
+    /// Runs tasks until dropped.
     pub async fn run(self: Rc<Self>) {
         loop {
-            let (todo, wake) = self.scheduler.borrow_mut().due(self.clock.now());
-            for d in todo {
-                match d {
-                    TaskCommand::Run(id) => self.begin(id),
-                    TaskCommand::Cancel(id) => {
-                        let run = self.runs.borrow_mut().remove(&id);
-                        drop(run);
-                        tracing::warn!(task = self.works.borrow()[id.0].0, "background work was given up");
-                    }
+            let (commands, wake_at) = self.scheduler.borrow_mut().due(self.clock.now());
+            for command in commands {
+                match command {
+                    TaskCommand::Run(id) => self.start(id),
+                    TaskCommand::Cancel(id) => self.cancel(id),
                 }
             }
-            let wait = wake.map_or(1.0, |w| (w - self.clock.now()).clamp(0.001, 1.0));
-            crate::within(wait, self.bell.1.recv()).await;
+            let sleep_s = wake_at
+                .map_or(MAX_SLEEP_S, |wake_at| (wake_at - self.clock.now()).clamp(MIN_SLEEP_S, MAX_SLEEP_S));
+            within(sleep_s, self.wakeup.1.recv()).await;
         }
     }
 
-    fn begin(self: &Rc<Self>, id: TaskId) {
-        let work = self.works.borrow()[id.0].1.clone();
-        let (me, took) = (self.clone(), Rc::new(Cell::new(0.0)));
-        let run = self.ex.spawn(async move {
-            let end = Timed { inner: Box::pin(work()), took: took.clone() }.await;
-            me.scheduler.borrow_mut().ended(me.clock.now(), id, took.get(), end.bytes, end.done);
-            let _ = me.bell.0.try_send(());
-            // Its own handle: it is at its end.
-            if let Some(run) = me.runs.borrow_mut().remove(&id) {
-                run.detach();
-            }
+    fn cancel(&self, id: TaskId) {
+        let run = self.runs.borrow_mut().remove(&id);
+        drop(run);
+        tracing::warn!(task = self.tasks.borrow()[id.0].name, "background task cancelled");
+    }
+
+    fn start(self: &Rc<Self>, id: TaskId) {
+        let start_run = self.tasks.borrow()[id.0].start_run.clone();
+        let (background, elapsed_s) = (self.clone(), Rc::new(Cell::new(0.0)));
+        let run = self.executor.spawn(async move {
+            let timed = PollTimed { inner: Box::pin(start_run()), elapsed_s: elapsed_s.clone() };
+            let result = timed.await;
+            background.run_ended(id, elapsed_s.get(), &result);
         });
         self.runs.borrow_mut().insert(id, run);
     }
+
+    fn run_ended(&self, id: TaskId, elapsed_s: f64, result: &TaskResult) {
+        let now = self.clock.now();
+        self.scheduler.borrow_mut().ended(now, id, elapsed_s, result.bytes, result.done);
+        let _ = self.wakeup.0.try_send(());
+        // The run's own handle: it is at its end.
+        if let Some(run) = self.runs.borrow_mut().remove(&id) {
+            run.detach();
+        }
+    }
 }
--- /dev/null
+++ b/crates/nickelgw-node/src/client/pool.rs
@@ -0,0 +1,246 @@
+//! The connection pool: carries out what the pool's core ([`nickelgw_tls::core::pool`]) decides.
+
+use super::connect::{connect, HttpConnection, Tls};
+use super::peer::{address_of, Peer};
+use crate::clock::{seconds, within};
+use crate::tls_reload;
+use async_channel::{Receiver, Sender};
+use nickelgw_node_core::AttemptOutcome;
+use nickelgw_tls::core::pool::{
+    self, Checkout, ConnectFailure, ConnectionId, Figures, PoolCommand, WaiterId,
+};
+use nickelgw_tls::{TlsEvent, TlsFailure};
+use smol::{LocalExecutor, Timer};
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::Instant;
+
+/// Bounds of the sleep between two runs of the pool's own timeouts.
+const MIN_SLEEP_S: f64 = 0.01;
+const MAX_SLEEP_S: f64 = 0.25;
+
+/// A connection checked out for a call. Dropped in the middle of the call it closes, by which the peer knows that
+/// nobody waits any more.
+pub struct Connection {
+    pool: Rc<Pool>,
+    pool_key: String,
+    id: ConnectionId,
+    pub(super) http: Option<HttpConnection>,
+    /// Opened for this call: nothing was ever answered on it.
+    pub(super) is_new: bool,
+}
+
+impl Connection {
+    /// Tells the pool that the peer refused this node's certificate after the handshake.
+    pub(super) fn certificate_rejected(&self) {
+        self.pool.core.borrow_mut().broke(self.pool.now(), &self.pool_key, ConnectFailure::Untrusted);
+        tracing::warn!(engine = self.pool_key, "client certificate rejected or missing");
+    }
+}
+
+impl Drop for Connection {
+    fn drop(&mut self) {
+        if self.http.take().is_some() {
+            self.pool.core.borrow_mut().closed(self.pool.now(), &self.pool_key, self.id);
+            self.pool.run_ready();
+        }
+    }
+}
+
+/// A call that waits for a connection. Dropped, it leaves the queue and returns a connection it was granted but has not
+/// picked up.
+struct Waiter<'a> {
+    pool: &'a Pool,
+    pool_key: &'a str,
+    /// `None` once the core knows that the wait is over.
+    id: Option<WaiterId>,
+    granted: Option<Receiver<Checkout>>,
+}
+
+impl Drop for Waiter<'_> {
+    fn drop(&mut self) {
+        let Some(waiter) = self.id else { return };
+        let now = self.pool.now();
+        self.pool.waiters.borrow_mut().remove(&waiter);
+        match self.granted.as_ref().and_then(|granted| granted.try_recv().ok()) {
+            Some(Checkout::Reuse(id)) => self.pool.core.borrow_mut().returned(now, self.pool_key, id),
+            _ => self.pool.core.borrow_mut().gave_up(now, waiter),
+        }
+        self.pool.run_ready();
+    }
+}
+
+/// Connections to all peers.
+pub struct Pool {
+    executor: Rc<LocalExecutor<'static>>,
+    core: RefCell<pool::Pool>,
+    idle: RefCell<HashMap<ConnectionId, HttpConnection>>,
+    waiters: RefCell<HashMap<WaiterId, Sender<Checkout>>>,
+    next_waiter: Cell<u64>,
+    started_at: Instant,
+    connect_timeout_s: f64,
+    /// `None`: all connections are plain.
+    pub tls: Option<Tls>,
+}
+
+impl Pool {
+    /// An empty pool.
+    pub fn new(
+        executor: Rc<LocalExecutor<'static>>,
+        connect_timeout_s: f64,
+        config: Figures,
+        tls: Option<Tls>,
+    ) -> Rc<Pool> {
+        let mut core = pool::Pool::new(config);
+        core.rotate(0.0, generation(tls.as_ref()));
+        Rc::new(Pool {
+            executor,
+            core: RefCell::new(core),
+            idle: RefCell::default(),
+            waiters: RefCell::default(),
+            next_waiter: Cell::new(0),
+            started_at: Instant::now(),
+            connect_timeout_s,
+            tls,
+        })
+    }
+
+    fn now(&self) -> f64 {
+        self.started_at.elapsed().as_secs_f64()
+    }
+
+    /// Reloads the TLS files; connections of an earlier generation are retired.
+    pub async fn reload_tls(&self) {
+        let Some(tls) = self.tls.clone() else { return };
+        let events = tls_reload::reload("engines", tls.0.clone(), nickelgw_tls::Client::look).await;
+        let is_reloaded =
+            events.iter().any(|event| !matches!(event, TlsEvent::Unreadable(_) | TlsEvent::Refused(_)));
+        if let Some((_, generation)) = tls.config().filter(|_| is_reloaded) {
+            self.core.borrow_mut().rotate(self.now(), generation);
+        }
+    }
+
+    /// Closes idle and retired connections as their times pass; runs until dropped.
+    pub async fn run(self: Rc<Self>) {
+        loop {
+            let (commands, wake_at) = self.core.borrow_mut().due(self.now());
+            self.run_commands(commands);
+            let sleep_s = wake_at.map_or(MAX_SLEEP_S, |at| (at - self.now()).clamp(MIN_SLEEP_S, MAX_SLEEP_S));
+            Timer::after(seconds(sleep_s)).await;
+        }
+    }
+
+    fn run_ready(&self) {
+        let commands = self.core.borrow_mut().ready();
+        self.run_commands(commands);
+    }
+
+    fn run_commands(&self, commands: Vec<PoolCommand>) {
+        for command in commands {
+            match command {
+                PoolCommand::Close(connection) => drop(self.idle.borrow_mut().remove(&connection)),
+                PoolCommand::Notify(waiter, checkout) => {
+                    let granted = self.waiters.borrow_mut().remove(&waiter);
+                    // The channel holds the one answer; where nobody reads it any more, the waiter's drop returns it.
+                    if let Some(granted) = granted {
+                        let _ = granted.try_send(checkout);
+                    }
+                }
+            }
+        }
+    }
+
+    /// Closes the idle connections of all other addresses.
+    pub fn retain_addresses(&self, is_wanted: impl Fn(&str) -> bool) {
+        self.core.borrow_mut().keep_only(|pool_key| is_wanted(address_of(pool_key)));
+        self.run_ready();
+    }
+
+    /// A connection to the peer, reused or new, once the core grants one.
+    pub(super) async fn checkout(self: &Rc<Self>, peer: Peer<'_>) -> Result<Connection, AttemptOutcome> {
+        let pool_key = peer.pool_key();
+        let waiter_id = WaiterId(self.next_waiter.replace(self.next_waiter.get() + 1));
+        let mut checkout = self.core.borrow_mut().want(self.now(), &pool_key, waiter_id);
+        let mut waiter = Waiter { pool: self, pool_key: &pool_key, id: Some(waiter_id), granted: None };
+        if checkout == Checkout::Wait {
+            let (sender, granted) = async_channel::bounded(1);
+            self.waiters.borrow_mut().insert(waiter_id, sender);
+            waiter.granted = Some(granted.clone());
+            // What is granted at the last moment goes to the next in the queue, by the waiter's drop.
+            let Some(Ok(granted)) = within(self.connect_timeout_s, granted.recv()).await else {
+                return Err(AttemptOutcome::ConnectFailed);
+            };
+            checkout = granted;
+        }
+        match checkout {
+            Checkout::Reuse(id) => {
+                waiter.id = None;
+                let http = self.idle.borrow_mut().remove(&id).filter(|http| !http.sender.is_closed());
+                if http.is_some() {
+                    drop(waiter);
+                    return Ok(Connection { pool: self.clone(), pool_key, id, http, is_new: false });
+                }
+                self.core.borrow_mut().closed(self.now(), &pool_key, id);
+                self.run_ready();
+                Box::pin(self.checkout(peer)).await
+            }
+            Checkout::Open => {
+                let opened = self.open(peer, waiter).await?;
+                Ok(Connection {
+                    pool: self.clone(),
+                    pool_key,
+                    id: opened.0,
+                    http: Some(opened.1),
+                    is_new: true,
+                })
+            }
+            Checkout::Rejected | Checkout::Wait => {
+                waiter.id = None;
+                Err(AttemptOutcome::ConnectFailed)
+            }
+        }
+    }
+
+    async fn open(
+        &self,
+        peer: Peer<'_>,
+        mut waiter: Waiter<'_>,
+    ) -> Result<(ConnectionId, HttpConnection), AttemptOutcome> {
+        let waiter_id = waiter.id.ok_or(AttemptOutcome::ConnectFailed)?;
+        let generation = generation(self.tls.as_ref());
+        let opened = within(self.connect_timeout_s, connect(&self.executor, self.tls.as_ref(), peer)).await;
+        let opened = opened.unwrap_or_else(|| Err(TlsFailure::Connection("timed out".into())));
+        waiter.id = None;
+        match opened {
+            Ok(http) => {
+                let id = self.core.borrow_mut().opened(self.now(), waiter_id, generation);
+                self.run_ready();
+                Ok((id.ok_or(AttemptOutcome::ConnectFailed)?, http))
+            }
+            Err(why) => {
+                tracing::debug!(engine = waiter.pool_key, ?why, "connect failed");
+                self.core.borrow_mut().failed(self.now(), waiter_id, why.failure());
+                self.run_ready();
+                Err(AttemptOutcome::ConnectFailed)
+            }
+        }
+    }
+
+    /// Returns a connection whose last response was read to its end, for the next call.
+    pub fn return_connection(&self, mut connection: Connection) {
+        let Some(http) = connection.http.take() else { return };
+        if http.sender.is_closed() {
+            self.core.borrow_mut().closed(self.now(), &connection.pool_key, connection.id);
+        } else {
+            self.idle.borrow_mut().insert(connection.id, http);
+            self.core.borrow_mut().returned(self.now(), &connection.pool_key, connection.id);
+        }
+        self.run_ready();
+    }
+}
+
+/// Generation of the TLS configuration in force; 0: none.
+fn generation(tls: Option<&Tls>) -> u64 {
+    tls.and_then(Tls::config).map_or(0, |(_, generation)| generation)
+}
--- /dev/null
+++ b/crates/nickelgw-node/src/discovery/registry_watch.rs
@@ -0,0 +1,159 @@
+//! Follows the engines of a registry: reads them whole, then watches for changes.
+
+use super::registry_client::{RegistryClient, CALL_TIMEOUT_S};
+use crate::clock::{seconds, within, Clock};
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+use nickelgw_registry::core::follow::{Figures, ReadVerdict, RegistryWatch, WatchCommand};
+use nickelgw_registry::wire;
+use smol::Timer;
+use std::ops::ControlFlow;
+use std::rc::Rc;
+
+/// Longest line of a watch's stream.
+const MAX_LINE_BYTES: usize = 16 << 20;
+/// Longest sleep between two looks at the watch's state.
+const MAX_SLEEP_S: f64 = 0.5;
+
+impl RegistryClient {
+    fn clock(&self) -> Clock {
+        self.directory.clock
+    }
+
+    /// Follows the engines until dropped.
+    pub async fn follow_engines(self: Rc<Self>, seed: u64) {
+        let mut watch = RegistryWatch::new(Figures::default(), self.options.endpoints.len(), seed);
+        loop {
+            let (commands, wake_at) = watch.due(self.clock().now());
+            // Commands take their time, a watch hours: after them the next wake is computed anew.
+            let is_idle = commands.is_empty();
+            for command in commands {
+                match command {
+                    WatchCommand::Read { endpoint } => self.read_engines(&mut watch, endpoint).await,
+                    WatchCommand::Watch { endpoint, from } => {
+                        self.watch_engines(&mut watch, endpoint, from).await
+                    }
+                    // An open watch was dropped with its future.
+                    WatchCommand::CloseWatch => {}
+                }
+            }
+            if is_idle {
+                let sleep_s = (wake_at - self.clock().now()).clamp(0.0, MAX_SLEEP_S);
+                Timer::after(seconds(sleep_s)).await;
+            }
+        }
+    }
+
+    async fn read_engines(&self, watch: &mut RegistryWatch, endpoint: usize) {
+        let prefix = &self.options.engines;
+        let response = self.call(endpoint, "/v3/kv/range", &wire::range(prefix)).await;
+        let range = match response.and_then(|body| wire::plain::<wire::Ranged>(&body)) {
+            Ok(range) => range,
+            Err(error) => {
+                tracing::warn!(%error, endpoint, "registry read failed");
+                return watch.failed(self.clock().now());
+            }
+        };
+        let revision = range.header.revision.max(0) as u64;
+        let verdict = watch.read(self.clock().now(), revision, &range.header.cluster_id);
+        let (entries, malformed) = wire::engines(prefix, &range.kvs);
+        if malformed > 0 {
+            tracing::warn!(malformed, "malformed registry entries skipped");
+        }
+        if verdict != ReadVerdict::Stale {
+            let rolled_back = verdict == ReadVerdict::RolledBack;
+            self.directory.replace_all(revision, entries, rolled_back).await;
+        }
+    }
+
+    /// Opens a watch from a revision on; `None`: it failed.
+    async fn open_watch(&self, endpoint: usize, from: u64) -> Option<WatchStream> {
+        let body = wire::watch(&self.options.engines, from);
+        let is_signed_in = self.sign_in(endpoint).await.is_ok();
+        let request = self.request(endpoint, "/v3/watch", &body).filter(|_| is_signed_in)?;
+        let call = self.directory.engines.pool.call(self.peer(endpoint), &request);
+        let (response, connection) = within(CALL_TIMEOUT_S, call).await?.ok()?;
+        let is_ok = response.status() == 200;
+        is_ok.then(|| WatchStream { body: response.into_body(), buffer: Vec::new(), _connection: connection })
+    }
+
+    /// Watches until the stream breaks or is silent, or its revision was compacted.
+    async fn watch_engines(&self, watch: &mut RegistryWatch, endpoint: usize, from: u64) {
+        let Some(mut stream) = self.open_watch(endpoint, from).await else {
+            return watch.failed(self.clock().now());
+        };
+        loop {
+            if !stream.read_more().await {
+                return watch.failed(self.clock().now());
+            }
+            while let Some(line) = stream.next_line() {
+                let Ok(message) = wire::streamed::<wire::Watched>(&line) else {
+                    return watch.failed(self.clock().now());
+                };
+                if self.handle_message(watch, &message).await.is_break() {
+                    return;
+                }
+            }
+        }
+    }
+
+    /// Break: the watch is over, and `watch` knows why.
+    async fn handle_message(&self, watch: &mut RegistryWatch, message: &wire::Watched) -> ControlFlow<()> {
+        let now = || self.clock().now();
+        if message.compact_revision > 0 {
+            watch.was_compacted(now());
+            return ControlFlow::Break(());
+        }
+        if message.canceled {
+            watch.failed(now());
+            return ControlFlow::Break(());
+        }
+        let revision = message.header.revision.max(0) as u64;
+        if !watch.is_same(now(), &message.header.cluster_id) {
+            return ControlFlow::Break(());
+        }
+        if message.created && revision >= watch.revision() {
+            // The revision at which a watch is created is no progress yet: earlier events may follow.
+            return ControlFlow::Continue(());
+        }
+        if message.events.is_empty() {
+            if !watch.heard(now(), revision) {
+                return ControlFlow::Break(());
+            }
+            self.directory.view.borrow_mut().progress(revision);
+            return ControlFlow::Continue(());
+        }
+        let events = wire::events(&self.options.engines, &message.events);
+        self.directory.view.borrow_mut().apply_events(now(), revision, events);
+        if !watch.heard(now(), revision) {
+            return ControlFlow::Break(());
+        }
+        self.directory.reconcile().await;
+        ControlFlow::Continue(())
+    }
+}
+
+/// The stream of a watch, a JSON message a line.
+struct WatchStream {
+    body: Incoming,
+    buffer: Vec<u8>,
+    /// Kept open while the stream is read.
+    _connection: crate::client::Connection,
+}
+
+impl WatchStream {
+    /// Reads a frame; false when the stream has ended, is silent, or has too long a line.
+    async fn read_more(&mut self) -> bool {
+        let silence_timeout_s = Figures::default().silent_s;
+        let Some(Some(Ok(frame))) = within(silence_timeout_s, self.body.frame()).await else { return false };
+        if let Some(data) = frame.data_ref() {
+            self.buffer.extend_from_slice(data);
+        }
+        self.buffer.len() <= MAX_LINE_BYTES
+    }
+
+    fn next_line(&mut self) -> Option<Vec<u8>> {
+        let end = self.buffer.iter().position(|byte| *byte == b'\n')?;
+        Some(self.buffer.drain(..=end).collect())
+    }
+}
--- /dev/null
+++ b/crates/nickelgw-node/src/engines/mod.rs
@@ -0,0 +1,117 @@
+//! Calls to engines: attempts, probes and releases, each reported to the event loop as it ends.
+
+mod attempt;
+mod decode_stream;
+
+pub use attempt::Attempt;
+
+use crate::client::{Peer, Pool};
+use crate::clock::within;
+use crate::events::{Event, TimedEvent};
+use crate::limits::Limits;
+use async_channel::Sender;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::header::{HeaderMap, HOST};
+use hyper::http::request::Builder;
+use hyper::{Method, Request};
+use nickelgw_node_core::ledger::ReservationId;
+use nickelgw_node_core::{AttemptOutcome, Endpoint, Reservation};
+use nickelgw_protocol::load::LoadReport;
+use nickelgw_protocol::{LOAD, LOAD_FORMAT, NODE, ZONE};
+use std::cell::Cell;
+use std::rc::Rc;
+
+/// Calls engines on behalf of one node.
+pub struct EngineClient {
+    /// Connections to engines, and to the sources of the endpoint list.
+    pub pool: Rc<Pool>,
+    node: String,
+    zone: String,
+    limits: Rc<Limits>,
+    events: Sender<TimedEvent>,
+}
+
+/// The load report in an engine's response. One that cannot be parsed is ignored: the response counts without it.
+fn load_report(headers: &HeaderMap) -> Option<LoadReport> {
+    LoadReport::parse(headers.get(LOAD)?.to_str().ok()?).ok()
+}
+
+impl EngineClient {
+    /// A client for the node of this name and zone.
+    pub fn new(
+        pool: Rc<Pool>,
+        node: &str,
+        zone: &str,
+        limits: Rc<Limits>,
+        events: Sender<TimedEvent>,
+    ) -> Rc<EngineClient> {
+        Rc::new(EngineClient { pool, node: node.into(), zone: zone.into(), limits, events })
+    }
+
+    fn peer<'a>(&self, endpoint: &'a Endpoint, sent: Option<&'a Cell<bool>>) -> Peer<'a> {
+        let host = || endpoint.address.rsplit_once(':').map_or(&*endpoint.address, |(host, _)| host);
+        let tls_name = || endpoint.tls_name.as_deref().unwrap_or_else(host);
+        Peer { address: &endpoint.address, tls_name: self.pool.tls.is_some().then(tls_name), sent }
+    }
+
+    /// A request with the headers that every call of the node carries.
+    pub fn request(&self, method: Method, address: &str, path: &str) -> Builder {
+        let builder = Request::builder().method(method).uri(path).header(HOST, address);
+        builder.header(NODE, &self.node).header(ZONE, &self.zone).header(LOAD_FORMAT, "JSON")
+    }
+
+    /// A full queue holds the task up; an event is never dropped.
+    async fn report(&self, event: Event) {
+        let _ = self.events.send(TimedEvent::new(event)).await;
+    }
+
+    /// A short call without a body; fails after the probe timeout.
+    async fn short_call(
+        &self,
+        method: Method,
+        endpoint: &Endpoint,
+        path: &str,
+    ) -> Result<(u16, HeaderMap, Bytes), AttemptOutcome> {
+        let request = self.request(method, &endpoint.address, path).body(Full::default());
+        let request = request.map_err(|_| AttemptOutcome::ConnectFailed)?;
+        let fetch = self.pool.fetch(self.peer(endpoint, None), &request);
+        within(self.limits.probe_timeout_s, fetch).await.unwrap_or(Err(AttemptOutcome::TimedOut))
+    }
+
+    /// Probes the engine's health.
+    pub async fn probe(self: Rc<Self>, endpoint: Rc<Endpoint>) {
+        let (outcome, load) = match self.short_call(Method::GET, &endpoint, "/health").await {
+            Err(outcome) => (outcome, None),
+            Ok((200, headers, _)) => (AttemptOutcome::Completed, load_report(&headers)),
+            Ok((status, headers, body)) => {
+                (AttemptOutcome::from_status(status, &body), load_report(&headers))
+            }
+        };
+        self.report(Event::ProbeFinished { endpoint, outcome, load }).await;
+    }
+
+    /// Whether an engine responds to a probe at all, with whatever status.
+    pub async fn is_reachable(&self, endpoint: &Endpoint) -> bool {
+        self.short_call(Method::GET, endpoint, "/health").await.is_ok()
+    }
+
+    /// Releases what earlier processes of this node reserved at a prefill engine; `incarnation`: this process, whose
+    /// reservations stay.
+    pub async fn release_orphans(self: Rc<Self>, endpoint: Rc<Endpoint>, incarnation: String) {
+        let path = format!("/v1/states?except={incarnation}");
+        let response = self.short_call(Method::DELETE, &endpoint, &path).await;
+        // An engine that does not know the call will not learn it: its own limit frees them.
+        let done = matches!(response, Ok((200 | 204 | 404 | 405 | 501, _, _)));
+        self.report(Event::OrphanCleanupFinished { endpoint, done }).await;
+    }
+
+    /// Releases a reservation at its prefill engine.
+    pub async fn release(self: Rc<Self>, reservation_id: ReservationId, reservation: Reservation) {
+        let path = format!("/v1/states/{}", reservation.name);
+        let response = self.short_call(Method::DELETE, &reservation.prefill_engine, &path).await;
+        // Not found counts as released: it was fetched, or never there.
+        let done = matches!(response, Ok((200 | 204 | 404, _, _)));
+        self.report(Event::ReleaseFinished { reservation_id, done }).await;
+    }
+}
--- a/crates/nickelgw-node/src/gossip.rs
+++ b/crates/nickelgw-node/src/gossip.rs
@@ -1,80 +1,114 @@
-//! Carries between the core and the other nodes of the fleet: their records in, this node's out, a round at a time.
+//! Runs the gossip protocol for the core: records of other nodes in, this node's record out, a round at a time.
 
-use crate::event_loop::{Event, TimedEvent};
-use crate::{seconds, Clock};
+use crate::clock::{seconds, Clock};
+use crate::events::{Event, TimedEvent};
 use async_channel::{bounded, Receiver, Sender};
 use nickelgw_gossip::core::Gossip;
+use nickelgw_zones::core::ZoneConfig;
 use smol::net::UdpSocket;
 use smol::Timer;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// How a node is one of a fleet.
+/// How a node takes part in a fleet.
 pub struct GossipOptions {
+    /// The protocol's state, with this node's own record.
     pub gossip: Gossip,
-    pub zones: nickelgw_zones::core::ZoneConfig,
+    /// How zones fail over.
+    pub zones: ZoneConfig,
+    /// Where datagrams come in.
     pub sockets: GossipSockets,
 }
 
+/// The UDP socket of the gossip.
 pub struct GossipSockets {
-    /// Bound already, or later: the process before may have it still.
+    /// Bound already, or bound later: the process before may hold the address still.
     pub socket: Option<std::net::UdpSocket>,
+    /// Address to bind.
     pub listen: String,
 }
 
-/// The address is tried again after so long.
-const BIND_S: f64 = 0.1;
+/// Delay before a failed bind is retried.
+const BIND_RETRY_S: f64 = 0.1;
+/// Part of a round that passes at least before the next, whatever other nodes report meanwhile.
+const MIN_ROUND_SHARE: f64 = 0.25;
 
-/// Until dropped, or until the node listens no more: who takes over tells the others from then on. `new`: something was met,
-/// here or by another node, that is looked at without waiting for the round.
-pub async fn run(
-    sockets: GossipSockets,
-    accord: Rc<RefCell<Gossip>>,
-    to_core: Sender<TimedEvent>,
-    clock: Clock,
-    closing: Receiver<()>,
-    (new, heard): (Sender<()>, Receiver<()>),
-    whole: Rc<Cell<bool>>,
-) {
+/// Carries gossip between the sockets and the event loop.
+pub struct GossipTask {
+    /// The protocol's state.
+    pub gossip: Rc<RefCell<Gossip>>,
+    /// The event loop's queue.
+    pub events: Sender<TimedEvent>,
+    /// The node's clock.
+    pub clock: Clock,
+    /// Closed when the node stops listening: from then on its successor publishes.
+    pub stop: Receiver<()>,
+    /// A failure was observed here or by another node; the next round does not wait for it.
+    pub urgent: (Sender<()>, Receiver<()>),
+    /// Set each round: no zone is evacuated or recovering.
+    pub all_zones_active: Rc<Cell<bool>>,
+}
+
+/// The socket, once its address is free; `None`: it cannot be used.
+async fn bind(sockets: GossipSockets) -> Option<UdpSocket> {
     let mut socket = sockets.socket;
     while socket.is_none() {
         socket = std::net::UdpSocket::bind(&sockets.listen).ok();
         if socket.is_none() {
-            Timer::after(seconds(BIND_S)).await;
+            Timer::after(seconds(BIND_RETRY_S)).await;
         }
     }
-    let bound = socket.and_then(|s| smol::Async::<std::net::UdpSocket>::try_from(s).ok());
-    let Some(socket) = bound.map(UdpSocket::from) else { return };
-    let (tell, told) = bounded(1);
-    let round_s = accord.borrow().round_s();
-    let carry = nickelgw_gossip::run(socket, accord.clone(), clock.0, told, new);
-    let rounds = async {
+    socket.and_then(|socket| smol::Async::try_from(socket).ok()).map(UdpSocket::from)
+}
+
+impl GossipTask {
+    /// Runs until dropped, or until the node stops listening.
+    pub async fn run(self, sockets: GossipSockets) {
+        let Some(socket) = bind(sockets).await else { return };
+        let (send_now, send_requested) = bounded(1);
+        let exchange = nickelgw_gossip::run(
+            socket,
+            self.gossip.clone(),
+            self.clock.origin(),
+            send_requested,
+            self.urgent.0.clone(),
+        );
+        let stopped = async {
+            let _ = self.stop.recv().await;
+        };
+        futures_lite::future::or(stopped, futures_lite::future::or(exchange, self.run_rounds(send_now)))
+            .await;
+    }
+
+    async fn run_rounds(&self, send_now: Sender<()>) {
+        let round_s = self.gossip.borrow().round_s();
         loop {
-            let others = accord.borrow().zone_peers(clock.now());
-            let (to, told) = bounded(1);
-            if to_core.send(TimedEvent::new(Event::ZoneRound { others, to })).await.is_err() {
+            let peers = self.gossip.borrow().zone_peers(self.clock.now());
+            let (reply_to, replied) = bounded(1);
+            let event = TimedEvent::new(Event::ZoneRound { peers, reply_to });
+            if self.events.send(event).await.is_err() {
                 return;
             }
-            if let Ok(round) = told.recv().await {
-                whole.set(round.all_zones_active);
-                accord.borrow_mut().publish(clock.now(), round.reports, round.urgent);
+            if let Ok(round) = replied.recv().await {
+                self.all_zones_active.set(round.all_zones_active);
+                self.gossip.borrow_mut().publish(self.clock.now(), round.reports, round.urgent);
                 if round.urgent {
-                    let _ = tell.try_send(());
+                    let _ = send_now.try_send(());
                 }
             }
-            // What others have just met is looked at without waiting for the round, but not at every datagram.
-            Timer::after(seconds(round_s / 4.0)).await;
-            let next = async {
-                Timer::after(seconds(round_s * 0.75)).await;
-            };
-            let news = async {
-                let _ = heard.recv().await;
-            };
-            futures_lite::future::or(news, next).await;
+            self.wait_for_next_round(round_s).await;
         }
-    };
-    let closed = async {
-        let _ = closing.recv().await;
-    };
-    futures_lite::future::or(closed, futures_lite::future::or(carry, rounds)).await;
+    }
+
+    /// Urgent observations of other nodes end the wait early, but not at every datagram.
+    async fn wait_for_next_round(&self, round_s: f64) {
+        Timer::after(seconds(round_s * MIN_ROUND_SHARE)).await;
+        let round_ended = async {
+            Timer::after(seconds(round_s * (1.0 - MIN_ROUND_SHARE))).await;
+        };
+        let urgent = async {
+            let _ = self.urgent.1.recv().await;
+        };
+        futures_lite::future::or(urgent, round_ended).await;
+    }
 }
--- a/crates/nickelgw-node/src/latency_metrics.rs
+++ b/crates/nickelgw-node/src/latency_metrics.rs
@@ -1,37 +1,60 @@
-//! What a node measures of itself.
+//! Latencies that a node measures of itself.
 
 use hdrhistogram::Histogram;
+use serde_json::{json, Value};
 use std::time::Duration;
 
+/// Longest latency that is told apart, in nanoseconds.
+const MAX_LATENCY_NS: u64 = 100_000_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
+
+/// Histograms of the event loop's latencies, in nanoseconds.
 pub struct LatencyMetrics {
-    /// From the event's reading at its socket to the end of the core's decision on it.
+    /// From an event's reading at its socket to the end of the core's decision on it.
     pub to_decision: Histogram<u64>,
-    /// One call for decisions: the core's part and the module's.
-    pub act: Histogram<u64>,
-    /// A round of the driver: words heard, decisions, what they ask for begun.
-    pub round: Histogram<u64>,
-    pub words: u64,
+    /// One call of the core for its commands, decisions included.
+    pub poll_commands: Histogram<u64>,
+    /// One iteration of the event loop: events handled, decisions, commands started.
+    pub iteration: Histogram<u64>,
+    /// Events handled.
+    pub events: u64,
 }
 
 impl Default for LatencyMetrics {
     fn default() -> Self {
-        let h = Histogram::new_with_bounds(1, 100_000_000_000, 3).expect("a valid range");
-        LatencyMetrics { to_decision: h.clone(), act: h.clone(), round: h, words: 0 }
+        let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_NS, SIGNIFICANT_DIGITS);
+        let histogram = histogram.expect("constant bounds are valid");
+        LatencyMetrics {
+            to_decision: histogram.clone(),
+            poll_commands: histogram.clone(),
+            iteration: histogram,
+            events: 0,
+        }
     }
 }
 
 impl LatencyMetrics {
     /// Quantiles in microseconds, as JSON.
-    pub fn json(&self) -> serde_json::Value {
-        let of = |h: &Histogram<u64>| {
-            let us = |q: f64| h.value_at_quantile(q) as f64 / 1e3;
-            serde_json::json!({"p50_us": us(0.5), "p99_us": us(0.99), "max_us": us(1.0), "count": h.len()})
-        };
-        serde_json::json!({"words": self.words, "to_decision": of(&self.to_decision), "act": of(&self.act),
-            "round": of(&self.round)})
+    pub fn json(&self) -> Value {
+        json!({
+            "words": self.events,
+            "to_decision": quantiles(&self.to_decision),
+            "act": quantiles(&self.poll_commands),
+            "round": quantiles(&self.iteration),
+        })
     }
 
-    pub(crate) fn note(h: &mut Histogram<u64>, d: Duration) {
-        h.saturating_record(d.as_nanos().min(u64::MAX as u128) as u64);
+    pub(crate) fn record(histogram: &mut Histogram<u64>, latency: Duration) {
+        histogram.saturating_record(latency.as_nanos().min(u64::MAX as u128) as u64);
     }
 }
+
+fn quantiles(histogram: &Histogram<u64>) -> Value {
+    let microseconds = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1e3;
+    json!({
+        "p50_us": microseconds(0.5),
+        "p99_us": microseconds(0.99),
+        "max_us": microseconds(1.0),
+        "count": histogram.len(),
+    })
+}
--- a/crates/nickelgw-node/src/persistence.rs
+++ b/crates/nickelgw-node/src/persistence.rs
@@ -1,176 +1,203 @@
-//! The node's file: what the shelf wants written is written on a thread that may wait, and who waits is told.
+//! The node's store: writes are buffered, committed in batches on a thread that may block, and confirmed to those who
+//! wait.
 
-use crate::{unix_now, Clock};
+use crate::clock::{unix_now, within, Clock};
 use async_channel::{bounded, Receiver, Sender};
-use nickelgw_store::core::write_buffer::{Figures, RestoredRecord, Waiter, WriteBuffer};
+use nickelgw_store::core::write_buffer::{Figures, RestoredRecord, StoreCounters, Waiter, WriteBuffer};
 use nickelgw_store::core::RecordKind;
-use nickelgw_store::{open_or_begin, Problem, Store};
+use nickelgw_store::{open_or_begin, Problem, Records, Store};
 use smol::Timer;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// How long the file of a process that hands over may stay locked, and how often that is checked.
+const LOCK_TIMEOUT: Duration = Duration::from_secs(2);
+const LOCK_POLL: Duration = Duration::from_millis(20);
+/// Bounds of the sleep between commits.
+const MIN_SLEEP_S: f64 = 0.0005;
+const MAX_SLEEP_S: f64 = 1.0;
+/// The flush at the process's end is bounded by these.
+const FLUSH_ATTEMPTS: usize = 200;
+const FLUSH_RETRY: Duration = Duration::from_millis(10);
+
+/// Writes one store file.
 pub struct StoreWriter {
-    shelf: RefCell<WriteBuffer>,
+    buffer: RefCell<WriteBuffer>,
     store: RefCell<Option<Arc<Store>>>,
     path: Option<PathBuf>,
     waiters: RefCell<HashMap<Waiter, Sender<bool>>>,
-    next: Cell<u64>,
-    bell: (Sender<()>, Receiver<()>),
-    /// Given up to the process that takes over.
+    next_waiter: Cell<u64>,
+    wakeup: (Sender<()>, Receiver<()>),
+    /// The file is closed, for the process that takes over.
     released: Cell<bool>,
     clock: Clock,
 }
 
-/// A process that hands over needs a moment to let go of the file.
-const LET_GO: Duration = Duration::from_secs(2);
+/// Opens the store, waiting a little for another process to release it.
+fn open_when_unlocked(path: &Path) -> (Option<Store>, Records, Option<Problem>) {
+    let started_at = Instant::now();
+    loop {
+        let opened = open_or_begin(path);
+        if !matches!(opened.2, Some(Problem::Locked)) || started_at.elapsed() > LOCK_TIMEOUT {
+            return opened;
+        }
+        std::thread::sleep(LOCK_POLL);
+    }
+}
 
 impl StoreWriter {
-    /// Opens the file; blocking, before anything is served.
+    /// Opens the file and loads its records; blocking, before anything is served.
     pub fn open(path: Option<PathBuf>, clock: Clock) -> (Rc<StoreWriter>, Vec<RestoredRecord>) {
-        let mut shelf = WriteBuffer::new(Figures::default());
-        let (mut store, mut found) = (None, Vec::new());
+        let mut buffer = WriteBuffer::new(Figures::default());
+        let (mut store, mut restored) = (None, Vec::new());
         if let Some(path) = &path {
-            let from = Instant::now();
-            let (s, records, problem) = loop {
-                let opened = open_or_begin(path);
-                if !matches!(opened.2, Some(Problem::Locked)) || from.elapsed() > LET_GO {
-                    break opened;
-                }
-                std::thread::sleep(Duration::from_millis(20));
-            };
+            let (opened, records, problem) = open_when_unlocked(path);
+            let file = path.display();
             match &problem {
-                Some(p @ Problem::Damaged(_)) => {
-                    tracing::warn!(file = %path.display(), "the store is {p}; it is put aside, nothing of it is used")
+                Some(problem @ Problem::Damaged(_)) => {
+                    tracing::warn!(%file, %problem, "store corrupt; moved aside and not used")
                 }
-                Some(p) => tracing::warn!(file = %path.display(), "the store is {p}; nothing is kept"),
+                Some(problem) => tracing::warn!(%file, %problem, "store unavailable; nothing is persisted"),
                 None => {}
             }
-            found = shelf.restore(clock.now(), unix_now(), records);
-            store = s.map(Arc::new);
-            tracing::info!(records = found.len(), unsound = shelf.counters.damaged, "the store was read");
+            restored = buffer.restore(clock.now(), unix_now(), records);
+            store = opened.map(Arc::new);
+            tracing::info!(records = restored.len(), corrupt = buffer.counters.damaged, "store loaded");
         }
-        let keeper = StoreWriter {
-            shelf: RefCell::new(shelf),
+        let writer = StoreWriter {
+            buffer: RefCell::new(buffer),
             store: RefCell::new(store),
             path,
             waiters: RefCell::default(),
-            next: Cell::new(0),
-            bell: bounded(1),
+            next_waiter: Cell::new(0),
+            wakeup: bounded(1),
             released: Cell::new(false),
             clock,
         };
-        (Rc::new(keeper), found)
+        (Rc::new(writer), restored)
     }
 
+    /// The clock that the store's writes are timed by.
     pub fn now(&self) -> f64 {
         self.clock.now()
     }
 
-    /// Another process has the file now, or is about to: what must be on disk before it runs cannot run here.
+    /// Another process has the file, or is about to: what must be on disk before it runs cannot run here.
     pub fn is_released(&self) -> bool {
         self.released.get()
     }
 
+    fn is_open(&self) -> bool {
+        self.store.borrow().is_some()
+    }
+
+    fn wake(&self) {
+        let _ = self.wakeup.0.try_send(());
+    }
+
+    /// Buffers a record.
     pub fn put(&self, kind: RecordKind, key: &[u8], value: &[u8]) {
-        if self.store.borrow().is_some() {
-            self.shelf.borrow_mut().put(self.clock.now(), unix_now(), (kind, key), value, None);
-            let _ = self.bell.0.try_send(());
+        if self.is_open() {
+            self.buffer.borrow_mut().put(self.clock.now(), unix_now(), (kind, key), value, None);
+            self.wake();
         }
     }
 
+    /// Buffers a record's removal.
     pub fn remove(&self, kind: RecordKind, key: &[u8]) {
-        self.shelf.borrow_mut().remove(self.clock.now(), kind, key);
+        self.buffer.borrow_mut().remove(self.clock.now(), kind, key);
     }
 
-    /// True once it is on disk, or where nothing is kept at all.
+    /// True once the record is on disk, or where nothing is persisted at all.
     pub async fn put_and_wait(&self, kind: RecordKind, key: &[u8], value: &[u8]) -> bool {
-        if self.store.borrow().is_none() {
+        if !self.is_open() {
             return self.path.is_none();
         }
-        self.next.set(self.next.get() + 1);
-        let w = Waiter(self.next.get());
-        let (told, done) = bounded(1);
-        self.waiters.borrow_mut().insert(w, told);
-        self.shelf.borrow_mut().put(self.clock.now(), unix_now(), (kind, key), value, Some(w));
-        let _ = self.bell.0.try_send(());
-        done.recv().await.unwrap_or(false)
+        self.next_waiter.set(self.next_waiter.get() + 1);
+        let waiter = Waiter(self.next_waiter.get());
+        let (sender, committed) = bounded(1);
+        self.waiters.borrow_mut().insert(waiter, sender);
+        self.buffer.borrow_mut().put(self.clock.now(), unix_now(), (kind, key), value, Some(waiter));
+        self.wake();
+        committed.recv().await.unwrap_or(false)
     }
 
-    pub fn counters(&self) -> nickelgw_store::core::write_buffer::StoreCounters {
-        self.shelf.borrow().counters
+    /// What the store has done so far.
+    pub fn counters(&self) -> StoreCounters {
+        self.buffer.borrow().counters
     }
 
+    /// Removes the records that are past their retention.
     pub fn expire(&self) {
-        self.shelf.borrow_mut().expire(self.clock.now(), unix_now());
-        let _ = self.bell.0.try_send(());
+        self.buffer.borrow_mut().expire(self.clock.now(), unix_now());
+        self.wake();
     }
 
-    /// Lets go of the file for another process, or takes it back.
+    /// Closes the file for another process, or opens it again.
     pub fn release(&self, release: bool) {
         self.released.set(release);
-        let _ = self.bell.0.try_send(());
+        self.wake();
     }
 
+    /// Commits batches as they are due; runs until dropped.
     pub async fn run(self: Rc<Self>) {
-        if self.path.is_none() {
-            return;
-        }
+        let Some(path) = self.path.clone() else { return };
         loop {
-            if self.released.get() && self.store.borrow().is_some() {
+            if self.released.get() && self.is_open() {
                 self.flush().await;
                 // The last handle closes the file.
                 let store = self.store.borrow_mut().take();
                 smol::unblock(move || drop(store)).await;
             }
-            if !self.released.get() && self.store.borrow().is_none() {
-                if let Some(path) = self.path.clone() {
-                    let opened = smol::unblock(move || Store::open(&path)).await;
-                    *self.store.borrow_mut() = opened.ok().map(|(s, _)| Arc::new(s));
-                }
+            if !self.released.get() && !self.is_open() {
+                let path = path.clone();
+                let opened = smol::unblock(move || Store::open(&path)).await;
+                *self.store.borrow_mut() = opened.ok().map(|(store, _)| Arc::new(store));
             }
-            let wake = self.commit().await;
-            let wait = wake.map_or(1.0, |w| (w - self.clock.now()).clamp(0.0005, 1.0));
-            crate::within(wait, self.bell.1.recv()).await;
+            let wake_at = self.commit().await;
+            let sleep_s = wake_at
+                .map_or(MAX_SLEEP_S, |wake_at| (wake_at - self.clock.now()).clamp(MIN_SLEEP_S, MAX_SLEEP_S));
+            within(sleep_s, self.wakeup.1.recv()).await;
         }
     }
 
-    /// Makes the commit that is due, if one is; gives when the next will be.
+    /// Commits the batch that is due, if any; returns when the next is.
     async fn commit(&self) -> Option<f64> {
-        let (batch, wake) = self.shelf.borrow_mut().poll_batch(self.clock.now());
-        let Some(batch) = batch else { return wake };
+        let (batch, wake_at) = self.buffer.borrow_mut().poll_batch(self.clock.now());
+        let Some(batch) = batch else { return wake_at };
         let store = self.store.borrow().clone();
         let number = batch.number;
-        let done = match store {
+        let is_committed = match store {
             None => false,
             Some(store) => {
-                let written = smol::unblock(move || store.commit(&batch)).await;
-                if let Err(e) = &written {
-                    tracing::warn!(error = %e, "the store was not written");
+                let committed = smol::unblock(move || store.commit(&batch)).await;
+                if let Err(error) = &committed {
+                    tracing::warn!(%error, "store write failed");
                 }
-                written.is_ok()
+                committed.is_ok()
             }
         };
-        let told = self.shelf.borrow_mut().commit_finished(self.clock.now(), number, done);
-        for (w, done) in told {
-            if let Some(to) = self.waiters.borrow_mut().remove(&w) {
-                let _ = to.try_send(done);
+        let confirmed = self.buffer.borrow_mut().commit_finished(self.clock.now(), number, is_committed);
+        for (waiter, is_committed) in confirmed {
+            if let Some(sender) = self.waiters.borrow_mut().remove(&waiter) {
+                let _ = sender.try_send(is_committed);
             }
         }
         Some(self.clock.now())
     }
 
-    /// What is left to write, before the process ends; bounded by a few tries.
+    /// Writes what is buffered, before the process ends; gives up after a bounded number of tries.
     pub async fn flush(&self) {
-        for _ in 0..200 {
-            if self.store.borrow().is_none() || self.shelf.borrow().is_clean() {
+        for _ in 0..FLUSH_ATTEMPTS {
+            if !self.is_open() || self.buffer.borrow().is_clean() {
                 return;
             }
             self.commit().await;
-            Timer::after(Duration::from_millis(10)).await;
+            Timer::after(FLUSH_RETRY).await;
         }
     }
 }
--- /dev/null
+++ b/crates/nickelgw-node/src/replies.rs
@@ -0,0 +1,84 @@
+//! The client's side of a request: how its response is handed from the event loop to the client's connection.
+
+use async_channel::{Receiver, Sender};
+use bytes::Bytes;
+use nickelgw_node_core::AttemptOutcome;
+use nickelgw_protocol::chat::{ApiError, ChatRequest, Chunk, Whole};
+use std::rc::Rc;
+use std::time::Instant;
+
+/// Events buffered for a slow client before reading from its decode engine is slowed.
+const MAX_BUFFERED_EVENTS: usize = 32;
+
+/// A response, or its beginning, as the client's connection receives it.
+pub enum Reply {
+    /// Server-sent events; closed after the last.
+    Stream(Receiver<Bytes>),
+    /// The whole response body.
+    Unary(Bytes),
+    /// An error instead of a response.
+    Error(ApiError),
+}
+
+/// An open request as its client made it.
+pub struct ClientRequest {
+    /// The request id, as in the `x-request-id` header.
+    pub id: Rc<str>,
+    /// The parsed body.
+    pub chat: Rc<ChatRequest>,
+    /// Takes exactly one reply.
+    pub reply: Sender<Reply>,
+    /// When the request's head was read.
+    pub received_at: Instant,
+    /// The client's event stream, once it has begun.
+    pub stream: Option<Sender<Bytes>>,
+}
+
+impl ClientRequest {
+    /// Begins the response; a client that streams gets the receiving end as its reply.
+    pub fn begin_response(&mut self) -> ResponseSink {
+        if !self.chat.stream {
+            return ResponseSink::Unary(Box::default());
+        }
+        let (events, stream) = async_channel::bounded(MAX_BUFFERED_EVENTS);
+        self.stream = Some(events.clone());
+        let _ = self.reply.try_send(Reply::Stream(stream));
+        ResponseSink::Stream { events, include_usage: self.chat.include_usage }
+    }
+}
+
+/// Where the events of a decode stream go. Owned by the one attempt that may respond to the client.
+pub enum ResponseSink {
+    /// Each event is forwarded.
+    Stream {
+        /// The client's stream.
+        events: Sender<Bytes>,
+        /// Whether the client asked for the usage event.
+        include_usage: bool,
+    },
+    /// Events are joined into one response body.
+    Unary(Box<Whole>),
+}
+
+impl ResponseSink {
+    /// Forwards one event; waits while the client's buffer is full.
+    pub async fn forward(&mut self, frame: Bytes, data: &[u8]) -> Result<(), AttemptOutcome> {
+        match self {
+            // The node asks engines for usage always; this client did not.
+            ResponseSink::Stream { include_usage: false, .. } if is_usage_only(data) => Ok(()),
+            ResponseSink::Stream { events, .. } => {
+                events.send(frame).await.map_err(|_| AttemptOutcome::Cancelled)
+            }
+            ResponseSink::Unary(whole) => {
+                whole.add(Chunk::parse(data).map_err(|_| AttemptOutcome::Malformed)?);
+                Ok(())
+            }
+        }
+    }
+}
+
+fn is_usage_only(data: &[u8]) -> bool {
+    const USAGE_FIELD: &[u8] = b"\"usage\":";
+    let has_usage = data.windows(USAGE_FIELD.len()).any(|window| window == USAGE_FIELD);
+    has_usage && Chunk::parse(data).is_ok_and(|chunk| chunk.is_usage_only())
+}
--- /dev/null
+++ b/crates/nickelgw-node/src/server/accept.rs
@@ -0,0 +1,121 @@
+//! Client connections: accepted within limits, in TLS where set, disconnected when they stall.
+
+use super::stall::StallMonitor;
+use super::ChatServer;
+use crate::clock::{seconds, within};
+use futures_rustls::rustls::ServerConfig;
+use futures_rustls::TlsAcceptor;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use smol::io::{AsyncRead, AsyncWrite};
+use smol::{Async, LocalExecutor, Timer};
+use smol_hyper::rt::{FuturesIo, SmolTimer};
+use std::convert::Infallible;
+use std::io::Write;
+use std::net::{TcpListener, TcpStream};
+use std::rc::Rc;
+use std::sync::Arc;
+
+/// Delay after a failed accept.
+const ACCEPT_RETRY_S: f64 = 0.01;
+/// Largest head of a request.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// What a connection over the limit gets.
+const OVERLOADED_RESPONSE: &[u8] =
+    b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
+
+impl ChatServer {
+    /// Accepts until dropped, or until the node stops listening.
+    pub async fn accept(self: Rc<Self>, listener: Async<TcpListener>, executor: Rc<LocalExecutor<'static>>) {
+        let stop_listening = self.listener.stop_listening.subscribe();
+        loop {
+            let accepted = async { Some(listener.accept().await) };
+            let stopped = async {
+                let _ = stop_listening.recv().await;
+                None
+            };
+            match futures_lite::future::or(stopped, accepted).await {
+                None => return,
+                Some(Ok((stream, _))) => self.accepted(stream, &executor),
+                // Out of descriptors, or the peer closed while it waited: the next may succeed.
+                Some(Err(error)) => {
+                    tracing::warn!(%error, "accept failed");
+                    Timer::after(seconds(ACCEPT_RETRY_S)).await;
+                }
+            }
+        }
+    }
+
+    fn accepted(self: &Rc<Self>, stream: Async<TcpStream>, executor: &LocalExecutor<'static>) {
+        let limits = &self.submitter.limits;
+        let _ = stream.get_ref().set_nodelay(true);
+        if limits.send_buffer > 0 {
+            // Else the system buffers megabytes for a client that reads nothing, and the engine is not slowed.
+            let _ = socket2::SockRef::from(stream.get_ref()).set_send_buffer_size(limits.send_buffer);
+        }
+        if self.listener.connections.get() >= limits.max_connections {
+            let _ = stream.get_ref().write(OVERLOADED_RESPONSE);
+            return;
+        }
+        executor.spawn(self.clone().serve_connection(stream)).detach();
+    }
+
+    async fn serve_connection(self: Rc<Self>, stream: Async<TcpStream>) {
+        let _guard = self.listener.connection_opened();
+        let limits = self.submitter.limits.clone();
+        let monitor = StallMonitor::default();
+        let stream = monitor.watch(stream);
+        let serving = async {
+            match self.tls_config() {
+                None => self.clone().serve_http(stream).await,
+                Some(config) => {
+                    let handshake = TlsAcceptor::from(config).accept(stream);
+                    match within(limits.head_timeout_s, handshake).await {
+                        Some(Ok(stream)) => self.clone().serve_http(stream).await,
+                        failed => {
+                            let why = failed.and_then(|result| result.err()).map(|error| error.to_string());
+                            tracing::debug!(why, "client TLS handshake failed");
+                        }
+                    }
+                }
+            }
+        };
+        let stalled = async {
+            monitor.stalled_for(limits.client_stall_timeout_s).await;
+            tracing::info!("stalled client disconnected");
+        };
+        futures_lite::future::or(serving, stalled).await;
+    }
+
+    /// The configuration of a new connection's handshake; `None`: the port is plain.
+    fn tls_config(&self) -> Option<Arc<ServerConfig>> {
+        self.tls.as_ref()?.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).config()
+    }
+
+    /// Serves requests one after the other; once idle connections are to close, no further one.
+    async fn serve_http(self: Rc<Self>, stream: impl AsyncRead + AsyncWrite + Unpin) {
+        let server = self.clone();
+        let service = service_fn(move |request| {
+            let server = server.clone();
+            async move { Ok::<_, Infallible>(server.serve(request).await) }
+        });
+        let mut http = http1::Builder::new();
+        http.timer(SmolTimer::new()).header_read_timeout(seconds(self.submitter.limits.head_timeout_s));
+        http.max_buf_size(MAX_HEAD_BYTES);
+        let mut connection = std::pin::pin!(http.serve_connection(FuturesIo::new(stream), service));
+        let close_idle = self.listener.close_idle.subscribe();
+        let close_requested = async {
+            let _ = close_idle.recv().await;
+            None
+        };
+        let mut ended =
+            futures_lite::future::or(async { Some(connection.as_mut().await) }, close_requested).await;
+        if ended.is_none() {
+            connection.as_mut().graceful_shutdown();
+            ended = Some(connection.await);
+        }
+        if let Some(Err(error)) = ended {
+            tracing::debug!(%error, "connection ended");
+        }
+    }
+}
--- /dev/null
+++ b/crates/nickelgw-node/src/server/mod.rs
@@ -0,0 +1,153 @@
+//! The chat port: accepts connections, routes requests, writes responses as they come.
+
+mod accept;
+mod chat;
+mod stall;
+
+use crate::deferred::{unknown_ticket, DeferredService, DEFERRED_PATH};
+use crate::http_response::{error_response, json_response, HttpResponse};
+use crate::idempotency::ResponseSharing;
+use crate::listener_state::ListenerState;
+use crate::submission::RequestSubmitter;
+use hyper::body::Incoming;
+use hyper::header::{HeaderName, HeaderValue, AUTHORIZATION, CONNECTION};
+use hyper::{HeaderMap, Method, Request};
+use nickelgw_protocol::chat::ApiError;
+use nickelgw_protocol::REQUEST_ID;
+use serde_json::{json, Value};
+use std::cell::Cell;
+use std::rc::Rc;
+use std::sync::{Arc, Mutex};
+
+const REQUEST_ID_HEADER: HeaderName = HeaderName::from_static(REQUEST_ID);
+const MODELS_PATH: &str = "/v1/models/";
+/// Longest request id that is taken over from a client.
+const MAX_REQUEST_ID_BYTES: usize = 64;
+/// Part of an unknown path that is repeated in the error.
+const MAX_ECHOED_PATH_CHARS: usize = 64;
+
+/// Serves the chat API.
+pub struct ChatServer {
+    /// The way to the event loop.
+    pub submitter: Rc<RequestSubmitter>,
+    /// Requests with an idempotency key.
+    pub responses: Rc<ResponseSharing>,
+    /// Deferred requests, where they are on.
+    pub deferred: Option<Rc<DeferredService>>,
+    /// Health and connections.
+    pub listener: Rc<ListenerState>,
+    /// `None`: the port is plain.
+    pub tls: Option<Arc<Mutex<nickelgw_tls::Server>>>,
+    /// The node's name, in the request ids that it makes.
+    pub node: String,
+    /// Request ids made so far.
+    pub ids_made: Cell<u64>,
+}
+
+fn bearer_token(headers: &HeaderMap) -> Option<&str> {
+    headers.get(AUTHORIZATION)?.to_str().ok()?.strip_prefix("Bearer ").map(str::trim)
+}
+
+fn is_valid_request_id(id: &str) -> bool {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+    (1..=MAX_REQUEST_ID_BYTES).contains(&id.len()) && id.bytes().all(is_allowed)
+}
+
+fn model_object(name: &str) -> Value {
+    json!({"id": name, "object": "model", "created": 0, "owned_by": "nickelgw"})
+}
+
+fn unknown_path(path: &str) -> HttpResponse {
+    let path = path.chars().take(MAX_ECHOED_PATH_CHARS).collect::<String>();
+    let message = format!("no such call: {path}");
+    error_response(&ApiError::new(404, "invalid_request_error", "not_found", message))
+}
+
+impl ChatServer {
+    /// The client's request id where it is valid, else a new one.
+    fn request_id(&self, headers: &HeaderMap) -> Rc<str> {
+        let id = headers.get(REQUEST_ID).and_then(|value| value.to_str().ok());
+        match id.filter(|id| is_valid_request_id(id)) {
+            Some(id) => id.into(),
+            None => {
+                self.ids_made.set(self.ids_made.get() + 1);
+                format!("{}-{:x}-{}", self.node, std::process::id(), self.ids_made.get()).into()
+            }
+        }
+    }
+
+    async fn serve(self: Rc<Self>, request: Request<Incoming>) -> HttpResponse {
+        let id = self.request_id(request.headers());
+        let mut response = self.route(request, id.clone()).await;
+        let id_header = HeaderValue::from_str(&id).ok().map(|value| (REQUEST_ID_HEADER, value));
+        response.headers_mut().extend(id_header);
+        if self.listener.closing_connections.get() {
+            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        }
+        response
+    }
+
+    async fn route(&self, request: Request<Incoming>, id: Rc<str>) -> HttpResponse {
+        match (request.method(), request.uri().path()) {
+            (&Method::POST, "/v1/chat/completions") => {
+                let response = self.serve_chat(request, id.clone()).await;
+                response.unwrap_or_else(|error| {
+                    tracing::info!(request = %id, status = error.status, code = error.code, "request rejected");
+                    error_response(&error)
+                })
+            }
+            (&Method::GET, "/v1/models") => self.list_models(),
+            (&Method::GET, path) if path.starts_with(MODELS_PATH) => {
+                self.find_model(&path[MODELS_PATH.len()..])
+            }
+            (&Method::GET, path) if path.starts_with(DEFERRED_PATH) => {
+                let token = bearer_token(request.headers());
+                let status = self.deferred_status(token, &path[DEFERRED_PATH.len()..]);
+                status.unwrap_or_else(|error| error_response(&error))
+            }
+            (&Method::GET, "/healthz") => self.serve_health(),
+            (_, path) => unknown_path(path),
+        }
+    }
+
+    fn list_models(&self) -> HttpResponse {
+        let models = &self.submitter.admission.models;
+        let list: Vec<Value> = models.iter().map(|model| model_object(&model.name)).collect();
+        json_response(200, json!({"object": "list", "data": list}).to_string().into())
+    }
+
+    fn find_model(&self, name: &str) -> HttpResponse {
+        match self.submitter.admission.models.iter().find(|model| model.name == name) {
+            Some(model) => json_response(200, model_object(&model.name).to_string().into()),
+            None => {
+                let mut error =
+                    ApiError::new(404, "invalid_request_error", "model_not_found", "no such model");
+                error.param = Some("model");
+                error_response(&error)
+            }
+        }
+    }
+
+    fn deferred_status(&self, token: Option<&str>, ticket: &str) -> Result<HttpResponse, ApiError> {
+        match &self.deferred {
+            Some(deferred) => deferred.status(token, ticket),
+            None => {
+                let retry_after_s = self.submitter.limits.retry_after_s;
+                let tenant = self.submitter.admission.authenticate(token);
+                tenant.map_err(|reason| reason.error(retry_after_s))?;
+                Err(unknown_ticket())
+            }
+        }
+    }
+
+    /// Not healthy before there is an endpoint list: a load balancer does better to wait.
+    fn serve_health(&self) -> HttpResponse {
+        let listener = &self.listener;
+        if !listener.healthy.get() {
+            let status = if listener.closing_connections.get() { "leaving" } else { "no list yet" };
+            return json_response(503, json!({ "status": status }).to_string().into());
+        }
+        let connections = listener.connections.get();
+        json_response(200, json!({"status": "ok", "connections": connections}).to_string().into())
+    }
+}
--- /dev/null
+++ b/crates/nickelgw-node/src/tls_reload.rs
@@ -0,0 +1,31 @@
+//! Reloads certificates, keys and trust roots from their files.
+
+use crate::clock::unix_now;
+use nickelgw_tls::TlsEvent;
+use std::sync::{Arc, Mutex};
+
+/// Reloads on a thread that may block, and logs and returns what has changed. `side`: whose files, for the log.
+pub(crate) async fn reload<T: Send + 'static>(
+    side: &str,
+    files: Arc<Mutex<T>>,
+    reload_files: fn(&mut T, f64) -> Vec<TlsEvent>,
+) -> Vec<TlsEvent> {
+    let now = unix_now();
+    let events =
+        smol::unblock(move || reload_files(&mut files.lock().unwrap_or_else(|e| e.into_inner()), now)).await;
+    events.iter().for_each(|event| log_event(side, event));
+    events
+}
+
+fn log_event(side: &str, event: &TlsEvent) {
+    match event {
+        TlsEvent::InForce { generation } => tracing::info!(side, generation, "TLS configuration loaded"),
+        TlsEvent::Unreadable(problem) => {
+            tracing::warn!(side, %problem, "TLS files unreadable; keeping the previous configuration")
+        }
+        TlsEvent::Refused(reason) => {
+            tracing::warn!(side, why = %reason, "TLS configuration rejected; keeping the previous one")
+        }
+        TlsEvent::Notice(notice) => tracing::warn!(side, ?notice, "certificate"),
+    }
+}
