--- a/crates/nickelgw-node/src/event_loop/mod.rs
+++ b/crates/nickelgw-node/src/event_loop/mod.rs
@@ -85,6 +85,8 @@
 }
 
 /// The event that ends the loop's wait.
+// On the stack for a moment, one at a time: boxing the event would cost an allocation each.
+#[allow(clippy::large_enum_variant)]
 enum Wakeup {
     Event(TimedEvent),
     ClientDisconnected(RequestId),
--- a/crates/nickelgw-node/src/tls_reload.rs
+++ b/crates/nickelgw-node/src/tls_reload.rs
@@ -11,8 +11,11 @@
     reload_files: fn(&mut T, f64) -> Vec<TlsEvent>,
 ) -> Vec<TlsEvent> {
     let now = unix_now();
-    let events =
-        smol::unblock(move || reload_files(&mut files.lock().unwrap_or_else(|e| e.into_inner()), now)).await;
+    let events = smol::unblock(move || {
+        let mut files = files.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        reload_files(&mut files, now)
+    })
+    .await;
     events.iter().for_each(|event| log_event(side, event));
     events
 }
