--- a/crates/nickelgw-node/examples/fleet.rs
+++ b/crates/nickelgw-node/examples/fleet.rs
@@ -1,13 +1,18 @@
-//! The cores of a whole fleet in one process and in virtual time: three zones, one of which falls silent and comes back, with
-//! datagrams late and lost. Prints how long the fleet takes to leave and to agree, and what that costs on the wire.
+//! The decision modules of a whole fleet in one process and in virtual time: three zones, one of which becomes
+//! unreachable and returns, with datagrams late and lost. Prints how long the fleet takes to evacuate the zone, and what
+//! gossip costs on the wire.
 //!
 //!     cargo run --release -p nickelgw-node --example fleet -- 350
 
+#[path = "../tests/common/deployment.rs"]
+mod deployment;
+
+use deployment::small_deployment;
 use nanorand::{Rng, WyRand};
 use nickelgw::decide::Router;
 use nickelgw::interface::*;
 use nickelgw_gossip::core::record::{NodeRecord, SharedKey};
-use nickelgw_gossip::core::{Gossip, GossipConfig as AccordFigures};
+use nickelgw_gossip::core::{Gossip, GossipConfig};
 use nickelgw_node_core::zone_failover::ZoneFailover;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -18,13 +23,14 @@
 const LOST_AT: f64 = 6.0;
 const BACK_AT: f64 = 12.0;
 const END: f64 = 22.0;
-/// Inferences a second in all, as on the fleet days: a node of 350 sees one in 3 s.
+/// Requests a second in all, as on the fleet days: a node of 350 sees one in 3 s.
 const RATE: f64 = 120.0;
-const LOSS: f64 = 0.1;
+const DATAGRAM_LOSS: f64 = 0.1;
+const ROUND_S: f64 = 0.1;
 
 enum Event {
-    Arrive(usize),
-    Settle { node: usize, inf: RequestHandle, send: u32, outcome: Outcome, after_s: f64 },
+    Arrival(usize),
+    AttemptEnded { node: usize, request: RequestHandle, attempt: u32, outcome: Outcome, after_s: f64 },
     Probed { node: usize, id: String, outcome: Outcome },
     Decide(usize),
     Round(usize),
@@ -33,27 +39,44 @@
 
 struct Node {
     router: Router,
-    together: ZoneFailover,
-    accord: Gossip,
-    /// Sends made for each handle, and whether each is out.
-    sends: HashMap<u32, Vec<bool>>,
-    left_at: Option<f64>,
+    zone_failover: ZoneFailover,
+    gossip: Gossip,
+    /// Attempts made for each request, and whether each is in flight.
+    attempts: HashMap<u32, Vec<bool>>,
+    evacuated_at: Option<f64>,
     wakes_at: f64,
-    looked_at: f64,
+    last_round_at: f64,
+}
+
+/// What is simulated.
+#[derive(Clone, Copy)]
+struct Scenario {
+    node_count: usize,
+    /// Zone b is unreachable from zone a alone, not lost.
+    is_partition: bool,
+    gossip: bool,
+}
+
+impl Scenario {
+    /// Whether the node cannot reach zone b while it is lost or cut.
+    fn is_affected(&self, node: usize) -> bool {
+        node.is_multiple_of(3) || !self.is_partition
+    }
 }
 
-struct World {
+struct Simulation {
+    scenario: Scenario,
     nodes: Vec<Node>,
     by_address: HashMap<String, usize>,
-    events: BinaryHeap<Reverse<(u64, u64)>>,
-    what: HashMap<u64, Event>,
-    count: u64,
-    chance: WyRand,
-    cut: bool,
-    thrown: usize,
-    /// Sends that met the zone after its return, by the half second.
-    returned: Vec<usize>,
-    shed: usize,
+    /// Time in microseconds, and key of the event.
+    queue: BinaryHeap<Reverse<(u64, u64)>>,
+    events: HashMap<u64, Event>,
+    scheduled: u64,
+    random: WyRand,
+    failed_attempts: usize,
+    /// Attempts at the zone after its return, by the half second.
+    attempts_after_return: Vec<usize>,
+    rejected: usize,
     arrived: usize,
 }
 
@@ -62,138 +85,111 @@
 }
 
 fn zone_of(id: &str) -> usize {
-    ZONES.iter().position(|z| id.starts_with(z)).unwrap_or(0)
+    ZONES.iter().position(|zone| id.starts_with(zone)).unwrap_or(0)
 }
 
-impl World {
-    fn at(&mut self, t: f64, e: Event) {
-        self.count += 1;
-        self.events.push(Reverse(((t * 1e6) as u64, self.count)));
-        self.what.insert(self.count, e);
+impl Simulation {
+    fn schedule(&mut self, at: f64, event: Event) {
+        self.scheduled += 1;
+        self.queue.push(Reverse(((at * 1e6) as u64, self.scheduled)));
+        self.events.insert(self.scheduled, event);
     }
 
-    fn dice(&mut self) -> f64 {
-        f64::from(self.chance.generate::<u32>()) / f64::from(u32::MAX)
+    fn random(&mut self) -> f64 {
+        f64::from(self.random.generate::<u32>()) / f64::from(u32::MAX)
     }
 
-    fn silent(&self, node: usize, id: &str, now: f64) -> bool {
-        let dead = (LOST_AT..BACK_AT).contains(&now) && zone_of(id) == 1;
-        // A cut parts zone a from b alone: b's own nodes, and c's, reach it still.
-        if self.cut {
-            dead && node.is_multiple_of(3)
-        } else {
-            dead
-        }
+    fn is_unreachable(&self, node: usize, id: &str, now: f64) -> bool {
+        (LOST_AT..BACK_AT).contains(&now) && zone_of(id) == 1 && self.scenario.is_affected(node)
     }
 
-    fn decide(&mut self, n: usize, now: f64) {
-        let d = self.nodes[n].router.decide(now);
-        for (inf, send) in d.cancelled {
-            let e = Event::Settle { node: n, inf, send, outcome: Outcome::Cancelled, after_s: 0.0 };
-            self.at(now, e);
+    fn decide(&mut self, node: usize, now: f64) {
+        let decisions = self.nodes[node].router.decide(now);
+        for (request, attempt) in decisions.cancelled {
+            let outcome = Outcome::Cancelled;
+            self.schedule(now, Event::AttemptEnded { node, request, attempt, outcome, after_s: 0.0 });
         }
-        for s in d.dispatches {
-            let id = self.nodes[n].router.engine_id(s.engine).to_string();
-            let sends = self.nodes[n].sends.entry(s.request.0).or_default();
-            let send = sends.len() as u32;
-            sends.push(true);
-            let read = id.contains('r');
-            let (outcome, after_s) = match self.silent(n, &id, now) {
-                true => (Outcome::ConnectFailed, 0.25),
-                false if read => (Outcome::Prefilled, 0.05),
-                false => (Outcome::Completed, 0.5),
-            };
-            if zone_of(&id) == 1 && (LOST_AT..BACK_AT).contains(&now) && outcome == Outcome::ConnectFailed {
-                self.thrown += 1;
-            }
-            if zone_of(&id) == 1 && now >= BACK_AT {
-                let k = ((now - BACK_AT) * 2.0) as usize;
-                self.returned.resize(self.returned.len().max(k + 1), 0);
-                self.returned[k] += 1;
-            }
-            self.at(now + after_s, Event::Settle { node: n, inf: s.request, send, outcome, after_s });
+        for dispatch in decisions.dispatches {
+            self.dispatch(node, now, &dispatch);
         }
-        self.shed += d.rejected.len();
-        for eng in d.probes {
-            let id = self.nodes[n].router.engine_id(eng).to_string();
-            let (outcome, after) = match self.silent(n, &id, now) {
-                true => (Outcome::TimedOut, 0.25),
-                false => (Outcome::Completed, 0.003),
-            };
-            self.at(now + after, Event::Probed { node: n, id, outcome });
+        self.rejected += decisions.rejected.len();
+        for engine in decisions.probes {
+            self.probe(node, now, engine);
         }
-        for c in d.closed {
-            self.nodes[n].sends.remove(&c.0);
+        for request in decisions.closed {
+            self.nodes[node].attempts.remove(&request.0);
+        }
+        // One wake at a time, as a node has one timer.
+        let wakes_at = self.nodes[node].wakes_at;
+        if let Some(wake_at) = decisions.wake_at.filter(|at| *at < wakes_at || wakes_at <= now) {
+            let wake_at = wake_at.max(now + 0.001);
+            self.nodes[node].wakes_at = wake_at;
+            self.schedule(wake_at, Event::Decide(node));
+        }
+    }
+
+    fn dispatch(&mut self, node: usize, now: f64, dispatch: &Dispatch) {
+        let id = self.nodes[node].router.engine_id(dispatch.engine).to_string();
+        let attempts = self.nodes[node].attempts.entry(dispatch.request.0).or_default();
+        let attempt = attempts.len() as u32;
+        attempts.push(true);
+        let is_prefill = id.contains('r');
+        let (outcome, after_s) = match self.is_unreachable(node, &id, now) {
+            true => (Outcome::ConnectFailed, 0.25),
+            false if is_prefill => (Outcome::Prefilled, 0.05),
+            false => (Outcome::Completed, 0.5),
+        };
+        if outcome == Outcome::ConnectFailed {
+            self.failed_attempts += 1;
         }
-        // One wake at a time, as a shell has one timer.
-        if let Some(t) = d.wake_at.filter(|t| *t < self.nodes[n].wakes_at || self.nodes[n].wakes_at <= now) {
-            let t = t.max(now + 0.001);
-            self.nodes[n].wakes_at = t;
-            self.at(t, Event::Decide(n));
+        if zone_of(&id) == 1 && now >= BACK_AT {
+            let half_second = ((now - BACK_AT) * 2.0) as usize;
+            let counts = &mut self.attempts_after_return;
+            counts.resize(counts.len().max(half_second + 1), 0);
+            counts[half_second] += 1;
         }
+        let request = dispatch.request;
+        self.schedule(now + after_s, Event::AttemptEnded { node, request, attempt, outcome, after_s });
+    }
+
+    fn probe(&mut self, node: usize, now: f64, engine: EngineHandle) {
+        let id = self.nodes[node].router.engine_id(engine).to_string();
+        let (outcome, after_s) = match self.is_unreachable(node, &id, now) {
+            true => (Outcome::TimedOut, 0.25),
+            false => (Outcome::Completed, 0.003),
+        };
+        self.schedule(now + after_s, Event::Probed { node, id, outcome });
     }
 
-    fn send(&mut self, now: f64, datagrams: Vec<(String, Vec<u8>)>) {
-        for (to, bytes) in datagrams {
-            let lost = self.dice() < LOSS;
-            let late = 0.001 + 0.004 * self.dice();
-            if let Some(&to) = self.by_address.get(&to).filter(|_| !lost) {
-                self.at(now + late, Event::Datagram { to, bytes });
+    fn send_datagrams(&mut self, now: f64, datagrams: Vec<(String, Vec<u8>)>) {
+        for (address, bytes) in datagrams {
+            let is_lost = self.random() < DATAGRAM_LOSS;
+            let latency_s = 0.001 + 0.004 * self.random();
+            if let Some(&to) = self.by_address.get(&address).filter(|_| !is_lost) {
+                self.schedule(now + latency_s, Event::Datagram { to, bytes });
             }
         }
     }
 
-    fn look(&mut self, n: usize, now: f64) {
-        let x = &mut self.nodes[n];
-        x.looked_at = now;
-        let others = x.accord.zone_peers(now);
-        let round = x.together.update(now, &mut x.router, &others);
-        x.accord.publish(now, round.reports, round.urgent);
-        if now >= LOST_AT && x.left_at.is_none() && x.together.ways()[1].1 == 0.0 {
-            x.left_at = Some(now);
+    fn run_round(&mut self, index: usize, now: f64) {
+        let node = &mut self.nodes[index];
+        node.last_round_at = now;
+        let peers = node.gossip.zone_peers(now);
+        let round = node.zone_failover.update(now, &mut node.router, &peers);
+        node.gossip.publish(now, round.reports, round.urgent);
+        if now >= LOST_AT && node.evacuated_at.is_none() && node.zone_failover.ways()[1].1 == 0.0 {
+            node.evacuated_at = Some(now);
         }
-        let (out, _) = x.accord.poll_datagrams(now, unix_ms(now));
-        self.send(now, out);
-        self.decide(n, now);
+        let (datagrams, _) = node.gossip.poll_datagrams(now, unix_ms(now));
+        self.send_datagrams(now, datagrams);
+        self.decide(index, now);
     }
 
-    fn happen(&mut self, now: f64, e: Event) {
-        match e {
-            Event::Arrive(n) => {
-                self.arrived += 1;
-                let session = self.dice().to_string();
-                let a = IncomingRequest {
-                    route: 0,
-                    tenant: None,
-                    deadline: now + 6.0,
-                    prompt_tokens: 1000.0,
-                    prefix_tokens: 0.0,
-                    session,
-                    prefix: None,
-                    is_background: false,
-                };
-                self.nodes[n].router.admit_request(now, &a);
-                self.decide(n, now);
-                let gap = -(1.0 - self.dice()).ln() * self.nodes.len() as f64 / RATE;
-                self.at(now + gap, Event::Arrive(n));
-            }
-            Event::Settle { node, inf, send, outcome, after_s } => {
-                // Called off already: what it brings is not heard.
-                let out = self.nodes[node].sends.get_mut(&inf.0).and_then(|s| s.get_mut(send as usize));
-                if !out.is_some_and(std::mem::take) {
-                    return;
-                }
-                if outcome == Outcome::Completed {
-                    self.nodes[node].router.first_token(now, inf, send);
-                }
-                let end = AttemptEnd {
-                    outcome,
-                    elapsed_s: after_s,
-                    request_finished: outcome == Outcome::Completed,
-                    note: 0.0,
-                };
-                self.nodes[node].router.attempt_finished(now, inf, send, end, None);
-                self.decide(node, now);
+    fn handle_event(&mut self, now: f64, event: Event) {
+        match event {
+            Event::Arrival(node) => self.arrive(node, now),
+            Event::AttemptEnded { node, request, attempt, outcome, after_s } => {
+                self.attempt_ended(now, node, (request, attempt), outcome, after_s)
             }
             Event::Probed { node, id, outcome } => {
                 let load = EngineLoad { memory_share: Some(0.3), ..EngineLoad::default() };
@@ -201,173 +197,214 @@
                 self.nodes[node].router.probe_finished(now, &id, outcome, load);
                 self.decide(node, now);
             }
-            Event::Decide(n) if now < self.nodes[n].wakes_at => {}
-            Event::Decide(n) => self.decide(n, now),
-            Event::Round(n) => {
-                self.look(n, now);
-                let next = now + 0.1 * (0.95 + 0.1 * self.dice());
-                self.at(next, Event::Round(n));
+            Event::Decide(node) if now < self.nodes[node].wakes_at => {}
+            Event::Decide(node) => self.decide(node, now),
+            Event::Round(node) => {
+                self.run_round(node, now);
+                let next = now + ROUND_S * (0.95 + 0.1 * self.random());
+                self.schedule(next, Event::Round(node));
             }
-            Event::Datagram { to, bytes } => {
-                let new = self.nodes[to].accord.receive(now, unix_ms(now), &bytes) == Ok(true);
-                let (out, _) = self.nodes[to].accord.poll_datagrams(now, unix_ms(now));
-                self.send(now, out);
-                // As the shell does: not at every datagram.
-                if new && now >= self.nodes[to].looked_at + 0.025 {
-                    self.look(to, now);
-                }
+            Event::Datagram { to, bytes } => self.receive_datagram(to, now, &bytes),
+        }
+    }
+
+    fn arrive(&mut self, node: usize, now: f64) {
+        self.arrived += 1;
+        let session = self.random().to_string();
+        let request = IncomingRequest {
+            route: 0,
+            tenant: None,
+            deadline: now + 6.0,
+            prompt_tokens: 1000.0,
+            prefix_tokens: 0.0,
+            session,
+            prefix: None,
+            is_background: false,
+        };
+        self.nodes[node].router.admit_request(now, &request);
+        self.decide(node, now);
+        let gap_s = -(1.0 - self.random()).ln() * self.nodes.len() as f64 / RATE;
+        self.schedule(now + gap_s, Event::Arrival(node));
+    }
+
+    fn attempt_ended(
+        &mut self,
+        now: f64,
+        node: usize,
+        (request, attempt): (RequestHandle, u32),
+        outcome: Outcome,
+        elapsed_s: f64,
+    ) {
+        // Cancelled already: its result is ignored.
+        let attempts = self.nodes[node].attempts.get_mut(&request.0);
+        let in_flight = attempts.and_then(|attempts| attempts.get_mut(attempt as usize));
+        if !in_flight.is_some_and(std::mem::take) {
+            return;
+        }
+        let is_completed = outcome == Outcome::Completed;
+        let router = &mut self.nodes[node].router;
+        if is_completed {
+            router.first_token(now, request, attempt);
+        }
+        let end = AttemptEnd { outcome, elapsed_s, request_finished: is_completed, note: 0.0 };
+        router.attempt_finished(now, request, attempt, end, None);
+        self.decide(node, now);
+    }
+
+    fn receive_datagram(&mut self, to: usize, now: f64, bytes: &[u8]) {
+        let gossip = &mut self.nodes[to].gossip;
+        let is_urgent = gossip.receive(now, unix_ms(now), bytes) == Ok(true);
+        let (datagrams, _) = gossip.poll_datagrams(now, unix_ms(now));
+        self.send_datagrams(now, datagrams);
+        // As a node does: not at every datagram.
+        if is_urgent && now >= self.nodes[to].last_round_at + ROUND_S / 4.0 {
+            self.run_round(to, now);
+        }
+    }
+
+    fn run(&mut self) {
+        while let Some(Reverse((at, key))) = self.queue.pop() {
+            let now = at as f64 / 1e6;
+            if now > END {
+                break;
+            }
+            if let Some(event) = self.events.remove(&key) {
+                self.handle_event(now, event);
             }
         }
     }
 }
 
-fn play(count: usize, cut: bool, exchange: bool) {
-    let mut lines = Vec::new();
-    for (z, zone) in ZONES.iter().enumerate() {
+fn engine_entries() -> Vec<EngineEntry> {
+    let mut entries = Vec::new();
+    for (zone, name) in ZONES.iter().enumerate() {
         for n in 0..ENGINES {
             for (role, letter) in [(EngineRole::Prefill, 'r'), (EngineRole::Decode, 'w')] {
-                let id = format!("{zone}{letter}{n}");
-                let (zone, memory_tokens, standing) = (z as u32, 1e6, Lifecycle::Active);
-                lines.push(EngineEntry {
-                    id,
-                    zone,
-                    cell: z as u32,
+                entries.push(EngineEntry {
+                    id: format!("{name}{letter}{n}"),
+                    zone: zone as u32,
+                    cell: zone as u32,
                     role,
-                    memory_tokens,
-                    lifecycle: standing,
+                    memory_tokens: 1e6,
+                    lifecycle: Lifecycle::Active,
                     started_at: None,
                 });
             }
         }
     }
-    let mut nodes = Vec::new();
-    for n in 0..count {
-        let d = Deployment {
-            node: n as u32,
-            node_count: count as u32,
-            seed: n as u64,
-            zone: (n % 3) as u32,
-            tick_s: 0.005,
-            routes: vec![ModelRoute {
-                ttft_objective_s: 1.2,
-                ttft_objective_per_token_s: 0.0,
-                tpot_objective_s: 0.06,
-                idempotency: Idempotency::Idempotent,
-            }],
-            tenant_quotas: vec![],
-            max_attempts: 6,
-            decode_engines_prefill: false,
-            reservation_limit_s: 0.5,
-            connect_timeout_s: 0.0,
-            cross_cell_price: 0.04,
-            cross_zone_price: 0.01,
-            can_cancel: true,
-            can_probe: true,
-            must_poll_endpoints: false,
-            max_retry_after_s: None,
-            slow_start_initial_share: 0.3,
-            warmup_s: 10.0,
-            overload_multiple: 3.0,
-            overload_window_s: 2.0,
-        };
-        let mut router = Router::new(d);
-        router.update_endpoints(0.0, &lines, true);
-        let name = format!("n{n}");
-        let zones: Vec<String> = ZONES.iter().map(|z| z.to_string()).collect();
-        let own = NodeRecord {
-            name: name.clone(),
-            incarnation: 1,
-            seq: 0,
-            address: format!("{name}:1"),
-            zone: ZONES[n % 3].into(),
-            zone_reports: vec![],
-            deferred_by_tenant: vec![],
-        };
-        let peers = if exchange { vec!["n0:1".into(), "n1:1".into(), "n2:1".into()] } else { vec![] };
-        let key = SharedKey::from_secret("a key for the fleet in one process");
-        let accord = Gossip::new(AccordFigures::default(), key, own, peers, n as u64);
-        let together = ZoneFailover::new(zones, &name, Default::default(), 0.1, n as u64);
-        nodes.push(Node {
-            router,
-            together,
-            accord,
-            sends: HashMap::new(),
-            left_at: None,
-            wakes_at: 0.0,
-            looked_at: 0.0,
-        });
+    entries
+}
+
+fn new_node(number: usize, scenario: Scenario, entries: &[EngineEntry]) -> Node {
+    let route = ModelRoute {
+        ttft_objective_s: 1.2,
+        ttft_objective_per_token_s: 0.0,
+        tpot_objective_s: 0.06,
+        idempotency: Idempotency::Idempotent,
+    };
+    let mut router = Router::new(Deployment {
+        node: number as u32,
+        node_count: scenario.node_count as u32,
+        seed: number as u64,
+        zone: (number % 3) as u32,
+        cross_cell_price: 0.04,
+        cross_zone_price: 0.01,
+        warmup_s: 10.0,
+        ..small_deployment(vec![route])
+    });
+    router.update_endpoints(0.0, entries, true);
+    let name = format!("n{number}");
+    let zones: Vec<String> = ZONES.iter().map(|zone| zone.to_string()).collect();
+    let own = NodeRecord {
+        name: name.clone(),
+        incarnation: 1,
+        seq: 0,
+        address: format!("{name}:1"),
+        zone: ZONES[number % 3].into(),
+        zone_reports: vec![],
+        deferred_by_tenant: vec![],
+    };
+    let peers = if scenario.gossip { vec!["n0:1".into(), "n1:1".into(), "n2:1".into()] } else { vec![] };
+    let key = SharedKey::from_secret("a key for the fleet in one process");
+    Node {
+        router,
+        zone_failover: ZoneFailover::new(zones, &name, Default::default(), ROUND_S, number as u64),
+        gossip: Gossip::new(GossipConfig::default(), key, own, peers, number as u64),
+        attempts: HashMap::new(),
+        evacuated_at: None,
+        wakes_at: 0.0,
+        last_round_at: 0.0,
     }
-    let mut w = World {
+}
+
+fn simulate(scenario: Scenario) {
+    let count = scenario.node_count;
+    let entries = engine_entries();
+    let mut simulation = Simulation {
+        scenario,
+        nodes: (0..count).map(|n| new_node(n, scenario, &entries)).collect(),
         by_address: (0..count).map(|n| (format!("n{n}:1"), n)).collect(),
-        nodes,
-        events: BinaryHeap::new(),
-        what: HashMap::new(),
-        count: 0,
-        chance: WyRand::new_seed(7),
-        cut,
-        thrown: 0,
-        returned: vec![],
-        shed: 0,
+        queue: BinaryHeap::new(),
+        events: HashMap::new(),
+        scheduled: 0,
+        random: WyRand::new_seed(7),
+        failed_attempts: 0,
+        attempts_after_return: vec![],
+        rejected: 0,
         arrived: 0,
     };
     for n in 0..count {
-        let (a, r) = (w.dice() * count as f64 / RATE, 0.1 * w.dice());
-        w.at(a, Event::Arrive(n));
-        if exchange {
-            w.at(r, Event::Round(n));
+        let first_arrival = simulation.random() * count as f64 / RATE;
+        let first_round = ROUND_S * simulation.random();
+        simulation.schedule(first_arrival, Event::Arrival(n));
+        if scenario.gossip {
+            simulation.schedule(first_round, Event::Round(n));
         }
     }
-    while let Some(Reverse((t, k))) = w.events.pop() {
-        let now = t as f64 / 1e6;
-        if now > END {
-            break;
-        }
-        if let Some(e) = w.what.remove(&k) {
-            w.happen(now, e);
-        }
-    }
-    let concerned = |n: usize| n.is_multiple_of(3) || !cut;
-    let mut left: Vec<f64> = w
-        .nodes
-        .iter()
-        .enumerate()
-        .filter(|x| concerned(x.0))
-        .filter_map(|x| x.1.left_at)
-        .map(|t| t - LOST_AT)
-        .collect();
-    left.sort_by(f64::total_cmp);
-    let of = (0..count).filter(|&n| concerned(n)).count();
-    let wrong = w.nodes.iter().enumerate().filter(|x| !concerned(x.0) && x.1.left_at.is_some()).count();
-    let (sent, bytes) = w
-        .nodes
-        .iter()
-        .fold((0, 0), |s, n| (s.0 + n.accord.counters.sent, s.1 + n.accord.counters.sent_bytes));
-    let each = count as f64 * END;
-    let (first, half, last) = (left.first(), left.get(left.len() / 2), left.last());
+    simulation.run();
+    report(&simulation);
+}
+
+fn report(simulation: &Simulation) {
+    let (scenario, nodes) = (simulation.scenario, &simulation.nodes);
+    let count = scenario.node_count;
+    let affected: Vec<&Node> =
+        nodes.iter().enumerate().filter(|(n, _)| scenario.is_affected(*n)).map(|(_, node)| node).collect();
+    let mut evacuated_after: Vec<f64> =
+        affected.iter().filter_map(|node| node.evacuated_at).map(|at| at - LOST_AT).collect();
+    evacuated_after.sort_by(f64::total_cmp);
+    let wrongly = nodes.iter().filter(|node| node.evacuated_at.is_some()).count() - evacuated_after.len();
+    let datagrams: u64 = nodes.iter().map(|node| node.gossip.counters.sent).sum();
+    let bytes: u64 = nodes.iter().map(|node| node.gossip.counters.sent_bytes).sum();
+    let node_seconds = count as f64 * END;
+    let after = |index: usize| evacuated_after.get(index).copied().unwrap_or(f64::NAN);
+    let after_return = &simulation.attempts_after_return;
     println!(
-        "{count} nodes, {}, exchange {}: left by {} of {of} ({wrong} wrongly), first {:.2} half {:.2} last {:.2} s; \
-         thrown {}; shed {} of {}; {:.1} datagrams, {:.0} bytes a node a second; by half seconds after the return {:?}",
-        if cut { "cut from a" } else { "lost" },
-        if exchange { "on" } else { "off" },
-        left.len(),
-        first.unwrap_or(&f64::NAN),
-        half.unwrap_or(&f64::NAN),
-        last.unwrap_or(&f64::NAN),
-        w.thrown,
-        w.shed,
-        w.arrived,
-        sent as f64 / each,
-        bytes as f64 / each,
-        &w.returned[..w.returned.len().min(16)],
+        "{count} nodes, {}, gossip {}: evacuated by {} of {} ({wrongly} wrongly), first {:.2} half {:.2} last {:.2} s; \
+         failed attempts {}; rejected {} of {}; {:.1} datagrams, {:.0} bytes a node a second; \
+         by half seconds after the return {:?}",
+        if scenario.is_partition { "cut from a" } else { "lost" },
+        if scenario.gossip { "on" } else { "off" },
+        evacuated_after.len(),
+        affected.len(),
+        after(0),
+        after(evacuated_after.len() / 2),
+        after(evacuated_after.len().wrapping_sub(1)),
+        simulation.failed_attempts,
+        simulation.rejected,
+        simulation.arrived,
+        datagrams as f64 / node_seconds,
+        bytes as f64 / node_seconds,
+        &after_return[..after_return.len().min(16)],
     );
 }
 
 fn main() {
-    let sizes: Vec<usize> = std::env::args().skip(1).filter_map(|a| a.parse().ok()).collect();
+    let sizes: Vec<usize> = std::env::args().skip(1).filter_map(|size| size.parse().ok()).collect();
     let sizes = if sizes.is_empty() { vec![10, 50, 350, 1000] } else { sizes };
-    for n in sizes {
-        play(n, false, false);
-        play(n, false, true);
-        play(n, true, true);
+    for node_count in sizes {
+        simulate(Scenario { node_count, is_partition: false, gossip: false });
+        simulate(Scenario { node_count, is_partition: false, gossip: true });
+        simulate(Scenario { node_count, is_partition: true, gossip: true });
     }
 }
--- a/crates/nickelgw-node/tests/bad_input.rs
+++ b/crates/nickelgw-node/tests/bad_input.rs
@@ -1,102 +1,131 @@
-//! Clients and engines that speak badly: a clear error, no panic, nothing pinned.
+//! Malformed input of clients and engines: a clear error, no panic, no reservation leaked.
 
 mod common;
 
-use common::{figures, World, KEY};
+use common::{engine_config, TestCluster, API_KEY};
 use nickelgw_test_servers::client::{self, raw, status};
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::thread;
 use test_case::test_case;
 
-fn world() -> World {
-    World::new(vec![figures("r0a"), figures("w0a")])
+fn test_cluster() -> TestCluster {
+    TestCluster::new(vec![engine_config("r0a"), engine_config("w0a")])
 }
 
 fn post(body: &[u8], length: usize) -> Vec<u8> {
     let head = format!(
-        "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\nauthorization: Bearer {KEY}\r\n\
+        "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\nauthorization: Bearer {API_KEY}\r\n\
          content-length: {length}\r\n\r\n"
     );
     [head.as_bytes(), body].concat()
 }
 
-fn sent(w: &World, bytes: &[u8], patience: f64) -> Vec<u8> {
-    smol::block_on(raw(&w.node, &[bytes], 0.0, patience))
+fn send_raw(cluster: &TestCluster, request: &[u8], timeout_s: f64) -> u16 {
+    status(&smol::block_on(raw(&cluster.node, &[request], 0.0, timeout_s)))
+}
+
+fn assert_still_serves(cluster: &TestCluster) {
+    assert_eq!(cluster.send(cluster.chat_request("q", "chat")).how, "completed");
+    cluster.assert_engines_idle(&["r0a", "w0a"]);
+}
+
+#[test]
+fn malformed_json_and_unknown_models_are_rejected() {
+    let cluster = test_cluster();
+    let send = |json: &str| send_raw(&cluster, &post(json.as_bytes(), json.len()), 2.0);
+    assert_eq!(send("{\"model\":"), 400);
+    assert_eq!(send("[1,2]"), 400);
+    assert_eq!(send("{\"model\":\"none\",\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}"), 404);
+    assert_eq!(send("{\"model\":\"chat\",\"messages\":[]}"), 400);
+    assert_eq!(send(&"[".repeat(90_000)), 400);
+    assert_still_serves(&cluster);
 }
 
 #[test]
-fn clients_that_speak_badly_are_told_and_others_are_served() {
-    let w = world();
-    let ask = |json: &str| status(&sent(&w, &post(json.as_bytes(), json.len()), 2.0));
-    assert_eq!(ask("{\"model\":"), 400);
-    assert_eq!(ask("[1,2]"), 400);
-    assert_eq!(ask("{\"model\":\"none\",\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}"), 404);
-    assert_eq!(ask("{\"model\":\"chat\",\"messages\":[]}"), 400);
-    assert_eq!(ask(&"[".repeat(90_000)), 400);
-    // Its length too large, and its length not kept.
-    assert_eq!(status(&sent(&w, &post(b"", 200_000), 2.0)), 413);
-    assert_eq!(status(&sent(&w, &post(b"{\"model\"", 500), 2.0)), 408);
+fn oversized_and_incomplete_bodies_are_rejected() {
+    let cluster = test_cluster();
+    assert_eq!(send_raw(&cluster, &post(b"", 200_000), 2.0), 413);
+    assert_eq!(send_raw(&cluster, &post(b"{\"model\"", 500), 2.0), 408);
     let chunked = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n\
          30000\r\n{}\r\n0\r\n\r\n",
         "x".repeat(0x30000)
     );
-    assert_eq!(status(&sent(&w, chunked.as_bytes(), 2.0)), 413);
-    // Half a request line: closed when its time is up. A head of ten megabytes: refused, not stored.
-    assert!(matches!(status(&sent(&w, b"POST /v1/ch", 3.0)), 0 | 408));
+    assert_eq!(send_raw(&cluster, chunked.as_bytes(), 2.0), 413);
+    assert_still_serves(&cluster);
+}
+
+#[test]
+fn malformed_http_and_unknown_paths_are_rejected() {
+    let cluster = test_cluster();
+    // Half a request line: closed after the head timeout. A head of ten megabytes: rejected, not buffered.
+    assert!(matches!(send_raw(&cluster, b"POST /v1/ch", 3.0), 0 | 408));
     let huge = format!("GET / HTTP/1.1\r\nhost: x\r\nx-long: {}\r\n\r\n", "y".repeat(10 << 20));
-    assert!(matches!(status(&sent(&w, huge.as_bytes(), 2.0)), 0 | 431));
-    assert!(matches!(status(&sent(&w, b"\x16\x03\x01\x00\xa5\x01garbage\r\n\r\n", 2.0)), 0 | 400));
-    assert_eq!(status(&sent(&w, b"GET /none HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n", 2.0)), 404);
-    let mut stranger = w.ask("s", "chat");
-    stranger.key = Some("sk-wrong-key".into());
-    assert_eq!(w.play(stranger).status, 401);
-    assert_eq!(w.play(w.ask("q", "chat")).how, "completed");
-    w.assert_empty(&["r0a", "w0a"]);
+    assert!(matches!(send_raw(&cluster, huge.as_bytes(), 2.0), 0 | 431));
+    assert!(matches!(send_raw(&cluster, b"\x16\x03\x01\x00\xa5\x01garbage\r\n\r\n", 2.0), 0 | 400));
+    let unknown_path = b"GET /none HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
+    assert_eq!(send_raw(&cluster, unknown_path, 2.0), 404);
+    assert_still_serves(&cluster);
 }
 
 #[test]
-fn what_does_not_fit_is_refused_with_a_time_to_come_back() {
-    let slow = nickelgw_test_servers::model::Figures { read_s: 0.5, ..figures("r0a") };
-    let w = World::with(vec![slow, figures("w0a")], |s| s.core_config.max_open_requests = 2);
-    let first: Vec<_> = (0..2).map(|n| w.later(w.ask(&format!("q{n}"), "chat"))).collect();
-    w.wait("both are taken", |l| l.iter().filter(|l| l["ev"] == "send").count() >= 2);
-    let third = w.play(w.ask("q2", "chat"));
+fn an_unknown_api_key_is_rejected_with_401() {
+    let cluster = test_cluster();
+    let mut request = cluster.chat_request("s", "chat");
+    request.key = Some("sk-wrong-key".into());
+    assert_eq!(cluster.send(request).status, 401);
+    assert_still_serves(&cluster);
+}
+
+#[test]
+fn requests_over_the_open_limit_are_rejected_with_retry_after() {
+    let slow = nickelgw_test_servers::model::Figures { read_s: 0.5, ..engine_config("r0a") };
+    let cluster =
+        TestCluster::with_options(vec![slow, engine_config("w0a")], |s| s.core_config.max_open_requests = 2);
+    let first: Vec<_> =
+        (0..2).map(|n| cluster.send_in_background(cluster.chat_request(&format!("q{n}"), "chat"))).collect();
+    cluster.wait_for("both have started", |events| {
+        events.iter().filter(|event| event["ev"] == "send").count() >= 2
+    });
+    let third = cluster.send(cluster.chat_request("q2", "chat"));
     assert_eq!((third.status, third.code.as_deref()), (503, Some("node_full")));
     assert_eq!(third.retry_after.as_deref(), Some("1"));
-    first.into_iter().for_each(|f| assert_eq!(f.join().unwrap().how, "completed"));
-    assert_eq!(w.play(w.ask("q3", "chat")).how, "completed");
-    w.assert_sound();
+    first.into_iter().for_each(|pending| assert_eq!(pending.join().unwrap().how, "completed"));
+    assert_eq!(cluster.send(cluster.chat_request("q3", "chat")).how, "completed");
+    cluster.assert_audit_passes();
 }
 
 #[test]
-fn a_full_queue_to_the_core_refuses_and_loses_no_engine_event() {
-    let w = World::with(vec![figures("r0a"), figures("w0a")], |s| s.limits.max_queued = 1);
-    let asks: Vec<_> = (0..60).map(|n| w.later(w.ask(&format!("q{n}"), "chat"))).collect();
+fn a_full_event_queue_rejects_requests_and_loses_no_engine_event() {
+    let cluster = TestCluster::with_options(vec![engine_config("r0a"), engine_config("w0a")], |s| {
+        s.limits.max_queued = 1
+    });
+    let pending: Vec<_> =
+        (0..60).map(|n| cluster.send_in_background(cluster.chat_request(&format!("q{n}"), "chat"))).collect();
     let mut completed = 0;
-    for a in asks {
-        let seen = a.join().unwrap();
-        match seen.how.as_str() {
+    for response in pending {
+        let response = response.join().unwrap();
+        match response.how.as_str() {
             "completed" => completed += 1,
-            _ => assert!(seen.status == 503 && seen.retry_after.is_some(), "{seen:?}"),
+            _ => assert!(response.status == 503 && response.retry_after.is_some(), "{response:?}"),
         }
     }
     assert!(completed > 0);
-    w.assert_empty(&["r0a", "w0a"]);
-    w.assert_sound();
+    cluster.assert_engines_idle(&["r0a", "w0a"]);
+    cluster.assert_audit_passes();
 }
 
-/// An engine that answers every call with the same bytes, then closes.
-fn garbler(answer: Vec<u8>) -> String {
-    let l = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = l.local_addr().unwrap().to_string();
+/// An engine that responds to every call with the same bytes, then closes.
+fn fixed_response_engine(response: Vec<u8>) -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap().to_string();
     thread::spawn(move || {
-        for s in l.incoming() {
-            let (Ok(mut s), answer) = (s, answer.clone()) else { continue };
+        for stream in listener.incoming() {
+            let (Ok(mut stream), response) = (stream, response.clone()) else { continue };
             thread::spawn(move || {
-                let _ = s.read(&mut [0; 65536]);
-                let _ = s.write_all(&answer);
+                let _ = stream.read(&mut [0; 65536]);
+                let _ = stream.write_all(&response);
             });
         }
     });
@@ -105,35 +134,42 @@
 
 const STREAM: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\n";
 
-#[test_case("r0a", "complete nonsense\r\n\r\n"; "reader, no HTTP")]
-#[test_case("r0a", "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\n{\"a\":"; "reader, cut JSON")]
-#[test_case("r0a", "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}"; "reader, no state named")]
-#[test_case("r0a", "HTTP/1.1 200 OK\r\ncontent-length: 500\r\n\r\n{\"id\""; "reader, early close")]
-#[test_case("r0a", ""; "reader, closes at once")]
-#[test_case("w0a", "HTTP/1.1 200 OK\r\ncontent-type: text/html\r\ncontent-length: 4\r\n\r\n<ht>"; "writer, no stream")]
-#[test_case("w0a", "STREAM<html>\n\n"; "writer, no events")]
-#[test_case("w0a", "STREAMdata: {\"choices\n\n"; "writer, cut JSON")]
-#[test_case("w0a", "STREAMdata: {\"choices\":[]}\n\ndata: {\"ch"; "writer, cut in a frame")]
-#[test_case("w0a", "STREAMdata: {\"choices\":[]}\n\n"; "writer, no end")]
-#[test_case("w0a", "STREAM"; "writer, an empty stream")]
-fn engines_that_speak_badly_cost_one_clear_error(id: &str, answer: &str) {
-    let answer = answer.replacen("STREAM", STREAM, 1);
-    let mut w = world();
-    let f = figures(id);
-    let line = common::line(&f, &garbler(answer.into_bytes()));
-    let told = w.count("told", "");
-    w.control("list", serde_json::json!({"line": line}));
-    w.wait("the change is told", |l| l.iter().filter(|l| l["ev"] == "told").count() > told);
+#[test_case("r0a", "complete nonsense\r\n\r\n"; "prefill, no HTTP")]
+#[test_case("r0a", "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\n{\"a\":"; "prefill, truncated JSON")]
+#[test_case("r0a", "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}"; "prefill, no reservation named")]
+#[test_case("r0a", "HTTP/1.1 200 OK\r\ncontent-length: 500\r\n\r\n{\"id\""; "prefill, early close")]
+#[test_case("r0a", ""; "prefill, closes at once")]
+#[test_case("w0a", "HTTP/1.1 200 OK\r\ncontent-type: text/html\r\ncontent-length: 4\r\n\r\n<ht>"; "decode, no stream")]
+#[test_case("w0a", "STREAM<html>\n\n"; "decode, no events")]
+#[test_case("w0a", "STREAMdata: {\"choices\n\n"; "decode, truncated JSON")]
+#[test_case("w0a", "STREAMdata: {\"choices\":[]}\n\ndata: {\"ch"; "decode, cut in a frame")]
+#[test_case("w0a", "STREAMdata: {\"choices\":[]}\n\n"; "decode, no end")]
+#[test_case("w0a", "STREAM"; "decode, empty stream")]
+fn a_malformed_engine_response_causes_one_error(id: &str, response: &str) {
+    let response = response.replacen("STREAM", STREAM, 1);
+    let mut cluster = test_cluster();
+    let config = engine_config(id);
+    let entry = common::endpoint_entry(&config, &fixed_response_engine(response.into_bytes()));
+    let published = cluster.count_events("told", "");
+    cluster.control("list", serde_json::json!({"line": entry}));
+    cluster.wait_for("the change is published", |events| {
+        events.iter().filter(|event| event["ev"] == "told").count() > published
+    });
     thread::sleep(std::time::Duration::from_millis(50));
-    let seen = w.play(w.ask("q", "booking"));
-    assert!(seen.how == "errored" || seen.how == "shed", "{seen:?}");
-    assert!(seen.code.is_some() && seen.whole_s < 4.5, "{seen:?}");
-    // Put right, all is as before.
-    let good = w.engine(figures(id));
-    let told = w.count("told", "");
-    w.control("list", serde_json::json!({"line": good}));
-    w.wait("the change is told", |l| l.iter().filter(|l| l["ev"] == "told").count() > told);
+    let response = cluster.send(cluster.chat_request("q", "booking"));
+    assert!(response.how == "errored" || response.how == "shed", "{response:?}");
+    assert!(response.code.is_some() && response.whole_s < 4.5, "{response:?}");
+    // With a working engine in its place, requests complete again.
+    let working = cluster.start_engine(engine_config(id));
+    let published = cluster.count_events("told", "");
+    cluster.control("list", serde_json::json!({"line": working}));
+    cluster.wait_for("the change is published", |events| {
+        events.iter().filter(|event| event["ev"] == "told").count() > published
+    });
     thread::sleep(std::time::Duration::from_millis(50));
-    assert_eq!(w.play(client::Ask { req: "again".into(), ..w.ask("again", "chat") }).how, "completed");
-    w.assert_sound();
+    assert_eq!(
+        cluster.send(client::Ask { req: "again".into(), ..cluster.chat_request("again", "chat") }).how,
+        "completed"
+    );
+    cluster.assert_audit_passes();
 }
--- a/crates/nickelgw-node/tests/common/mod.rs
+++ b/crates/nickelgw-node/tests/common/mod.rs
@@ -1,12 +1,14 @@
-//! Nodes and stand-ins on threads of this process, for tests on sockets.
+//! A node and its engines on threads of this process, for tests on sockets.
 #![allow(dead_code)]
 
-use nickelgw::interface::{Deployment, Idempotency, IdempotencyScope, ModelRoute};
+pub mod deployment;
+mod options;
+
+pub use options::node_options;
+
 use nickelgw_audit::{judge, Line, Verdict};
-use nickelgw_node::{Limits, NodeOptions, TlsOptions};
-use nickelgw_node_core::admission::{Model, Tenant};
-use nickelgw_node_core::{Admission, CoreConfig};
-use nickelgw_protocol::list::{self, EngineState};
+use nickelgw_node::{Exit, NodeOptions, ProcessSignal};
+use nickelgw_protocol::list::{EndpointEntry, EngineRole, EngineState};
 use nickelgw_test_servers::client::{self, Ask, Seen};
 use nickelgw_test_servers::model::{self, Role};
 use nickelgw_test_servers::record::unix_now;
@@ -17,256 +19,180 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-pub const KEY: &str = "sk-test-key";
-pub const MEMORY_S: f64 = 4.0;
+pub const API_KEY: &str = "sk-test-key";
+pub const DEDUP_WINDOW_S: f64 = 4.0;
 
 /// A chat request as its bytes, with further headers.
-pub fn post(body: &str, more: &str) -> String {
+pub fn post(body: &str, headers: &str) -> String {
     format!(
-        "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {KEY}\r\n{more}\
+        "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {API_KEY}\r\n{headers}\
          content-length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
 pub fn listener() -> (TcpListener, String) {
-    let l = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = l.local_addr().unwrap().to_string();
-    (l, address)
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap().to_string();
+    (listener, address)
+}
+
+/// Calls `is_true` until it holds; fails the test after `timeout_s`.
+pub fn wait_until(what: &str, timeout_s: f64, poll: Duration, mut is_true: impl FnMut() -> bool) {
+    let started_at = Instant::now();
+    while !is_true() {
+        assert!(started_at.elapsed().as_secs_f64() < timeout_s, "not within {timeout_s} seconds: {what}");
+        thread::sleep(poll);
+    }
 }
 
-pub struct World {
+/// A node, its engines and the endpoint list service, all recording what they see.
+pub struct TestCluster {
+    /// Address of the node's chat port.
     pub node: String,
+    /// Address of the endpoint list service.
     pub list: String,
+    /// Addresses of the engines, by id.
     pub engines: BTreeMap<String, String>,
     pub record: Record,
-    /// Orders to the node, and how it ends.
-    pub tell: Option<async_channel::Sender<nickelgw_node::ProcessSignal>>,
-    pub exit: Option<thread::JoinHandle<nickelgw_node::Exit>>,
+    /// Signals to the node, and how it exits.
+    pub signals: Option<async_channel::Sender<ProcessSignal>>,
+    pub exit: Option<thread::JoinHandle<Exit>>,
 }
 
-/// Engines "r*" read, "w*" write; the last letter of an id is its zone.
-pub fn figures(id: &str) -> model::Figures {
+/// Engines "r*" prefill, "w*" decode; the last letter of an id is its zone.
+pub fn engine_config(id: &str) -> model::Figures {
     let role = if id.starts_with('r') { Role::Read } else { Role::Write };
     let zone = id[id.len() - 1..].to_string();
     model::Figures { id: id.into(), role, zone, out_tokens: 10, ..model::Figures::default() }
 }
 
-pub fn line(f: &model::Figures, address: &str) -> list::EndpointEntry {
-    list::EndpointEntry {
-        id: f.id.clone(),
+pub fn endpoint_entry(config: &model::Figures, address: &str) -> EndpointEntry {
+    EndpointEntry {
+        id: config.id.clone(),
         address: address.into(),
-        zone: f.zone.clone(),
-        cell: f.cell,
-        role: if f.role == Role::Read { list::EngineRole::Prefill } else { list::EngineRole::Decode },
-        memory_tokens: f.memory_tokens,
+        zone: config.zone.clone(),
+        cell: config.cell,
+        role: if config.role == Role::Read { EngineRole::Prefill } else { EngineRole::Decode },
+        memory_tokens: config.memory_tokens,
         state: EngineState::Active,
         started_at: None,
-        tls_name: f.tls.as_ref().map(|t| t.name.clone()),
+        tls_name: config.tls.as_ref().map(|tls| tls.name.clone()),
     }
 }
 
-pub fn start(list: &str) -> NodeOptions {
-    let route = |repeat| ModelRoute {
-        ttft_objective_s: 1.0,
-        ttft_objective_per_token_s: 0.0,
-        tpot_objective_s: 0.05,
-        idempotency: repeat,
-    };
-    let group = IdempotencyScope::Zone;
-    let deployment = Deployment {
-        node: 0,
-        node_count: 1,
-        seed: 3,
-        zone: 0,
-        tick_s: 0.005,
-        routes: vec![
-            route(Idempotency::Idempotent),
-            route(Idempotency::Keyed { scope: group, window_s: MEMORY_S }),
-            route(Idempotency::NonIdempotent),
-            route(Idempotency::Keyed { scope: IdempotencyScope::All, window_s: MEMORY_S }),
-        ],
-        tenant_quotas: vec![1000.0],
-        max_attempts: 6,
-        decode_engines_prefill: false,
-        reservation_limit_s: 0.5,
-        connect_timeout_s: 0.0,
-        cross_cell_price: 0.0,
-        cross_zone_price: 0.0,
-        can_cancel: true,
-        can_probe: true,
-        must_poll_endpoints: false,
-        max_retry_after_s: Some(2.0),
-        slow_start_initial_share: 0.3,
-        warmup_s: 5.0,
-        overload_multiple: 3.0,
-        overload_window_s: 2.0,
-    };
-    let model = |name: &str| Model {
-        name: name.into(),
-        timeout_s: 4.0,
-        timeout_per_token_s: 0.0,
-        unary_timeout_s: 8.0,
-        is_idempotent: name == "chat",
-    };
-    NodeOptions {
-        name: "node0".into(),
-        zone: "a".into(),
-        deployment,
-        core_config: CoreConfig {
-            incarnation: format!("node0-{}", (unix_now() * 1e6) as u64),
-            started_at_unix_s: unix_now(),
-            zones: vec!["a".into(), "b".into()],
-            max_open_requests: 1000,
-            stream_idle_timeout_s: 0.8,
-            release_timeout_s: 10.0,
-            orphan_cleanup_window_s: (0.0, 60.0),
-            retry_after_s: 1.0,
-            grants: None,
-            fair_share: None,
-            tenant_max_open: vec![None],
-        },
-        admission: Admission {
-            models: ["chat", "review", "booking", "marked"].map(model).to_vec(),
-            tenants: vec![Tenant { name: "t".into(), key: KEY.into() }],
-            max_prompt_tokens: 50_000.0,
-        },
-        limits: Limits {
-            max_connections: 1000,
-            max_body_bytes: 100_000,
-            head_timeout_s: 0.5,
-            body_timeout_s: 0.5,
-            connect_timeout_s: 0.25,
-            probe_timeout_s: 0.25,
-            max_idle_connections: 16,
-            idle_timeout_s: 5.0,
-            max_queued: 256,
-            client_stall_timeout_s: 5.0,
-            retry_after_s: 1.0,
-            send_buffer: 65_536,
-        },
-        endpoint_source: nickelgw_node::EndpointSource::List(list.into()),
-        view_config: Default::default(),
-        endpoint_cache: None,
-        store: None,
-        admin: None,
-        admin_address: None,
-        latency: None,
-        tls: TlsOptions {
-            reload_s: 0.05,
-            max_handshakes: 16,
-            max_handshakes_per_engine: 2,
-            ..TlsOptions::default()
-        },
-        idempotency: Default::default(),
-        retry_budget: Default::default(),
-        shutdown: nickelgw_node_core::shutdown::ShutdownConfig {
-            announce_s: 0.1,
-            drain_timeout_s: 5.0,
-            exit_timeout_s: 1.0,
-        },
-        signals: async_channel::bounded(1).1,
-        gossip: None,
-        deferred: None,
-        on_serving: None,
-        accept_when_ready: false,
-    }
+pub fn start_node(options: NodeOptions) -> String {
+    start_node_with_exit(options).0
 }
 
-pub fn serve(start: NodeOptions) -> String {
-    serve_until(start).0
+/// The node's address, and how it will have exited.
+pub fn start_node_with_exit(options: NodeOptions) -> (String, thread::JoinHandle<Exit>) {
+    let (listener, address) = listener();
+    let node = move || smol::block_on(nickelgw_node::run(listener, options)).unwrap();
+    (address, thread::spawn(node))
 }
 
-/// With how it will have ended.
-pub fn serve_until(start: NodeOptions) -> (String, thread::JoinHandle<nickelgw_node::Exit>) {
-    let (l, address) = listener();
-    (address, thread::spawn(move || smol::block_on(nickelgw_node::run(l, start)).unwrap()))
+/// What the auditor needs to know of the routes and time limits.
+fn audit_rules() -> Value {
+    json!({"drain_grace_s": 0.5, "hold_limit_s": 0.5, "slack_s": 0.25, "routes": {
+        "chat": {"repeat": "retriable"}, "booking": {"repeat": "non_retriable"},
+        "marked": {"repeat": "deduped", "group": "all", "memory_s": DEDUP_WINDOW_S},
+        "review": {"repeat": "deduped", "group": "zone", "memory_s": DEDUP_WINDOW_S}}})
 }
 
-impl World {
-    pub fn new(engines: Vec<model::Figures>) -> World {
-        World::with(engines, |_| {})
+impl TestCluster {
+    pub fn new(engines: Vec<model::Figures>) -> TestCluster {
+        TestCluster::with_options(engines, |_| {})
     }
 
-    pub fn with(engines: Vec<model::Figures>, tweak: impl FnOnce(&mut NodeOptions)) -> World {
+    pub fn with_options(
+        engines: Vec<model::Figures>,
+        configure: impl FnOnce(&mut NodeOptions),
+    ) -> TestCluster {
         let record = Record::memory("driver");
-        record.note(
-            "rules",
-            json!({"drain_grace_s": 0.5, "hold_limit_s": 0.5, "slack_s": 0.25, "routes": {
-            "chat": {"repeat": "retriable"}, "booking": {"repeat": "non_retriable"},
-            "marked": {"repeat": "deduped", "group": "all", "memory_s": MEMORY_S},
-            "review": {"repeat": "deduped", "group": "zone", "memory_s": MEMORY_S}}}),
-        );
-        let (l, list) = listener();
-        let mut world = World {
+        record.note("rules", audit_rules());
+        let (list_listener, list) = listener();
+        let mut cluster = TestCluster {
             node: String::new(),
             list,
             engines: BTreeMap::new(),
             record: record.clone(),
-            tell: None,
+            signals: None,
             exit: None,
         };
-        let lines: Vec<list::EndpointEntry> = engines.into_iter().map(|f| world.engine(f)).collect();
+        let entries: Vec<EndpointEntry> =
+            engines.into_iter().map(|config| cluster.start_engine(config)).collect();
+        let list_record = record.of("list");
         thread::spawn(move || {
-            smol::block_on(nickelgw_test_servers::list::run(l, lines, 0.0, record.of("list")))
+            smol::block_on(nickelgw_test_servers::list::run(list_listener, entries, 0.0, list_record))
+        });
+        let mut options = node_options(&cluster.list);
+        let (signals, received_signals) = async_channel::bounded(4);
+        options.signals = received_signals;
+        configure(&mut options);
+        let (node, exit) = start_node_with_exit(options);
+        (cluster.node, cluster.signals, cluster.exit) = (node, Some(signals), Some(exit));
+        cluster.wait_for("the node fetches the endpoint list", |events| {
+            events.iter().any(|event| event["ev"] == "told")
         });
-        let mut s = start(&world.list);
-        let (tell, orders) = async_channel::bounded(4);
-        s.signals = orders;
-        tweak(&mut s);
-        let (node, exit) = serve_until(s);
-        (world.node, world.tell, world.exit) = (node, Some(tell), Some(exit));
-        world.wait("the node hears the list", |lines| lines.iter().any(|l| l["ev"] == "told"));
-        world
+        cluster
     }
 
     /// Starts an engine; it is not listed by that.
-    pub fn engine(&mut self, f: model::Figures) -> list::EndpointEntry {
-        let (l, address) = listener();
-        self.engines.insert(f.id.clone(), address.clone());
-        let (line, record) = (line(&f, &address), self.record.of(&f.id));
-        thread::spawn(move || smol::block_on(nickelgw_test_servers::engine::run(l, f, record, 5)));
-        line
+    pub fn start_engine(&mut self, config: model::Figures) -> EndpointEntry {
+        let (listener, address) = listener();
+        self.engines.insert(config.id.clone(), address.clone());
+        let (entry, record) = (endpoint_entry(&config, &address), self.record.of(&config.id));
+        thread::spawn(move || {
+            smol::block_on(nickelgw_test_servers::engine::run(listener, config, record, 5))
+        });
+        entry
     }
 
     /// Waits for something to have been recorded.
-    pub fn wait(&self, what: &str, seen: impl Fn(&[Value]) -> bool) {
-        let from = Instant::now();
-        while !seen(&self.record.lines()) {
-            assert!(from.elapsed() < Duration::from_secs(10), "not seen in ten seconds: {what}");
-            thread::sleep(Duration::from_millis(5));
-        }
+    pub fn wait_for(&self, what: &str, is_recorded: impl Fn(&[Value]) -> bool) {
+        wait_until(what, 10.0, Duration::from_millis(5), || is_recorded(&self.record.lines()));
     }
 
-    pub fn wait_for(&self, ev: &str, req: &str) {
-        self.wait(ev, |lines| lines.iter().any(|l| l["ev"] == ev && (req.is_empty() || l["req"] == req)));
+    /// Waits for an event of a request; an empty id: of any.
+    pub fn wait_for_event(&self, event: &str, request: &str) {
+        self.wait_for(event, |events| events.iter().any(|recorded| is_event(recorded, event, request)));
     }
 
-    pub fn count(&self, ev: &str, req: &str) -> usize {
-        self.record.lines().iter().filter(|l| l["ev"] == ev && (req.is_empty() || l["req"] == req)).count()
+    /// Events of a request; an empty id: of all.
+    pub fn count_events(&self, event: &str, request: &str) -> usize {
+        self.record.lines().iter().filter(|recorded| is_event(recorded, event, request)).count()
     }
 
+    /// Events of one engine.
+    pub fn count_events_at(&self, event: &str, engine: &str) -> usize {
+        let is_at = |recorded: &&Value| recorded["ev"] == event && recorded["who"] == engine;
+        self.record.lines().iter().filter(is_at).count()
+    }
+
+    /// Orders a fault at an engine, or a change at the endpoint list service.
     pub fn control(&self, engine: &str, order: Value) -> Value {
         let address = if engine == "list" { &self.list } else { &self.engines[engine] };
-        let answer = smol::block_on(client::control(address, &order));
-        // One told to die may do so before it answers; any other order that is not taken is a broken test.
-        let dying = order["fault"] == "die";
+        let response = smol::block_on(client::control(address, &order));
+        // One ordered to die may do so before it responds; any other order that is rejected is a broken test.
+        let is_dying = order["fault"] == "die";
         assert!(
-            dying || answer.as_ref().is_some_and(|a| a["error"].is_null()),
-            "{engine}: {order}: {answer:?}"
+            is_dying || response.as_ref().is_some_and(|response| response["error"].is_null()),
+            "{engine}: {order}: {response:?}"
         );
-        answer.unwrap_or_default()
+        response.unwrap_or_default()
     }
 
-    pub fn ask(&self, req: &str, model: &str) -> Ask {
+    /// A chat request to the node.
+    pub fn chat_request(&self, request: &str, model: &str) -> Ask {
         Ask {
-            req: req.into(),
+            req: request.into(),
             node: "node0".into(),
             address: self.node.clone(),
             model: model.into(),
-            key: Some(KEY.into()),
+            key: Some(API_KEY.into()),
             system: "You are kind.".into(),
-            prompt: format!("{req}: tell me more. {}", "word ".repeat(50)),
+            prompt: format!("{request}: tell me more. {}", "word ".repeat(50)),
             max_tokens: Some(10),
             stream: true,
             timeout_s: 4.0,
@@ -276,40 +202,47 @@
         }
     }
 
-    pub fn play(&self, ask: Ask) -> Seen {
-        smol::block_on(client::ask(&ask, &self.record.of("client"))).expect("the node is there")
+    pub fn send(&self, request: Ask) -> Seen {
+        smol::block_on(client::ask(&request, &self.record.of("client"))).expect("the node is there")
     }
 
-    /// Plays on another thread.
-    pub fn later(&self, ask: Ask) -> thread::JoinHandle<Seen> {
+    /// Sends on another thread.
+    pub fn send_in_background(&self, request: Ask) -> thread::JoinHandle<Seen> {
         let record = self.record.of("client");
-        thread::spawn(move || smol::block_on(client::ask(&ask, &record)).expect("the node is there"))
+        thread::spawn(move || smol::block_on(client::ask(&request, &record)).expect("the node is there"))
     }
 
-    pub fn verdict(&self) -> Verdict {
+    pub fn audit(&self) -> Verdict {
         self.record.note("end", json!({}));
-        let mut lines: Vec<Line> = self.record.lines().iter().filter_map(Line::of).collect();
-        nickelgw_audit::sort(&mut lines);
-        judge(&lines)
+        let mut events: Vec<Line> = self.record.lines().iter().filter_map(Line::of).collect();
+        nickelgw_audit::sort(&mut events);
+        judge(&events)
     }
 
-    /// All rules kept, and nothing held or running anywhere.
-    pub fn assert_sound(&self) {
-        let v = self.verdict();
-        assert!(v.breaks.is_empty(), "{:#?}", v.breaks);
-        assert!(v.judged.contains_key("lost"), "nothing was judged");
+    /// No rule is broken.
+    pub fn assert_audit_passes(&self) {
+        let verdict = self.audit();
+        assert!(verdict.breaks.is_empty(), "{:#?}", verdict.breaks);
+        assert!(verdict.judged.contains_key("lost"), "nothing was judged");
     }
 
-    pub fn assert_empty(&self, engines: &[&str]) {
-        let from = Instant::now();
+    /// Nothing is reserved, running or queued at the engines.
+    pub fn assert_engines_idle(&self, engines: &[&str]) {
+        let started_at = Instant::now();
         loop {
             let states: Vec<Value> =
-                engines.iter().map(|e| self.control(e, json!({"fault": "forget"}))).collect();
-            if states.iter().all(|s| s["states"] == 0 && s["running"] == 0 && s["waiting"] == 0) {
+                engines.iter().map(|engine| self.control(engine, json!({"fault": "forget"}))).collect();
+            let is_idle =
+                |state: &Value| state["states"] == 0 && state["running"] == 0 && state["waiting"] == 0;
+            if states.iter().all(is_idle) {
                 return;
             }
-            assert!(from.elapsed() < Duration::from_secs(5), "still held: {states:?}");
+            assert!(started_at.elapsed() < Duration::from_secs(5), "not idle: {states:?}");
             thread::sleep(Duration::from_millis(20));
         }
     }
 }
+
+fn is_event(recorded: &Value, event: &str, request: &str) -> bool {
+    recorded["ev"] == event && (request.is_empty() || recorded["req"] == request)
+}
--- a/crates/nickelgw-node/tests/conformance.rs
+++ b/crates/nickelgw-node/tests/conformance.rs
@@ -1,4 +1,4 @@
-//! A client library that others wrote speaks to a node: all shapes of answers and errors. Its runtime stays here.
+//! An independent client library against a node: all shapes of responses and errors. Its runtime stays here.
 
 mod common;
 
@@ -9,12 +9,12 @@
     ChatCompletionStreamOptions, CreateChatCompletionRequest, CreateChatCompletionRequestArgs, FinishReason,
 };
 use async_openai::Client;
-use common::{figures, World, KEY};
+use common::{engine_config, TestCluster, API_KEY};
 use futures_lite::StreamExt;
 use serde_json::json;
 
-fn client(w: &World, key: &str) -> Client<OpenAIConfig> {
-    let base = format!("http://{}/v1", w.node);
+fn client(cluster: &TestCluster, key: &str) -> Client<OpenAIConfig> {
+    let base = format!("http://{}/v1", cluster.node);
     Client::with_config(OpenAIConfig::new().with_api_base(base).with_api_key(key))
 }
 
@@ -32,40 +32,40 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(test);
 }
 
-fn world() -> World {
-    World::new(["r0a", "w0a"].map(figures).to_vec())
+fn test_cluster() -> TestCluster {
+    TestCluster::new(["r0a", "w0a"].map(engine_config).to_vec())
 }
 
 #[test]
-fn answers_in_one_piece() {
-    let w = world();
+fn unary_responses_have_text_and_usage() {
+    let cluster = test_cluster();
     run(async {
-        let answer = client(&w, KEY).chat().create(request("chat")).await.unwrap();
-        let choice = &answer.choices[0];
+        let response = client(&cluster, API_KEY).chat().create(request("chat")).await.unwrap();
+        let choice = &response.choices[0];
         assert_eq!(choice.message.content.as_deref(), Some("w0 w1 w2 w3 w4 "));
-        assert_eq!((choice.finish_reason, answer.model.as_str()), (Some(FinishReason::Length), "chat"));
-        let usage = answer.usage.unwrap();
+        assert_eq!((choice.finish_reason, response.model.as_str()), (Some(FinishReason::Length), "chat"));
+        let usage = response.usage.unwrap();
         assert_eq!((usage.completion_tokens, usage.total_tokens), (5, usage.prompt_tokens + 5));
     });
 }
 
 #[test]
-fn answers_streamed_with_role_reason_and_usage() {
-    let w = world();
+fn streams_have_role_finish_reason_and_usage() {
+    let cluster = test_cluster();
     run(async {
-        for usage in [true, false] {
-            let mut ask = request("chat");
-            ask.stream_options = usage
+        for include_usage in [true, false] {
+            let mut chat_request = request("chat");
+            chat_request.stream_options = include_usage
                 .then(|| ChatCompletionStreamOptions { include_usage: Some(true), ..Default::default() });
-            let mut stream = client(&w, KEY).chat().create_stream(ask).await.unwrap();
-            let (mut text, mut role, mut finish, mut counted) = (String::new(), None, None, None);
+            let mut stream = client(&cluster, API_KEY).chat().create_stream(chat_request).await.unwrap();
+            let (mut text, mut role, mut finish, mut usage) = (String::new(), None, None, None);
             while let Some(chunk) = stream.next().await {
                 let chunk = chunk.unwrap();
-                counted = chunk.usage.or(counted);
-                for c in chunk.choices {
-                    role = c.delta.role.or(role);
-                    text += c.delta.content.as_deref().unwrap_or("");
-                    finish = c.finish_reason.or(finish);
+                usage = chunk.usage.or(usage);
+                for choice in chunk.choices {
+                    role = choice.delta.role.or(role);
+                    text += choice.delta.content.as_deref().unwrap_or("");
+                    finish = choice.finish_reason.or(finish);
                 }
             }
             assert_eq!(text, "w0 w1 w2 w3 w4 ");
@@ -73,62 +73,62 @@
                 (role.unwrap().to_string().as_str(), finish),
                 ("assistant", Some(FinishReason::Length))
             );
-            assert_eq!(counted.map(|u| u.completion_tokens), usage.then_some(5));
+            assert_eq!(usage.map(|usage| usage.completion_tokens), include_usage.then_some(5));
         }
     });
 }
 
 #[test]
-fn models_are_listed_and_found() {
-    let w = world();
+fn models_are_listed_and_retrieved() {
+    let cluster = test_cluster();
     run(async {
-        let c = client(&w, KEY);
-        let all = c.models().list().await.unwrap();
+        let client = client(&cluster, API_KEY);
+        let all = client.models().list().await.unwrap();
         assert_eq!(all.data.len(), 4);
-        assert_eq!(c.models().retrieve("booking").await.unwrap().id, "booking");
-        assert!(c.models().retrieve("none").await.is_err());
+        assert_eq!(client.models().retrieve("booking").await.unwrap().id, "booking");
+        assert!(client.models().retrieve("none").await.is_err());
     });
 }
 
 #[test]
-fn errors_have_their_type_code_and_param() {
-    let w = world();
+fn errors_have_type_code_and_param() {
+    let cluster = test_cluster();
     run(async {
-        let error = async |key: &str, ask: CreateChatCompletionRequest| match client(&w, key)
+        let error = async |key: &str, chat_request: CreateChatCompletionRequest| match client(&cluster, key)
             .chat()
-            .create(ask)
+            .create(chat_request)
             .await
         {
-            Err(OpenAIError::ApiError(e)) => {
-                let e = (e.status_code.as_u16(), e.api_error);
-                (e.0, e.1.r#type.unwrap_or_default(), e.1.code.unwrap_or_default(), e.1.param)
+            Err(OpenAIError::ApiError(error)) => {
+                let (status, error) = (error.status_code.as_u16(), error.api_error);
+                (status, error.r#type.unwrap_or_default(), error.code.unwrap_or_default(), error.param)
             }
             other => panic!("{other:?}"),
         };
         let invalid = "invalid_request_error".to_string();
-        let told = error("sk-wrong-key", request("chat")).await;
-        assert_eq!(told, (401, invalid.clone(), "invalid_api_key".into(), None));
-        let told = error(KEY, request("nope")).await;
-        assert_eq!(told, (404, invalid.clone(), "model_not_found".into(), Some("model".into())));
+        let rejection = error("sk-wrong-key", request("chat")).await;
+        assert_eq!(rejection, (401, invalid.clone(), "invalid_api_key".into(), None));
+        let rejection = error(API_KEY, request("nope")).await;
+        assert_eq!(rejection, (404, invalid.clone(), "model_not_found".into(), Some("model".into())));
         let two = CreateChatCompletionRequest { n: Some(2), ..request("chat") };
-        assert_eq!(error(KEY, two).await, (400, invalid, "invalid_request".into(), Some("n".into())));
-        // Nothing can be read: shed with a time to come back.
-        w.control("r0a", json!({"fault": "drain"}));
+        assert_eq!(error(API_KEY, two).await, (400, invalid, "invalid_request".into(), Some("n".into())));
+        // Nothing can be prefilled: shed with retry-after.
+        cluster.control("r0a", json!({"fault": "drain"}));
         // Of a 503 the library gives the status alone.
-        assert_eq!(error(KEY, request("chat")).await.0, 503);
+        assert_eq!(error(API_KEY, request("chat")).await.0, 503);
     });
 }
 
 #[test]
-fn a_stream_that_breaks_ends_in_an_error_that_is_understood() {
-    let w = world();
-    w.control("w0a", json!({"fault": "ending", "how": "none"}));
+fn a_broken_stream_ends_in_an_error_event() {
+    let cluster = test_cluster();
+    cluster.control("w0a", json!({"fault": "ending", "how": "none"}));
     run(async {
-        let mut stream = client(&w, KEY).chat().create_stream(request("chat")).await.unwrap();
+        let mut stream = client(&cluster, API_KEY).chat().create_stream(request("chat")).await.unwrap();
         let mut last = None;
         while let Some(chunk) = stream.next().await {
             last = Some(chunk);
         }
-        assert!(last.unwrap().is_err(), "the end was taken for a good one");
+        assert!(last.unwrap().is_err(), "the stream's end passed for a complete one");
     });
 }
--- a/crates/nickelgw-node/tests/failures.rs
+++ b/crates/nickelgw-node/tests/failures.rs
@@ -1,8 +1,8 @@
-//! Engines that fail in each way on real sockets: one coherent answer each, all rules kept.
+//! Engines that fail in each way on real sockets: one coherent response each, no rule broken.
 
 mod common;
 
-use common::{figures, World};
+use common::{engine_config, TestCluster};
 use nickelgw_audit::Rule;
 use nickelgw_test_servers::client::{self, Leave};
 use nickelgw_test_servers::model;
@@ -11,222 +11,232 @@
 use std::time::Duration;
 
 fn engines(ids: &[&str]) -> Vec<model::Figures> {
-    ids.iter().map(|id| figures(id)).collect()
+    ids.iter().map(|id| engine_config(id)).collect()
 }
 
 #[test]
-fn all_goes_its_ordinary_way() {
-    let w = World::new(engines(&["r0a", "r1a", "w0a", "w1a"]));
-    let asks: Vec<_> = (0..24)
+fn requests_of_all_models_complete() {
+    let cluster = TestCluster::new(engines(&["r0a", "r1a", "w0a", "w1a"]));
+    let pending: Vec<_> = (0..24)
         .map(|n| {
-            let mut a = w.ask(&format!("q{n}"), ["chat", "review", "booking"][n % 3]);
-            a.stream = n % 2 == 0;
-            w.later(a)
+            let mut request = cluster.chat_request(&format!("q{n}"), ["chat", "review", "booking"][n % 3]);
+            request.stream = n % 2 == 0;
+            cluster.send_in_background(request)
         })
         .collect();
-    for a in asks {
-        let seen = a.join().unwrap();
-        assert_eq!((seen.how.as_str(), seen.status), ("completed", 200));
-        assert!(seen.text.starts_with("w0 w1 w2 "), "{}", seen.text);
+    for response in pending {
+        let response = response.join().unwrap();
+        assert_eq!((response.how.as_str(), response.status), ("completed", 200));
+        assert!(response.text.starts_with("w0 w1 w2 "), "{}", response.text);
     }
-    w.assert_empty(&["r0a", "r1a", "w0a", "w1a"]);
-    // Each state moved as bytes.
-    assert_eq!(w.count("fetched", ""), 24);
-    w.assert_sound();
+    cluster.assert_engines_idle(&["r0a", "r1a", "w0a", "w1a"]);
+    // Each KV cache was transferred.
+    assert_eq!(cluster.count_events("fetched", ""), 24);
+    cluster.assert_audit_passes();
 }
 
 #[test]
-fn a_reader_that_dies_holding_a_state_costs_a_second_read() {
-    let w = World::new(engines(&["r0a", "r1a", "w0a"]));
-    // The writer answers nothing for a while: the state waits at its reader.
-    w.control("w0a", json!({"fault": "silence", "for_s": 0.5}));
-    let asked = w.later(w.ask("q", "chat"));
-    w.wait_for("read", "q");
-    let holder =
-        w.record.lines().iter().find(|l| l["ev"] == "read").unwrap()["who"].as_str().unwrap().to_string();
-    w.control(&holder, json!({"fault": "die"}));
-    w.record.of(&holder).note("died", json!({}));
-    assert_eq!(asked.join().unwrap().how, "completed");
-    assert_eq!(w.count("read", "q"), 2);
-    w.assert_sound();
+fn a_prefill_engine_lost_with_a_reservation_costs_a_second_prefill() {
+    let cluster = TestCluster::new(engines(&["r0a", "r1a", "w0a"]));
+    // The decode engine is silent for a while: the reservation stays at the prefill engine.
+    cluster.control("w0a", json!({"fault": "silence", "for_s": 0.5}));
+    let pending = cluster.send_in_background(cluster.chat_request("q", "chat"));
+    cluster.wait_for_event("read", "q");
+    let prefill_engine = cluster.record.lines().iter().find(|event| event["ev"] == "read").unwrap()["who"]
+        .as_str()
+        .unwrap()
+        .to_string();
+    cluster.control(&prefill_engine, json!({"fault": "die"}));
+    cluster.record.of(&prefill_engine).note("died", json!({}));
+    assert_eq!(pending.join().unwrap().how, "completed");
+    assert_eq!(cluster.count_events("read", "q"), 2);
+    cluster.assert_audit_passes();
 }
 
 #[test]
-fn a_writer_silent_amid_its_stream_costs_one_clear_error() {
-    let w = World::new(engines(&["r0a", "w0a"]));
-    let mut ask = w.ask("q", "chat");
-    ask.max_tokens = None;
+fn a_decode_stream_that_stalls_ends_in_one_error() {
+    let cluster = TestCluster::new(engines(&["r0a", "w0a"]));
+    let mut request = cluster.chat_request("q", "chat");
+    request.max_tokens = None;
     let slow = json!({"fault": "slow", "for_s": 5.0, "factor": 10.0});
-    w.control("w0a", slow);
-    let asked = w.later(ask);
-    w.wait_for("first", "q");
-    w.control("w0a", json!({"fault": "silence", "for_s": 2.0}));
-    let seen = asked.join().unwrap();
-    assert_eq!((seen.how.as_str(), seen.code.as_deref()), ("errored", Some("stream_broken")));
+    cluster.control("w0a", slow);
+    let pending = cluster.send_in_background(request);
+    cluster.wait_for_event("first", "q");
+    cluster.control("w0a", json!({"fault": "silence", "for_s": 2.0}));
+    let response = pending.join().unwrap();
+    assert_eq!((response.how.as_str(), response.code.as_deref()), ("errored", Some("stream_broken")));
     thread::sleep(Duration::from_millis(1200));
-    // What woke up later was not heard: still one final answer.
-    assert_eq!(w.count("final", "q"), 1);
-    w.assert_empty(&["r0a", "w0a"]);
-    w.assert_sound();
+    // What the engine sent later was ignored: still one final answer.
+    assert_eq!(cluster.count_events("final", "q"), 1);
+    cluster.assert_engines_idle(&["r0a", "w0a"]);
+    cluster.assert_audit_passes();
 }
 
 #[test]
-fn an_answer_lost_is_not_run_again_where_that_may_harm() {
-    let w = World::new(engines(&["r0a", "w0a", "w1a", "w2b"]));
-    for e in ["w0a", "w1a", "w2b"] {
-        w.control(e, json!({"fault": "lose", "for_s": 60.0, "share": 1.0}));
+fn a_lost_response_is_retried_only_where_that_is_idempotent() {
+    let cluster = TestCluster::new(engines(&["r0a", "w0a", "w1a", "w2b"]));
+    for engine in ["w0a", "w1a", "w2b"] {
+        cluster.control(engine, json!({"fault": "lose", "for_s": 60.0, "share": 1.0}));
     }
-    let booking = w.play(w.ask("b", "booking"));
-    assert_eq!((booking.how.as_str(), w.count("ran", "b")), ("errored", 1));
-    // Deduped inside a zone: its prompt is not read again for it, as the module has it; among all: again.
-    let review = w.play(w.ask("d", "review"));
-    assert_eq!((review.how.as_str(), w.count("ran", "d")), ("errored", 1));
-    let marked = w.play(w.ask("m", "marked"));
-    assert!(marked.how != "completed" && w.count("ran", "m") >= 2, "{marked:?}");
-    // Retriable: as often as sends are left.
-    let chat = w.play(w.ask("c", "chat"));
-    assert!(chat.how != "completed" && w.count("ran", "c") >= 2, "{chat:?}");
-    w.assert_empty(&["r0a", "w0a", "w1a", "w2b"]);
-    w.assert_sound();
+    let booking = cluster.send(cluster.chat_request("b", "booking"));
+    assert_eq!((booking.how.as_str(), cluster.count_events("ran", "b")), ("errored", 1));
+    // Deduplicated inside a zone: the decision module does not prefill it again; among all engines: it does.
+    let review = cluster.send(cluster.chat_request("d", "review"));
+    assert_eq!((review.how.as_str(), cluster.count_events("ran", "d")), ("errored", 1));
+    let marked = cluster.send(cluster.chat_request("m", "marked"));
+    assert!(marked.how != "completed" && cluster.count_events("ran", "m") >= 2, "{marked:?}");
+    // Idempotent: as often as attempts are left.
+    let chat = cluster.send(cluster.chat_request("c", "chat"));
+    assert!(chat.how != "completed" && cluster.count_events("ran", "c") >= 2, "{chat:?}");
+    cluster.assert_engines_idle(&["r0a", "w0a", "w1a", "w2b"]);
+    cluster.assert_audit_passes();
 }
 
 #[test]
-fn a_lost_read_leaves_nothing_pinned() {
-    let w = World::new(engines(&["r0a", "w0a"]));
-    w.control("r0a", json!({"fault": "lose", "for_s": 60.0, "share": 1.0}));
-    let seen = w.play(w.ask("q", "chat"));
-    assert_ne!(seen.how, "completed");
-    assert!(w.count("lost", "q") >= 1);
-    w.assert_empty(&["r0a", "w0a"]);
-    w.assert_sound();
+fn a_lost_prefill_response_leaks_no_reservation() {
+    let cluster = TestCluster::new(engines(&["r0a", "w0a"]));
+    cluster.control("r0a", json!({"fault": "lose", "for_s": 60.0, "share": 1.0}));
+    let response = cluster.send(cluster.chat_request("q", "chat"));
+    assert_ne!(response.how, "completed");
+    assert!(cluster.count_events("lost", "q") >= 1);
+    cluster.assert_engines_idle(&["r0a", "w0a"]);
+    cluster.assert_audit_passes();
 }
 
 #[test]
-fn clients_that_leave_free_what_was_done_for_them() {
-    let slow = |id: &str| model::Figures { read_s: 0.4, step_s: 0.05, ..figures(id) };
-    let w = World::new(vec![slow("r0a"), slow("w0a")]);
-    let mut early = w.ask("early", "chat");
+fn client_disconnects_free_the_engines() {
+    let slow = |id: &str| model::Figures { read_s: 0.4, step_s: 0.05, ..engine_config(id) };
+    let cluster = TestCluster::new(vec![slow("r0a"), slow("w0a")]);
+    let mut early = cluster.chat_request("early", "chat");
     early.leave = Leave::Waiting(0.2);
-    assert_eq!(w.play(early).how, "left");
-    let mut amid = w.ask("amid", "booking");
+    assert_eq!(cluster.send(early).how, "left");
+    let mut amid = cluster.chat_request("amid", "booking");
     amid.leave = Leave::Streaming(3);
-    assert_eq!(w.play(amid).how, "left");
-    w.wait_for("dropped", "amid");
-    w.assert_empty(&["r0a", "w0a"]);
-    assert_eq!(w.count("send", "early"), 1);
-    w.assert_sound();
+    assert_eq!(cluster.send(amid).how, "left");
+    cluster.wait_for_event("dropped", "amid");
+    cluster.assert_engines_idle(&["r0a", "w0a"]);
+    assert_eq!(cluster.count_events("send", "early"), 1);
+    cluster.assert_audit_passes();
 }
 
 #[test]
-fn a_draining_engine_gets_nothing_new_and_one_that_is_back_does() {
-    let mut w = World::new(engines(&["r0a", "w0a", "w1a"]));
-    let address = w.engines["w0a"].clone();
-    let mut line = common::line(&figures("w0a"), &address);
-    line.state = nickelgw_protocol::list::EngineState::Draining;
-    w.control("list", json!({"line": line}));
-    w.wait("the drain is told", |l| l.iter().any(|l| l["ev"] == "told" && l["draining"] == json!(["w0a"])));
+fn a_draining_engine_gets_no_attempts_until_it_is_listed_again() {
+    let mut cluster = TestCluster::new(engines(&["r0a", "w0a", "w1a"]));
+    let address = cluster.engines["w0a"].clone();
+    let mut entry = common::endpoint_entry(&engine_config("w0a"), &address);
+    entry.state = nickelgw_protocol::list::EngineState::Draining;
+    cluster.control("list", json!({"line": entry}));
+    cluster.wait_for("the drain is published", |events| {
+        events.iter().any(|event| event["ev"] == "told" && event["draining"] == json!(["w0a"]))
+    });
     thread::sleep(Duration::from_millis(600));
     for n in 0..6 {
-        assert_eq!(w.play(w.ask(&format!("q{n}"), "chat")).how, "completed");
+        assert_eq!(cluster.send(cluster.chat_request(&format!("q{n}"), "chat")).how, "completed");
     }
-    let to =
-        |w: &World, e: &str| w.record.lines().iter().filter(|l| l["ev"] == "send" && l["who"] == e).count();
-    assert_eq!((to(&w, "w0a"), to(&w, "w1a")), (0, 6));
+    assert_eq!((cluster.count_events_at("send", "w0a"), cluster.count_events_at("send", "w1a")), (0, 6));
     // A new process under the old id, at another address.
-    let line = w.engine(model::Figures { cold: false, ..figures("w0a") });
-    w.control("list", json!({"line": line}));
-    w.control("list", json!({"remove": "w1a"}));
-    w.wait("the return is told", |l| l.iter().any(|l| l["ev"] == "told" && l["in"] == json!(["r0a", "w0a"])));
+    let entry = cluster.start_engine(model::Figures { cold: false, ..engine_config("w0a") });
+    cluster.control("list", json!({"line": entry}));
+    cluster.control("list", json!({"remove": "w1a"}));
+    cluster.wait_for("the return is published", |events| {
+        events.iter().any(|event| event["ev"] == "told" && event["in"] == json!(["r0a", "w0a"]))
+    });
     thread::sleep(Duration::from_millis(50));
-    assert_eq!(w.play(w.ask("back", "chat")).how, "completed");
-    assert_eq!(to(&w, "w0a"), 1);
-    let v = w.verdict();
-    assert!(v.breaks.is_empty() && v.judged["drain"] > 0, "{:?} {:?}", v.breaks, v.judged);
+    assert_eq!(cluster.send(cluster.chat_request("back", "chat")).how, "completed");
+    assert_eq!(cluster.count_events_at("send", "w0a"), 1);
+    let verdict = cluster.audit();
+    assert!(
+        verdict.breaks.is_empty() && verdict.judged["drain"] > 0,
+        "{:?} {:?}",
+        verdict.breaks,
+        verdict.judged
+    );
 }
 
 #[test]
-fn engines_that_fail_at_once_are_answered_for_at_once() {
-    let w = World::new(engines(&["r0a", "r1a", "w0a"]));
-    w.control("r0a", json!({"fault": "fail", "for_s": 60.0, "share": 1.0}));
+fn engines_that_fail_fast_cause_fast_errors() {
+    let cluster = TestCluster::new(engines(&["r0a", "r1a", "w0a"]));
+    cluster.control("r0a", json!({"fault": "fail", "for_s": 60.0, "share": 1.0}));
     for n in 0..8 {
-        assert_eq!(w.play(w.ask(&format!("q{n}"), "chat")).how, "completed");
+        assert_eq!(cluster.send(cluster.chat_request(&format!("q{n}"), "chat")).how, "completed");
     }
-    w.control("r1a", json!({"fault": "fail", "for_s": 60.0, "share": 1.0}));
-    let seen = w.play(w.ask("none", "booking"));
-    assert!(seen.how != "completed" && seen.whole_s < 4.5, "{seen:?}");
-    w.assert_sound();
+    cluster.control("r1a", json!({"fault": "fail", "for_s": 60.0, "share": 1.0}));
+    let response = cluster.send(cluster.chat_request("none", "booking"));
+    assert!(response.how != "completed" && response.whole_s < 4.5, "{response:?}");
+    cluster.assert_audit_passes();
 }
 
 #[test]
-fn no_engine_at_all_is_said_in_time() {
-    let w = World::new(Vec::new());
-    let seen = w.play(w.ask("q", "chat"));
-    assert!(seen.status >= 500 && seen.whole_s < 4.3, "{seen:?}");
-    w.assert_sound();
+fn without_engines_requests_fail_within_their_timeout() {
+    let cluster = TestCluster::new(Vec::new());
+    let response = cluster.send(cluster.chat_request("q", "chat"));
+    assert!(response.status >= 500 && response.whole_s < 4.3, "{response:?}");
+    cluster.assert_audit_passes();
 }
 
 #[test]
-fn the_last_list_serves_while_the_list_is_away() {
+fn the_endpoint_cache_serves_while_the_list_is_unreachable() {
     let dir = std::env::temp_dir().join(format!("nickelgw-last-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let path = dir.join("node0.list");
-    let mut w = World::with(engines(&["r0a", "w0a"]), |s| s.endpoint_cache = Some(path.clone()));
+    let mut cluster =
+        TestCluster::with_options(engines(&["r0a", "w0a"]), |s| s.endpoint_cache = Some(path.clone()));
     let from = std::time::Instant::now();
     while !path.exists() {
         assert!(from.elapsed() < Duration::from_secs(10));
         thread::sleep(Duration::from_millis(5));
     }
-    // A second process of the node, whose list is nowhere.
-    let (gone, nowhere) = common::listener();
-    drop(gone);
-    let mut s = common::start(&nowhere);
-    s.endpoint_cache = Some(path.clone());
-    w.node = common::serve(s);
-    assert_eq!(w.play(w.ask("q", "chat")).how, "completed");
+    // A second process of the node, whose endpoint list is unreachable.
+    let (closed, unreachable) = common::listener();
+    drop(closed);
+    let mut options = common::node_options(&unreachable);
+    options.endpoint_cache = Some(path.clone());
+    cluster.node = common::start_node(options);
+    assert_eq!(cluster.send(cluster.chat_request("q", "chat")).how, "completed");
     std::fs::write(&path, "{\"revision\":1,\"engi").unwrap();
-    let mut s = common::start(&nowhere);
-    s.endpoint_cache = Some(path);
-    w.node = common::serve(s);
-    let mut hasty = w.ask("cold", "chat");
-    hasty.leave = Leave::Waiting(0.3);
-    assert_ne!(w.play(hasty).how, "completed");
+    let mut options = common::node_options(&unreachable);
+    options.endpoint_cache = Some(path);
+    cluster.node = common::start_node(options);
+    let mut impatient = cluster.chat_request("cold", "chat");
+    impatient.leave = Leave::Waiting(0.3);
+    assert_ne!(cluster.send(impatient).how, "completed");
     let _ = std::fs::remove_dir_all(dir);
-    w.assert_sound();
+    cluster.assert_audit_passes();
 }
 
-/// A node that breaks a rule on purpose, by a fault built into a stand-in of it: the auditor is no ornament.
+/// A fake node that breaks a rule on purpose: the audit notices.
 #[test]
-fn a_node_that_sends_after_its_final_answer_is_caught() {
-    let w = World::new(engines(&["r0a", "w0a"]));
-    let ask = w.ask("q", "chat");
-    let reader = w.engines["r0a"].clone();
-    let read = move |send: &str| {
+fn the_audit_catches_an_attempt_after_the_final_answer() {
+    let cluster = TestCluster::new(engines(&["r0a", "w0a"]));
+    let request = cluster.chat_request("q", "chat");
+    let prefill_engine = cluster.engines["r0a"].clone();
+    let prefill = move |attempt: &str| {
         let body = "{\"model\":\"chat\",\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}";
         let head = format!(
             "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\nx-request-id: q\r\n\
-             x-send-id: {send}\r\nx-node: node0\r\ncontent-length: {}\r\n\r\n{body}",
+             x-send-id: {attempt}\r\nx-node: node0\r\ncontent-length: {}\r\n\r\n{body}",
             body.len()
         );
-        smol::block_on(client::raw(&reader, &[head.as_bytes()], 0.0, 1.0))
+        smol::block_on(client::raw(&prefill_engine, &[head.as_bytes()], 0.0, 1.0))
     };
-    let (l, address) = common::listener();
+    let (listener, address) = common::listener();
     let faulty = thread::spawn(move || {
         use std::io::{Read, Write};
-        let (mut s, _) = l.accept().unwrap();
+        let (mut stream, _) = listener.accept().unwrap();
         let mut buffer = [0; 65536];
-        let _ = s.read(&mut buffer).unwrap();
-        assert_eq!(client::status(&read("bad-0")), 200);
+        let _ = stream.read(&mut buffer).unwrap();
+        assert_eq!(client::status(&prefill("bad-0")), 200);
         let body = "{\"error\":{\"code\":\"shed\"}}";
         let answer = format!("HTTP/1.1 503 x\r\ncontent-length: {}\r\n\r\n{body}", body.len());
-        s.write_all(answer.as_bytes()).unwrap();
+        stream.write_all(answer.as_bytes()).unwrap();
         thread::sleep(Duration::from_millis(500));
-        read("bad-1");
+        prefill("bad-1");
     });
-    let seen = w.play(client::Ask { address, ..ask });
-    assert_eq!(seen.how, "shed");
+    let response = cluster.send(client::Ask { address, ..request });
+    assert_eq!(response.how, "shed");
     faulty.join().unwrap();
     thread::sleep(Duration::from_millis(500));
-    let v = w.verdict();
-    // Its states, never let go, are pinned too.
-    assert!(v.count(Rule::Lost) == 1 && v.count(Rule::Pinned) >= 1, "{:#?}", v.breaks);
+    let verdict = cluster.audit();
+    // Its reservations, never released, leak too.
+    assert!(verdict.count(Rule::Lost) == 1 && verdict.count(Rule::Pinned) >= 1, "{:#?}", verdict.breaks);
 }
--- a/crates/nickelgw-node/tests/leaving.rs
+++ b/crates/nickelgw-node/tests/leaving.rs
@@ -1,8 +1,8 @@
-//! A node that goes: what is open ends well or with one clear word, and no state stays behind.
+//! Shutdown: open requests finish or end in one error, and no reservation stays behind. The admin port.
 
 mod common;
 
-use common::{figures, post, World};
+use common::{engine_config, post, TestCluster};
 use nickelgw_node::{Exit, ProcessSignal};
 use nickelgw_test_servers::client::{self, status, Ask};
 use nickelgw_test_servers::model;
@@ -12,120 +12,128 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-fn world(grace_s: f64) -> World {
-    let slow = model::Figures { step_s: 0.05, ..figures("w0a") };
-    World::with(vec![figures("r0a"), slow], |s| s.shutdown.drain_timeout_s = grace_s)
+fn test_cluster(drain_timeout_s: f64) -> TestCluster {
+    let slow = model::Figures { step_s: 0.05, ..engine_config("w0a") };
+    TestCluster::with_options(vec![engine_config("r0a"), slow], |options| {
+        options.shutdown.drain_timeout_s = drain_timeout_s
+    })
 }
 
-fn tell(w: &World, order: ProcessSignal) {
-    w.tell.as_ref().unwrap().send_blocking(order).unwrap();
+fn send_signal(cluster: &TestCluster, signal: ProcessSignal) {
+    cluster.signals.as_ref().unwrap().send_blocking(signal).unwrap();
 }
 
-fn healthy(w: &World) -> u16 {
-    let call = b"GET /healthz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-    status(&smol::block_on(client::raw(&w.node, &[call], 0.0, 1.0)))
+fn health_status(cluster: &TestCluster) -> u16 {
+    let request = b"GET /healthz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
+    status(&smol::block_on(client::raw(&cluster.node, &[request], 0.0, 1.0)))
 }
 
 #[test]
-fn what_is_open_ends_and_what_comes_is_sent_elsewhere() {
-    let mut w = world(5.0);
-    // It is healthy once it has heard a list, which a busy machine delays.
+fn a_drain_finishes_open_requests_and_closes_connections() {
+    let mut cluster = test_cluster(5.0);
+    // It is healthy once it has fetched a list, which a busy machine delays.
     let until = Instant::now() + Duration::from_secs(10);
-    while healthy(&w) != 200 {
-        assert!(Instant::now() < until, "never healthy");
+    while health_status(&cluster) != 200 {
+        assert!(Instant::now() < until, "not healthy");
     }
-    // An unused connection, kept open by its client.
-    let mut idle = TcpStream::connect(&w.node).unwrap();
-    let stream = w.later(w.ask("stream", "booking"));
-    w.wait_for("first", "stream");
-    tell(&w, ProcessSignal::Drain);
-    let from = Instant::now();
-    while healthy(&w) == 200 {
-        assert!(from.elapsed() < Duration::from_secs(2));
+    // An idle connection, kept open by its client.
+    let mut idle = TcpStream::connect(&cluster.node).unwrap();
+    let stream = cluster.send_in_background(cluster.chat_request("stream", "booking"));
+    cluster.wait_for_event("first", "stream");
+    send_signal(&cluster, ProcessSignal::Drain);
+    let started_at = Instant::now();
+    while health_status(&cluster) == 200 {
+        assert!(started_at.elapsed() < Duration::from_secs(2));
     }
-    // While its notice lasts it takes what comes, each the last of its connection.
+    // While it announces its shutdown it accepts requests, each the last of its connection.
     let body = r#"{"model":"chat","max_tokens":2,"messages":[{"role":"user","content":"hi"}]}"#;
     idle.write_all(post(body, "").as_bytes()).unwrap();
-    let mut answer = String::new();
-    idle.read_to_string(&mut answer).unwrap();
-    assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("connection: close"), "{answer}");
+    let mut response = String::new();
+    idle.read_to_string(&mut response).unwrap();
+    assert!(response.starts_with("HTTP/1.1 200") && response.contains("connection: close"), "{response}");
     assert_eq!(stream.join().unwrap().how, "completed");
-    assert_eq!(w.exit.take().unwrap().join().unwrap(), Exit::Clean);
-    assert!(TcpStream::connect(&w.node).is_err(), "it listens no longer");
-    w.assert_empty(&["r0a", "w0a"]);
-    w.assert_sound();
+    assert_eq!(cluster.exit.take().unwrap().join().unwrap(), Exit::Clean);
+    assert!(TcpStream::connect(&cluster.node).is_err(), "it still listens");
+    cluster.assert_engines_idle(&["r0a", "w0a"]);
+    cluster.assert_audit_passes();
 }
 
 #[test]
-fn when_the_grace_is_over_each_gets_one_ending_and_held_states_go() {
-    let mut w = world(0.3);
-    w.control("w0a", json!({"fault": "slow", "for_s": 30.0, "factor": 8.0}));
-    let mut ask = w.ask("stream", "booking");
-    ask.max_tokens = None;
-    let stream = w.later(ask);
-    w.wait_for("first", "stream");
-    let whole = w.later(Ask { stream: false, max_tokens: None, ..w.ask("whole", "chat") });
-    w.wait_for("ran", "whole");
-    // One whose state is held at its reader while a silent writer is asked.
-    w.control("w0a", json!({"fault": "silence", "for_s": 0.9}));
-    let held = w.later(w.ask("held", "chat"));
-    w.wait_for("read", "held");
-    tell(&w, ProcessSignal::Drain);
+fn after_the_drain_timeout_open_requests_fail_and_reservations_are_released() {
+    let mut cluster = test_cluster(0.3);
+    cluster.control("w0a", json!({"fault": "slow", "for_s": 30.0, "factor": 8.0}));
+    let mut request = cluster.chat_request("stream", "booking");
+    request.max_tokens = None;
+    let stream = cluster.send_in_background(request);
+    cluster.wait_for_event("first", "stream");
+    let whole = cluster.send_in_background(Ask {
+        stream: false,
+        max_tokens: None,
+        ..cluster.chat_request("whole", "chat")
+    });
+    cluster.wait_for_event("ran", "whole");
+    // One whose reservation waits while a silent decode engine is called.
+    cluster.control("w0a", json!({"fault": "silence", "for_s": 0.9}));
+    let held = cluster.send_in_background(cluster.chat_request("held", "chat"));
+    cluster.wait_for_event("read", "held");
+    send_signal(&cluster, ProcessSignal::Drain);
     let (stream, whole, held) = (stream.join().unwrap(), whole.join().unwrap(), held.join().unwrap());
     assert_eq!((stream.how.as_str(), stream.code.as_deref()), ("errored", Some("node_stopping")));
     assert_eq!((whole.status, whole.code.as_deref()), (503, Some("node_stopping")));
     assert_ne!(held.how, "completed");
-    assert_eq!(w.exit.take().unwrap().join().unwrap(), Exit::RequestsCut);
+    assert_eq!(cluster.exit.take().unwrap().join().unwrap(), Exit::RequestsCut);
     thread::sleep(Duration::from_millis(900));
-    w.assert_empty(&["r0a", "w0a"]);
-    w.assert_sound();
+    cluster.assert_engines_idle(&["r0a", "w0a"]);
+    cluster.assert_audit_passes();
 }
 
 #[test]
-fn told_again_it_hurries() {
-    let mut w = world(60.0);
-    w.control("w0a", json!({"fault": "slow", "for_s": 30.0, "factor": 8.0}));
-    let mut ask = w.ask("stream", "chat");
-    ask.max_tokens = None;
-    let stream = w.later(ask);
-    w.wait_for("first", "stream");
-    let from = Instant::now();
-    for o in [ProcessSignal::Drain, ProcessSignal::SkipStage, ProcessSignal::SkipStage] {
-        tell(&w, o);
+fn further_signals_skip_the_shutdown_stages() {
+    let mut cluster = test_cluster(60.0);
+    cluster.control("w0a", json!({"fault": "slow", "for_s": 30.0, "factor": 8.0}));
+    let mut request = cluster.chat_request("stream", "chat");
+    request.max_tokens = None;
+    let stream = cluster.send_in_background(request);
+    cluster.wait_for_event("first", "stream");
+    let started_at = Instant::now();
+    for signal in [ProcessSignal::Drain, ProcessSignal::SkipStage, ProcessSignal::SkipStage] {
+        send_signal(&cluster, signal);
     }
     assert_eq!(stream.join().unwrap().code.as_deref(), Some("node_stopping"));
-    assert_eq!(w.exit.take().unwrap().join().unwrap(), Exit::RequestsCut);
-    assert!(from.elapsed() < Duration::from_secs(5));
-    w.assert_empty(&["r0a", "w0a"]);
+    assert_eq!(cluster.exit.take().unwrap().join().unwrap(), Exit::RequestsCut);
+    assert!(started_at.elapsed() < Duration::from_secs(5));
+    cluster.assert_engines_idle(&["r0a", "w0a"]);
 }
 
 #[test]
-fn operators_hear_what_became_of_a_request_and_of_all() {
-    let (l, admin) = common::listener();
-    let w = World::with(vec![figures("r0a"), figures("w0a")], |s| s.admin = Some(l));
-    w.control("w0a", json!({"fault": "lose", "for_s": 60.0, "share": 1.0}));
-    assert_eq!(w.play(w.ask("lost-one", "booking")).how, "errored");
+fn the_admin_port_serves_traces_and_metrics() {
+    let (admin_listener, admin) = common::listener();
+    let cluster = TestCluster::with_options(vec![engine_config("r0a"), engine_config("w0a")], |options| {
+        options.admin = Some(admin_listener)
+    });
+    cluster.control("w0a", json!({"fault": "lose", "for_s": 60.0, "share": 1.0}));
+    assert_eq!(cluster.send(cluster.chat_request("lost-one", "booking")).how, "errored");
     let get = |path: &str| {
-        let call = format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
-        let answer = smol::block_on(client::raw(&admin, &[call.as_bytes()], 0.0, 2.0));
-        String::from_utf8(answer).unwrap()
+        let request = format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
+        let response = smol::block_on(client::raw(&admin, &[request.as_bytes()], 0.0, 2.0));
+        String::from_utf8(response).unwrap()
     };
-    let told = get("/why/lost-one");
-    for wanted in
+    let trace = get("/why/lost-one");
+    for expected in
         ["model booking", "to be read at r0a", "written at w0a", "it may have run", "errored: AttemptsFailed"]
     {
-        assert!(told.contains(wanted), "{wanted}: {told}");
+        assert!(trace.contains(expected), "{expected}: {trace}");
     }
     assert_eq!(status(get("/why/unknown").as_bytes()), 404);
     let metrics = get("/metrics");
-    for wanted in [
+    for expected in [
         "nickelgw_inferences_total{how=\"errored\"} 1",
         "nickelgw_states_total{how=\"let_go\"}",
         "nickelgw_open 0",
         "nickelgw_held_wait_longest_seconds",
         "# EOF",
     ] {
-        assert!(metrics.contains(wanted), "{wanted}: {metrics}");
+        assert!(metrics.contains(expected), "{expected}: {metrics}");
     }
     assert_eq!(status(get("/healthz").as_bytes()), 200);
 }
--- a/crates/nickelgw-node/tests/path.rs
+++ b/crates/nickelgw-node/tests/path.rs
@@ -1,8 +1,8 @@
-//! The path from client to client on sockets: what is hard on it, each caused.
+//! The path of a request from client to engines and back, with each of its faults injected.
 
 mod common;
 
-use common::{figures, post, start, World};
+use common::{engine_config, node_options, post, TestCluster};
 use nickelgw_chat::core::grant::{grant, GrantClaims, GrantKey};
 use nickelgw_node_core::GrantConfig;
 use nickelgw_test_servers::client::{self, status, Ask, Leave};
@@ -17,60 +17,70 @@
 
 const SECRET: &str = "a secret that is long enough";
 
-fn world(ids: &[&str], tweak: impl FnOnce(&mut nickelgw_node::NodeOptions)) -> World {
-    World::with(ids.iter().map(|id| figures(id)).collect(), tweak)
+fn test_cluster(ids: &[&str], configure: impl FnOnce(&mut nickelgw_node::NodeOptions)) -> TestCluster {
+    TestCluster::with_options(ids.iter().map(|id| engine_config(id)).collect(), configure)
 }
 
-fn holder(w: &World, req: &str) -> (String, String) {
-    w.wait_for("read", req);
-    let lines = w.record.lines();
-    let l = lines.iter().find(|l| l["ev"] == "read" && l["req"] == req).unwrap();
-    (l["who"].as_str().unwrap().into(), l["send"].as_str().unwrap().into())
+/// The engine that holds a request's reservation, and the name of the prefill attempt.
+fn reservation_of(cluster: &TestCluster, request: &str) -> (String, String) {
+    cluster.wait_for_event("read", request);
+    let lines = cluster.record.lines();
+    let event = lines.iter().find(|event| event["ev"] == "read" && event["req"] == request).unwrap();
+    (event["who"].as_str().unwrap().into(), event["send"].as_str().unwrap().into())
 }
 
 #[test]
-fn a_reader_that_dies_during_the_fetch_costs_a_second_read() {
-    let heavy = |id: &str| model::Figures { state_bytes_per_token: 40_000.0, ..figures(id) };
-    let w = World::new(vec![heavy("r0a"), heavy("r1a"), heavy("w0a")]);
-    w.control("w0a", json!({"fault": "silence", "for_s": 0.1}));
-    let asked = w.later(w.ask("q", "booking"));
-    let (reader, _) = holder(&w, "q");
-    w.control(&reader, json!({"fault": "die_in_fetch"}));
-    assert_eq!(asked.join().unwrap().how, "completed");
-    assert_eq!((w.count("died", ""), w.count("read", "q"), w.count("ran", "q")), (1, 2, 1));
-    w.assert_sound();
+fn a_prefill_engine_lost_during_the_kv_fetch_costs_a_second_prefill() {
+    let heavy = |id: &str| model::Figures { state_bytes_per_token: 40_000.0, ..engine_config(id) };
+    let cluster = TestCluster::new(vec![heavy("r0a"), heavy("r1a"), heavy("w0a")]);
+    cluster.control("w0a", json!({"fault": "silence", "for_s": 0.1}));
+    let pending = cluster.send_in_background(cluster.chat_request("q", "booking"));
+    let (prefill_engine, _) = reservation_of(&cluster, "q");
+    cluster.control(&prefill_engine, json!({"fault": "die_in_fetch"}));
+    assert_eq!(pending.join().unwrap().how, "completed");
+    assert_eq!(
+        (
+            cluster.count_events("died", ""),
+            cluster.count_events("read", "q"),
+            cluster.count_events("ran", "q")
+        ),
+        (1, 2, 1)
+    );
+    cluster.assert_audit_passes();
 }
 
 #[test]
-fn a_writer_that_refuses_three_times_is_asked_again_or_left() {
-    let w = world(&["r0a", "w0a", "w1b"], |_| {});
-    w.control("w0a", json!({"fault": "refuse", "times": 3}));
-    w.control("w1b", json!({"fault": "refuse", "times": 3}));
+fn a_decode_engine_that_rejects_three_times_is_retried_or_avoided() {
+    let cluster = test_cluster(&["r0a", "w0a", "w1b"], |_| {});
+    cluster.control("w0a", json!({"fault": "refuse", "times": 3}));
+    cluster.control("w1b", json!({"fault": "refuse", "times": 3}));
     for n in 0..3 {
-        let seen = w.play(w.ask(&format!("q{n}"), "booking"));
-        assert!(seen.how == "completed" || seen.how == "shed", "{seen:?}");
+        let response = cluster.send(cluster.chat_request(&format!("q{n}"), "booking"));
+        assert!(response.how == "completed" || response.how == "shed", "{response:?}");
     }
-    assert_eq!(w.count("turned", ""), 6);
-    w.assert_empty(&["r0a", "w0a", "w1b"]);
-    w.assert_sound();
+    assert_eq!(cluster.count_events("turned", ""), 6);
+    cluster.assert_engines_idle(&["r0a", "w0a", "w1b"]);
+    cluster.assert_audit_passes();
 }
 
-/// Gone while it is queued behind others, read, held, fetched, streamed: nothing stays anywhere.
+/// Disconnected in each phase of its request: nothing stays reserved or running.
 #[test_case("queued"; "queued")]
 #[test_case("reading"; "reading")]
 #[test_case("held"; "held")]
 #[test_case("fetching"; "fetching")]
 #[test_case("streaming"; "streaming")]
-fn a_client_vanishes(at: &str) {
-    let reader =
-        model::Figures { slots: 1, read_s: if at == "queued" { 0.4 } else { 0.1 }, ..figures("r0a") };
-    let writer = model::Figures { step_s: 0.03, ..figures("w0a") };
-    let w = World::new(vec![reader, writer]);
+fn a_client_disconnects(at: &str) {
+    let prefill_engine =
+        model::Figures { slots: 1, read_s: if at == "queued" { 0.4 } else { 0.1 }, ..engine_config("r0a") };
+    let decode_engine = model::Figures { step_s: 0.03, ..engine_config("w0a") };
+    let cluster = TestCluster::new(vec![prefill_engine, decode_engine]);
     let others = if at == "queued" { 6 } else { 0 };
-    let others: Vec<_> = (0..others).map(|n| w.later(w.ask(&format!("o{n}"), "chat"))).collect();
+    let others: Vec<_> = (0..others)
+        .map(|n| cluster.send_in_background(cluster.chat_request(&format!("o{n}"), "chat")))
+        .collect();
     match at {
-        "held" => drop(w.control("w0a", json!({"fault": "silence", "for_s": 0.6}))),
-        "fetching" => drop(w.control("w0a", json!({"fault": "silence", "for_s": 0.2}))),
+        "held" => drop(cluster.control("w0a", json!({"fault": "silence", "for_s": 0.6}))),
+        "fetching" => drop(cluster.control("w0a", json!({"fault": "silence", "for_s": 0.2}))),
         _ => {}
     }
     let leave = match at {
@@ -79,75 +89,79 @@
         "reading" => Leave::Waiting(0.06),
         _ => Leave::Waiting(0.35),
     };
-    let asked = w.later(Ask { leave, ..w.ask("q", "booking") });
+    let pending = cluster.send_in_background(Ask { leave, ..cluster.chat_request("q", "booking") });
     if at == "fetching" {
-        let (reader, _) = holder(&w, "q");
-        w.control(&reader, json!({"fault": "silence", "for_s": 0.6}));
+        let (prefill_engine, _) = reservation_of(&cluster, "q");
+        cluster.control(&prefill_engine, json!({"fault": "silence", "for_s": 0.6}));
     }
-    assert_eq!(asked.join().unwrap().how, "left");
-    others.into_iter().for_each(|o| drop(o.join()));
+    assert_eq!(pending.join().unwrap().how, "left");
+    others.into_iter().for_each(|other| drop(other.join()));
     thread::sleep(Duration::from_millis(700));
-    assert_eq!(w.count("done", "q"), 0, "it ran on for nobody");
-    w.assert_empty(&["r0a", "w0a"]);
-    w.assert_sound();
+    assert_eq!(cluster.count_events("done", "q"), 0, "it ran on without a client");
+    cluster.assert_engines_idle(&["r0a", "w0a"]);
+    cluster.assert_audit_passes();
 }
 
 #[test]
-fn events_cut_at_every_byte_and_letters_cut_in_their_middle_come_whole() {
-    let w = world(&["r0a", "w0a"], |_| {});
+fn events_split_at_every_byte_reach_the_client_whole() {
+    let cluster = test_cluster(&["r0a", "w0a"], |_| {});
     let text = "Žluťoučký kůň 🐎 dost\u{301} 漢字\u{200d}";
-    w.control("w0a", json!({"fault": "say", "text": text}));
-    w.control("w0a", json!({"fault": "split", "bytes": 1}));
+    cluster.control("w0a", json!({"fault": "say", "text": text}));
+    cluster.control("w0a", json!({"fault": "split", "bytes": 1}));
     for stream in [true, false] {
-        let seen = w.play(Ask { stream, max_tokens: None, ..w.ask(&format!("q{stream}"), "chat") });
-        assert_eq!((seen.how.as_str(), seen.text.as_str()), ("completed", text));
+        let response = cluster.send(Ask {
+            stream,
+            max_tokens: None,
+            ..cluster.chat_request(&format!("q{stream}"), "chat")
+        });
+        assert_eq!((response.how.as_str(), response.text.as_str()), ("completed", text));
     }
-    w.assert_sound();
+    cluster.assert_audit_passes();
 }
 
 #[test_case("twice", "completed", None; "two endings")]
 #[test_case("text", "completed", None; "text after the end")]
 #[test_case("none", "errored", Some("stream_broken"); "no ending")]
-fn an_engine_ends_its_stream_wrongly(how: &str, seen_as: &str, code: Option<&str>) {
-    let w = world(&["r0a", "w0a"], |_| {});
-    w.control("w0a", json!({"fault": "ending", "how": how}));
+fn a_malformed_stream_end_is_handled(how: &str, expected: &str, code: Option<&str>) {
+    let cluster = test_cluster(&["r0a", "w0a"], |_| {});
+    cluster.control("w0a", json!({"fault": "ending", "how": how}));
     for n in 0..4 {
-        let seen = w.play(Ask { stream: n != 3, ..w.ask(&format!("q{n}"), "chat") });
-        assert_eq!((seen.how.as_str(), seen.code.as_deref()), (seen_as, code));
-        assert!(!seen.text.contains("more") && w.count("final", &format!("q{n}")) == 1);
+        let response = cluster.send(Ask { stream: n != 3, ..cluster.chat_request(&format!("q{n}"), "chat") });
+        assert_eq!((response.how.as_str(), response.code.as_deref()), (expected, code));
+        assert!(!response.text.contains("more") && cluster.count_events("final", &format!("q{n}")) == 1);
     }
-    w.control("w0a", json!({"fault": "ending", "how": ""}));
-    assert_eq!(w.play(w.ask("after", "chat")).how, "completed");
-    w.assert_sound();
+    cluster.control("w0a", json!({"fault": "ending", "how": ""}));
+    assert_eq!(cluster.send(cluster.chat_request("after", "chat")).how, "completed");
+    cluster.assert_audit_passes();
 }
 
 #[test]
 fn bodies_of_eight_megabytes_and_prompts_of_one_token() {
-    let big = |id| model::Figures { memory_tokens: 1e7, read_tokens_per_s: 1e8, ..figures(id) };
-    let large = |s: &mut nickelgw_node::NodeOptions| {
-        (s.limits.max_body_bytes, s.limits.body_timeout_s, s.admission.max_prompt_tokens) =
+    let big = |id| model::Figures { memory_tokens: 1e7, read_tokens_per_s: 1e8, ..engine_config(id) };
+    let large = |options: &mut nickelgw_node::NodeOptions| {
+        (options.limits.max_body_bytes, options.limits.body_timeout_s, options.admission.max_prompt_tokens) =
             (9_000_000, 5.0, 4e6);
     };
-    let w = World::with(vec![big("r0a"), big("w0a")], large);
-    let mut ask = w.ask("big", "chat");
-    ask.prompt = "word ".repeat(8_000_000 / 5);
-    let seen = w.play(Ask { timeout_s: 4.0, ..ask });
-    assert_eq!((seen.how.as_str(), seen.status), ("completed", 200));
-    let mut ask = w.ask("small", "chat");
-    (ask.prompt, ask.system) = ("a".into(), String::new());
-    let seen = w.play(ask);
-    assert_eq!((seen.how.as_str(), seen.text.starts_with("w0 ")), ("completed", true));
-    let mut over = w.ask("over", "chat");
+    let cluster = TestCluster::with_options(vec![big("r0a"), big("w0a")], large);
+    let mut request = cluster.chat_request("big", "chat");
+    request.prompt = "word ".repeat(8_000_000 / 5);
+    let response = cluster.send(Ask { timeout_s: 4.0, ..request });
+    assert_eq!((response.how.as_str(), response.status), ("completed", 200));
+    let mut request = cluster.chat_request("small", "chat");
+    (request.prompt, request.system) = ("a".into(), String::new());
+    let response = cluster.send(request);
+    assert_eq!((response.how.as_str(), response.text.starts_with("w0 ")), ("completed", true));
+    let mut over = cluster.chat_request("over", "chat");
     over.prompt = "word ".repeat(9_000_000 / 5);
-    let seen = w.play(over);
-    // Refused by its length alone; a client that is still writing may see its connection end instead.
-    assert!(seen.status == 413 || seen.how == "cut", "{seen:?}");
-    assert_eq!(w.count("send", "over"), 0);
+    let response = cluster.send(over);
+    // Rejected by its length alone; a client that is still writing may see its connection end instead.
+    assert!(response.status == 413 || response.how == "cut", "{response:?}");
+    assert_eq!(cluster.count_events("send", "over"), 0);
 }
 
 #[test]
-fn an_answer_ends_before_its_stop_and_says_why_it_ended() {
-    let w = world(&["r0a", "w0a"], |_| {});
+fn responses_end_before_a_stop_sequence_with_their_finish_reason() {
+    let cluster = test_cluster(&["r0a", "w0a"], |_| {});
     let body =
         |more: &str| format!(r#"{{"model":"chat","messages":[{{"role":"user","content":"hi"}}]{more}}}"#);
     for (more, text, finish) in [
@@ -156,80 +170,91 @@
         (r#","max_tokens":2"#, "w0 w1 ", "length"),
         (r#","max_completion_tokens":2,"max_tokens":null"#, "w0 w1 ", "length"),
     ] {
-        let text_of = post(&body(more), "connection: close\r\n");
-        let answer = smol::block_on(client::raw(&w.node, &[text_of.as_bytes()], 0.0, 2.0));
-        let answer = String::from_utf8(answer).unwrap();
-        let v: Value = serde_json::from_str(answer.split_once("\r\n\r\n").unwrap().1).unwrap();
-        let choice = &v["choices"][0];
+        let request = post(&body(more), "connection: close\r\n");
+        let response = smol::block_on(client::raw(&cluster.node, &[request.as_bytes()], 0.0, 2.0));
+        let response = String::from_utf8(response).unwrap();
+        let body: Value = serde_json::from_str(response.split_once("\r\n\r\n").unwrap().1).unwrap();
+        let choice = &body["choices"][0];
         assert_eq!((&choice["message"]["content"], &choice["finish_reason"]), (&json!(text), &json!(finish)));
     }
 }
 
 #[test]
-fn requests_follow_each_other_on_a_connection_and_a_half_closed_one_is_gone() {
-    let w = world(&["r0a", "w0a"], |_| {});
+fn pipelined_requests_are_served_and_a_half_closed_connection_is_a_disconnect() {
+    let cluster = test_cluster(&["r0a", "w0a"], |_| {});
     let body = r#"{"model":"chat","max_tokens":3,"messages":[{"role":"user","content":"hi"}]}"#;
     let bad = post("{", "");
     let three = [post(body, ""), bad, post(body, "connection: close\r\n")].concat();
-    let answer = smol::block_on(client::raw(&w.node, &[three.as_bytes()], 0.0, 2.0));
-    let answer = String::from_utf8_lossy(&answer).to_string();
-    let statuses: Vec<&str> = answer.split("HTTP/1.1 ").skip(1).map(|a| &a[..3]).collect();
-    assert_eq!(statuses, ["200", "400", "200"], "{answer}");
-    // One that will send nothing more has left: the API's clients keep their side open.
-    w.control("w0a", json!({"fault": "silence", "for_s": 0.5}));
-    let mut s = TcpStream::connect(&w.node).unwrap();
+    let response = smol::block_on(client::raw(&cluster.node, &[three.as_bytes()], 0.0, 2.0));
+    let response = String::from_utf8_lossy(&response).to_string();
+    let statuses: Vec<&str> = response.split("HTTP/1.1 ").skip(1).map(|response| &response[..3]).collect();
+    assert_eq!(statuses, ["200", "400", "200"], "{response}");
+    // One that closes its sending side has disconnected: the API's clients keep it open.
+    cluster.control("w0a", json!({"fault": "silence", "for_s": 0.5}));
+    let mut stream = TcpStream::connect(&cluster.node).unwrap();
     let id = "x-request-id: half\r\n";
-    s.write_all(post(body, id).as_bytes()).unwrap();
-    w.wait_for("read", "half");
-    s.shutdown(Shutdown::Write).unwrap();
+    stream.write_all(post(body, id).as_bytes()).unwrap();
+    cluster.wait_for_event("read", "half");
+    stream.shutdown(Shutdown::Write).unwrap();
     thread::sleep(Duration::from_millis(700));
-    assert_eq!(w.count("done", "half"), 0);
-    w.assert_empty(&["r0a", "w0a"]);
+    assert_eq!(cluster.count_events("done", "half"), 0);
+    cluster.assert_engines_idle(&["r0a", "w0a"]);
 }
 
 #[test]
 fn a_tenant_has_its_own_limit_of_open_requests() {
-    let w = world(&["r0a", "w0a"], |s| s.core_config.tenant_max_open = vec![Some(2)]);
-    w.control("w0a", json!({"fault": "silence", "for_s": 0.6}));
-    let first = [w.later(w.ask("a", "chat")), w.later(w.ask("b", "chat"))];
-    w.wait("both are taken", |l| l.iter().filter(|l| l["ev"] == "read").count() == 2);
-    let third = w.play(w.ask("c", "chat"));
+    let cluster = test_cluster(&["r0a", "w0a"], |s| s.core_config.tenant_max_open = vec![Some(2)]);
+    cluster.control("w0a", json!({"fault": "silence", "for_s": 0.6}));
+    let first = [
+        cluster.send_in_background(cluster.chat_request("a", "chat")),
+        cluster.send_in_background(cluster.chat_request("b", "chat")),
+    ];
+    cluster.wait_for("both are accepted", |events| {
+        events.iter().filter(|event| event["ev"] == "read").count() == 2
+    });
+    let third = cluster.send(cluster.chat_request("c", "chat"));
     assert_eq!((third.status, third.code.as_deref()), (429, Some("too_many_open")));
     assert!(third.retry_after.is_some());
-    first.into_iter().for_each(|f| assert_eq!(f.join().unwrap().how, "completed"));
-    assert_eq!(w.play(w.ask("d", "chat")).how, "completed");
+    first.into_iter().for_each(|pending| assert_eq!(pending.join().unwrap().how, "completed"));
+    assert_eq!(cluster.send(cluster.chat_request("d", "chat")).how, "completed");
+}
+
+/// The status of a decode engine's fetch of a reservation.
+fn fetch_status(prefill_engine: &str, reservation: &str, grant: &str, decode_engine: &str) -> u16 {
+    let request = format!(
+        "GET /v1/states/{reservation} HTTP/1.1\r\nhost: x\r\nx-engine-id: {decode_engine}\r\n\
+         x-state-grant: {grant}\r\nconnection: close\r\n\r\n"
+    );
+    status(&smol::block_on(client::raw(prefill_engine, &[request.as_bytes()], 0.0, 1.0)))
 }
 
 #[test]
-fn a_state_goes_only_to_the_writer_that_was_granted_it_and_once() {
-    let known = |id| model::Figures { grant_keys: vec![(7, SECRET.into())], ..figures(id) };
+fn a_reservation_is_served_once_and_only_to_the_engine_of_its_grant() {
+    let known = |id| model::Figures { grant_keys: vec![(7, SECRET.into())], ..engine_config(id) };
     let key = || GrantKey::of(7, SECRET).unwrap();
     let grants = GrantConfig { keys: vec![(0.0, key())], lifetime_s: 5.0 };
-    let w = World::with(vec![known("r0a"), figures("w0a")], |s| s.core_config.grants = Some(grants));
-    assert_eq!(w.play(w.ask("fine", "chat")).how, "completed");
-    assert_eq!((w.count("fetched", ""), w.count("not_granted", "")), (1, 0));
-    w.control("w0a", json!({"fault": "silence", "for_s": 1.0}));
-    let asked = w.later(w.ask("q", "chat"));
-    let (_, state) = holder(&w, "q");
-    let fetch = |grant: &str, writer: &str| {
-        let text = format!(
-            "GET /v1/states/{state} HTTP/1.1\r\nhost: x\r\nx-engine-id: {writer}\r\nx-state-grant: {grant}\r\n\
-             connection: close\r\n\r\n"
-        );
-        status(&smol::block_on(client::raw(&w.engines["r0a"], &[text.as_bytes()], 0.0, 1.0)))
-    };
-    let g = GrantClaims {
+    let cluster = TestCluster::with_options(vec![known("r0a"), engine_config("w0a")], |s| {
+        s.core_config.grants = Some(grants)
+    });
+    assert_eq!(cluster.send(cluster.chat_request("fine", "chat")).how, "completed");
+    assert_eq!((cluster.count_events("fetched", ""), cluster.count_events("not_granted", "")), (1, 0));
+    cluster.control("w0a", json!({"fault": "silence", "for_s": 1.0}));
+    let pending = cluster.send_in_background(cluster.chat_request("q", "chat"));
+    let (_, state) = reservation_of(&cluster, "q");
+    let prefill_engine = &cluster.engines["r0a"];
+    let fetch = |grant: &str, decode_engine: &str| fetch_status(prefill_engine, &state, grant, decode_engine);
+    let claims = GrantClaims {
         reservation: &state,
         prefill_engine: "r0a",
         decode_engine: "w9a",
         expires_at: unix_now() + 5.0,
     };
-    let good = grant(&key(), &g);
-    let forged = grant(&GrantKey::of(7, "another secret of some length").unwrap(), &g);
-    let unknown = grant(&GrantKey::of(8, SECRET).unwrap(), &g);
-    let expired = grant(&key(), &GrantClaims { expires_at: unix_now() - 0.5, ..g });
+    let good = grant(&key(), &claims);
+    let forged = grant(&GrantKey::of(7, "another secret of some length").unwrap(), &claims);
+    let unknown = grant(&GrantKey::of(8, SECRET).unwrap(), &claims);
+    let expired = grant(&key(), &GrantClaims { expires_at: unix_now() - 0.5, ..claims });
     let altered = good.replace(&good[2..6], "9999");
-    for (bad, writer) in [
+    for (bad, decode_engine) in [
         ("", "w9a"),
         ("junk", "w9a"),
         (&forged, "w9a"),
@@ -238,34 +263,41 @@
         (&altered, "w9a"),
         (&good, "w8a"),
     ] {
-        assert_eq!(fetch(bad, writer), 403, "{bad} by {writer}");
+        assert_eq!(fetch(bad, decode_engine), 403, "{bad} by {decode_engine}");
     }
     assert_eq!(fetch(&good, "w9a"), 200);
     assert_eq!(fetch(&good, "w9a"), 403, "replayed");
-    let whys: Vec<String> =
-        w.record.lines().iter().filter(|l| l["ev"] == "not_granted").map(|l| l["why"].to_string()).collect();
-    assert_eq!(whys.len(), 8, "{whys:?}");
-    assert!(whys[4].contains("Expired") && whys[7].contains("Replayed"), "{whys:?}");
-    // Its state was stolen by a granted fetch: the writer finds none, and it is read again.
-    assert_eq!(asked.join().unwrap().how, "completed");
-    assert_eq!(w.count("read", "q"), 2);
+    let reasons: Vec<String> = cluster
+        .record
+        .lines()
+        .iter()
+        .filter(|event| event["ev"] == "not_granted")
+        .map(|event| event["why"].to_string())
+        .collect();
+    assert_eq!(reasons.len(), 8, "{reasons:?}");
+    assert!(reasons[4].contains("Expired") && reasons[7].contains("Replayed"), "{reasons:?}");
+    // Its reservation was served to the fetch above: the decode engine finds none, and it is prefilled again.
+    assert_eq!(pending.join().unwrap().how, "completed");
+    assert_eq!(cluster.count_events("read", "q"), 2);
 }
 
 #[test]
-fn another_node_knows_nothing_of_a_key_and_says_so_by_running() {
-    let w = world(&["r0a", "w0a"], |_| {});
-    let mut second = start(&w.list);
+fn idempotency_keys_are_not_shared_between_nodes() {
+    let cluster = test_cluster(&["r0a", "w0a"], |_| {});
+    let mut second = node_options(&cluster.list);
     second.name = "node1".into();
     second.core_config.incarnation = "node1".into();
     (second.deployment.node, second.deployment.node_count) = (1, 2);
-    let other = common::serve(second);
-    w.wait("the other hears the list", |l| l.iter().any(|l| l["ev"] == "told" && l["node"] == "node1"));
+    let other = common::start_node(second);
+    cluster.wait_for("the other node fetches the endpoint list", |events| {
+        events.iter().any(|event| event["ev"] == "told" && event["node"] == "node1")
+    });
     let body = r#"{"model":"chat","max_tokens":3,"messages":[{"role":"user","content":"hi"}]}"#;
     let text = post(body, "idempotency-key: k\r\nconnection: close\r\n");
-    for node in [&w.node, &w.node, &other] {
-        let answer = smol::block_on(client::raw(node, &[text.as_bytes()], 0.0, 2.0));
-        assert_eq!(status(&answer), 200);
+    for node in [&cluster.node, &cluster.node, &other] {
+        let response = smol::block_on(client::raw(node, &[text.as_bytes()], 0.0, 2.0));
+        assert_eq!(status(&response), 200);
     }
-    // Once for the first node's two, once for the other: nodes share nothing.
-    assert_eq!(w.count("ran", ""), 2);
+    // Once for the first node's two, once for the other.
+    assert_eq!(cluster.count_events("ran", ""), 2);
 }
--- a/crates/nickelgw-node/tests/repeats.rs
+++ b/crates/nickelgw-node/tests/repeats.rs
@@ -1,16 +1,16 @@
-//! Clients that repeat their requests, on sockets: one effect, one answer, heard by all who come with the key.
+//! Idempotency keys and retries on sockets: one run, whose response every client with the key receives.
 
 mod common;
 
-use common::{figures, post, World};
+use common::{engine_config, post, TestCluster};
 use nickelgw_test_servers::client::{raw, status};
 use nickelgw_test_servers::model::Figures;
 use std::thread;
 use std::time::Duration;
 
-fn world(tweak: impl FnOnce(&mut nickelgw_node::NodeOptions)) -> World {
-    let slow = Figures { step_s: 0.04, ..figures("w0a") };
-    World::with(vec![figures("r0a"), slow], tweak)
+fn test_cluster(configure: impl FnOnce(&mut nickelgw_node::NodeOptions)) -> TestCluster {
+    let slow = Figures { step_s: 0.04, ..engine_config("w0a") };
+    TestCluster::with_options(vec![engine_config("r0a"), slow], configure)
 }
 
 fn body(model: &str, text: &str, stream: bool) -> String {
@@ -19,129 +19,149 @@
     )
 }
 
-/// Asks with a key; what came back, or what came until `patience` had passed without a byte.
-fn ask(w: &World, req: &str, key: &str, body: &str, patience: f64) -> String {
-    let head = post(body, &format!("connection: close\r\nx-request-id: {req}\r\n{key}"));
-    let out = smol::block_on(raw(&w.node, &[head.as_bytes()], 0.0, patience));
-    String::from_utf8_lossy(&out).into_owned()
+/// The response, or what arrived of it until `timeout_s` had passed without a byte.
+fn send(node: &str, request_id: &str, headers: &str, body: &str, timeout_s: f64) -> String {
+    let request = post(body, &format!("connection: close\r\nx-request-id: {request_id}\r\n{headers}"));
+    let response = smol::block_on(raw(node, &[request.as_bytes()], 0.0, timeout_s));
+    String::from_utf8_lossy(&response).into_owned()
 }
 
-fn idem(key: &str) -> String {
+fn idempotency_key(key: &str) -> String {
     format!("idempotency-key: {key}\r\n")
 }
 
-fn words(answer: &str) -> Vec<String> {
-    let text = answer.split("\"content\":\"").skip(1);
-    text.filter_map(|t| t.split('"').next()).map(|t| t.trim().to_string()).collect()
+fn words(response: &str) -> Vec<String> {
+    let contents = response.split("\"content\":\"").skip(1);
+    let words = contents.filter_map(|content| content.split('"').next());
+    words.map(|word| word.trim().to_string()).collect()
 }
 
-fn later(w: &World, req: &str, key: &str, body: &str, patience: f64) -> thread::JoinHandle<String> {
-    let (node, record) = (w.node.clone(), w.record.clone());
-    let (req, key, body) = (req.to_string(), key.to_string(), body.to_string());
-    let w = World { node, list: String::new(), engines: Default::default(), record, tell: None, exit: None };
-    thread::spawn(move || ask(&w, &req, &key, &body, patience))
+fn send_in_background(
+    node: &str,
+    request_id: &str,
+    headers: &str,
+    body: &str,
+    timeout_s: f64,
+) -> thread::JoinHandle<String> {
+    let (node, request_id) = (node.to_string(), request_id.to_string());
+    let (headers, body) = (headers.to_string(), body.to_string());
+    thread::spawn(move || send(&node, &request_id, &headers, &body, timeout_s))
 }
 
 #[test]
-fn the_same_request_three_times_runs_once_and_all_hear_it_whole() {
+fn repeats_of_a_keyed_request_share_one_run() {
     for (n, model) in ["chat", "booking"].iter().enumerate() {
-        let w = world(|_| {});
-        let (key, b) = (idem(&format!("k{n}")), body(model, "pay the bill", true));
-        let first = later(&w, "a", &key, &b, 2.0);
-        w.wait_for("ran", "a");
+        let cluster = test_cluster(|_| {});
+        let (key, request_body) = (idempotency_key(&format!("k{n}")), body(model, "pay the bill", true));
+        let first = send_in_background(&cluster.node, "a", &key, &request_body, 2.0);
+        cluster.wait_for_event("ran", "a");
         // While it streams, from another connection.
-        let second = later(&w, "b", &key, &b, 2.0);
+        let second = send_in_background(&cluster.node, "b", &key, &request_body, 2.0);
         let (first, second) = (first.join().unwrap(), second.join().unwrap());
         // After its end.
-        let third = ask(&w, "c", &key, &b, 2.0);
+        let third = send(&cluster.node, "c", &key, &request_body, 2.0);
         assert!(first.contains("[DONE]") && !words(&first).is_empty(), "{first}");
         assert_eq!((words(&first), words(&first)), (words(&second), words(&third)));
-        assert_eq!(w.count("ran", ""), 1);
+        assert_eq!(cluster.count_events("ran", ""), 1);
     }
 }
 
 #[test]
-fn a_client_that_comes_back_takes_over_what_it_left() {
-    let w = world(|_| {});
-    let (key, b) = (idem("gone"), body("booking", "book it", true));
-    // Goes as soon as the stream has begun; comes back.
-    let left = ask(&w, "a", &key, &b, 0.03);
-    assert!(!left.contains("[DONE]"));
+fn a_reconnecting_client_joins_the_run_it_left() {
+    let cluster = test_cluster(|_| {});
+    let (key, request_body) = (idempotency_key("gone"), body("booking", "book it", true));
+    // Disconnects as soon as the stream has begun; reconnects.
+    let partial = send(&cluster.node, "a", &key, &request_body, 0.03);
+    assert!(!partial.contains("[DONE]"));
     thread::sleep(Duration::from_millis(100));
-    let back = ask(&w, "b", &key, &b, 2.0);
-    assert!(back.contains("[DONE]"), "{back}");
-    assert_eq!((words(&back)[0].as_str(), w.count("ran", "")), ("w0", 1));
+    let rejoined = send(&cluster.node, "b", &key, &request_body, 2.0);
+    assert!(rejoined.contains("[DONE]"), "{rejoined}");
+    assert_eq!((words(&rejoined)[0].as_str(), cluster.count_events("ran", "")), ("w0", 1));
 }
 
 #[test]
-fn one_that_nobody_takes_over_is_called_off_and_never_runs_again_where_that_may_harm() {
-    let w = world(|s| s.idempotency.takeover_s = 0.2);
+fn an_abandoned_run_is_cancelled_and_not_repeated_where_not_idempotent() {
+    let cluster = test_cluster(|options| options.idempotency.takeover_s = 0.2);
     let slow = serde_json::json!({"fault": "slow", "for_s": 5.0, "factor": 8.0});
-    w.control("w0a", slow);
-    let (key, b) = (idem("off"), body("booking", "book it once", true));
-    ask(&w, "a", &key, &b, 0.25);
-    w.wait_for("ran", "a");
-    w.wait_for("dropped", "a");
-    let again = ask(&w, "b", &key, &b, 1.0);
-    assert_eq!((status(again.as_bytes()), w.count("ran", "")), (409, 1), "{again}");
-    w.assert_empty(&["r0a", "w0a"]);
+    cluster.control("w0a", slow);
+    let (key, request_body) = (idempotency_key("off"), body("booking", "book it once", true));
+    send(&cluster.node, "a", &key, &request_body, 0.25);
+    cluster.wait_for_event("ran", "a");
+    cluster.wait_for_event("dropped", "a");
+    let repeated = send(&cluster.node, "b", &key, &request_body, 1.0);
+    assert_eq!((status(repeated.as_bytes()), cluster.count_events("ran", "")), (409, 1), "{repeated}");
+    cluster.assert_engines_idle(&["r0a", "w0a"]);
 }
 
 #[test]
-fn another_body_under_the_key_is_refused_and_other_keys_are_others() {
-    let w = world(|_| {});
-    let whole = ask(&w, "a", &idem("k"), &body("chat", "one", false), 2.0);
+fn a_key_reused_with_another_body_is_rejected_with_422() {
+    let cluster = test_cluster(|_| {});
+    let whole = send(&cluster.node, "a", &idempotency_key("k"), &body("chat", "one", false), 2.0);
     assert_eq!(status(whole.as_bytes()), 200);
-    assert_eq!(status(ask(&w, "b", &idem("k"), &body("chat", "two", false), 2.0).as_bytes()), 422);
-    assert_eq!(status(ask(&w, "c", &idem("l"), &body("chat", "two", false), 2.0).as_bytes()), 200);
     assert_eq!(
-        status(ask(&w, "d", &idem(&"x".repeat(300)), &body("chat", "two", false), 2.0).as_bytes()),
+        status(send(&cluster.node, "b", &idempotency_key("k"), &body("chat", "two", false), 2.0).as_bytes()),
+        422
+    );
+    assert_eq!(
+        status(send(&cluster.node, "c", &idempotency_key("l"), &body("chat", "two", false), 2.0).as_bytes()),
+        200
+    );
+    assert_eq!(
+        status(
+            send(&cluster.node, "d", &idempotency_key(&"x".repeat(300)), &body("chat", "two", false), 2.0)
+                .as_bytes()
+        ),
         400
     );
-    assert_eq!(w.count("ran", ""), 2);
+    assert_eq!(cluster.count_events("ran", ""), 2);
 }
 
 #[test]
-fn what_failed_is_not_repeated_on_a_non_retriable_route_and_is_on_others() {
-    let w = world(|_| {});
-    w.control("w0a", serde_json::json!({"fault": "lose", "for_s": 60.0, "share": 1.0}));
-    let (key, b) = (idem("lost"), body("booking", "transfer", false));
-    let first = ask(&w, "a", &key, &b, 5.0);
-    let again = ask(&w, "b", &key, &b, 5.0);
-    assert_eq!((status(first.as_bytes()), status(again.as_bytes())), (502, 502), "{again}");
-    assert_eq!(w.count("ran", ""), 1);
-    w.control("w0a", serde_json::json!({"fault": "lose", "for_s": 0.0, "share": 0.0}));
-    let (key, b) = (idem("fine"), body("chat", "look up", false));
-    assert_eq!(status(ask(&w, "c", &key, &b, 5.0).as_bytes()), 200);
+fn failed_requests_are_repeated_only_on_idempotent_routes() {
+    let cluster = test_cluster(|_| {});
+    cluster.control("w0a", serde_json::json!({"fault": "lose", "for_s": 60.0, "share": 1.0}));
+    let (key, request_body) = (idempotency_key("lost"), body("booking", "transfer", false));
+    let first = send(&cluster.node, "a", &key, &request_body, 5.0);
+    let repeated = send(&cluster.node, "b", &key, &request_body, 5.0);
+    assert_eq!((status(first.as_bytes()), status(repeated.as_bytes())), (502, 502), "{repeated}");
+    assert_eq!(cluster.count_events("ran", ""), 1);
+    cluster.control("w0a", serde_json::json!({"fault": "lose", "for_s": 0.0, "share": 0.0}));
+    let (key, request_body) = (idempotency_key("fine"), body("chat", "look up", false));
+    assert_eq!(status(send(&cluster.node, "c", &key, &request_body, 5.0).as_bytes()), 200);
 }
 
 #[test]
-fn an_answer_too_long_to_keep_streams_on_but_is_not_repeated() {
-    let w = world(|s| s.idempotency.most_bytes_each = 300);
-    let (key, b) = (idem("long"), body("booking", "tell all", true));
-    let first = ask(&w, "a", &key, &b, 2.0);
+fn a_response_too_long_to_record_is_streamed_but_not_replayed() {
+    let cluster = test_cluster(|options| options.idempotency.most_bytes_each = 300);
+    let (key, request_body) = (idempotency_key("long"), body("booking", "tell all", true));
+    let first = send(&cluster.node, "a", &key, &request_body, 2.0);
     assert!(first.contains("[DONE]"), "{first}");
-    assert_eq!(status(ask(&w, "b", &key, &b, 2.0).as_bytes()), 409);
-    assert_eq!(w.count("ran", ""), 1);
+    assert_eq!(status(send(&cluster.node, "b", &key, &request_body, 2.0).as_bytes()), 409);
+    assert_eq!(cluster.count_events("ran", ""), 1);
 }
 
 #[test]
-fn a_storm_of_retries_is_sent_away_with_times_to_come_back() {
-    let w = world(|s| (s.retry_budget.burst, s.retry_budget.share) = (3.0, 0.2));
-    let mut refused = 0;
+fn retries_over_the_budget_are_rejected_with_retry_after() {
+    let cluster =
+        test_cluster(|options| (options.retry_budget.burst, options.retry_budget.share) = (3.0, 0.2));
+    let mut rejected = 0;
     for n in 0..12 {
-        let marked = format!("x-stainless-retry-count: {}\r\n", 1 + n % 3);
-        let answer = ask(&w, &format!("r{n}"), &marked, &body("chat", "again", false), 2.0);
-        match status(answer.as_bytes()) {
+        let retry_header = format!("x-stainless-retry-count: {}\r\n", 1 + n % 3);
+        let response =
+            send(&cluster.node, &format!("r{n}"), &retry_header, &body("chat", "again", false), 2.0);
+        match status(response.as_bytes()) {
             200 => {}
             429 => {
-                refused += 1;
-                assert!(answer.contains("retry-after: ") && answer.contains("retry_budget"), "{answer}");
+                rejected += 1;
+                assert!(
+                    response.contains("retry-after: ") && response.contains("retry_budget"),
+                    "{response}"
+                );
             }
-            other => panic!("{other}: {answer}"),
+            other => panic!("{other}: {response}"),
         }
     }
-    assert_eq!(refused, 9);
+    assert_eq!(rejected, 9);
     // First tries are served all the same.
-    assert_eq!(status(ask(&w, "first", "", &body("chat", "new", false), 2.0).as_bytes()), 200);
+    assert_eq!(status(send(&cluster.node, "first", "", &body("chat", "new", false), 2.0).as_bytes()), 200);
 }
--- a/crates/nickelgw-node/tests/stalled.rs
+++ b/crates/nickelgw-node/tests/stalled.rs
@@ -1,36 +1,31 @@
-//! Clients that take nothing, many at once. Alone in its binary: it fills the machine.
+//! Clients that read nothing of their response, many at once. Alone in its binary: it fills the machine.
 
 mod common;
 
-use common::{figures, post, World};
+use common::{engine_config, post, wait_until, TestCluster};
 use nickelgw_test_servers::client::{self, Ask};
 use nickelgw_test_servers::model;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::TcpStream;
-use std::thread;
 use std::time::{Duration, Instant};
 
-/// Clients that begin together.
-const BEGIN: usize = 20;
+/// Clients that connect together.
+const BATCH: usize = 20;
+const ENGINES: [&str; 4] = ["r0a", "r1a", "w0a", "w1a"];
 
-fn until(what: &str, seen: impl Fn() -> bool) {
-    let from = Instant::now();
-    while !seen() {
-        assert!(from.elapsed() < Duration::from_secs(60), "not seen in a minute: {what}");
-        thread::sleep(Duration::from_millis(50));
-    }
-}
-
-#[test]
-fn hundreds_of_clients_that_stall_are_cut_off_and_hold_nobody_up() {
+/// Raises the limit of open files; returns how many clients it allows, within reason.
+fn max_clients() -> usize {
     let (soft, hard) = rlimit::Resource::NOFILE.get().unwrap();
     let wanted = hard.min(16_384);
     if soft < wanted {
         rlimit::Resource::NOFILE.set(wanted, hard).unwrap();
     }
-    // Where the machine allows fewer descriptors, as many clients as it allows.
-    let clients = (wanted as usize / 10).min(250);
+    (wanted as usize / 10).min(250)
+}
+
+/// Engines that are never full.
+fn wide_cluster() -> TestCluster {
     let wide = |id| model::Figures {
         slots: 4000,
         out_tokens: 240,
@@ -39,60 +34,83 @@
         step_per_stream_s: 0.0,
         read_s: 0.001,
         memory_tokens: 1e8,
-        ..figures(id)
+        ..engine_config(id)
     };
-    let w = World::with(vec![wide("r0a"), wide("r1a"), wide("w0a"), wide("w1a")], |s| {
-        (s.limits.max_connections, s.core_config.max_open_requests, s.limits.client_stall_timeout_s) =
-            (3000, 3000, 4.0);
-        s.limits.max_queued = 1024;
-        s.deployment.routes[0].ttft_objective_s = 8.0;
-        s.admission.models[0].timeout_s = 20.0;
-    });
-    // A stream is longer than what the machine keeps of it for a client that takes nothing.
-    for e in ["w0a", "w1a"] {
-        w.control(e, json!({"fault": "pad", "bytes": 32_768}));
-    }
+    TestCluster::with_options(ENGINES.map(wide).to_vec(), |options| {
+        options.limits.max_connections = 3000;
+        options.core_config.max_open_requests = 3000;
+        options.limits.client_stall_timeout_s = 4.0;
+        options.limits.max_queued = 1024;
+        options.deployment.routes[0].ttft_objective_s = 8.0;
+        options.admission.models[0].timeout_s = 20.0;
+    })
+}
+
+/// A client that asks for a stream and has a small receive buffer.
+fn connect(cluster: &TestCluster, number: usize) -> TcpStream {
     let body =
         r#"{"model":"chat","stream":true,"max_tokens":240,"messages":[{"role":"user","content":"hi"}]}"#;
-    let ask = |n: usize| {
-        let s = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        s.set_recv_buffer_size(4096).unwrap();
-        s.connect(&w.node.parse::<std::net::SocketAddr>().unwrap().into()).unwrap();
-        let mut s = TcpStream::from(s);
-        s.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-        s.write_all(post(body, &format!("x-request-id: s{n}\r\n")).as_bytes()).unwrap();
-        s
-    };
-    // They begin a few at a time, and one that is shed asks again: hundreds at once are more than a slow machine
-    // accepts in time, whose engines then look unreachable.
-    let mut stalled: Vec<TcpStream> = Vec::new();
-    let from = Instant::now();
-    while stalled.len() < clients {
-        let few: Vec<TcpStream> = (stalled.len()..clients).take(BEGIN).map(&ask).collect();
-        for mut s in few {
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    socket.set_recv_buffer_size(4096).unwrap();
+    socket.connect(&cluster.node.parse::<std::net::SocketAddr>().unwrap().into()).unwrap();
+    let mut stream = TcpStream::from(socket);
+    stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+    stream.write_all(post(body, &format!("x-request-id: s{number}\r\n")).as_bytes()).unwrap();
+    stream
+}
+
+/// Clients whose stream has begun. They connect a few at a time, and one that is shed is replaced: hundreds at once are
+/// more than a slow machine accepts in time, whose engines then look unreachable.
+fn begin_streams(cluster: &TestCluster, clients: usize) -> Vec<TcpStream> {
+    let mut begun: Vec<TcpStream> = Vec::new();
+    let started_at = Instant::now();
+    while begun.len() < clients {
+        let batch: Vec<TcpStream> =
+            (begun.len()..clients).take(BATCH).map(|number| connect(cluster, number)).collect();
+        for mut stream in batch {
             let mut status = [0; 12];
-            s.read_exact(&mut status).unwrap();
+            stream.read_exact(&mut status).unwrap();
             if status == *b"HTTP/1.1 200" {
-                stalled.push(s);
+                begun.push(stream);
             }
         }
-        assert!(from.elapsed() < Duration::from_secs(60), "only {} have begun", stalled.len());
+        assert!(started_at.elapsed() < Duration::from_secs(60), "only {} have begun", begun.len());
     }
-    // One that does not stall is served while they stand, then each of the others has had its time.
-    let seen =
-        w.play(Ask { timeout_s: 20.0, target_s: 20.0, max_tokens: Some(20), ..w.ask("quick", "chat") });
-    assert_eq!(seen.how, "completed");
-    let call = b"GET /healthz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-    until("all but the asking connection are cut off", || {
-        let answer = smol::block_on(client::raw(&w.node, &[call], 0.0, 5.0));
-        String::from_utf8_lossy(&answer).contains("\"connections\":1")
-    });
-    w.assert_empty(&["r0a", "r1a", "w0a", "w1a"]);
-    for mut s in stalled {
-        s.set_read_timeout(Some(Duration::from_secs(2))).unwrap();
-        let mut got = Vec::new();
-        let end = s.read_to_end(&mut got);
-        assert!(!end.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock), "it was not cut off");
-        assert!(!String::from_utf8_lossy(&got).contains("[DONE]"), "it did not stall: {} bytes", got.len());
+    begun
+}
+
+fn assert_disconnected(mut stream: TcpStream) {
+    stream.set_read_timeout(Some(Duration::from_secs(2))).unwrap();
+    let mut received = Vec::new();
+    let end = stream.read_to_end(&mut received);
+    let is_open = end.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock);
+    assert!(!is_open, "it was not disconnected");
+    let is_whole = String::from_utf8_lossy(&received).contains("[DONE]");
+    assert!(!is_whole, "it did not stall: {} bytes", received.len());
+}
+
+#[test]
+fn hundreds_of_stalled_clients_are_disconnected_and_delay_nobody() {
+    let clients = max_clients();
+    let cluster = wide_cluster();
+    // A stream is longer than what the system buffers for a client that reads nothing.
+    for engine in ["w0a", "w1a"] {
+        cluster.control(engine, json!({"fault": "pad", "bytes": 32_768}));
     }
+    let stalled = begin_streams(&cluster, clients);
+    // A client that does not stall is served meanwhile; then each of the others times out.
+    let request = Ask {
+        timeout_s: 20.0,
+        target_s: 20.0,
+        max_tokens: Some(20),
+        ..cluster.chat_request("quick", "chat")
+    };
+    assert_eq!(cluster.send(request).how, "completed");
+    let health = b"GET /healthz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
+    wait_until("all connections but this one are closed", 60.0, Duration::from_millis(50), || {
+        let response = smol::block_on(client::raw(&cluster.node, &[health], 0.0, 5.0));
+        String::from_utf8_lossy(&response).contains("\"connections\":1")
+    });
+    cluster.assert_engines_idle(&ENGINES);
+    stalled.into_iter().for_each(assert_disconnected);
 }
--- a/crates/nickelgw-node/tests/tls.rs
+++ b/crates/nickelgw-node/tests/tls.rs
@@ -1,8 +1,8 @@
-//! TLS to engines on sockets: rotations that no stream notices, and bad engines that get no byte of a prompt.
+//! TLS on sockets: rotations that interrupt no stream, and invalid peers that get no byte of a request.
 
 mod common;
 
-use common::{figures, World};
+use common::{engine_config, TestCluster};
 use nickelgw_node::TlsOptions;
 use nickelgw_test_servers::authority::{put, Authority, Fault};
 use nickelgw_test_servers::client::{self, Seen};
@@ -10,7 +10,6 @@
 use nickelgw_tls::{Client, Files, Server, Versions};
 use serde_json::json;
 use std::io::{Read, Write};
-use std::net::TcpListener;
 use std::path::{Path, PathBuf};
 use std::thread;
 use std::time::Duration;
@@ -28,12 +27,12 @@
         std::fs::create_dir_all(&dir).unwrap();
         let authority = Authority::new("first").unwrap();
         put(&dir.join("root.pem"), authority.root_pem.as_bytes(), 0o644).unwrap();
-        let c = Certs { dir, authority };
-        c.make("node0", "node0.example.org", Fault::None);
-        c
+        let certs = Certs { dir, authority };
+        certs.issue("node0", "node0.example.org", Fault::None);
+        certs
     }
 
-    fn make(&self, file: &str, name: &str, fault: Fault) -> [PathBuf; 2] {
+    fn issue(&self, file: &str, name: &str, fault: Fault) -> [PathBuf; 2] {
         self.authority.write(&self.dir, file, name, fault).unwrap()
     }
 
@@ -43,24 +42,27 @@
 
     fn engine(&self, id: &str, mutual: bool) -> Figures {
         let name = format!("{id}.example.org");
-        let [chain, key] = self.make(id, &name, Fault::None);
+        let [chain, key] = self.issue(id, &name, Fault::None);
         let tls = TlsFiles { name, chain, key, trust: self.path("root.pem"), mutual };
-        Figures { tls: Some(tls), ..figures(id) }
+        Figures { tls: Some(tls), ..engine_config(id) }
     }
 
-    fn client(&self, own: bool) -> Client {
-        let of = |f: &str| own.then(|| self.path(f));
-        let files =
-            Files { chain: of("node0.pem"), key: of("node0.key"), trust: Some(self.path("root.pem")) };
-        let mut c = Client::new(files, Versions::Only13, 600.0);
-        c.look(nickelgw_test_servers::record::unix_now());
-        assert!(c.config().is_some());
-        c
+    fn client(&self, has_certificate: bool) -> Client {
+        let own_file = |file: &str| has_certificate.then(|| self.path(file));
+        let files = Files {
+            chain: own_file("node0.pem"),
+            key: own_file("node0.key"),
+            trust: Some(self.path("root.pem")),
+        };
+        let mut client = Client::new(files, Versions::Only13, 600.0);
+        client.look(nickelgw_test_servers::record::unix_now());
+        assert!(client.config().is_some());
+        client
     }
 
-    fn start(&self, own: bool) -> TlsOptions {
+    fn options(&self, has_certificate: bool) -> TlsOptions {
         TlsOptions {
-            engines: Some(self.client(own)),
+            engines: Some(self.client(has_certificate)),
             chat: None,
             reload_s: 0.05,
             max_handshakes: 8,
@@ -76,57 +78,66 @@
     }
 }
 
-fn world(c: &Certs, engines: Vec<Figures>, own: bool) -> World {
-    World::with(engines, |s| s.tls = c.start(own))
+fn test_cluster(certs: &Certs, engines: Vec<Figures>, has_certificate: bool) -> TestCluster {
+    TestCluster::with_options(engines, |options| options.tls = certs.options(has_certificate))
 }
 
-fn handshakes(w: &World, engine: &str, field: &str) -> usize {
-    let of = |l: &serde_json::Value| l["ev"] == "handshake" && (engine.is_empty() || l["who"] == engine);
-    w.record.lines().iter().filter(|l| of(l) && l[field] == true).count()
+/// Handshakes of an engine that are marked by a field: "ok" or "resumed".
+fn handshakes(cluster: &TestCluster, engine: &str, field: &str) -> usize {
+    let is_counted = |event: &&serde_json::Value| {
+        event["ev"] == "handshake" && (engine.is_empty() || event["who"] == engine) && event[field] == true
+    };
+    cluster.record.lines().iter().filter(is_counted).count()
 }
 
-fn sends(w: &World, engine: &str) -> usize {
-    w.record.lines().iter().filter(|l| l["ev"] == "send" && l["who"] == engine).count()
+fn attempts(cluster: &TestCluster, engine: &str) -> usize {
+    cluster.count_events_at("send", engine)
 }
 
 /// Streams of some seconds, held open across what the test does.
-fn open_streams(w: &World, n: usize) -> Vec<thread::JoinHandle<Seen>> {
-    let all = (0..n)
-        .map(|k| {
-            let mut a = w.ask(&format!("open{k}"), "chat");
-            a.max_tokens = None;
-            w.later(a)
-        })
-        .collect();
-    w.wait("all have begun", |l| l.iter().filter(|l| l["ev"] == "first").count() >= n);
-    all
+fn open_streams(cluster: &TestCluster, count: usize) -> Vec<thread::JoinHandle<Seen>> {
+    let open = |number: usize| {
+        let mut request = cluster.chat_request(&format!("open{number}"), "chat");
+        request.max_tokens = None;
+        cluster.send_in_background(request)
+    };
+    let streams = (0..count).map(open).collect();
+    cluster.wait_for("all streams have begun", |events| {
+        events.iter().filter(|event| event["ev"] == "first").count() >= count
+    });
+    streams
 }
 
-fn all_whole(streams: Vec<thread::JoinHandle<Seen>>) {
-    for s in streams {
-        let seen = s.join().unwrap();
-        assert_eq!(seen.how, "completed", "{seen:?}");
-        let words = seen.text.split_whitespace().count() as u64;
-        assert!(words >= 20 && seen.text.ends_with(&format!("w{} ", words - 1)), "not whole: {}", seen.text);
+fn assert_streams_complete(streams: Vec<thread::JoinHandle<Seen>>) {
+    for stream in streams {
+        let response = stream.join().unwrap();
+        assert_eq!(response.how, "completed", "{response:?}");
+        let words = response.text.split_whitespace().count() as u64;
+        let last_word = format!("w{} ", words.wrapping_sub(1));
+        assert!(words >= 20 && response.text.ends_with(&last_word), "not whole: {}", response.text);
     }
 }
 
-fn slow_writer(f: Figures) -> Figures {
-    Figures { step_s: 0.05, out_tokens: 40, ..f }
+fn slow_decode_engine(config: Figures) -> Figures {
+    Figures { step_s: 0.05, out_tokens: 40, ..config }
 }
 
 #[test]
-fn all_goes_its_way_in_tls_with_both_sides_verified() {
-    let c = Certs::new("way");
-    let w = world(&c, ["r0a", "r1a", "w0a"].iter().map(|e| c.engine(e, true)).collect(), true);
+fn mutual_tls_to_engines_reuses_connections() {
+    let certs = Certs::new("way");
+    let cluster =
+        test_cluster(&certs, ["r0a", "r1a", "w0a"].iter().map(|id| certs.engine(id, true)).collect(), true);
     for n in 0..12 {
-        assert_eq!(w.play(w.ask(&format!("q{n}"), ["chat", "booking"][n % 2])).how, "completed");
+        assert_eq!(
+            cluster.send(cluster.chat_request(&format!("q{n}"), ["chat", "booking"][n % 2])).how,
+            "completed"
+        );
     }
-    w.assert_empty(&[]);
-    // Work goes on open connections: handshakes are few, and none failed.
-    assert!(handshakes(&w, "w0a", "ok") <= 4, "{}", handshakes(&w, "w0a", "ok"));
-    assert_eq!(w.count("fetched", ""), 12);
-    w.assert_sound();
+    cluster.assert_engines_idle(&[]);
+    // Connections are reused: handshakes are few, and none failed.
+    assert!(handshakes(&cluster, "w0a", "ok") <= 4, "{}", handshakes(&cluster, "w0a", "ok"));
+    assert_eq!(cluster.count_events("fetched", ""), 12);
+    cluster.assert_audit_passes();
 }
 
 #[test_case("engine"; "an engine's certificate")]
@@ -134,139 +145,152 @@
 #[test_case("engines first"; "the authority, engines first")]
 #[test_case("nodes first"; "the authority, nodes first")]
 #[test_case("twice"; "two rotations within a second")]
-fn a_rotation_drops_no_open_stream(what: &str) {
-    let c = Certs::new(&what.replace(' ', "-"));
-    let engines = vec![c.engine("r0a", true), slow_writer(c.engine("w0a", true))];
-    let w = world(&c, engines, true);
-    let streams = open_streams(&w, 6);
-    let again = |c: &Certs, a: &Authority| {
-        for e in ["r0a", "w0a"] {
-            let [chain, key] = a.write(&c.dir, e, &format!("{e}.example.org"), Fault::None).unwrap();
-            w.control(e, json!({"fault": "cert", "chain": chain, "key": key}));
+fn a_certificate_rotation_drops_no_open_stream(rotated: &str) {
+    let certs = Certs::new(&rotated.replace(' ', "-"));
+    let engines = vec![certs.engine("r0a", true), slow_decode_engine(certs.engine("w0a", true))];
+    let cluster = test_cluster(&certs, engines, true);
+    let streams = open_streams(&cluster, 6);
+    let rotate_engines = |authority: &Authority| {
+        for engine in ["r0a", "w0a"] {
+            let name = format!("{engine}.example.org");
+            let [chain, key] = authority.write(&certs.dir, engine, &name, Fault::None).unwrap();
+            cluster.control(engine, json!({"fault": "cert", "chain": chain, "key": key}));
         }
     };
     let second = Authority::new("second").unwrap();
-    let both = format!("{}{}", c.authority.root_pem, second.root_pem);
+    let both = format!("{}{}", certs.authority.root_pem, second.root_pem);
     let settle = || thread::sleep(Duration::from_millis(300));
-    match what {
-        "engine" => again(&c, &c.authority),
-        "node" => drop(c.make("node0", "node0.example.org", Fault::None)),
+    match rotated {
+        "engine" => rotate_engines(&certs.authority),
+        "node" => drop(certs.issue("node0", "node0.example.org", Fault::None)),
         // Trust of both first, as a rollout goes; then one side's certificates, then the other's.
         "engines first" | "nodes first" => {
-            put(&c.path("root.pem"), both.as_bytes(), 0o644).unwrap();
+            put(&certs.path("root.pem"), both.as_bytes(), 0o644).unwrap();
             settle();
-            let node = || drop(second.write(&c.dir, "node0", "node0.example.org", Fault::None).unwrap());
-            if what == "engines first" {
-                again(&c, &second);
+            let rotate_node =
+                || drop(second.write(&certs.dir, "node0", "node0.example.org", Fault::None).unwrap());
+            if rotated == "engines first" {
+                rotate_engines(&second);
                 settle();
-                node();
+                rotate_node();
             } else {
-                again(&c, &c.authority);
-                node();
+                rotate_engines(&certs.authority);
+                rotate_node();
                 settle();
-                again(&c, &second);
+                rotate_engines(&second);
             }
             settle();
-            put(&c.path("root.pem"), second.root_pem.as_bytes(), 0o644).unwrap();
+            put(&certs.path("root.pem"), second.root_pem.as_bytes(), 0o644).unwrap();
         }
         _ => {
-            again(&c, &c.authority);
-            c.make("node0", "node0.example.org", Fault::None);
+            rotate_engines(&certs.authority);
+            certs.issue("node0", "node0.example.org", Fault::None);
             settle();
-            c.make("node0", "node0.example.org", Fault::None);
-            again(&c, &c.authority);
+            certs.issue("node0", "node0.example.org", Fault::None);
+            rotate_engines(&certs.authority);
         }
     }
     settle();
     for n in 0..4 {
-        assert_eq!(w.play(w.ask(&format!("new{n}"), "chat")).how, "completed");
+        assert_eq!(cluster.send(cluster.chat_request(&format!("new{n}"), "chat")).how, "completed");
     }
-    all_whole(streams);
-    w.assert_sound();
+    assert_streams_complete(streams);
+    cluster.assert_audit_passes();
 }
 
 #[test_case(Fault::Expired; "expired")]
 #[test_case(Fault::NotYetValid; "not yet valid")]
 #[test_case(Fault::WrongName; "wrong name")]
 #[test_case(Fault::SelfSigned; "self signed")]
-fn a_bad_engine_gets_no_byte_of_a_prompt(fault: Fault) {
-    let c = Certs::new(&format!("{fault:?}"));
-    let [chain, key] = c.make("bad", "w1a.example.org", fault);
-    let bad = |f: Figures| Figures {
-        tls: f.tls.map(|t| TlsFiles { chain: chain.clone(), key: key.clone(), ..t }),
-        ..f
+fn an_engine_with_an_invalid_certificate_gets_no_request(fault: Fault) {
+    let certs = Certs::new(&format!("{fault:?}"));
+    let [chain, key] = certs.issue("bad", "w1a.example.org", fault);
+    let with_bad_certificate = |config: Figures| Figures {
+        tls: config.tls.map(|tls| TlsFiles { chain: chain.clone(), key: key.clone(), ..tls }),
+        ..config
     };
-    let w =
-        world(&c, vec![c.engine("r0a", false), c.engine("w0a", false), bad(c.engine("w1a", false))], false);
+    let cluster = test_cluster(
+        &certs,
+        vec![
+            certs.engine("r0a", false),
+            certs.engine("w0a", false),
+            with_bad_certificate(certs.engine("w1a", false)),
+        ],
+        false,
+    );
     for n in 0..20 {
-        assert_eq!(w.play(w.ask(&format!("q{n}"), "booking")).how, "completed");
+        assert_eq!(cluster.send(cluster.chat_request(&format!("q{n}"), "booking")).how, "completed");
     }
-    assert_eq!((sends(&w, "w1a"), sends(&w, "w0a")), (0, 20));
-    // Left alone between tries, not asked again with each request.
-    let failed = w.record.lines().iter().filter(|l| l["ev"] == "handshake" && l["ok"] == false).count();
+    assert_eq!((attempts(&cluster, "w1a"), attempts(&cluster, "w0a")), (0, 20));
+    // It backs off between tries, not one with each request.
+    let failed = cluster
+        .record
+        .lines()
+        .iter()
+        .filter(|event| event["ev"] == "handshake" && event["ok"] == false)
+        .count();
     assert!((1..=12).contains(&failed), "{failed} handshakes");
-    // Put right, it is taken back.
-    let [chain, key] = c.make("good", "w1a.example.org", Fault::None);
-    w.control("w1a", json!({"fault": "cert", "chain": chain, "key": key}));
-    w.control("w0a", json!({"fault": "drain"}));
-    let mut back = false;
+    // With a valid certificate it is used again.
+    let [chain, key] = certs.issue("good", "w1a.example.org", Fault::None);
+    cluster.control("w1a", json!({"fault": "cert", "chain": chain, "key": key}));
+    cluster.control("w0a", json!({"fault": "drain"}));
+    let mut is_used_again = false;
     for n in 0..40 {
-        back |= w.play(w.ask(&format!("back{n}"), "chat")).how == "completed" && sends(&w, "w1a") > 0;
-        if back {
+        is_used_again |= cluster.send(cluster.chat_request(&format!("back{n}"), "chat")).how == "completed"
+            && attempts(&cluster, "w1a") > 0;
+        if is_used_again {
             break;
         }
         thread::sleep(Duration::from_millis(250));
     }
-    assert!(back, "never used again");
-    w.assert_sound();
+    assert!(is_used_again, "never used again");
+    cluster.assert_audit_passes();
 }
 
 #[test]
-fn an_unknown_authority_and_a_missing_certificate_of_ours_cost_no_prompt_either() {
-    let c = Certs::new("unknown");
+fn an_unknown_authority_or_a_missing_client_certificate_sends_no_request() {
+    let certs = Certs::new("unknown");
     let stranger = Certs::new("stranger");
-    let mut unknown = c.engine("w1a", false);
-    let [chain, key] = stranger.make("w1a", "w1a.example.org", Fault::None);
-    unknown.tls = unknown.tls.map(|t| TlsFiles { chain, key, ..t });
-    // This one wants to see a certificate of the node, which has none.
-    let strict = c.engine("w2a", true);
-    let engines = vec![c.engine("r0a", false), c.engine("w0a", false), unknown, strict];
-    let w = world(&c, engines, false);
+    let mut unknown = certs.engine("w1a", false);
+    let [chain, key] = stranger.issue("w1a", "w1a.example.org", Fault::None);
+    unknown.tls = unknown.tls.map(|tls| TlsFiles { chain, key, ..tls });
+    // This one requires a client certificate, which the node does not have.
+    let strict = certs.engine("w2a", true);
+    let engines = vec![certs.engine("r0a", false), certs.engine("w0a", false), unknown, strict];
+    let cluster = test_cluster(&certs, engines, false);
     for n in 0..16 {
-        assert_eq!(w.play(w.ask(&format!("q{n}"), "booking")).how, "completed");
+        assert_eq!(cluster.send(cluster.chat_request(&format!("q{n}"), "booking")).how, "completed");
     }
-    assert_eq!((sends(&w, "w1a"), sends(&w, "w2a"), sends(&w, "w0a")), (0, 0, 16));
-    w.assert_sound();
+    assert_eq!((attempts(&cluster, "w1a"), attempts(&cluster, "w2a"), attempts(&cluster, "w0a")), (0, 0, 16));
+    cluster.assert_audit_passes();
 }
 
 #[test]
-fn a_rotation_by_half_is_refused_and_completed_later() {
-    let c = Certs::new("half");
-    let w = world(&c, vec![c.engine("r0a", true), c.engine("w0a", true)], true);
-    let (chain, key) = c.authority.issue("node0.example.org", Fault::None).unwrap();
-    put(&c.path("node0.pem"), chain.as_bytes(), 0o644).unwrap();
+fn an_incomplete_rotation_is_rejected_until_it_is_complete() {
+    let certs = Certs::new("half");
+    let cluster = test_cluster(&certs, vec![certs.engine("r0a", true), certs.engine("w0a", true)], true);
+    let (chain, key) = certs.authority.issue("node0.example.org", Fault::None).unwrap();
+    put(&certs.path("node0.pem"), chain.as_bytes(), 0o644).unwrap();
     thread::sleep(Duration::from_millis(300));
-    // The chain is new, the key is not: the old generation serves on.
-    assert_eq!(w.play(w.ask("half", "chat")).how, "completed");
-    put(&c.path("node0.key"), key.as_bytes(), 0o600).unwrap();
+    // The chain is new, the key is not: the previous configuration stays in force.
+    assert_eq!(cluster.send(cluster.chat_request("half", "chat")).how, "completed");
+    put(&certs.path("node0.key"), key.as_bytes(), 0o600).unwrap();
     thread::sleep(Duration::from_millis(300));
-    assert_eq!(w.play(w.ask("whole", "chat")).how, "completed");
-    std::fs::write(c.path("root.pem"), "no certificate").unwrap();
+    assert_eq!(cluster.send(cluster.chat_request("whole", "chat")).how, "completed");
+    std::fs::write(certs.path("root.pem"), "no certificate").unwrap();
     thread::sleep(Duration::from_millis(300));
-    assert_eq!(w.play(w.ask("garbage", "chat")).how, "completed");
-    w.assert_sound();
+    assert_eq!(cluster.send(cluster.chat_request("garbage", "chat")).how, "completed");
+    cluster.assert_audit_passes();
 }
 
-/// A peer that takes the hello and then does as told.
-fn peer(then: fn(std::net::TcpStream)) -> String {
-    let l = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = l.local_addr().unwrap().to_string();
+/// A peer that reads the client hello, then runs `then`.
+fn broken_tls_peer(then: fn(std::net::TcpStream)) -> String {
+    let (listener, address) = common::listener();
     thread::spawn(move || {
-        for s in l.incoming().flatten() {
+        for mut stream in listener.incoming().flatten() {
             thread::spawn(move || {
-                let mut s = s;
-                let _ = s.read(&mut [0; 4096]);
-                then(s);
+                let _ = stream.read(&mut [0; 4096]);
+                then(stream);
             });
         }
     });
@@ -274,107 +298,124 @@
 }
 
 #[test_case(|_| thread::sleep(Duration::from_secs(5)); "stalls after the hello")]
-#[test_case(|mut s| drop(s.write_all(b"HTTP/1.1 400 Bad Request\r\n\r\n")); "speaks no TLS")]
-#[test_case(|mut s| drop(s.write_all(&[0x16, 3, 3, 0xff, 0xff, 1, 2, 3])); "garbage in a record")]
+#[test_case(|mut stream| drop(stream.write_all(b"HTTP/1.1 400 Bad Request\r\n\r\n")); "speaks no TLS")]
+#[test_case(|mut stream| drop(stream.write_all(&[0x16, 3, 3, 0xff, 0xff, 1, 2, 3])); "garbage in a record")]
 #[test_case(drop; "closes after the hello")]
-fn a_handshake_that_goes_wrong_proves_that_nothing_ran(then: fn(std::net::TcpStream)) {
-    let c = Certs::new(&format!("peer-{:?}", thread::current().name().map(|n| n.replace(':', "-"))));
-    // The probe beside it is given up before the handshake is: what is called off then has not run either.
-    let w = World::with(vec![c.engine("r0a", false), c.engine("w0a", false)], |s| {
-        s.tls = c.start(false);
-        (s.limits.connect_timeout_s, s.limits.probe_timeout_s) = (0.6, 0.15);
-    });
-    let mut line = common::line(&c.engine("w1a", false), &peer(then));
-    line.tls_name = Some("w1a.example.org".into());
-    w.control("list", json!({"line": line}));
-    w.wait("it is listed", |l| {
-        l.iter().any(|l| l["ev"] == "told" && l["in"] == json!(["r0a", "w0a", "w1a"]))
+fn a_failed_handshake_is_retried_on_another_engine(then: fn(std::net::TcpStream)) {
+    let certs = Certs::new(&format!("peer-{:?}", thread::current().name().map(|n| n.replace(':', "-"))));
+    // The probe beside it times out before the handshake does: an attempt cancelled then has not run either.
+    let cluster =
+        TestCluster::with_options(vec![certs.engine("r0a", false), certs.engine("w0a", false)], |options| {
+            options.tls = certs.options(false);
+            (options.limits.connect_timeout_s, options.limits.probe_timeout_s) = (0.6, 0.15);
+        });
+    let mut entry = common::endpoint_entry(&certs.engine("w1a", false), &broken_tls_peer(then));
+    entry.tls_name = Some("w1a.example.org".into());
+    cluster.control("list", json!({"line": entry}));
+    cluster.wait_for("it is listed", |events| {
+        events.iter().any(|event| event["ev"] == "told" && event["in"] == json!(["r0a", "w0a", "w1a"]))
     });
     thread::sleep(Duration::from_millis(50));
-    // Non-retriable ones too: no byte of a prompt went out, so another writer may be tried.
+    // Non-idempotent ones too: no byte of the request was sent, so another engine may be tried.
     for n in 0..8 {
-        assert_eq!(w.play(w.ask(&format!("q{n}"), "booking")).how, "completed");
+        assert_eq!(cluster.send(cluster.chat_request(&format!("q{n}"), "booking")).how, "completed");
     }
-    w.assert_sound();
+    cluster.assert_audit_passes();
 }
 
 #[test]
-fn a_connection_opened_again_resumes_where_keys_and_trust_stand() {
-    let c = Certs::new("resume");
-    let w = World::with(vec![c.engine("r0a", true), c.engine("w0a", true)], |s| {
-        (s.tls, s.limits.idle_timeout_s) = (c.start(true), 0.1);
-    });
-    assert_eq!(w.play(w.ask("first", "chat")).how, "completed");
+fn reconnects_resume_sessions_within_a_certificate_generation() {
+    let certs = Certs::new("resume");
+    let cluster =
+        TestCluster::with_options(vec![certs.engine("r0a", true), certs.engine("w0a", true)], |options| {
+            (options.tls, options.limits.idle_timeout_s) = (certs.options(true), 0.1);
+        });
+    assert_eq!(cluster.send(cluster.chat_request("first", "chat")).how, "completed");
     thread::sleep(Duration::from_millis(700));
-    assert_eq!(w.play(w.ask("second", "chat")).how, "completed");
-    assert!(handshakes(&w, "w0a", "resumed") >= 1);
-    // Tickets do not cross generations.
-    c.make("node0", "node0.example.org", Fault::None);
+    assert_eq!(cluster.send(cluster.chat_request("second", "chat")).how, "completed");
+    assert!(handshakes(&cluster, "w0a", "resumed") >= 1);
+    // Tickets are not valid across generations.
+    certs.issue("node0", "node0.example.org", Fault::None);
     thread::sleep(Duration::from_millis(700));
-    let full = |w: &World| handshakes(w, "w0a", "ok") - handshakes(w, "w0a", "resumed");
-    let before = full(&w);
-    assert_eq!(w.play(w.ask("third", "chat")).how, "completed");
-    assert!(full(&w) > before);
-    w.assert_sound();
+    let full =
+        |cluster: &TestCluster| handshakes(cluster, "w0a", "ok") - handshakes(cluster, "w0a", "resumed");
+    let before = full(&cluster);
+    assert_eq!(cluster.send(cluster.chat_request("third", "chat")).how, "completed");
+    assert!(full(&cluster) > before);
+    cluster.assert_audit_passes();
 }
 
 #[test]
-fn an_engine_that_forgets_its_tickets_gets_full_handshakes() {
-    let c = Certs::new("tickets");
-    let mut w = world(&c, vec![c.engine("r0a", false), c.engine("w0a", false)], false);
-    assert_eq!(w.play(w.ask("first", "chat")).how, "completed");
+fn an_engine_without_its_ticket_key_gets_full_handshakes() {
+    let certs = Certs::new("tickets");
+    let mut cluster =
+        test_cluster(&certs, vec![certs.engine("r0a", false), certs.engine("w0a", false)], false);
+    assert_eq!(cluster.send(cluster.chat_request("first", "chat")).how, "completed");
     // A new process at the same name: another ticket key.
-    w.control("w0a", json!({"fault": "die"}));
-    w.record.of("w0a").note("died", json!({}));
-    let line = w.engine(c.engine("w0a", false));
-    w.control("list", json!({"line": line}));
-    w.wait("it is listed", |l| l.iter().filter(|l| l["ev"] == "told").count() >= 2);
+    cluster.control("w0a", json!({"fault": "die"}));
+    cluster.record.of("w0a").note("died", json!({}));
+    let entry = cluster.start_engine(certs.engine("w0a", false));
+    cluster.control("list", json!({"line": entry}));
+    cluster
+        .wait_for("it is listed", |events| events.iter().filter(|event| event["ev"] == "told").count() >= 2);
     thread::sleep(Duration::from_millis(100));
-    assert_eq!(w.play(w.ask("second", "chat")).how, "completed");
-    w.assert_sound();
+    assert_eq!(cluster.send(cluster.chat_request("second", "chat")).how, "completed");
+    cluster.assert_audit_passes();
 }
 
 #[test]
-fn a_stream_cut_without_its_end_is_no_end() {
-    let c = Certs::new("cut");
-    let w = world(&c, vec![c.engine("r0a", false), slow_writer(c.engine("w0a", false))], false);
-    let mut streams = open_streams(&w, 1);
-    w.control("w0a", json!({"fault": "die"}));
-    let seen = streams.remove(0).join().unwrap();
-    assert_eq!((seen.how.as_str(), seen.code.as_deref()), ("errored", Some("stream_broken")));
-    w.assert_sound();
+fn a_tls_stream_cut_without_close_notify_is_broken() {
+    let certs = Certs::new("cut");
+    let cluster = test_cluster(
+        &certs,
+        vec![certs.engine("r0a", false), slow_decode_engine(certs.engine("w0a", false))],
+        false,
+    );
+    let mut streams = open_streams(&cluster, 1);
+    cluster.control("w0a", json!({"fault": "die"}));
+    let broken = streams.remove(0).join().unwrap();
+    assert_eq!((broken.how.as_str(), broken.code.as_deref()), ("errored", Some("stream_broken")));
+    cluster.assert_audit_passes();
 }
 
 #[test]
-fn the_chat_port_serves_tls_by_the_same_code() {
-    let c = Certs::new("chat");
-    let [chain, key] = c.make("chat", "localhost", Fault::None);
+fn the_chat_port_serves_tls() {
+    let certs = Certs::new("chat");
+    let [chain, key] = certs.issue("chat", "localhost", Fault::None);
     let mut server =
         Server::new(Files { chain: Some(chain), key: Some(key), trust: None }, Versions::Only13, 0.0, false);
     server.look(nickelgw_test_servers::record::unix_now());
-    let w = World::with(vec![figures("r0a"), figures("w0a")], |s| s.tls.chat = Some(server));
-    let answer = smol::block_on(https(&w.node, &c.path("root.pem"), "localhost", &w.ask("q", "chat").body()));
-    assert!(answer.contains("200 OK") && answer.contains("[DONE]"), "{answer}");
-    let plain = smol::block_on(client::raw(&w.node, &[b"GET /healthz HTTP/1.1\r\n\r\n"], 0.0, 1.0));
+    let cluster = TestCluster::with_options(vec![engine_config("r0a"), engine_config("w0a")], |options| {
+        options.tls.chat = Some(server)
+    });
+    let response = smol::block_on(https(
+        &cluster.node,
+        &certs.path("root.pem"),
+        "localhost",
+        &cluster.chat_request("q", "chat").body(),
+    ));
+    assert!(response.contains("200 OK") && response.contains("[DONE]"), "{response}");
+    let plain = smol::block_on(client::raw(&cluster.node, &[b"GET /healthz HTTP/1.1\r\n\r\n"], 0.0, 1.0));
     assert!(!String::from_utf8_lossy(&plain).contains("200 OK"));
 }
 
 async fn https(address: &str, root: &Path, name: &str, body: &[u8]) -> String {
     use futures_lite::{AsyncReadExt, AsyncWriteExt};
-    let mut c = Client::new(Files { trust: Some(root.into()), ..Files::default() }, Versions::Only13, 0.0);
-    c.look(nickelgw_test_servers::record::unix_now());
+    let mut client =
+        Client::new(Files { trust: Some(root.into()), ..Files::default() }, Versions::Only13, 0.0);
+    client.look(nickelgw_test_servers::record::unix_now());
     let stream = smol::net::TcpStream::connect(address).await.unwrap();
     let name = futures_rustls::pki_types::ServerName::try_from(name.to_string()).unwrap();
-    let connector = futures_rustls::TlsConnector::from(c.config().unwrap().0);
-    let mut s = connector.connect(name, stream).await.unwrap();
+    let connector = futures_rustls::TlsConnector::from(client.config().unwrap().0);
+    let mut stream = connector.connect(name, stream).await.unwrap();
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\nauthorization: Bearer {}\r\n\
          content-length: {}\r\n\r\n",
-        common::KEY,
+        common::API_KEY,
         body.len()
     );
-    s.write_all(&[head.as_bytes(), body].concat()).await.unwrap();
+    stream.write_all(&[head.as_bytes(), body].concat()).await.unwrap();
     let mut out = Vec::new();
-    let _ = s.read_to_end(&mut out).await;
+    let _ = stream.read_to_end(&mut out).await;
     String::from_utf8_lossy(&out).into_owned()
 }
