--- a/crates/nickelgw-node/src/event_loop/responses.rs
+++ b/crates/nickelgw-node/src/event_loop/responses.rs
@@ -42,14 +42,14 @@
         client: &ClientRequest,
         outcome: AttemptOutcome,
     ) {
-        let is_whole = outcome == AttemptOutcome::Completed;
+        let is_complete = outcome == AttemptOutcome::Completed;
         match sink {
-            ResponseSink::Stream { events, .. } if is_whole => self.send_last_event(events, sse::done()),
+            ResponseSink::Stream { events, .. } if is_complete => self.send_last_event(events, sse::done()),
             ResponseSink::Stream { events, .. } => {
                 self.send_last_event(events, error_event(FailureReason::StreamBroken))
             }
             ResponseSink::Unary(whole) => {
-                let reply = match is_whole {
+                let reply = match is_complete {
                     true => Reply::Unary(whole.body(&client.chat.model)),
                     false => Reply::Error(failure_error(FailureReason::StreamBroken)),
                 };
--- a/crates/nickelgw-node/src/idempotency/mod.rs
+++ b/crates/nickelgw-node/src/idempotency/mod.rs
@@ -212,12 +212,12 @@
             Reply::Stream(events) => {
                 response.set_head(ResponseHead::Stream);
                 response.wake_subscribers();
-                let is_whole = self.publish_events(serial, response, &events).await;
+                let is_complete = self.publish_events(serial, response, &events).await;
                 // The sender is dropped: the core has given its final answer.
                 if events.is_closed() {
                     guard.disarm();
                 }
-                match is_whole {
+                match is_complete {
                     true => Ended::Completed,
                     false => Ended::Failed,
                 }
@@ -232,14 +232,14 @@
         response: &SharedResponse,
         events: &Receiver<Bytes>,
     ) -> bool {
-        let mut is_whole = false;
+        let mut is_complete = false;
         while let Ok(event) = events.recv().await {
-            is_whole = event == sse::done();
+            is_complete = event == sse::done();
             if !self.publish_event(serial, response, event).await {
                 break;
             }
         }
-        is_whole
+        is_complete
     }
 
     /// Publishes one event; false when the slowest subscriber stalls where the response is not recorded.
--- a/crates/nickelgw-node/tests/tls.rs
+++ b/crates/nickelgw-node/tests/tls/main.rs
@@ -1,83 +1,22 @@
 //! TLS on sockets: rotations that interrupt no stream, and invalid peers that get no byte of a request.
 
+mod certs;
+#[path = "../common/mod.rs"]
 mod common;
 
+use certs::Certs;
 use common::{engine_config, TestCluster};
-use nickelgw_node::TlsOptions;
 use nickelgw_test_servers::authority::{put, Authority, Fault};
 use nickelgw_test_servers::client::{self, Seen};
 use nickelgw_test_servers::model::{Figures, TlsFiles};
 use nickelgw_tls::{Client, Files, Server, Versions};
 use serde_json::json;
 use std::io::{Read, Write};
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::thread;
 use std::time::Duration;
 use test_case::test_case;
 
-struct Certs {
-    dir: PathBuf,
-    authority: Authority,
-}
-
-impl Certs {
-    fn new(name: &str) -> Certs {
-        let dir = std::env::temp_dir().join(format!("nickelgw-tls-{name}-{}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&dir);
-        std::fs::create_dir_all(&dir).unwrap();
-        let authority = Authority::new("first").unwrap();
-        put(&dir.join("root.pem"), authority.root_pem.as_bytes(), 0o644).unwrap();
-        let certs = Certs { dir, authority };
-        certs.issue("node0", "node0.example.org", Fault::None);
-        certs
-    }
-
-    fn issue(&self, file: &str, name: &str, fault: Fault) -> [PathBuf; 2] {
-        self.authority.write(&self.dir, file, name, fault).unwrap()
-    }
-
-    fn path(&self, file: &str) -> PathBuf {
-        self.dir.join(file)
-    }
-
-    fn engine(&self, id: &str, mutual: bool) -> Figures {
-        let name = format!("{id}.example.org");
-        let [chain, key] = self.issue(id, &name, Fault::None);
-        let tls = TlsFiles { name, chain, key, trust: self.path("root.pem"), mutual };
-        Figures { tls: Some(tls), ..engine_config(id) }
-    }
-
-    fn client(&self, has_certificate: bool) -> Client {
-        let own_file = |file: &str| has_certificate.then(|| self.path(file));
-        let files = Files {
-            chain: own_file("node0.pem"),
-            key: own_file("node0.key"),
-            trust: Some(self.path("root.pem")),
-        };
-        let mut client = Client::new(files, Versions::Only13, 600.0);
-        client.look(nickelgw_test_servers::record::unix_now());
-        assert!(client.config().is_some());
-        client
-    }
-
-    fn options(&self, has_certificate: bool) -> TlsOptions {
-        TlsOptions {
-            engines: Some(self.client(has_certificate)),
-            chat: None,
-            reload_s: 0.05,
-            max_handshakes: 8,
-            max_handshakes_per_engine: 2,
-            retire_gap_s: 0.05,
-        }
-    }
-}
-
-impl Drop for Certs {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.dir);
-    }
-}
-
 fn test_cluster(certs: &Certs, engines: Vec<Figures>, has_certificate: bool) -> TestCluster {
     TestCluster::with_options(engines, |options| options.tls = certs.options(has_certificate))
 }
