--- a/crates/nickelgw-cli/src/bench/client.rs
+++ b/crates/nickelgw-cli/src/bench/client.rs
@@ -37,7 +37,7 @@
 
 impl EngineAddress {
     fn peer(&self) -> Peer<'_> {
-        Peer { address: &self.address, name: self.tls_name.as_deref(), out: None }
+        Peer { address: &self.address, tls_name: self.tls_name.as_deref(), sent: None }
     }
 }
 
@@ -136,7 +136,7 @@
                 is_done |= event == Event::Done;
             }
         }
-        self.pool.give_back(connection);
+        self.pool.return_connection(connection);
         let first_token_s = first_token_s?;
         is_done.then(|| Latency { first_token_s, total_s: intended.elapsed().as_secs_f64() })
     }
--- a/crates/nickelgw-cli/tests/platform_soak/fleet.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/fleet.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Child, Stdio};
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
+use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread::{sleep, spawn, JoinHandle};
 use std::time::{Duration, Instant};
@@ -25,6 +25,9 @@
 const ACCEPT_DURATION: Duration = Duration::from_millis(400);
 const KILL_AFTER: Duration = Duration::from_millis(3700);
 
+/// Plays that this process has started.
+static PLAYS_STARTED: AtomicUsize = AtomicUsize::new(0);
+
 /// One node over the lives of its processes.
 struct Member {
     address: SocketAddr,
@@ -127,6 +130,8 @@
         let table = Arc::new(RequestTable::new(RuleLimits::default()));
         let engines = start_engines(&table, PREFILLS, DECODES);
         let discovery = silent_discovery();
+        // A play that counts is not judged by the logs of one that did not.
+        let play = PLAYS_STARTED.fetch_add(1, Relaxed);
         let members: Vec<Arc<Member>> = (0..nodes)
             .map(|n| {
                 let (address, path) =
@@ -141,7 +146,7 @@
                         settings["family_info"]["aim_us_per_1000_prompt_tokens"] = json!([40000.0, 40000.0]);
                         settings["family_info"]["token_aim_s"] = json!([0.06, 0.06]);
                     });
-                let log = path.with_extension("log");
+                let log = path.with_extension(format!("play-{play}.log"));
                 let child = Mutex::new(Member::spawn(&path, &log));
                 let (restarting, killed) = (AtomicBool::new(false), Mutex::default());
                 Arc::new(Member { address, path, log, child, restarting, killed })
--- /dev/null
+++ b/crates/nickelgw-node/tests/shutdown.rs
@@ -0,0 +1,143 @@
+//! Shutdown: open requests finish or end in one error, and no reservation stays behind. The admin port.
+
+mod common;
+
+use common::{engine_config, post, TestCluster};
+use nickelgw_node::{Exit, ProcessSignal};
+use nickelgw_test_servers::client::{self, response_status, ChatCall};
+use nickelgw_test_servers::engine_config;
+use serde_json::json;
+use std::io::{Read, Write};
+use std::net::TcpStream;
+use std::thread;
+use std::time::{Duration, Instant};
+
+fn test_cluster(drain_timeout_s: f64) -> TestCluster {
+    let slow = engine_config::EngineConfig { decode_step_s: 0.05, ..engine_config("w0a") };
+    TestCluster::with_options(vec![engine_config("r0a"), slow], |options| {
+        options.shutdown.drain_timeout_s = drain_timeout_s
+    })
+}
+
+fn send_signal(cluster: &TestCluster, signal: ProcessSignal) {
+    cluster.signals.as_ref().unwrap().send_blocking(signal).unwrap();
+}
+
+fn health_status(cluster: &TestCluster) -> u16 {
+    let request = b"GET /healthz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
+    response_status(&smol::block_on(client::send_raw(&cluster.node, &[request], 0.0, 1.0)))
+}
+
+#[test]
+fn a_drain_finishes_open_requests_and_closes_connections() {
+    let mut cluster = test_cluster(5.0);
+    // It is healthy once it has fetched a list, which a busy machine delays.
+    let until = Instant::now() + Duration::from_secs(10);
+    while health_status(&cluster) != 200 {
+        assert!(Instant::now() < until, "not healthy");
+    }
+    // An idle connection, kept open by its client.
+    let mut idle = TcpStream::connect(&cluster.node).unwrap();
+    let stream = cluster.send_in_background(cluster.chat_request("stream", "booking"));
+    cluster.wait_for_event("first", "stream");
+    send_signal(&cluster, ProcessSignal::Drain);
+    let started_at = Instant::now();
+    while health_status(&cluster) == 200 {
+        assert!(started_at.elapsed() < Duration::from_secs(2));
+    }
+    // While it announces its shutdown it accepts requests, each the last of its connection.
+    let body = r#"{"model":"chat","max_tokens":2,"messages":[{"role":"user","content":"hi"}]}"#;
+    idle.write_all(post(body, "").as_bytes()).unwrap();
+    let mut response = String::new();
+    idle.read_to_string(&mut response).unwrap();
+    assert!(response.starts_with("HTTP/1.1 200") && response.contains("connection: close"), "{response}");
+    assert_eq!(stream.join().unwrap().outcome, "completed");
+    assert_eq!(cluster.exit.take().unwrap().join().unwrap(), Exit::Clean);
+    assert!(TcpStream::connect(&cluster.node).is_err(), "it still listens");
+    cluster.assert_engines_idle(&["r0a", "w0a"]);
+    cluster.assert_audit_passes();
+}
+
+#[test]
+fn after_the_drain_timeout_open_requests_fail_and_reservations_are_released() {
+    let mut cluster = test_cluster(0.3);
+    cluster.control("w0a", json!({"fault": "slow", "for_s": 30.0, "factor": 8.0}));
+    let mut request = cluster.chat_request("stream", "booking");
+    request.max_tokens = None;
+    let stream = cluster.send_in_background(request);
+    cluster.wait_for_event("first", "stream");
+    let whole = cluster.send_in_background(ChatCall {
+        stream: false,
+        max_tokens: None,
+        ..cluster.chat_request("whole", "chat")
+    });
+    cluster.wait_for_event("ran", "whole");
+    // One whose reservation waits while a silent decode engine is called.
+    cluster.control("w0a", json!({"fault": "silence", "for_s": 0.9}));
+    let held = cluster.send_in_background(cluster.chat_request("held", "chat"));
+    cluster.wait_for_event("read", "held");
+    send_signal(&cluster, ProcessSignal::Drain);
+    let (stream, whole, held) = (stream.join().unwrap(), whole.join().unwrap(), held.join().unwrap());
+    assert_eq!((stream.outcome.as_str(), stream.code.as_deref()), ("errored", Some("node_stopping")));
+    assert_eq!((whole.status, whole.code.as_deref()), (503, Some("node_stopping")));
+    assert_ne!(held.outcome, "completed");
+    assert_eq!(cluster.exit.take().unwrap().join().unwrap(), Exit::RequestsCut);
+    thread::sleep(Duration::from_millis(900));
+    cluster.assert_engines_idle(&["r0a", "w0a"]);
+    cluster.assert_audit_passes();
+}
+
+#[test]
+fn further_signals_skip_the_shutdown_stages() {
+    let mut cluster = test_cluster(60.0);
+    cluster.control("w0a", json!({"fault": "slow", "for_s": 30.0, "factor": 8.0}));
+    let mut request = cluster.chat_request("stream", "chat");
+    request.max_tokens = None;
+    let stream = cluster.send_in_background(request);
+    cluster.wait_for_event("first", "stream");
+    let started_at = Instant::now();
+    for signal in [ProcessSignal::Drain, ProcessSignal::SkipStage, ProcessSignal::SkipStage] {
+        send_signal(&cluster, signal);
+    }
+    assert_eq!(stream.join().unwrap().code.as_deref(), Some("node_stopping"));
+    assert_eq!(cluster.exit.take().unwrap().join().unwrap(), Exit::RequestsCut);
+    assert!(started_at.elapsed() < Duration::from_secs(5));
+    cluster.assert_engines_idle(&["r0a", "w0a"]);
+}
+
+#[test]
+fn the_admin_port_serves_traces_and_metrics() {
+    let (admin_listener, admin) = common::listener();
+    let cluster = TestCluster::with_options(vec![engine_config("r0a"), engine_config("w0a")], |options| {
+        options.admin = Some(admin_listener)
+    });
+    cluster.control("w0a", json!({"fault": "lose", "for_s": 60.0, "share": 1.0}));
+    assert_eq!(cluster.send(cluster.chat_request("lost-one", "booking")).outcome, "errored");
+    let get = |path: &str| {
+        let request = format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
+        let response = smol::block_on(client::send_raw(&admin, &[request.as_bytes()], 0.0, 2.0));
+        String::from_utf8(response).unwrap()
+    };
+    let trace = get("/why/lost-one");
+    for expected in [
+        "model booking",
+        "prefill dispatched to r0a",
+        "decode dispatched to w0a",
+        "it may have run",
+        "failed: AttemptsFailed",
+    ] {
+        assert!(trace.contains(expected), "{expected}: {trace}");
+    }
+    assert_eq!(response_status(get("/why/unknown").as_bytes()), 404);
+    let metrics = get("/metrics");
+    for expected in [
+        "nickelgw_inferences_total{how=\"errored\"} 1",
+        "nickelgw_states_total{how=\"let_go\"}",
+        "nickelgw_open 0",
+        "nickelgw_held_wait_longest_seconds",
+        "# EOF",
+    ] {
+        assert!(metrics.contains(expected), "{expected}: {metrics}");
+    }
+    assert_eq!(response_status(get("/healthz").as_bytes()), 200);
+}
--- a/crates/nickelgw-node/tests/stored_records.rs
+++ b/crates/nickelgw-node/tests/stored_records.rs
@@ -32,8 +32,8 @@
     let mut rest = json;
     while let Some(first) = rest.chars().next() {
         in_string ^= first == '"';
-        let is_number = |c: char| c.is_ascii_digit() || "+-.eE".contains(c);
-        let end = rest.find(|c| !is_number(c)).unwrap_or(rest.len());
+        let is_number = |character: char| character.is_ascii_digit() || "+-.eE".contains(character);
+        let end = rest.find(|character| !is_number(character)).unwrap_or(rest.len());
         if !in_string && first.is_ascii_digit() {
             text.push('#');
             numbers.push(rest[..end].parse().unwrap());
--- a/crates/nickelgw-test-servers/src/client/call.rs
+++ b/crates/nickelgw-test-servers/src/client/call.rs
@@ -8,6 +8,7 @@
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{handshake, SendRequest};
 use hyper::HeaderMap;
+use hyper::Request;
 use nickelgw_protocol::chat::error_code;
 use nickelgw_protocol::sse::{Event, EventDecoder};
 use serde_json::{json, Value};
@@ -49,6 +50,8 @@
 
 /// Sends the request; none if the node cannot be reached, so that nothing was sent.
 pub async fn call(call: &ChatCall, recorder: &Recorder) -> Option<CallResult> {
+    // A node closes a connection on which no head arrives in time: a long body is ready before there is one.
+    let request = call.request();
     let stream = timeout_s(CONNECT_TIMEOUT_S, TcpStream::connect(&call.address)).await?.ok()?;
     stream.set_nodelay(true).ok()?;
     let (sender, connection) = handshake(FuturesIo::new(stream)).await.ok()?;
@@ -59,7 +62,7 @@
         let _ = connection.await;
         std::future::pending().await
     };
-    let outcome = futures_lite::future::or(exchange.run(sender), drive).await;
+    let outcome = futures_lite::future::or(exchange.run(sender, request), drive).await;
     let mut result = exchange.result;
     result.duration_s = unix_now() - started;
     if let Some(outcome) = outcome {
@@ -104,13 +107,16 @@
 
 impl Exchange<'_> {
     /// The outcome; none if nothing came in so long a time that the audit has to judge it.
-    async fn run(&mut self, mut sender: SendRequest<Full<Bytes>>) -> Option<Outcome> {
+    async fn run(
+        &mut self,
+        mut sender: SendRequest<Full<Bytes>>,
+        request: Option<Request<Full<Bytes>>>,
+    ) -> Option<Outcome> {
         let patience_s = match self.call.disconnect {
             DisconnectAt::WaitingFor(seconds) => seconds,
             _ => self.call.timeout_s + RESPONSE_SLACK_S,
         };
-        let request = self.call.request()?;
-        let response = match timeout_s(patience_s, sender.send_request(request)).await {
+        let response = match timeout_s(patience_s, sender.send_request(request?)).await {
             None if self.call.disconnect == DisconnectAt::Never => return None,
             None => return Some(Outcome::Disconnected),
             Some(Err(_)) => return Some(Outcome::ConnectionFailed),
