--- a/crates/nickelgw-node/src/engines/decode_stream.rs
+++ b/crates/nickelgw-node/src/engines/decode_stream.rs
@@ -120,7 +120,7 @@
         }
     }
 
-    /// After [DONE]: reads up to the trailers. The response is whole; what else follows it is not forwarded.
+    /// After `[DONE]`: reads up to the trailers. The response is whole; what else follows it is not forwarded.
     async fn finish(&mut self, idle_timeout_s: f64) -> AttemptResult {
         let rest = within(idle_timeout_s, self.next_event()).await;
         let load = self.trailers.as_ref().and_then(load_report);
--- a/crates/nickelgw-node/src/idempotency/mod.rs
+++ b/crates/nickelgw-node/src/idempotency/mod.rs
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Publishes events until the stream ends or a subscriber stalls; whether the last was [DONE].
+    /// Publishes events until the stream ends or a subscriber stalls; whether the last was `[DONE]`.
     async fn publish_events(
         &self,
         serial: EntryId,
