--- a/crates/nickelgw-node-core/src/commands.rs
+++ b/crates/nickelgw-node-core/src/commands.rs
@@ -1,4 +1,4 @@
-//! Messages between the core and its shell: commands that the core gives, and results that it is told.
+//! Messages between the core and its shell: commands issued by the core and results reported to it.
 
 use crate::attempt_outcome::AttemptOutcome;
 use crate::guard::Violation;
@@ -7,34 +7,35 @@
 use nickelgw_protocol::load::LoadReport;
 use std::rc::Rc;
 
-/// Identifies an accepted request. An event that names a request which is over is ignored.
+/// Identifies an accepted request. Events for a request that is already closed are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId {
-    /// The decision module's handle, which is used again once the request is closed.
+    /// Handle of the request in the decision module, reused after the request is closed.
     pub(crate) slot: u32,
-    /// Unique in this process.
+    /// Serial number, unique within this process.
     pub serial: u64,
 }
 
-/// An engine as the endpoint list has it.
+/// Identity and address of an engine, from the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its name in the list.
+    /// Engine id in the endpoint list.
     pub id: String,
     /// Host and port.
     pub address: String,
-    /// The name that its certificate must be valid for; none: the host in the address.
+    /// Name that the engine's certificate must be valid for; `None` if it is the host in the address.
     pub tls_name: Option<String>,
 }
 
 /// A KV reservation at a prefill engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reservation {
-    /// The name under which the engine knows it.
+    /// Name of the reservation at the engine.
     pub name: Rc<str>,
-    /// The engine that holds it.
+    /// Engine that holds the reservation.
     pub prefill_engine: Rc<Endpoint>,
-    /// It bears its request's name: one call, to any engine, releases all that is reserved for the request.
+    /// Whether the reservation has its request's name: one release call, to any engine, then releases all
+    /// reservations of the request.
     pub named_after_request: bool,
 }
 
@@ -45,151 +46,153 @@
 /// A call that releases a reservation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReleaseCall {
-    /// Names the call as it ends.
+    /// Id of the call, reported back when the call ends.
     pub id: ReleaseCallId,
-    /// The reservation.
+    /// Reservation to release.
     pub reservation: Reservation,
-    /// The engine to call.
+    /// Engine to call.
     pub endpoint: Rc<Endpoint>,
-    /// The connection to use.
+    /// Connection to use.
     pub connection: ReleaseConnection,
 }
 
 /// Which connection a release call may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseConnection {
-    /// An idle one, if there is one.
+    /// An idle connection if there is one, otherwise a new one.
     Any,
-    /// A new one: idle ones may be silent.
+    /// A new connection, because idle ones may no longer respond.
     New,
 }
 
 /// How a release call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseOutcome {
-    /// The engine has released the reservation, or never had it.
+    /// The engine has released the reservation, or did not have it.
     Confirmed,
-    /// The engine answered, and has not.
+    /// The engine answered, but has not released the reservation.
     Refused,
-    /// No answer came.
+    /// The engine did not answer.
     Unanswered,
 }
 
-/// An attempt that is to be made at an engine.
+/// An attempt to send to an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptRequest {
-    /// The request that it is made for.
+    /// Request that the attempt is made for.
     pub request: RequestId,
-    /// Its number among the request's attempts.
+    /// Number of the attempt within its request.
     pub attempt: u32,
-    /// Its name at the engine; a prefill makes its reservation under it.
+    /// Name of the attempt at the engine; also the name of the reservation that a prefill makes.
     pub name: String,
-    /// Where it goes.
+    /// Engine that the attempt is sent to.
     pub engine: Rc<Endpoint>,
-    /// Time for a prefill to end, for a decode attempt to give its first token.
+    /// Timeout in seconds: for a prefill until its end, for a decode attempt until its first token.
     pub timeout_s: f64,
-    /// It must not be retried once it may have run.
+    /// Whether this is a decode attempt of a non-idempotent request, which must not be repeated once it may
+    /// have run.
     pub runs_once: bool,
-    /// What the engine is to do.
+    /// Work requested from the engine.
     pub kind: AttemptKind,
-    /// Why this engine, for the request's trace.
+    /// Why the engine was chosen, for the request's trace.
     pub rationale: DispatchRationale,
 }
 
-/// What an engine is to do in an attempt.
+/// Work requested from an engine by an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptKind {
     /// Read the prompt and keep its KV cache under a reservation.
     Prefill,
-    /// Generate the answer. With no reservation the engine reads the prompt itself.
+    /// Generate the answer. Without a reservation the engine also prefills the prompt.
     Decode {
-        /// The reservation to fetch.
+        /// Reservation whose KV cache the engine fetches; `None` if the engine prefills the prompt itself.
         reservation: Option<Reservation>,
-        /// By which the decode engine may fetch it, where prefill engines ask for a grant.
+        /// Grant that permits the decode engine to fetch the reservation; `None` without a reservation, or if
+        /// prefill engines require no grant.
         grant: Option<String>,
-        /// A stream that is silent for longer is lost.
+        /// Longest pause within the stream, in seconds; a longer one ends the attempt with a timeout.
         idle_timeout_s: f64,
     },
 }
 
-/// The one final answer to a request.
+/// Final answer to a request; each request gets at most one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalAnswer {
-    /// The answer was given in full.
+    /// The response is complete.
     Completed,
-    /// Nothing has run, or it may run again: a retry is safe.
+    /// Nothing has run, or the request may run again: a retry is safe.
     Rejected {
-        /// After how long the client may come back; none: it is not told.
+        /// Seconds after which the client may retry; `None` if it is not told.
         retry_after_s: Option<f64>,
     },
-    /// Something may have run.
+    /// The request failed, and an attempt may have run.
     Failed(FailureReason),
 }
 
 /// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureReason {
-    /// The deadline passed before an answer began.
+    /// The deadline passed before the first token, or before a response that is not streamed was complete.
     DeadlineExceeded,
     /// All attempts that were allowed have failed.
     AttemptsFailed,
     /// The stream broke after its first token.
     StreamBroken,
-    /// The node shuts down, and its drain timeout is over.
+    /// The node shuts down, and the time that open requests had to finish is over.
     ShuttingDown,
 }
 
-/// What the shell is to do.
+/// A command for the shell.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Make an attempt.
+    /// Send an attempt to an engine.
     StartAttempt(AttemptRequest),
     /// Cancel an attempt in flight.
     CancelAttempt {
-        /// The request that it was made for.
+        /// Request of the attempt.
         request: RequestId,
-        /// Its number.
+        /// Number of the attempt within its request.
         attempt: u32,
     },
-    /// Give the client the final answer; no command names the request after it.
+    /// Send the client the final answer. No later command refers to the request.
     Answer {
-        /// The request.
+        /// Request that is answered.
         request: RequestId,
-        /// Its answer.
+        /// Final answer.
         answer: FinalAnswer,
     },
     /// Call an engine to release a reservation.
     Release(ReleaseCall),
     /// Probe an engine.
     Probe(Rc<Endpoint>),
-    /// Release whatever earlier processes of this node have reserved at the engine.
+    /// Release all reservations that earlier processes of this node made at the engine.
     ReleaseOrphans(Rc<Endpoint>),
     /// Fetch the endpoint list.
     PollEndpoints,
 }
 
-/// What came of a batch of events.
+/// Commands and records that result from a batch of events.
 #[derive(Clone, Debug, Default)]
 pub struct CommandBatch {
-    /// What to do, in this order.
+    /// Commands to carry out, in this order.
     pub commands: Vec<Command>,
     /// Why requests were rejected or failed.
     pub reasons: Vec<(RequestId, RejectionReason)>,
     /// Transitions of KV reservations, for the log.
     pub transitions: Vec<Transition>,
-    /// Rules that were about to be broken, or were, with their requests' serial numbers.
+    /// Violations that were prevented or found, with the serial numbers of their requests.
     pub violations: Vec<(Violation, u64)>,
-    /// When to poll again, if no event comes before.
+    /// When to poll again if no event comes before; `None` if only an event requires another poll.
     pub wake_at: Option<f64>,
 }
 
-/// How an attempt ended, as the shell saw it.
+/// Result of an attempt, reported by the shell.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptResult {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// The load that the engine reported with its answer.
+    /// Load that the engine reported with its answer; `None` if it reported none.
     pub load: Option<LoadReport>,
-    /// Prompt tokens that the prefill engine had cached.
+    /// Number of prompt tokens that the prefill engine had cached.
     pub cached_tokens: f64,
 }
--- a/crates/nickelgw-node-core/src/ledger.rs
+++ b/crates/nickelgw-node-core/src/ledger.rs
@@ -1,9 +1,11 @@
-//! The ledger of KV reservations: where each stands, since when, and which attempt claims it.
+//! Ledger of KV reservations: the stage of each reservation, when it entered that stage, and which attempt
+//! claims it.
 //!
-//! A reservation that bears its request's name has a lease, which runs from the last answer of an engine: that an attempt's
-//! bytes were written, or that its connection is open, proves nothing. As the lease ends the reservation is released, also
-//! while an attempt is in flight; the call spares what an attempt that has arrived claims. What nothing will claim is
-//! released at once. A release that is not confirmed is repeated with exponential backoff.
+//! A reservation named after its request has a lease that starts at the last answer of an engine. Bytes
+//! written for an attempt and an open connection do not renew it: they do not prove that the attempt has
+//! arrived. When the lease ends, the reservation is released, even while an attempt is in flight: the engine
+//! does not release what an attempt that has arrived there claims. A reservation that no attempt will claim
+//! is released at once. A release that is not confirmed is retried with exponential backoff.
 
 mod entry;
 mod indexes;
@@ -18,7 +20,7 @@
 use transitions::TransitionLog;
 pub use transitions::{Phase, Transition};
 
-/// A reservation, by the serial number of its request and the number of the prefill that makes it.
+/// Identifies a reservation by its request and the prefill that makes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReservationId {
     /// Serial number of the request.
@@ -27,55 +29,59 @@
     pub prefill: u32,
 }
 
-/// Reservations being released at once; past it the oldest is abandoned, and its engine's own limit frees it.
+/// Maximum number of reservations being released at once. Beyond it the oldest release is abandoned, and the
+/// engine frees that reservation at its own time limit.
 const MAX_RELEASING: usize = 8192;
-/// Share of the reservation limit after which a release is repeated that may have overtaken the end of an attempt.
+/// Share of the reservation limit after which a confirmed release is repeated if the request is finished and
+/// the release may have reached the engine before the end of an attempt did.
 const FOLLOW_UP_SHARE: f64 = 0.25;
-/// Seconds after which it is repeated where the request goes on, whose next prefill waits for it: that prefill may be lost, and
-/// then nothing would release what the first call spared.
+/// Seconds after which such a release is repeated if the request is still open. It is repeated before the
+/// request's next prefill, which waits for it: that prefill may be lost, and then nothing would release what
+/// the first call did not.
 const RETRY_FOLLOW_UP_S: f64 = 0.05;
-/// Seconds before a failed release call is repeated, at first and at most.
+/// Initial and maximum backoff before a failed release call is retried, in seconds.
 const INITIAL_BACKOFF_S: f64 = 0.02;
 const MAX_BACKOFF_S: f64 = 0.32;
-/// Longest unclaimed time that the histogram holds, in microseconds.
+/// Longest unclaimed time that the histogram can record, in microseconds (1 hour).
 const MAX_UNCLAIMED_US: u64 = 3_600_000_000;
 
-/// What became of the reservations that prefills made.
+/// Numbers of reservations made by prefills, and of those by how they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReservationCounters {
-    /// Made by a prefill, or possibly made by one that failed.
+    /// Reservations made by a prefill, or possibly made by a prefill that failed.
     pub prefilled: u64,
-    /// Claimed by an attempt that began to answer.
+    /// Reservations claimed by an attempt that returned its first token.
     pub served: u64,
-    /// Released by a confirmed call.
+    /// Reservations released by a confirmed call.
     pub released: u64,
-    /// Gone with the process of their prefill engine.
+    /// Reservations lost because the process of their prefill engine ended.
     pub lost: u64,
-    /// Not confirmed in time: their engines' own limits free them.
+    /// Reservations whose release was not confirmed in time: their engines free them at their own time limit.
     pub abandoned: u64,
-    /// Released by the ledger as their lease or limit ended.
+    /// Reservations whose release began because their lease or time limit ended.
     pub overdue: u64,
 }
 
 /// All reservations of a node that are not known to have ended.
 pub struct Ledger {
-    /// Longest that a reservation may stand unattended.
+    /// How long an engine holds a reservation that no attempt claims, in seconds.
     reservation_limit_s: f64,
-    /// How long a release call is repeated.
+    /// How long an unconfirmed release is retried, in seconds.
     release_timeout_s: f64,
     entries: BTreeMap<ReservationId, Entry>,
     indexes: Indexes,
-    /// What became of reservations so far.
+    /// Counters of reservations since the process started.
     pub counters: ReservationCounters,
-    /// Microseconds unclaimed, each wait by itself.
+    /// Times that reservations were unclaimed, in microseconds; each unclaimed period is one sample.
     unclaimed_us: Histogram<u64>,
     transitions: TransitionLog,
-    /// Requests whose reservation's lease has ended, not yet collected.
+    /// Serial numbers of requests with a reservation whose lease has ended, until they are collected.
     expired: Vec<u64>,
 }
 
 impl Ledger {
-    /// An empty ledger with the longest time that a reservation may stand unattended, and that a release is repeated.
+    /// Creates an empty ledger. `reservation_limit_s`: how long an engine holds a reservation that no attempt
+    /// claims. `release_timeout_s`: how long an unconfirmed release is retried.
     pub fn new(reservation_limit_s: f64, release_timeout_s: f64) -> Self {
         Ledger {
             reservation_limit_s,
@@ -89,37 +95,37 @@
         }
     }
 
-    /// Whether no reservation is open.
+    /// Returns whether no reservation is open.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Number of open reservations.
+    /// Returns the number of open reservations.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Quantile of the times that reservations stood unclaimed, in seconds.
+    /// Returns a quantile of the times that reservations were unclaimed, in seconds.
     pub fn unclaimed_quantile_s(&self, quantile: f64) -> f64 {
         self.unclaimed_us.value_at_quantile(quantile) as f64 / 1e6
     }
 
-    /// Transitions since the last call.
+    /// Returns the transitions since the last call.
     pub fn take_transitions(&mut self) -> Vec<Transition> {
         self.transitions.drain()
     }
 
-    /// Transitions that were dropped since nothing collected them in time.
+    /// Returns the number of transitions that were dropped because they were not collected in time.
     pub fn dropped_transitions(&self) -> u64 {
         self.transitions.dropped()
     }
 
-    /// A prefill is dispatched: from now on its engine may hold a reservation for it.
+    /// Records that a prefill is dispatched: from now on its engine may hold a reservation for it.
     pub fn prefill_begins(&mut self, now: f64, id: ReservationId, reservation: Reservation) {
         self.entries.insert(id, Entry::new(now, reservation));
     }
 
-    /// The prefill is done, and its reservation unclaimed.
+    /// Records that the prefill has completed: its lease starts, and no attempt claims its reservation yet.
     pub fn prefill_done(&mut self, now: f64, id: ReservationId) {
         if self.stage(id) == Some(Stage::Prefilling) {
             self.counters.prefilled += 1;
@@ -128,7 +134,8 @@
         }
     }
 
-    /// The prefill failed. Unless it is known not to have run it may have left a reservation that nothing will claim.
+    /// Records that the prefill failed. Unless it is known not to have run, it may have left a reservation,
+    /// which is released because no attempt will claim it.
     pub fn prefill_failed(&mut self, now: f64, id: ReservationId, never_ran: bool) {
         if self.stage(id) != Some(Stage::Prefilling) {
             return;
@@ -142,18 +149,20 @@
         self.expect_follow_up(id, FollowUp::OnceFinished);
     }
 
-    /// The newest unclaimed reservation of the request goes to this decode attempt; none: its engine has to prefill.
+    /// Claims the newest unclaimed reservation of the request for this decode attempt. Returns `None` if
+    /// there is none: the decode engine then has to prefill.
     pub fn claim(&mut self, now: f64, owner: u64, attempt: u32) -> Option<Reservation> {
         let id = *self.reservations_of(owner, Stage::is_unclaimed).last()?;
         self.transition(now, id, Stage::Claimed { attempt });
         self.entries.get(&id).map(|entry| entry.reservation.clone())
     }
 
-    /// The attempt that claims it has begun to answer: the decode engine fetched it, and the prefill engine freed it.
+    /// Records the first token of an attempt that claims a reservation: the decode engine has fetched the
+    /// reservation, and the prefill engine has freed it.
     pub fn claim_served(&mut self, now: f64, owner: u64, attempt: u32) {
         for id in self.reservations_of(owner, |stage| stage.claimed_by() == Some(attempt)) {
             self.counters.served += 1;
-            // With the first token engines free by themselves all else that bears the request's name.
+            // At the first token engines free all other reservations named after the request without a call.
             let named_after_request =
                 self.entries.get(&id).is_some_and(|entry| entry.reservation.named_after_request);
             self.remove(now, id);
@@ -164,9 +173,10 @@
         }
     }
 
-    /// The attempt that claims it ended before its first token: it is unclaimed again, if its lease has not ended.
-    /// `answered`: by an answer of its engine, which had it until now; else the attempt may never have arrived, and the
-    /// lease runs on.
+    /// Records the end of an attempt that claims a reservation and has returned no token. The reservation is
+    /// unclaimed again unless its lease has ended. `answered`: the attempt ended with an answer of its
+    /// engine, which renews the lease. Without an answer the attempt may never have arrived, and the lease is
+    /// not renewed.
     pub fn claim_ended(&mut self, now: f64, owner: u64, attempt: u32, answered: bool) {
         for id in self.reservations_of(owner, |stage| stage.claimed_by() == Some(attempt)) {
             if !answered {
@@ -179,7 +189,7 @@
                     }
                     self.transition(now, id, Stage::Unclaimed { since: now });
                 }
-                // A release that was confirmed in the meantime spared what the attempt claimed.
+                // The release that was confirmed in the meantime did not release what the attempt claimed.
                 Some(Stage::Released { .. }) => {
                     self.renew_lease(now, id);
                     self.release(now, id);
@@ -189,19 +199,20 @@
         }
     }
 
-    /// Whether a release of any reservation of the request is not confirmed: the calls go by the request's name, and would
-    /// release what a further prefill reserves.
+    /// Returns whether the release of any reservation named after the request is unconfirmed. Release calls
+    /// use the request's name, so they would also release what a further prefill reserves.
     pub fn is_releasing(&self, owner: u64) -> bool {
         let mut entries = self.entries_of(owner);
         entries.any(|(_, entry)| entry.reservation.named_after_request && entry.stage.is_releasing())
     }
 
-    /// Requests with a reservation that was neither claimed nor released in its time, each reported once: no release call
-    /// was confirmed though its lease ended long ago.
+    /// Returns the requests with an overdue reservation, each reservation once: no release call was confirmed
+    /// although the time since the start of its lease exceeds the reservation limit.
     pub fn take_overdue(&mut self, now: f64) -> Vec<u64> {
-        // Only what is being released can be overdue: all else has a time of its own before that.
+        // Only reservations that are being released can be overdue: all other stages have earlier time
+        // limits.
         let mut overdue = Vec::new();
-        for &(_, id) in &self.indexes.watched {
+        for &(_, id) in &self.indexes.unreported {
             let Some(entry) = self.entries.get(&id) else { continue };
             if now <= entry.lease_from + self.reservation_limit_s {
                 break;
@@ -215,23 +226,24 @@
         overdue.into_iter().map(|(_, id)| id.owner).collect()
     }
 
-    /// Requests whose reservation's lease has ended since the last call.
+    /// Returns the requests with a reservation whose lease has ended since the last call.
     pub fn take_expired(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.expired)
     }
 
-    /// No attempt will claim what the request has reserved.
+    /// Releases the unclaimed reservations of the request, because no further attempt will claim them.
     pub fn release_all(&mut self, now: f64, owner: u64) {
         let mut unclaimed = self.reservations_of(owner, Stage::is_unclaimed);
         let newest = unclaimed.last().and_then(|id| self.entries.get(id));
         if newest.is_some_and(|entry| entry.reservation.named_after_request) {
-            // One call releases all that bears the request's name.
+            // One call releases all reservations named after the request.
             unclaimed.drain(..unclaimed.len() - 1).for_each(|id| self.remove(now, id));
         }
         unclaimed.into_iter().for_each(|id| self.release(now, id));
     }
 
-    /// A release call has ended. `confirmed`: the engine answered it. `request_finished`: no further attempt is made.
+    /// Records the end of a release call. `confirmed`: the engine confirmed the release. `request_finished`:
+    /// the request makes no further attempt.
     pub fn release_answered(&mut self, now: f64, id: ReservationId, confirmed: bool, request_finished: bool) {
         let Some(entry) = self.entries.get(&id) else { return };
         let Stage::Releasing { since, calls, next_call_at: None, claimed_by } = entry.stage else { return };
@@ -258,9 +270,10 @@
         self.remove(now, id);
     }
 
-    /// The processes of these prefill engines have ended. What they reserved is lost, and calls to them are not repeated.
-    /// What bears its request's name is released all the same: any engine takes the call, and one that has left the list
-    /// may be cut off and still run.
+    /// Records that the processes of some prefill engines have ended. Their reservations are lost, and
+    /// release calls for them are not retried. Reservations named after their requests are released
+    /// nevertheless: any engine accepts the call, and an engine that has left the list may be unreachable but
+    /// still running.
     pub fn engines_gone(&mut self, now: f64, is_gone: impl Fn(&Reservation) -> bool) {
         let lost: Vec<ReservationId> = self
             .entries
@@ -279,12 +292,12 @@
         }
     }
 
-    /// Whether a release call is to be made, or its answer awaited.
+    /// Returns whether a release call for the reservation is due now or waits for its answer.
     pub fn needs_release_call(&self, id: ReservationId) -> bool {
         matches!(self.stage(id), Some(Stage::Releasing { next_call_at: None, .. }))
     }
 
-    /// Release calls to make now, and when to poll again.
+    /// Returns the release calls to make now, and when to poll again (`None` if nothing is scheduled).
     pub fn poll_releases(&mut self, now: f64) -> (Vec<(ReservationId, Reservation)>, Option<f64>) {
         let mut release_calls = Vec::new();
         while let Some((at, id)) = self.indexes.due(now) {
@@ -338,7 +351,8 @@
         self.transition(now, id, Stage::Releasing { since: now, calls: 0, next_call_at, claimed_by });
     }
 
-    /// The release is confirmed, but may have overtaken the end of an attempt: it is repeated once.
+    /// Schedules one repetition of a confirmed release that may have reached the engine before the end of an
+    /// attempt did.
     fn schedule_follow_up(&mut self, now: f64, id: ReservationId, request_finished: bool) {
         self.update(id, |entry| entry.release = ReleaseState::Confirmed);
         let finished_delay_s = FOLLOW_UP_SHARE * self.reservation_limit_s;
@@ -352,7 +366,7 @@
         }
     }
 
-    /// An engine has answered: the lease runs from now on.
+    /// Restarts the lease after an answer of an engine.
     fn renew_lease(&mut self, now: f64, id: ReservationId) {
         self.update(id, |entry| entry.lease_from = now);
     }
@@ -373,7 +387,7 @@
         }
     }
 
-    /// Notes the end of a stage for the log and the histogram.
+    /// Records the end of a stage in the transition log and the histogram.
     fn leave_stage(&mut self, now: f64, id: ReservationId, to: Phase) {
         let Some(entry) = self.entries.get(&id) else { return };
         self.transitions.push(|| Transition {
@@ -388,7 +402,7 @@
         }
     }
 
-    /// Changes an entry, and the indexes with it.
+    /// Changes an entry and updates the indexes.
     fn update(&mut self, id: ReservationId, change: impl FnOnce(&mut Entry)) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         self.indexes.remove(id, entry, self.reservation_limit_s);
--- a/crates/nickelgw-node-core/src/ledger/entry.rs
+++ b/crates/nickelgw-node-core/src/ledger/entry.rs
@@ -1,35 +1,36 @@
-//! One reservation as the ledger keeps it: its stage, its lease, and how far its release has come.
+//! Ledger entry of a reservation: its stage, its lease and the progress of its release.
 
 use crate::Reservation;
 
-/// Share of the reservation limit after which an unattended reservation is released. The rest is for the release calls,
-/// some of which meet silent connections, and for a process that is held up.
+/// Share of the reservation limit after which a lease ends and the reservation is released. The rest is left
+/// for release calls, some of which meet connections that no longer respond, and for stalls of this process.
 pub(super) const LEASE_SHARE: f64 = 0.5;
 
-/// Where a reservation stands.
+/// Stage of a reservation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Stage {
     /// The prefill is in flight.
     Prefilling,
-    /// The prefill is done, and no attempt claims the reservation since then.
+    /// No attempt claims the reservation, since the prefill or the last claim ended.
     Unclaimed { since: f64 },
-    /// This decode attempt claims it.
+    /// A decode attempt in flight claims the reservation.
     Claimed { attempt: u32 },
-    /// It is being released.
+    /// The reservation is being released.
     Releasing {
         since: f64,
         calls: u32,
-        /// When the next release call is made; none while the answer to one is awaited.
+        /// When the next release call is made; `None` while a call is in flight.
         next_call_at: Option<f64>,
-        /// The attempt in flight that claims it: its lease has ended with no sign that it arrived.
+        /// Attempt in flight that claims the reservation, if the lease ended before an engine answered it.
         claimed_by: Option<u32>,
     },
-    /// A release call was confirmed while this attempt is in flight. If the attempt had arrived it has kept its claim.
+    /// A release call was confirmed while this attempt is in flight. If the attempt had arrived at its engine
+    /// before, its claim is still valid.
     Released { attempt: u32 },
 }
 
 impl Stage {
-    /// The attempt in flight that claims the reservation.
+    /// Returns the attempt in flight that claims the reservation; `None` if there is none.
     pub(super) fn claimed_by(self) -> Option<u32> {
         match self {
             Stage::Claimed { attempt } | Stage::Released { attempt } => Some(attempt),
@@ -47,30 +48,31 @@
     }
 }
 
-/// Whether a confirmed release is repeated. An engine may learn of the end of an attempt after the release, which spares what an
-/// attempt claims.
+/// Whether a confirmed release is repeated. A release does not affect what an attempt claims, and an engine
+/// may learn of the end of that attempt only after the release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FollowUp {
-    /// No attempt ended without an answer.
+    /// Not repeated: no attempt ended without an answer.
     Unneeded,
-    /// A prefill did: a further one of the request takes over what it has left.
+    /// Repeated once the request is finished: a prefill ended without an answer. While the request is open,
+    /// its next prefill takes over what that prefill left.
     OnceFinished,
-    /// A decode attempt that may have claimed the reservation did. The request's next prefill may be lost, and then nothing
-    /// would release what was spared.
+    /// Always repeated: a decode attempt that may have claimed the reservation ended without an answer. The
+    /// request's next prefill may be lost, and then nothing would release what the first call did not.
     Always,
 }
 
-/// How far the release of a reservation has come.
+/// Progress of the release of a reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReleaseState {
-    /// No release call has settled it.
+    /// No release call has been confirmed.
     Unconfirmed {
         /// Whether the release is repeated once it is confirmed.
         follow_up: FollowUp,
-        /// It was reported as overdue.
+        /// Whether the reservation was reported as overdue.
         reported_overdue: bool,
     },
-    /// A release was confirmed; the follow-up call is a precaution.
+    /// A release call was confirmed; the repeated call is a precaution.
     Confirmed,
 }
 
@@ -78,8 +80,8 @@
     const INITIAL: ReleaseState =
         ReleaseState::Unconfirmed { follow_up: FollowUp::Unneeded, reported_overdue: false };
 
-    /// Whether the reservation is reported once its limit has passed.
-    fn is_watched(self) -> bool {
+    /// Returns whether the reservation has yet to be reported if it becomes overdue.
+    fn is_unreported(self) -> bool {
         matches!(self, ReleaseState::Unconfirmed { reported_overdue: false, .. })
     }
 
@@ -110,12 +112,12 @@
 /// A reservation in the ledger.
 pub(super) struct Entry {
     pub(super) reservation: Reservation,
-    /// When it entered its stage.
+    /// When the reservation entered its stage.
     pub(super) stage_since: f64,
-    /// When an engine last showed that it attends to the reservation: the lease runs from here.
+    /// Start of the lease: the last answer of an engine.
     pub(super) lease_from: f64,
     pub(super) stage: Stage,
-    /// The process of its prefill engine has ended: there is nothing to free.
+    /// Whether the process of the prefill engine has ended: there is nothing left to free.
     pub(super) engine_gone: bool,
     pub(super) release: ReleaseState,
 }
@@ -132,7 +134,7 @@
         }
     }
 
-    /// When the ledger has to act on it.
+    /// Returns when the ledger has to act on the reservation; `None` if only an event requires it to.
     pub(super) fn wake_at(&self, reservation_limit_s: f64) -> Option<f64> {
         match self.stage {
             Stage::Unclaimed { .. } | Stage::Claimed { .. } if self.reservation.named_after_request => {
@@ -144,7 +146,7 @@
         }
     }
 
-    /// When its release began, while it is being released.
+    /// Returns when the release began; `None` if the reservation is not being released.
     pub(super) fn releasing_since(&self) -> Option<f64> {
         match self.stage {
             Stage::Releasing { since, .. } => Some(since),
@@ -152,8 +154,8 @@
         }
     }
 
-    /// Whether it is to be reported if no release is confirmed in time.
-    pub(super) fn is_watched(&self) -> bool {
-        self.stage.is_releasing() && self.release.is_watched()
+    /// Returns whether the reservation is being released, not confirmed, and not yet reported as overdue.
+    pub(super) fn is_unreported(&self) -> bool {
+        self.stage.is_releasing() && self.release.is_unreported()
     }
 }
--- a/crates/nickelgw-node-core/src/ledger/indexes.rs
+++ b/crates/nickelgw-node-core/src/ledger/indexes.rs
@@ -1,26 +1,28 @@
-//! The ledger's entries by the times at which something is to be done about them.
+//! Indexes of the ledger's entries, ordered by the times at which they need attention.
 
 use super::entry::Entry;
 use super::ReservationId;
 use std::collections::BTreeSet;
 
-/// Entries in the order of a time.
+/// Entries ordered by a time.
 type TimeIndex = BTreeSet<(u64, ReservationId)>;
 
-/// Key of a time in an index: times are not negative, so the order of their bits is their own.
+/// Converts a time to an index key. The bits of non-negative floating-point numbers have the same order as
+/// the numbers.
 pub(super) fn time_key(at: f64) -> u64 {
     at.max(0.0).to_bits()
 }
 
-/// The indexes, each kept in step with the stages of entries by [`Indexes::insert`] and [`Indexes::remove`].
+/// Indexes kept consistent with the entries by [`Indexes::insert`] and [`Indexes::remove`].
 #[derive(Default)]
 pub(super) struct Indexes {
-    /// By the time at which the ledger has to act.
+    /// Entries by the time at which the ledger has to act.
     pub(super) wakeups: TimeIndex,
-    /// What is being released, by the start of its release.
+    /// Reservations that are being released, by the start of their release.
     pub(super) releasing: TimeIndex,
-    /// What is being released and neither confirmed nor reported as overdue, by the start of its lease.
-    pub(super) watched: TimeIndex,
+    /// Reservations that are being released and neither confirmed nor reported as overdue, by the start of
+    /// their lease.
+    pub(super) unreported: TimeIndex,
 }
 
 impl Indexes {
@@ -31,8 +33,8 @@
         if let Some(since) = entry.releasing_since() {
             self.releasing.insert((time_key(since), id));
         }
-        if entry.is_watched() {
-            self.watched.insert((time_key(entry.lease_from), id));
+        if entry.is_unreported() {
+            self.unreported.insert((time_key(entry.lease_from), id));
         }
     }
 
@@ -43,17 +45,17 @@
         if let Some(since) = entry.releasing_since() {
             self.releasing.remove(&(time_key(since), id));
         }
-        if entry.is_watched() {
-            self.watched.remove(&(time_key(entry.lease_from), id));
+        if entry.is_unreported() {
+            self.unreported.remove(&(time_key(entry.lease_from), id));
         }
     }
 
-    /// The first entry whose time to act has come.
+    /// Returns the earliest entry that is due, with its key; `None` if none is.
     pub(super) fn due(&self, now: f64) -> Option<(u64, ReservationId)> {
         self.wakeups.first().copied().filter(|wakeup| f64::from_bits(wakeup.0) <= now)
     }
 
-    /// When the next entry is due.
+    /// Returns when the next entry is due; `None` if there is none.
     pub(super) fn next_wakeup(&self) -> Option<f64> {
         self.wakeups.first().map(|wakeup| f64::from_bits(wakeup.0))
     }
--- a/crates/nickelgw-node-core/src/ledger/tests.rs
+++ b/crates/nickelgw-node-core/src/ledger/tests.rs
@@ -282,7 +282,7 @@
         let releasing = self.ledger.indexes.releasing.iter().map(|(_, id)| *id);
         let is_overdue = |id: &ReservationId| {
             let entry = &self.ledger.entries[id];
-            entry.is_watched() && self.now > entry.lease_from + RESERVATION_LIMIT_S
+            entry.is_unreported() && self.now > entry.lease_from + RESERVATION_LIMIT_S
         };
         releasing.filter(is_overdue).map(|id| id.owner).collect()
     }
@@ -330,8 +330,8 @@
         let mut simulation = Simulation::new(named_after_request);
         for step in steps {
             simulation.step(step);
-            let watched = simulation.ledger.entries.values().filter(|entry| entry.is_watched()).count();
-            prop_assert_eq!(simulation.ledger.indexes.watched.len(), watched);
+            let unreported = simulation.ledger.entries.values().filter(|entry| entry.is_unreported()).count();
+            prop_assert_eq!(simulation.ledger.indexes.unreported.len(), unreported);
             let expected = simulation.overdue_by_walk();
             prop_assert_eq!(simulation.ledger.take_overdue(simulation.now), expected);
             prop_assert!(simulation.ledger.take_overdue(simulation.now).is_empty());
--- a/crates/nickelgw-node-core/src/ledger/transitions.rs
+++ b/crates/nickelgw-node-core/src/ledger/transitions.rs
@@ -1,26 +1,26 @@
-//! Transitions of reservations from phase to phase, kept for the log.
+//! Transitions of reservations between phases, kept for the log.
 
 use super::entry::Stage;
 use super::ReservationId;
 use std::rc::Rc;
 
-/// Transitions kept for a log that does not collect them; further ones are only counted.
+/// Maximum number of transitions kept until the log collects them; further ones are only counted.
 const MAX_TRANSITIONS: usize = 1024;
 
-/// A stage as the log names it.
+/// Phase of a reservation, as written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// The prefill is in flight.
     Prefilling,
-    /// No attempt claims it.
+    /// No attempt claims the reservation.
     Unclaimed,
-    /// A decode attempt claims it.
+    /// A decode attempt claims the reservation.
     Claimed,
     /// Release calls are made until one is confirmed.
     Releasing,
-    /// Released, with an attempt in flight that may have claimed it before.
+    /// Released while an attempt is in flight that may have claimed the reservation before.
     Released,
-    /// Nothing is known to be reserved any more.
+    /// The reservation has ended, as far as the node knows.
     Ended,
 }
 
@@ -36,22 +36,22 @@
     }
 }
 
-/// A reservation has passed from one phase to another.
+/// Change of a reservation from one phase to another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Transition {
-    /// The reservation.
+    /// Reservation that changed.
     pub id: ReservationId,
-    /// The name under which its engine knows it.
+    /// Name of the reservation at its engine.
     pub name: Rc<str>,
-    /// The phase that it left.
+    /// Phase that the reservation left.
     pub from: Phase,
-    /// The phase that it entered.
+    /// Phase that the reservation entered.
     pub to: Phase,
-    /// How long it was in the former phase, in seconds.
+    /// Time that the reservation spent in the former phase, in seconds.
     pub after_s: f64,
 }
 
-/// Transitions that no log has collected yet, bounded.
+/// Bounded buffer of transitions that the log has not collected yet.
 #[derive(Default)]
 pub(super) struct TransitionLog {
     pending: Vec<Transition>,
@@ -59,7 +59,7 @@
 }
 
 impl TransitionLog {
-    /// Keeps a transition if there is room; it is built only then.
+    /// Keeps a transition if there is room; the closure runs only in that case.
     pub(super) fn push(&mut self, transition: impl FnOnce() -> Transition) {
         if self.pending.len() >= MAX_TRANSITIONS {
             self.dropped += 1;
@@ -72,7 +72,7 @@
         std::mem::take(&mut self.pending)
     }
 
-    /// Transitions that found no room.
+    /// Returns the number of transitions dropped for lack of room.
     pub(super) fn dropped(&self) -> u64 {
         self.dropped
     }
--- a/crates/nickelgw-node-core/src/node_core.rs
+++ b/crates/nickelgw-node-core/src/node_core.rs
@@ -1,4 +1,4 @@
-//! The core's state, and the queries that do not change it.
+//! State of the node core, its constructor and its queries.
 
 use crate::commands::{Command, Endpoint, RequestId};
 use crate::config::CoreConfig;
@@ -17,7 +17,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// What the core knows of a model route.
+/// Settings of a model route that the core itself uses.
 pub(crate) struct Route {
     pub(crate) idempotency: Idempotency,
     ttft_objective_s: f64,
@@ -40,55 +40,56 @@
     }
 }
 
-/// What an earlier process had learned, until the first endpoint list that it can be applied to.
+/// Learned state of an earlier process, kept until an endpoint list with engines arrives to apply it to.
 pub(crate) struct RestoredState {
     pub(crate) learned: LearnedState,
-    /// How far it is believed, from 0 to 1.
+    /// Weight given to the learned state, from 0 (ignored) to 1 (taken over in full).
     pub(crate) confidence: f64,
 }
 
-/// The state machine of a node: events come as calls, and [`NodeCore::poll_commands`] returns what to do.
+/// State machine of a node. Each event is a method call, and [`NodeCore::poll_commands`] returns the commands
+/// that the shell carries out.
 pub struct NodeCore {
     pub(crate) router: Router,
     pub(crate) config: CoreConfig,
-    /// Whether attempts may be cancelled.
+    /// Whether attempts in flight can be cancelled.
     pub(crate) can_cancel: bool,
-    /// Longest Retry-After that clients are told; none: they are told none.
+    /// Longest Retry-After sent to clients, in seconds; `None` if no Retry-After is sent.
     pub(crate) max_retry_after_s: Option<f64>,
     pub(crate) tick_s: f64,
     pub(crate) routes: Vec<Route>,
     pub(crate) endpoints: HashMap<String, (Rc<Endpoint>, EngineRole)>,
     pub(crate) requests: RequestTable,
-    /// Requests without a final answer.
+    /// Number of requests without a final answer.
     pub(crate) open_requests: usize,
     pub(crate) open_by_tenant: Vec<usize>,
     pub(crate) fair_share: FairShare,
     pub(crate) concurrency_limit: ConcurrencyLimit,
     /// KV reservations that prefills have made.
     pub ledger: Ledger,
-    /// Calls that release them.
+    /// Schedules the calls that release reservations.
     pub(crate) releases: ReleaseScheduler,
     /// Checks each attempt against the rules, and counts violations.
     pub guard: Guard,
-    /// Listed engines that take no new work.
+    /// Ids of listed engines that accept no new work.
     pub(crate) draining: BTreeSet<String>,
     pub(crate) orphan_cleanup: OrphanCleanup,
-    /// The node as one of a fleet, where nodes exchange what they observe of zones.
+    /// Zone states, derived together with the other nodes of the fleet; `None` if the node is not in a fleet.
     pub zone_failover: Option<ZoneFailover>,
-    /// Traces of requests that are over.
+    /// Traces of finished requests.
     pub traces: TraceBuffer,
     pub(crate) restored_state: Option<RestoredState>,
     pub(crate) revision: Option<u64>,
     pub(crate) pending_commands: Vec<Command>,
-    /// No more requests are accepted.
+    /// Whether new requests are rejected because the node shuts down.
     pub(crate) shutting_down: bool,
     pub(crate) unary_deadlines: UnaryDeadlines,
-    /// Requests by how they ended.
+    /// Numbers of requests by how they ended.
     pub counters: RequestCounters,
 }
 
 impl NodeCore {
-    /// A core that knows no engine yet.
+    /// Creates a core without engines.
     pub fn new(deployment: Deployment, config: CoreConfig) -> NodeCore {
         let (cleanup_from, cleanup_until) = config.orphan_cleanup_window_s;
         let limits = config.fair_share.as_ref().map_or_else(Default::default, |share| share.limits);
@@ -121,22 +122,22 @@
         }
     }
 
-    /// Number of requests without a final answer.
+    /// Returns the number of requests without a final answer.
     pub fn open(&self) -> usize {
         self.open_requests
     }
 
-    /// Revision of the endpoint list in use.
+    /// Returns the revision of the endpoint list in use; `None` if no source has returned a list yet.
     pub fn revision(&self) -> Option<u64> {
         self.revision
     }
 
-    /// Whether no attempt is in flight and no reservation is to be released.
+    /// Returns whether no request is open, no attempt is in flight and no reservation is left to release.
     pub fn is_quiet(&self) -> bool {
         self.requests.is_empty() && self.ledger.is_empty()
     }
 
-    /// The process is about to exit: what is still open is counted as a violation.
+    /// Counts open requests and unreleased reservations as violations. Called just before the process exits.
     pub fn process_exiting(&mut self) {
         if self.open_requests > 0 {
             self.guard.count(Violation::ExitWithRequests, 0);
@@ -146,14 +147,14 @@
         }
     }
 
-    /// Begins the trace of a request.
+    /// Attaches a trace to an open request; later events of the request are added to it.
     pub fn start_trace(&mut self, request: RequestId, trace: RequestTrace) {
         if let Some(open) = self.requests.get_mut(request) {
             open.trace = Some(trace);
         }
     }
 
-    /// The trace of a request, open or over.
+    /// Returns the trace of an open or finished request; `None` if none is kept under this id.
     pub fn request_trace(&self, id: &str) -> Option<&RequestTrace> {
         self.requests.trace(id).or_else(|| self.traces.find(id))
     }
