--- a/crates/nickelgw-node-core/src/attempt_outcome.rs
+++ b/crates/nickelgw-node-core/src/attempt_outcome.rs
@@ -1,40 +1,42 @@
-//! How an attempt ends on the wire, and what the decision module is told of it. The causes of each outcome are listed here
-//! and in docs/engine-protocol.md, nowhere else.
+//! Outcomes of attempts on the wire, and their mapping to outcomes of the decision module. The causes of each
+//! outcome are documented here and in docs/engine-protocol.md, nowhere else.
 
 use nickelgw::interface::Outcome;
 use nickelgw_protocol::chat::error_code;
 use nickelgw_protocol::engine::{ENGINE_DRAINING, ENGINE_FULL, STATE_NOT_FOUND};
 
-/// How an attempt, or a probe, ended.
+/// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The stream ended with `[DONE]`; for a probe, 200.
+    /// The stream ended with `[DONE]`; a probe was answered with status 200.
     Completed,
-    /// 200, and the body names the reservation.
+    /// The status was 200, and the body names the reservation.
     Prefilled,
-    /// Any other error status.
+    /// The engine answered with an error status that no other variant covers.
     ErrorStatus(u16),
-    /// An answer that the protocol does not allow: no JSON, no event stream, no reservation named.
+    /// The answer violates the protocol: it is not JSON, not an event stream, or names no reservation.
     Malformed,
-    /// 429 or 503 with the engine's own code, which says that it has not begun.
+    /// The status was 429 or 503 with an error code of the engine, which shows that the attempt has not
+    /// started.
     Rejected,
-    /// 409 with the engine's own code, which says that it found no reservation.
+    /// The status was 409 with an error code of the engine, which shows that it found no reservation.
     ReservationNotFound,
-    /// No answer within the attempt's timeout; a stream silent for too long.
+    /// No answer came within the attempt's timeout, or a pause in the stream was too long.
     TimedOut,
-    /// No connection, or it was closed before a byte of the request went out.
+    /// No connection was established, or it was closed before a byte of the request was sent.
     ConnectFailed,
-    /// The connection broke after that.
+    /// The connection broke after a byte of the request was sent.
     ConnectionLost,
-    /// The node cancelled it.
+    /// The node cancelled the attempt.
     Cancelled,
-    /// It was not sent.
+    /// The attempt was not sent.
     #[default]
     NotDelivered,
 }
 
 impl AttemptOutcome {
-    /// Whether it is an engine's answer, which proves that the attempt had arrived there.
+    /// Returns whether the outcome is an answer of the engine, which proves that the attempt had arrived
+    /// there.
     pub fn is_answer(self) -> bool {
         match self {
             AttemptOutcome::Completed
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Whether it is known that nothing ran.
+    /// Returns whether the attempt is known not to have run.
     pub(crate) fn never_ran(self) -> bool {
         matches!(
             self,
@@ -58,7 +60,7 @@
         )
     }
 
-    /// The outcome in the decision module's terms.
+    /// Returns the corresponding outcome of the decision module.
     pub fn outcome(self) -> Outcome {
         match self {
             AttemptOutcome::Completed => Outcome::Completed,
@@ -73,8 +75,9 @@
         }
     }
 
-    /// The outcome by a status other than 200. Only the engine's own codes prove that nothing ran: a bare 503 may come from
-    /// a proxy behind which the work goes on.
+    /// Returns the outcome of an answer with a status other than 200. Only error codes of the engine itself
+    /// prove that the attempt has not run: a 503 without one may come from a proxy while the engine behind it
+    /// continues.
     pub fn from_status(status: u16, body: &[u8]) -> AttemptOutcome {
         let code = error_code(body);
         match (status, code.as_deref()) {
--- a/crates/nickelgw-node-core/src/attempts.rs
+++ b/crates/nickelgw-node-core/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Events of attempts, probes and release calls.
+//! Handling of events of attempts, probes and release calls.
 
 use crate::attempt_outcome::AttemptOutcome;
 use crate::commands::{AttemptResult, FailureReason, FinalAnswer, ReleaseCallId, ReleaseOutcome, RequestId};
@@ -19,17 +19,18 @@
     }
 }
 
-/// An attempt that was in flight and has ended.
+/// An attempt that has just ended.
 struct EndedAttempt {
     is_prefill: bool,
-    /// It had given the answer's first token.
+    /// Whether the attempt had returned the first token of the response.
     was_streaming: bool,
     outcome: AttemptOutcome,
     never_ran: bool,
 }
 
 impl NodeCore {
-    /// A decode attempt's first token has come. True: the answer is this attempt's; false: it came too late.
+    /// Records the first token of a decode attempt. Returns `true` if the response comes from this attempt,
+    /// `false` if the token came too late.
     pub fn response_started(&mut self, now: f64, request: RequestId, attempt: u32) -> bool {
         let Some(open) = self.requests.get_mut(request) else { return false };
         let Some(started) = open.attempts.get(attempt as usize) else { return false };
@@ -39,7 +40,8 @@
         open.stage = RequestStage::Streaming { attempt };
         let unary_deadline = open.unary_deadline;
         self.concurrency_limit.record_answer(now, self.open_requests, now > open.late_after);
-        // A stream has no deadline once it has begun, but a client that does not stream sees none of it before its end.
+        // A stream that has begun has no deadline, but a client that does not stream sees nothing before the
+        // end.
         if unary_deadline.is_finite() {
             self.unary_deadlines.insert(unary_deadline - self.tick_s, request);
         }
@@ -50,7 +52,7 @@
         true
     }
 
-    /// An attempt has ended. Each ends once; a further end is ignored.
+    /// Records the end of an attempt. A second end of the same attempt is ignored.
     pub fn attempt_ended(&mut self, now: f64, request: RequestId, attempt: u32, result: AttemptResult) {
         let Some(ended) = self.end_attempt(request, attempt, result.outcome) else { return };
         let outcome = ended.outcome;
@@ -66,7 +68,7 @@
         let handle = RequestHandle(request.slot);
         let end = AttemptEnd {
             outcome: outcome.outcome(),
-            // The decision module learns from it how long prefills and streams take.
+            // The decision module learns the durations of prefills and streams from this.
             elapsed_s: now - self.router.dispatched_at(handle, attempt),
             request_finished,
             cached_tokens: result.cached_tokens,
@@ -76,7 +78,7 @@
         self.update_release_pending(request);
     }
 
-    /// A probe of the engine with this id has ended.
+    /// Records the end of a probe of the engine with this id.
     pub fn probe_finished(
         &mut self,
         now: f64,
@@ -87,7 +89,7 @@
         self.router.probe_finished(now, id, outcome.outcome(), report.as_ref().map(engine_load));
     }
 
-    /// A call that releases a reservation has ended.
+    /// Records the end of a call that releases a reservation.
     pub fn release_finished(&mut self, now: f64, call: ReleaseCallId, outcome: ReleaseOutcome) {
         if let Some((id, confirmed)) = self.releases.call_ended(now, call, outcome) {
             self.release_answered(now, id, confirmed);
@@ -103,18 +105,19 @@
         }
     }
 
-    /// A call that releases the reservations of earlier processes has ended.
+    /// Records the end of a call that releases the reservations of earlier processes.
     pub fn orphan_cleanup_finished(&mut self, now: f64, address: &str, confirmed: bool) {
         self.orphan_cleanup.release_finished(now, address, confirmed);
     }
 
-    /// No further prefill is dispatched for the request while a release of an earlier one's reservation is not confirmed.
+    /// Tells the decision module whether a release is unconfirmed, during which it dispatches no further
+    /// prefill for the request.
     pub(crate) fn update_release_pending(&mut self, request: RequestId) {
         let releasing = self.ledger.is_releasing(request.serial);
         self.router.set_release_pending(RequestHandle(request.slot), releasing);
     }
 
-    /// Marks an attempt in flight as ended.
+    /// Marks an attempt in flight as ended; returns `None` if it is not in flight.
     fn end_attempt(
         &mut self,
         request: RequestId,
@@ -141,7 +144,8 @@
         let id = ReservationId { owner: request.serial, prefill: attempt };
         match (ended.is_prefill, ended.outcome) {
             (true, AttemptOutcome::Prefilled) => self.ledger.prefill_done(now, id),
-            // What a failed prefill may have reserved is released at once: nothing will claim it.
+            // A reservation that a failed prefill may have made is released at once: no attempt will claim
+            // it.
             (true, _) => self.ledger.prefill_failed(now, id, ended.never_ran),
             (false, outcome) => {
                 self.ledger.claim_ended(now, request.serial, attempt, outcome.is_answer());
@@ -149,10 +153,11 @@
         }
     }
 
-    /// The attempt that streamed the answer has ended.
+    /// Finishes the request after the attempt that streamed its response has ended.
     fn end_stream(&mut self, now: f64, request: RequestId, outcome: AttemptOutcome) {
         match outcome {
-            // Nothing reads the stream any more: the client has disconnected, whichever socket noticed it first.
+            // The stream is cancelled only when its client has disconnected, whichever socket shows that
+            // first.
             AttemptOutcome::Cancelled => {
                 self.finish_disconnected(now, request);
             }
--- a/crates/nickelgw-node-core/src/counters.rs
+++ b/crates/nickelgw-node-core/src/counters.rs
@@ -1,18 +1,18 @@
-//! Counters of requests by how they ended.
+//! Counters of requests.
 
-/// What became of requests so far.
+/// Numbers of accepted and rejected requests, and of accepted ones by how they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounters {
-    /// Accepted by [`NodeCore::accept_request`](crate::NodeCore::accept_request).
+    /// Requests accepted by [`NodeCore::accept_request`](crate::NodeCore::accept_request).
     pub accepted: u64,
-    /// Answered in full.
+    /// Requests with a complete response.
     pub completed: u64,
-    /// Accepted, then rejected with nothing done.
+    /// Requests that were accepted and then rejected; a retry is safe.
     pub rejected: u64,
-    /// Answered with an error.
+    /// Requests that failed after an attempt may have run.
     pub failed: u64,
-    /// Abandoned by their clients.
+    /// Requests whose clients disconnected before the final answer.
     pub disconnected: u64,
-    /// Not accepted.
+    /// Requests that [`NodeCore::accept_request`](crate::NodeCore::accept_request) rejected.
     pub denied: u64,
 }
--- a/crates/nickelgw-node-core/src/guard.rs
+++ b/crates/nickelgw-node-core/src/guard.rs
@@ -1,38 +1,42 @@
-//! The guard through which every attempt, retry, release and exit passes, with a count of violations.
+//! Guard that checks attempts, retries, releases and the exit of the process against the node's rules, and
+//! counts violations.
 //!
-//! The decisions are made by the decision module and the ledger. The guard knows the rules alone: it refuses an attempt that
-//! would break one, and counts what it refuses or finds broken. A count above zero is a bug of the node.
+//! The decision module and the ledger make the decisions. The guard only knows the rules: it refuses an
+//! attempt that would break one, and counts each refusal and each rule that it finds broken. A count above
+//! zero is a bug in the node.
 
 use nickelgw::interface::Idempotency;
 use std::collections::BTreeMap;
 
-/// A rule that was about to be broken, or was.
+/// Violation of a rule, either prevented or found afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// An attempt for a request that has its final answer, has begun to stream, or whose client has disconnected.
+    /// An attempt for a request that has its final answer or its first token, or whose client has
+    /// disconnected.
     AttemptAfterEnd,
     /// An attempt after the request's deadline.
     AttemptAfterDeadline,
-    /// An attempt beside one that is in flight.
+    /// An attempt while another attempt of the request is in flight.
     ConcurrentAttempt,
-    /// A further decode attempt for a request that may run once, or whose repeats are no longer recognized.
+    /// A further decode attempt for a non-idempotent request, or for a keyed request whose idempotency window
+    /// is over.
     RepeatedEffect,
-    /// An attempt at an engine that drains or is not listed.
+    /// An attempt at an engine that is draining or not listed.
     AttemptAtDraining,
-    /// A prefill while a release of the request's earlier reservation is not confirmed.
+    /// A prefill while the release of an earlier reservation of the request is unconfirmed.
     PrefillBeforeRelease,
     /// A request that ended without a final answer.
     Unanswered,
-    /// A reservation that was neither claimed nor released in its time.
+    /// A reservation that was neither claimed nor released within its time limit.
     ReservationOverdue,
-    /// The process ends with requests open.
+    /// The process exits with open requests.
     ExitWithRequests,
-    /// The process ends with reservations that are not released.
+    /// The process exits with unreleased reservations.
     ExitWithReservations,
 }
 
 impl Violation {
-    /// Its name in logs and metrics.
+    /// Returns the violation's name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Violation::AttemptAfterEnd => "attempt_after_end",
@@ -49,29 +53,29 @@
     }
 }
 
-/// An attempt that is about to be made, and the state of its request.
+/// An attempt that is about to be made, with the state of its request and engine.
 #[derive(Clone, Copy, Debug)]
 pub struct ProposedAttempt {
-    /// It is a prefill.
+    /// Whether the attempt is a prefill.
     pub is_prefill: bool,
-    /// The request waits for its first token.
+    /// Whether the request has neither its first token nor a final answer, and its client is connected.
     pub request_waiting: bool,
     /// Seconds until the request's deadline.
     pub remaining_s: f64,
-    /// Another attempt of the request is in flight.
+    /// Whether another attempt of the request is in flight.
     pub another_in_flight: bool,
-    /// How long ago the first decode attempt that may have run was made.
+    /// Seconds since the first decode attempt that may have run; `None` if no decode attempt may have run.
     pub since_possible_run_s: Option<f64>,
-    /// Whether the request may be repeated.
+    /// Whether and for how long the request may be repeated.
     pub idempotency: Idempotency,
-    /// The engine is listed and takes new work.
+    /// Whether the engine is listed and accepts new work.
     pub engine_available: bool,
-    /// A release of an earlier reservation of the request is not confirmed.
+    /// Whether the release of an earlier reservation of the request is unconfirmed.
     pub release_pending: bool,
 }
 
 impl ProposedAttempt {
-    /// The first rule that it would break.
+    /// Checks the attempt; the error is the first rule that it would break.
     pub fn check(&self) -> Result<(), Violation> {
         let rules = [
             (!self.request_waiting, Violation::AttemptAfterEnd),
@@ -94,19 +98,20 @@
     }
 }
 
-/// Violations kept for the log between two rounds; further ones are only counted.
+/// Maximum number of violations kept until the log collects them; further ones are only counted.
 const MAX_UNLOGGED: usize = 1024;
 
-/// Violations by kind.
+/// Checks attempts and counts violations by kind.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Guard {
     counts: BTreeMap<Violation, u64>,
-    /// Not yet collected for the log.
+    /// Violations that the log has not collected yet, with their requests' serial numbers.
     unlogged: Vec<(Violation, u64)>,
 }
 
 impl Guard {
-    /// Counts a violation of the request with this serial number.
+    /// Counts a violation. `serial`: serial number of the request, or 0 if the violation concerns the
+    /// process.
     pub fn count(&mut self, violation: Violation, serial: u64) {
         *self.counts.entry(violation).or_default() += 1;
         if self.unlogged.len() < MAX_UNLOGGED {
@@ -114,7 +119,7 @@
         }
     }
 
-    /// Permits an attempt, or counts why not.
+    /// Returns whether the attempt is permitted; if it is not, counts the violation.
     pub fn permits(&mut self, attempt: &ProposedAttempt, serial: u64) -> bool {
         match attempt.check() {
             Ok(()) => true,
@@ -125,12 +130,12 @@
         }
     }
 
-    /// All violations so far.
+    /// Returns the numbers of violations since the process started.
     pub fn counts(&self) -> &BTreeMap<Violation, u64> {
         &self.counts
     }
 
-    /// Violations since the last call, with their requests' serial numbers.
+    /// Returns the violations since the last call, with their requests' serial numbers.
     pub fn take_violations(&mut self) -> Vec<(Violation, u64)> {
         std::mem::take(&mut self.unlogged)
     }
--- a/crates/nickelgw-node-core/src/lib.rs
+++ b/crates/nickelgw-node-core/src/lib.rs
@@ -1,8 +1,8 @@
-//! The state machine of a node: the life of requests around the decision module, without I/O.
+//! State machine of a node: the life cycle of requests around the decision module, without I/O.
 //!
-//! Events come as method calls of [`NodeCore`] that say what happened and when; [`NodeCore::poll_commands`] returns what to
-//! do. There is no clock, socket or task here, and equal calls give equal commands. The shells of `nickelgw-node` and
-//! `nickelgw-platform` carry the commands out.
+//! Events are method calls of [`NodeCore`] that say what happened and when; [`NodeCore::poll_commands`]
+//! returns the commands to carry out. This package has no clock, socket or task, and equal calls give equal
+//! commands. The shells in `nickelgw-node` and `nickelgw-platform` carry the commands out.
 
 pub mod admission;
 mod apply_decisions;
--- a/crates/nickelgw-node-core/src/release_scheduler.rs
+++ b/crates/nickelgw-node-core/src/release_scheduler.rs
@@ -1,10 +1,11 @@
-//! Schedules the calls that release reservations: which engine is called, when, on which connection, and how many calls are
-//! in flight.
+//! Schedules the calls that release reservations: which engine is called, when, on which connection, and how
+//! many calls are in flight.
 //!
-//! Any engine releases what bears a request's name, so calls that fail can go elsewhere. Each engine has a limit on calls in
-//! flight, which grows as it answers, and a circuit breaker: one that does not answer is asked by a single call for all. Calls
-//! beyond the limits wait here. Without that, calls that were repeated because engines were slow kept the engines slow, and the
-//! state sustained itself after its cause was gone (`docs/incidents/release-storm.md`).
+//! Any engine can release reservations named after a request, so a call that fails can be made to another
+//! engine. Each engine has a limit on calls in flight, which grows as it answers, and a circuit breaker: an
+//! engine that does not answer gets one call at a time, whatever the number of releases. Releases beyond the
+//! limits wait here. Without these limits, release calls repeated because engines were slow kept the engines
+//! slow even after the original cause was gone (`docs/incidents/release-storm.md`).
 
 mod engine_health;
 
@@ -15,37 +16,39 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// A release whose newest call has not been answered for so long is also tried at another engine: an open connection may be
-/// silent. A usual answer takes a few milliseconds.
+/// Time without an answer to the newest call of a release after which a hedged call goes to another engine:
+/// an open connection may no longer respond. An answer usually takes a few milliseconds.
 const HEDGE_DELAY_S: f64 = 0.05;
-/// Calls of one release before it goes back to the ledger, which retries it with exponential backoff.
+/// Maximum number of calls for one release before it returns to the ledger, which retries it with exponential
+/// backoff.
 const MAX_CALLS_PER_ROUND: usize = 6;
-/// A release that found no engine to call for so long goes back to the ledger, which bounds its life.
+/// Longest time that a release waits for an available engine. It then returns to the ledger, which limits the
+/// total time of its retries.
 const MAX_WAIT_S: f64 = 1.0;
-/// Releases at the head of the queue that are looked at in one poll while their engines are not available.
+/// Maximum number of releases without an available engine that one poll examines at the head of the queue.
 const MAX_BLOCKED: usize = 8;
-/// Engines chosen for a release are chosen anew after so long.
+/// Time after which the engines for a release are chosen again.
 const ENDPOINTS_VALID_S: f64 = 0.05;
-/// Seconds until the next poll while a release waits for an engine.
+/// Seconds until the next poll while a release waits for an available engine.
 const BLOCKED_POLL_INTERVAL_S: f64 = 0.02;
-/// Hedged calls that may be made at once.
+/// Maximum number of hedged calls that the hedge budget can hold.
 const HEDGE_BURST: f64 = 8.0;
-/// Hedged calls for each release that is scheduled, and for each second.
+/// Hedged calls added to the hedge budget for each enqueued release, and for each second.
 const HEDGES_PER_RELEASE: f64 = 0.1;
 const HEDGES_PER_S: f64 = 10.0;
-/// Engines whose health is remembered.
+/// Number of engines above which the health of engines that are idle and not in backoff is forgotten.
 const MAX_ENGINES: usize = 4096;
 
-/// A release that is not confirmed.
+/// A release that is not confirmed yet.
 struct PendingRelease {
     reservation: Reservation,
-    /// Distinguishes it from an earlier release of the same reservation, whose calls prove nothing any more.
+    /// Distinguishes the release from an earlier one of the same reservation, whose calls no longer count.
     round: u64,
     enqueued_at: f64,
-    /// Engines to call, in this order, and when they were chosen.
+    /// Engines to call, in order of preference.
     endpoints: Vec<Rc<Endpoint>>,
     endpoints_chosen_at: f64,
-    /// Ids of the engines that were called.
+    /// Ids of the engines called in this round.
     tried: Vec<String>,
     calls_made: usize,
     calls_in_flight: usize,
@@ -61,7 +64,7 @@
     started_at: f64,
 }
 
-/// Hedged calls that may be made now.
+/// Token bucket that limits hedged calls.
 struct HedgeBudget {
     tokens: f64,
     refilled_at: f64,
@@ -87,13 +90,13 @@
     }
 }
 
-/// All releases that are not confirmed, and the calls in flight.
+/// All releases that are not confirmed yet, and the release calls in flight.
 pub(crate) struct ReleaseScheduler {
     pending: BTreeMap<ReservationId, PendingRelease>,
-    /// Those with no call in flight, the oldest first.
+    /// Pending releases without a call in flight, with their rounds, oldest first.
     waiting: VecDeque<(ReservationId, u64)>,
     calls: BTreeMap<ReleaseCallId, CallInFlight>,
-    /// Calls in flight to the one engine that can release a reservation.
+    /// Calls in flight for reservations that only their prefill engine can release.
     direct_calls: BTreeMap<ReleaseCallId, ReservationId>,
     engines: HashMap<String, EngineHealth>,
     hedge_budget: HedgeBudget,
@@ -102,7 +105,7 @@
 }
 
 impl ReleaseScheduler {
-    /// An empty scheduler; `seed` is that of the jitter.
+    /// Creates an empty scheduler. `seed`: seed of the random backoff jitter.
     pub(crate) fn new(seed: u64) -> ReleaseScheduler {
         ReleaseScheduler {
             pending: BTreeMap::new(),
@@ -116,7 +119,8 @@
         }
     }
 
-    /// A call to the one engine that can release the reservation; nothing limits it here.
+    /// Returns a call to the prefill engine of a reservation that no other engine can release. No limit
+    /// applies to these calls.
     pub(crate) fn call_directly(&mut self, id: ReservationId, reservation: Reservation) -> ReleaseCall {
         let call = ReleaseCallId(self.new_number());
         self.direct_calls.insert(call, id);
@@ -124,7 +128,7 @@
         ReleaseCall { id: call, reservation, endpoint, connection: ReleaseConnection::Any }
     }
 
-    /// A reservation that any engine can release is to be released.
+    /// Enqueues the release of a reservation that any engine can release.
     pub(crate) fn enqueue(&mut self, now: f64, id: ReservationId, reservation: Reservation) {
         let round = self.new_number();
         self.pending.insert(id, PendingRelease::new(now, round, reservation));
@@ -132,8 +136,8 @@
         self.hedge_budget.add(HEDGES_PER_RELEASE);
     }
 
-    /// Calls to make now. `is_wanted`: whether a reservation still has to be released; `choose`: engines that may release what
-    /// is reserved at this one.
+    /// Returns the calls to make now. `is_wanted`: whether a reservation still has to be released. `choose`:
+    /// engines to call for a reservation at the given prefill engine.
     pub(crate) fn poll(
         &mut self,
         now: f64,
@@ -146,7 +150,7 @@
         calls
     }
 
-    /// Releases that found no engine to call for too long. They are not pending any more.
+    /// Removes and returns the releases that have waited too long for an available engine.
     pub(crate) fn take_timed_out(&mut self, now: f64) -> Vec<ReservationId> {
         let mut timed_out = Vec::new();
         while let Some(&(id, round)) = self.waiting.front() {
@@ -163,7 +167,7 @@
         timed_out
     }
 
-    /// When to poll again, if nothing happens before.
+    /// Returns when to poll again if no event comes before; `None` if only an event requires another poll.
     pub(crate) fn wake_at(&self, now: f64) -> Option<f64> {
         let blocked = (!self.waiting.is_empty()).then_some(now + BLOCKED_POLL_INTERVAL_S);
         let hedges = self.calls.values().filter_map(|call| self.hedge_at(call));
@@ -171,7 +175,8 @@
         hedges.chain(blocked).min_by(f64::total_cmp)
     }
 
-    /// A call has ended. Returns the reservation whose release it decides, and whether that is confirmed.
+    /// Records the end of a call. Returns the reservation whose release has ended with it and whether the
+    /// release is confirmed; `None` if the release continues or is not pending any more.
     pub(crate) fn call_ended(
         &mut self,
         now: f64,
@@ -191,14 +196,15 @@
             return Some((reservation, true));
         }
         if call.connection == ReleaseConnection::Any {
-            // An idle connection that fails says nothing of the engine, which may be called on a new one.
+            // The failure of an idle connection does not show that the engine fails: call it again on a new
+            // one.
             pending.tried.retain(|tried| *tried != call.engine);
         }
         if pending.calls_in_flight > 0 {
             return None;
         }
-        let has_further = pending.calls_made < MAX_CALLS_PER_ROUND && pending.untried().next().is_some();
-        if has_further && outcome == ReleaseOutcome::Unanswered {
+        let can_call_again = pending.calls_made < MAX_CALLS_PER_ROUND && pending.untried().next().is_some();
+        if can_call_again && outcome == ReleaseOutcome::Unanswered {
             self.waiting.push_front((reservation, call.round));
             return None;
         }
@@ -215,13 +221,14 @@
         self.pending.get(&id).filter(|pending| pending.round == round)
     }
 
-    /// When the release of this call is tried at a further engine; none: the call decides nothing any more, or enough were made.
+    /// Returns when a hedged call follows this call; `None` if the release is not pending any more or has
+    /// used up its calls.
     fn hedge_at(&self, call: &CallInFlight) -> Option<f64> {
         let pending = self.pending_round(call.reservation, call.round)?;
         (pending.calls_made < MAX_CALLS_PER_ROUND).then_some(pending.last_call_at + HEDGE_DELAY_S)
     }
 
-    /// Starts calls for releases that have none in flight, as far as engines are available.
+    /// Starts calls for waiting releases as far as engines are available.
     fn first_calls(
         &mut self,
         now: f64,
@@ -249,7 +256,7 @@
         calls
     }
 
-    /// Starts a further call for each release whose newest call is overdue.
+    /// Starts a hedged call for each release whose newest call is overdue, within the hedge budget.
     fn hedged_calls(
         &mut self,
         now: f64,
@@ -269,7 +276,8 @@
         calls
     }
 
-    /// Starts a call at the first engine that is available and was not called in this round.
+    /// Starts a call to the first available engine that was not called in this round; returns `None` if there
+    /// is none.
     fn start_call(
         &mut self,
         now: f64,
@@ -336,7 +344,7 @@
         }
     }
 
-    /// Engines that were not called in this round.
+    /// Returns the engines that were not called in this round.
     fn untried(&self) -> impl Iterator<Item = &Rc<Endpoint>> {
         self.endpoints.iter().filter(|endpoint| !self.tried.contains(&endpoint.id))
     }
--- a/crates/nickelgw-node-core/src/release_scheduler/engine_health.rs
+++ b/crates/nickelgw-node-core/src/release_scheduler/engine_health.rs
@@ -1,36 +1,38 @@
-//! What is known of one engine from its release calls: a limit on calls in flight, and a circuit breaker.
+//! Health of one engine, derived from its release calls: a limit on calls in flight and a circuit breaker.
 
 use crate::backoff::exponential_backoff_s;
 use crate::commands::ReleaseConnection;
 
-/// Calls in flight at an engine that has not answered lately, and at most. The limit grows with quick answers and is halved
-/// by slow ones: each call beside another opens a connection, which costs the engine work.
+/// Smallest and largest limit on calls in flight at an engine. The limit starts at the smallest and returns
+/// to it after a failed call. It grows with quick answers and is halved by slow ones, because each concurrent
+/// call opens a connection, which costs the engine work.
 const MIN_CALLS_IN_FLIGHT: usize = 1;
 const MAX_CALLS_IN_FLIGHT: usize = 4;
-/// Answers within the first are quick, after the second slow.
+/// An answer within the first time is quick, and one after the second is slow.
 const QUICK_ANSWER_S: f64 = 0.01;
 const SLOW_ANSWER_S: f64 = 0.05;
-/// An engine that answered within this has an open connection that is not silent.
+/// An engine that answered within this time has an open connection that responds.
 const RECENT_ANSWER_S: f64 = 0.25;
-/// An engine that has answered nothing for so long, with a call in flight, gets no further one.
-const STALL_S: f64 = 0.05;
-/// Seconds for which an engine that failed is not called, at first and at most; up to so much of it more, by chance.
+/// An engine with a call in flight that has not answered any call for this time gets no further call.
+const STALL_TIMEOUT_S: f64 = 0.05;
+/// Initial and maximum backoff during which a failed engine is not called, in seconds. A random share of it,
+/// up to `JITTER_SHARE`, is added.
 const INITIAL_BACKOFF_S: f64 = 0.05;
 const MAX_BACKOFF_S: f64 = 0.4;
 const JITTER_SHARE: f64 = 0.25;
 
-/// One engine's health.
+/// Health of one engine.
 pub(super) struct EngineHealth {
-    /// When the calls in flight were started.
+    /// Start times of the calls in flight.
     calls_started: Vec<f64>,
     limit: usize,
     last_answer_at: f64,
-    /// Calls on new connections that failed in a row.
+    /// Number of consecutive failures of calls on new connections.
     failures: u32,
     last_failure_at: f64,
-    /// The circuit breaker is open until then.
+    /// Time until which the circuit breaker is open.
     open_until: f64,
-    /// A call on an idle connection failed: others may be silent as well.
+    /// Whether a call on an idle connection failed: other idle connections may not respond either.
     avoid_idle_connections: bool,
 }
 
@@ -49,18 +51,19 @@
 }
 
 impl EngineHealth {
-    /// Whether a further call may start.
+    /// Returns whether a further call may start.
     pub(super) fn is_available(&self, now: f64) -> bool {
         now >= self.open_until && self.calls_started.len() < self.limit && !self.is_stalled(now)
     }
 
     fn is_stalled(&self, now: f64) -> bool {
         let oldest = self.calls_started.iter().copied().reduce(f64::min);
-        oldest.is_some_and(|oldest| now - oldest.max(self.last_answer_at) > STALL_S)
+        oldest.is_some_and(|oldest| now - oldest.max(self.last_answer_at) > STALL_TIMEOUT_S)
     }
 
-    /// The connection for the next call. A hedged call uses a new one, which cannot have fallen silent, unless the engine
-    /// answered just now: it may be slow to take new connections and answer on open ones at once.
+    /// Returns which connection the next call may use. A hedged call uses a new one, because open ones may no
+    /// longer respond, unless the engine has just answered: it may then be slow to accept new connections but
+    /// answer at once on open ones.
     pub(super) fn connection(&self, now: f64, is_hedge: bool) -> ReleaseConnection {
         let has_just_answered = now - self.last_answer_at <= RECENT_ANSWER_S;
         if (is_hedge && !has_just_answered) || self.avoid_idle_connections {
@@ -84,11 +87,11 @@
             latency_s if latency_s <= SLOW_ANSWER_S => self.limit,
             _ => (self.limit / 2).max(MIN_CALLS_IN_FLIGHT),
         };
-        // Its connection is idle now, and the one that is used next.
+        // The connection that has just answered is idle now and is used next.
         self.avoid_idle_connections = false;
     }
 
-    /// A call was not answered. `jitter` is a random number from 0 to 1.
+    /// Records a call that was not answered. `jitter`: random number from 0 to 1.
     pub(super) fn call_failed(
         &mut self,
         now: f64,
@@ -102,9 +105,10 @@
             self.avoid_idle_connections = true;
             return;
         }
-        // The engine itself cannot be reached, which tells nothing of idle connections: they cost it less, and are tried again.
+        // A new connection failed, so the engine itself may be unreachable. This does not show that idle
+        // connections fail, and calls on them cost the engine less: try them again.
         self.avoid_idle_connections = false;
-        // Calls in flight at once fail for one cause, and count once.
+        // Concurrent calls fail for the same cause and count as one failure.
         if started_at >= self.last_failure_at {
             let backoff_s = exponential_backoff_s(INITIAL_BACKOFF_S, self.failures, MAX_BACKOFF_S);
             self.open_until = now + backoff_s * (1.0 + JITTER_SHARE * jitter);
@@ -113,7 +117,8 @@
         }
     }
 
-    /// Whether forgetting it would matter.
+    /// Returns whether the engine has calls in flight or an open circuit breaker, which must not be
+    /// forgotten.
     pub(super) fn is_worth_keeping(&self, now: f64) -> bool {
         !self.calls_started.is_empty() || now < self.open_until
     }
--- a/crates/nickelgw-node-core/src/shutdown.rs
+++ b/crates/nickelgw-node-core/src/shutdown.rs
@@ -1,66 +1,66 @@
-//! The life of a node's process, without I/O: what is allowed in each stage, and when the next one begins.
+//! Life cycle of a node process, without I/O: what is allowed in each stage, and when the next one begins.
 //!
-//! | stage | health | new connections | new requests | streams | ends when |
+//! | stage | health checks | new connections | new requests | streams | ends at |
 //! | --- | --- | --- | --- | --- | --- |
-//! | starting | no | yes | yes (rejected: no engine is known) | - | an endpoint list is known |
-//! | serving | yes | yes | yes | run | a signal asks for the shutdown |
-//! | announcing | no | yes; no, once handed over | yes, each the last of its connection | run | `announce_s` is over |
-//! | draining | no | no | rejected, with Retry-After | run | nothing is open, or `drain_timeout_s` is over |
-//! | ending | no | no | rejected | each gets one final answer | reservations are released, or `exit_timeout_s` is over |
+//! | starting | fail | accepted | rejected: no engine is known | - | the first endpoint list |
+//! | serving | succeed | accepted | accepted | run | a signal to shut down |
+//! | announcing | fail | until handed over | last of the connection | run | `announce_s` |
+//! | draining | fail | refused | rejected, with Retry-After | run | no open request, or `drain_timeout_s` |
+//! | ending | fail | refused | rejected | one final answer each | nothing left, or `exit_timeout_s` |
 
-/// How often what remains is checked while the process drains and ends.
+/// Seconds between checks of the remaining work while the process drains and ends.
 const POLL_INTERVAL_S: f64 = 0.02;
 
-/// Time limits of the shutdown's stages.
+/// Time limits of the shutdown stages, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownConfig {
-    /// How long requests are still accepted once health checks fail, so that load balancers notice.
+    /// How long requests are still accepted after health checks start to fail, so that load balancers notice.
     pub announce_s: f64,
-    /// How long open requests may run after that.
+    /// How long open requests may run after the announcement.
     pub drain_timeout_s: f64,
-    /// How long final answers may take to reach clients, and reservations to be released.
+    /// How long final answers may take to reach clients, and reservations may take to be released.
     pub exit_timeout_s: f64,
 }
 
-/// A stage of the process's life.
+/// Stage of the process's life cycle.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stage {
-    /// No endpoint list is known.
+    /// The process has started but has no endpoint list yet.
     Starting,
-    /// The ordinary stage.
+    /// The node serves requests, and health checks succeed.
     Serving,
-    /// Health checks fail, and requests are still accepted.
+    /// Health checks fail, but requests are still accepted.
     Announcing {
         /// When the stage ends.
         until: f64,
     },
-    /// Requests are rejected; those that are open run on.
+    /// New requests are rejected; open requests continue.
     Draining {
         /// When the stage ends.
         until: f64,
     },
-    /// Everything open has its final answer.
+    /// All requests have their final answers.
     Ending {
         /// When the stage ends.
         until: f64,
     },
-    /// The process is to exit.
+    /// The process can exit.
     Exited(Exit),
 }
 
-/// How the process ended; its exit code says so.
+/// How the process ended, which determines its exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// All open requests ended by themselves.
+    /// All open requests ended within the drain timeout, and all reservations were released.
     Clean,
-    /// Some were cut at the end of the drain timeout.
+    /// Some requests were failed at the end of the drain timeout.
     RequestsCut,
-    /// Some reservations could not be released: their engines' own limits free them.
+    /// Some reservations could not be released; their engines free them at their own time limit.
     ReservationsLeft,
 }
 
 impl Exit {
-    /// The process's exit code.
+    /// Returns the process's exit code.
     pub fn code(self) -> u8 {
         match self {
             Exit::Clean => 0,
@@ -70,52 +70,52 @@
     }
 }
 
-/// What is still open.
+/// What is still open during a shutdown.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Remaining {
-    /// Requests without a final answer.
+    /// Number of requests without a final answer.
     pub open_requests: usize,
-    /// Reservations that are not released.
+    /// Number of reservations that are not released.
     pub reservations: usize,
-    /// Connections of clients.
+    /// Number of client connections.
     pub connections: usize,
 }
 
 impl Remaining {
-    fn is_nothing(&self) -> bool {
+    fn is_empty(&self) -> bool {
         self.open_requests == 0 && self.reservations == 0 && self.connections == 0
     }
 }
 
-/// What the shell is to do.
+/// A command for the shell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownCommand {
-    /// Health checks fail from now on, and answers close their connections.
+    /// From now on fail health checks, and close each connection after its next answer.
     AnnounceShutdown,
     /// Close the listening sockets.
     StopListening,
     /// Reject new requests, and close idle connections.
     StopAccepting,
-    /// Give everything open its final answer.
+    /// Send each open request its final answer.
     FailAllOpen,
-    /// End the process.
+    /// Exit the process.
     Exit(Exit),
 }
 
-/// The state machine of the process's life.
+/// State machine of the process's life cycle.
 #[derive(Debug)]
 pub struct ProcessLifecycle {
     config: ShutdownConfig,
     stage: Stage,
     listening: bool,
     requests_cut: bool,
-    /// Stages still to be skipped: several signals may come between two polls.
+    /// Number of stages to skip at the next polls: several signals may come between two polls.
     pending_skips: u32,
     pending_commands: Vec<ShutdownCommand>,
 }
 
 impl ProcessLifecycle {
-    /// A process that starts.
+    /// Creates the life cycle of a process that has just started.
     pub fn new(config: ShutdownConfig) -> ProcessLifecycle {
         ProcessLifecycle {
             config,
@@ -127,19 +127,19 @@
         }
     }
 
-    /// The present stage.
+    /// Returns the current stage.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// An endpoint list is known: the node can serve.
+    /// Records that an endpoint list is available, so that the node can serve.
     pub fn endpoints_known(&mut self) {
         if self.stage == Stage::Starting {
             self.stage = Stage::Serving;
         }
     }
 
-    /// Begins the shutdown. `handed_over`: another process has the listening sockets already.
+    /// Begins the shutdown. `handed_over`: another process has already taken over the listening sockets.
     pub fn begin_drain(&mut self, now: f64, handed_over: bool) {
         if !matches!(self.stage, Stage::Starting | Stage::Serving) {
             return;
@@ -151,7 +151,7 @@
         }
     }
 
-    /// A further signal: the next stage begins at once.
+    /// Starts the next stage at the next poll. Called for each further signal.
     pub fn skip_stage(&mut self, now: f64) {
         match self.stage {
             Stage::Starting | Stage::Serving => self.begin_drain(now, false),
@@ -162,7 +162,7 @@
         }
     }
 
-    /// What to do, and when to poll again.
+    /// Returns the commands to carry out, and when to poll again (`None` if only an event requires it).
     pub fn poll_commands(&mut self, now: f64, remaining: Remaining) -> (Vec<ShutdownCommand>, Option<f64>) {
         if let Stage::Announcing { until } = self.stage {
             self.poll_announcing(now, until);
@@ -181,12 +181,13 @@
         if self.stage_is_over(now, until) {
             self.stop_listening();
             self.pending_commands.push(ShutdownCommand::StopAccepting);
-            // From the time when the stage was to end: a late poll does not prolong the shutdown.
+            // Counted from the planned end of the stage, so that a late poll does not prolong the shutdown.
             self.stage = Stage::Draining { until: until.min(now) + self.config.drain_timeout_s };
         }
     }
 
-    /// If the stage is over, when to poll next: what failing all requests has done is seen at a later poll.
+    /// Returns when to poll next if the stage is over, because the effect of failing all requests shows only
+    /// at a later poll; `None` if the stage continues.
     fn poll_draining(&mut self, now: f64, until: f64, remaining: Remaining) -> Option<f64> {
         if remaining.open_requests > 0 && !self.stage_is_over(now, until) {
             return None;
@@ -200,7 +201,7 @@
     }
 
     fn poll_ending(&mut self, now: f64, until: f64, remaining: Remaining) {
-        if remaining.is_nothing() || self.stage_is_over(now, until) {
+        if remaining.is_empty() || self.stage_is_over(now, until) {
             let exit = match (remaining.reservations > 0, self.requests_cut) {
                 (true, _) => Exit::ReservationsLeft,
                 (false, true) => Exit::RequestsCut,
--- a/crates/nickelgw-node-core/src/trace.rs
+++ b/crates/nickelgw-node-core/src/trace.rs
@@ -1,5 +1,6 @@
-//! Traces of requests: what happened, with the figures that each choice was made on. Every open request is traced; of those
-//! that are over, failed and slow ones are kept, and a sample of the rest. All of it is bounded.
+//! Traces of requests: their events, with the figures on which each choice was made. Each open request is
+//! traced. Of the finished requests, traces of failed and slow ones are kept, and a sample of the rest. All
+//! memory is bounded.
 
 mod describe;
 
@@ -8,44 +9,44 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Events kept of one request; past it only its end.
+/// Maximum number of events kept for one request, not counting its last event.
 const MAX_EVENTS: usize = 48;
-/// Traces kept of requests that are over.
+/// Maximum number of traces kept of finished requests.
 const MAX_TRACES: usize = 2048;
-/// One in so many that met their objectives is kept.
+/// Of the traces of requests that met their objectives, about one in this many is kept.
 const SAMPLE_INTERVAL: u64 = 64;
 
-/// What happened to a request.
+/// Event in the life of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TraceEvent {
     /// An attempt was dispatched.
     AttemptStarted {
-        /// Its number.
+        /// Number of the attempt within its request.
         attempt: u32,
-        /// Where it went.
+        /// Engine that the attempt was sent to.
         engine: Rc<Endpoint>,
-        /// It is a prefill.
+        /// Whether the attempt is a prefill.
         is_prefill: bool,
-        /// What the engine was chosen on.
+        /// Figures on which the engine was chosen.
         rationale: DispatchRationale,
-        /// It fetches a reservation.
+        /// Whether the attempt fetches a reservation.
         from_reservation: bool,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// Its number.
+        /// Number of the attempt within its request.
         attempt: u32,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: AttemptOutcome,
     },
-    /// An attempt gave the first token.
+    /// An attempt returned the first token.
     ResponseStarted {
-        /// Its number.
+        /// Number of the attempt within its request.
         attempt: u32,
     },
     /// The decision module makes no further attempt.
     Rejected(RejectionReason),
-    /// The final answer was given.
+    /// The client was sent the final answer.
     Answered(FinalAnswer),
     /// The client disconnected before the final answer.
     ClientDisconnected,
@@ -57,27 +58,27 @@
     }
 }
 
-/// The trace of one request.
+/// Trace of one request.
 #[derive(Clone, Debug)]
 pub struct RequestTrace {
-    /// The request's id, as its client knows it.
+    /// Request id that the client knows.
     pub id: Rc<str>,
-    /// Name of its model.
+    /// Name of the requested model.
     pub model: Rc<str>,
-    /// When it was accepted.
+    /// When the request was accepted.
     pub accepted_at: f64,
-    /// Seconds within which its first token is wanted.
+    /// Time within which the first token should come (TTFT objective), in seconds.
     pub ttft_objective_s: f64,
-    /// Estimated length of its prompt.
+    /// Estimated length of the prompt, in tokens.
     pub prompt_tokens: f64,
-    /// What happened, with its time.
+    /// Events with their times.
     pub events: Vec<(f64, TraceEvent)>,
-    /// Events that found no room.
+    /// Number of events omitted for lack of room.
     pub omitted_events: u32,
 }
 
 impl RequestTrace {
-    /// A trace without events.
+    /// Creates a trace without events.
     pub fn new(
         id: Rc<str>,
         model: Rc<str>,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Adds an event, if there is room or it is the last.
+    /// Adds an event if there is room or it ends the request.
     pub fn add(&mut self, at: f64, event: TraceEvent) {
         if self.events.len() < MAX_EVENTS || event.is_last() {
             self.events.push((at, event));
@@ -118,7 +119,7 @@
     }
 }
 
-/// Traces of requests that are over.
+/// Bounded buffer of traces of finished requests.
 #[derive(Default)]
 pub struct TraceBuffer {
     traces: VecDeque<RequestTrace>,
@@ -126,7 +127,7 @@
 }
 
 impl TraceBuffer {
-    /// Keeps the trace, unless the request met its objective and is not in the sample.
+    /// Keeps the trace unless the request met its objective and is not in the sample.
     pub fn push(&mut self, trace: RequestTrace) {
         self.total += 1;
         if trace.met_objective() && !self.total.is_multiple_of(SAMPLE_INTERVAL) {
@@ -138,17 +139,17 @@
         self.traces.push_back(trace);
     }
 
-    /// The newest trace of a request with this id.
+    /// Returns the newest trace of a request with this id; `None` if none is kept.
     pub fn find(&self, id: &str) -> Option<&RequestTrace> {
         self.traces.iter().rev().find(|trace| *trace.id == *id)
     }
 
-    /// Number of traces kept.
+    /// Returns the number of traces kept.
     pub fn len(&self) -> usize {
         self.traces.len()
     }
 
-    /// Whether no trace is kept.
+    /// Returns whether no trace is kept.
     pub fn is_empty(&self) -> bool {
         self.traces.is_empty()
     }
--- a/crates/nickelgw-node-core/src/trace/describe.rs
+++ b/crates/nickelgw-node-core/src/trace/describe.rs
@@ -6,7 +6,7 @@
 use std::fmt::Write;
 
 impl RequestTrace {
-    /// The trace as text: a line for the request, and one for each event.
+    /// Returns the trace as text: a line for the request and one for each event.
     pub fn describe(&self) -> String {
         let mut text = String::new();
         let _ = writeln!(
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Time since the attempt was dispatched; 0 if its start was omitted.
+    /// Returns the milliseconds since the attempt was dispatched; 0 if its start is not in the trace.
     fn attempt_elapsed_ms(&self, number: u32, now: f64) -> f64 {
         let dispatched_at = self.events.iter().find_map(|(at, event)| match event {
             TraceEvent::AttemptStarted { attempt, .. } if *attempt == number => Some(*at),
