--- a/crates/nickelgw-node-core/src/admission.rs
+++ b/crates/nickelgw-node-core/src/admission.rs
@@ -1,72 +1,75 @@
-//! Admission of requests by who sends them and what they ask for: model name to model route, bearer token to tenant, limits of
-//! size. No I/O.
+//! Admission of requests, without I/O: maps model names to model routes and bearer tokens to tenants, and
+//! limits the prompt length.
 
 use nickelgw_protocol::chat::{ApiError, ChatRequest};
 
-/// Characters of an unknown model's name that an error repeats.
+/// Maximum number of characters of an unknown model's name that an error message repeats.
 const MAX_ECHOED_NAME: usize = 64;
 
-/// A model route as clients name it.
+/// A model route as clients see it.
 #[derive(Clone, Debug)]
 pub struct Model {
-    /// The name that requests give.
+    /// Model name in requests.
     pub name: String,
-    /// Longest that a client waits for its first token: the constant part.
+    /// Timeout of the first token in seconds: the constant part.
     pub timeout_s: f64,
-    /// And the part for each prompt token.
+    /// Timeout of the first token in seconds: the part added for each prompt token.
     pub timeout_per_token_s: f64,
-    /// Longest that a client waits for an answer that it does not stream.
+    /// Timeout of the whole response in seconds, for clients that do not stream.
     pub unary_timeout_s: f64,
-    /// A repeated request may run again.
+    /// Whether a repeated request may run again.
     pub is_idempotent: bool,
 }
 
 /// A tenant and its API key.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its name in the settings.
+    /// Tenant name in the settings.
     pub name: String,
-    /// Its bearer token.
+    /// Bearer token of the tenant.
     pub key: String,
 }
 
-/// A request that may be given to the core.
+/// An admitted request, which the core may accept.
 #[derive(Clone, Debug)]
 pub struct AdmittedRequest {
-    /// By which engines know the request in all its attempts; none: each attempt has a name of its own.
+    /// Name of the request at engines, common to all its attempts; `None` if each attempt has a name of its
+    /// own.
     pub name: Option<String>,
     /// Number of the model route.
     pub route: usize,
-    /// Number of the tenant.
+    /// Number of the tenant; `None` if no tenants are configured.
     pub tenant: Option<usize>,
-    /// When its last byte arrived at this machine, by the node's clock; none: as it is accepted.
+    /// When the last byte of the request arrived at this machine, by the node's clock; `None` for the time
+    /// when the request is accepted.
     pub arrived_at: Option<f64>,
-    /// Longest that its client waits for the first token, from its arrival.
+    /// Timeout of the first token in seconds, from the arrival of the request.
     pub timeout_s: f64,
-    /// For a client that does not stream: longest that it waits for the whole answer.
+    /// Timeout of the whole response in seconds, from the arrival of the request; `None` if the client
+    /// streams.
     pub unary_timeout_s: Option<f64>,
-    /// Estimated length of the prompt.
+    /// Estimated length of the prompt, in tokens.
     pub prompt_tokens: f64,
-    /// Estimated length of the shared beginning.
+    /// Estimated length of the prompt's shared prefix, in tokens.
     pub prefix_tokens: f64,
-    /// Requests of one session share their beginnings.
+    /// Session of the request; the prompts of one session share a prefix.
     pub session: String,
-    /// Name of the shared beginning.
+    /// Name of the shared prefix; `None` if there is none.
     pub prefix: Option<String>,
-    /// Offline work: it takes only capacity that others leave.
+    /// Whether the request is offline work, which uses only capacity that other requests leave.
     pub is_background: bool,
 }
 
-/// Why a request is not accepted. The messages are those that clients read.
+/// Why a request is not accepted. The messages are sent to clients.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RejectReason {
-    /// The limit of open requests is reached.
+    /// The node's limit of open requests is reached.
     #[error("as many requests are open as this node takes")]
     NodeFull,
     /// The tenant's limit of open requests is reached.
     #[error("as many requests of this tenant are open as it may have")]
     TenantFull,
-    /// There is not enough for all, and the tenant has its share.
+    /// The node is overloaded, and the tenant has used its fair share.
     #[error("there is not enough for all now, and this tenant has its part")]
     OverFairShare,
     /// The node shuts down.
@@ -75,13 +78,13 @@
     /// The queue to the core is full.
     #[error("this node is behind with its work")]
     QueueFull,
-    /// The request itself is at fault.
+    /// The request itself is invalid.
     #[error("{}", .0.message)]
     Invalid(ApiError),
 }
 
 impl RejectReason {
-    /// The error that the client gets.
+    /// Returns the error that the client gets. `retry_after_s`: its Retry-After in seconds.
     pub fn error(self, retry_after_s: f64) -> ApiError {
         let message = self.to_string();
         let error = match self {
@@ -97,17 +100,17 @@
     }
 }
 
-/// Who may send what.
+/// Rules for admitting requests.
 pub struct Admission {
     /// Model routes, in the order of their numbers.
     pub models: Vec<Model>,
-    /// Tenants, in the order of their numbers; none: everybody is admitted.
+    /// Tenants, in the order of their numbers; if empty, all clients are admitted.
     pub tenants: Vec<Tenant>,
-    /// Longest prompt that is admitted.
+    /// Length of the longest prompt that is admitted, in tokens.
     pub max_prompt_tokens: f64,
 }
 
-/// Compares in a time that does not depend on where the first difference lies.
+/// Compares two strings in a time that does not depend on the position of the first difference.
 fn constant_time_eq(left: &[u8], right: &[u8]) -> bool {
     let difference = left.iter().zip(right).fold(0, |bits, (x, y)| bits | (x ^ y));
     left.len() == right.len() && difference == 0
@@ -129,7 +132,7 @@
 }
 
 impl Admission {
-    /// The tenant whose bearer token it is; none where no tenants are configured.
+    /// Returns the number of the tenant with this bearer token; `None` if no tenants are configured.
     pub fn authenticate(&self, bearer: Option<&str>) -> Result<Option<usize>, RejectReason> {
         if self.tenants.is_empty() {
             return Ok(None);
@@ -142,8 +145,8 @@
         tenant.map(Some).ok_or_else(|| unauthenticated("the API key is not known"))
     }
 
-    /// Admits a chat request, or gives the reason why not. `client_timeout_s`: how long the client itself says that it waits,
-    /// which only shortens the route's timeout.
+    /// Admits a chat request, or returns the reason why it is rejected. `client_timeout_s`: timeout requested
+    /// by the client, which can only shorten the route's timeout of the first token.
     pub fn admit(
         &self,
         chat: &ChatRequest,
--- a/crates/nickelgw-node-core/src/apply_decisions.rs
+++ b/crates/nickelgw-node-core/src/apply_decisions.rs
@@ -1,4 +1,4 @@
-//! Turns the decision module's decisions into commands for the shell.
+//! Converts the decisions of the decision module into commands for the shell.
 
 use crate::commands::{Command, CommandBatch, Endpoint, FailureReason, FinalAnswer, ReleaseCall, RequestId};
 use crate::guard::Violation;
@@ -9,14 +9,14 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Engines that a release is tried at before it is repeated later.
+/// Number of engines that a release is tried at before it is retried later.
 const RELEASE_ENDPOINTS: usize = 4;
 
-/// Ticks before its deadline from which a failed request counts as failed by it.
+/// A request that fails within this many ticks before its deadline counts as having exceeded the deadline.
 const DEADLINE_SLACK_TICKS: f64 = 2.0;
 
 impl NodeCore {
-    /// What to do after a batch of events, and when to poll again.
+    /// Returns the commands to carry out after a batch of events, and when to poll again.
     pub fn poll_commands(&mut self, now: f64) -> CommandBatch {
         self.fail_expired_unary(now);
         let decisions = self.router.decide(now);
@@ -111,7 +111,7 @@
             let id = self.router.engine_id(engine);
             match self.endpoints.get(id) {
                 Some((endpoint, _)) => commands.push(Command::Probe(endpoint.clone())),
-                // It has left the list in this very batch.
+                // The engine has left the list during this batch.
                 None => {
                     let id = id.to_string();
                     self.router.probe_finished(now, &id, Outcome::ConnectFailed, None);
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Handles of closed requests are void from now on. All answers so far go out before that.
+    /// Removes closed requests, whose handles become invalid, after adding all pending commands.
     fn apply_closed(&mut self, now: f64, decisions: &Decisions, commands: &mut Vec<Command>) {
         for &handle in &decisions.closed {
             if let Some(request) = self.requests.id_of(handle) {
@@ -135,14 +135,14 @@
 
     fn close(&mut self, now: f64, request: RequestId) {
         self.ledger.release_all(now, request.serial);
-        // A request must not end without an answer, whatever the decision module does.
+        // A request must not end without an answer, even if the decision module closes it without one.
         if !self.requests.is_finished(request) {
             self.guard.count(Violation::Unanswered, request.serial);
         }
         self.answer(now, request, FinalAnswer::Failed(FailureReason::AttemptsFailed));
     }
 
-    /// Makes the release calls that the ledger asks for; gives the time when it asks again.
+    /// Adds the release calls that are due; returns when to poll the releases again.
     fn poll_release_calls(&mut self, now: f64, commands: &mut Vec<Command>) -> Option<f64> {
         for id in self.releases.take_timed_out(now) {
             self.release_answered(now, id, false);
@@ -174,7 +174,8 @@
     }
 }
 
-/// Engines at which a release call that any engine takes is tried: those that answered last, or the prefill engine.
+/// Returns the engines to try for a release that any engine can make: those that answered most recently, or
+/// the prefill engine if there are none.
 fn release_endpoints(
     router: &Router,
     known: &HashMap<String, (Rc<Endpoint>, EngineRole)>,
--- a/crates/nickelgw-node-core/src/dispatch.rs
+++ b/crates/nickelgw-node-core/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! Dispatch of attempts: each passes the guard, and claims or makes a reservation.
+//! Dispatch of attempts. The guard checks each attempt, a prefill makes a reservation, and a decode attempt
+//! claims one.
 
 use crate::commands::{
     AttemptKind, AttemptRequest, AttemptResult, Command, Endpoint, RequestId, Reservation,
@@ -12,14 +13,15 @@
 use nickelgw_chat::core::grant::{grant, GrantClaims};
 use std::rc::Rc;
 
-/// An attempt that is recorded with its request, and whether the guard permits it.
+/// An attempt recorded with its request.
 struct RecordedAttempt {
     number: u32,
     permitted: bool,
 }
 
 impl NodeCore {
-    /// Records an attempt that the decision module dispatches, and has it made unless the guard refuses it.
+    /// Records an attempt that the decision module dispatches, and adds the command to start it unless the
+    /// guard refuses it.
     pub(crate) fn dispatch(&mut self, now: f64, dispatch: &Dispatch, commands: &mut Vec<Command>) {
         let Some(request) = self.requests.id_of(dispatch.request) else { return };
         let (engine, role) = self.dispatch_target(dispatch);
@@ -67,7 +69,8 @@
         }));
     }
 
-    /// The engine of a dispatch; one that has left the list in this batch has no address, and the guard refuses it.
+    /// Returns the engine of a dispatch and its role. An engine that has left the list during this batch has
+    /// no address, and the guard refuses the attempt.
     fn dispatch_target(&self, dispatch: &Dispatch) -> (Rc<Endpoint>, EngineRole) {
         let id = self.router.engine_id(dispatch.engine);
         if let Some((endpoint, role)) = self.endpoints.get(id) {
@@ -138,7 +141,8 @@
         AttemptKind::Decode { reservation, grant, idle_timeout_s: self.config.stream_idle_timeout_s }
     }
 
-    /// What lets this decode engine fetch this reservation, once and for a time.
+    /// Returns a grant that permits the decode engine to fetch the reservation once and for a limited time;
+    /// `None` if grants are not configured.
     fn grant(&self, now: f64, reservation: &Reservation, decode_engine: &Endpoint) -> Option<String> {
         let unix_now = self.config.started_at_unix_s + now;
         let config = self.config.grants.as_ref()?;
--- a/crates/nickelgw-node-core/src/endings.rs
+++ b/crates/nickelgw-node-core/src/endings.rs
@@ -1,4 +1,4 @@
-//! Ends of requests: final answers, clients that disconnect, and the node's shutdown.
+//! How requests end: by a final answer, a client that disconnects, or the node's shutdown.
 
 use crate::commands::{Command, FailureReason, FinalAnswer, RequestId};
 use crate::node_core::NodeCore;
@@ -9,29 +9,30 @@
 /// Which requests a shutdown fails.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ShutdownScope {
-    /// Those without a first token.
+    /// Requests without a first token.
     Unstarted,
-    /// All.
+    /// All open requests.
     All,
 }
 
 impl NodeCore {
-    /// No more requests are accepted.
+    /// Rejects new requests from now on.
     pub fn stop_accepting(&mut self) {
         self.shutting_down = true;
     }
 
-    /// The drain timeout is over: each open request gets its final answer, and no further attempt is made.
+    /// Gives each open request its final answer and makes no further attempts. Called when the drain timeout
+    /// is over.
     pub fn fail_all_open(&mut self, now: f64) {
         self.fail_open(now, ShutdownScope::All);
     }
 
-    /// Each request without a first token gets its final answer; streams go on.
+    /// Gives each request without a first token its final answer; streams continue.
     pub fn fail_unstarted(&mut self, now: f64) {
         self.fail_open(now, ShutdownScope::Unstarted);
     }
 
-    /// The client has disconnected: its attempts in flight are cancelled.
+    /// Ends the request after its client has disconnected, and cancels its attempts in flight.
     pub fn client_disconnected(&mut self, now: f64, request: RequestId) {
         if self.finish_disconnected(now, request) {
             self.cancel_attempts(request);
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Ends the request as abandoned by its client; false: it was over before.
+    /// Ends the request as disconnected by its client; returns `false` if it had already ended.
     pub(crate) fn finish_disconnected(&mut self, now: f64, request: RequestId) -> bool {
         if !self.finish(now, request, TraceEvent::ClientDisconnected) {
             return false;
@@ -49,7 +50,7 @@
         true
     }
 
-    /// Gives the request its final answer, if it has none.
+    /// Gives the request its final answer unless it has already ended.
     pub(crate) fn answer(&mut self, now: f64, request: RequestId, answer: FinalAnswer) {
         if !self.finish(now, request, TraceEvent::Answered(answer)) {
             return;
@@ -59,7 +60,8 @@
             FinalAnswer::Rejected { .. } => self.counters.rejected += 1,
             FinalAnswer::Failed(_) => self.counters.failed += 1,
         }
-        // Attempts end before the client is told: rejected beside one in flight, the request might still run.
+        // Attempts are cancelled before the client is told: a request that is rejected while an attempt is in
+        // flight might still run.
         self.cancel_attempts(request);
         self.pending_commands.push(Command::Answer { request, answer });
     }
@@ -71,7 +73,7 @@
             if scope == ShutdownScope::Unstarted && open.stage != RequestStage::Waiting {
                 continue;
             }
-            // Where clients are told no Retry-After, a shutdown tells none either.
+            // No Retry-After is sent at a shutdown if none is sent otherwise.
             let retry_after_s = self.max_retry_after_s.map(|max_s| max_s.min(self.config.retry_after_s));
             let answer = if open.is_retry_safe(self.can_cancel) {
                 FinalAnswer::Rejected { retry_after_s }
@@ -84,7 +86,7 @@
         }
     }
 
-    /// The request is over from now on; false: it was before.
+    /// Marks the request as finished; returns `false` if it already was.
     fn finish(&mut self, now: f64, request: RequestId, ending: TraceEvent) -> bool {
         let Some(open) = self.requests.get_mut(request).filter(|open| !open.is_finished()) else {
             return false;
@@ -100,7 +102,7 @@
         }
         if let Some((tenant, _)) = self.tenant_weight(tenant) {
             self.fair_share.request_closed(tenant);
-            // Answered before its first token: too much was open.
+            // An answer without a first token shows that too many requests were open.
             if !had_started && matches!(ending, TraceEvent::Answered(_)) {
                 self.concurrency_limit.record_answer(now, self.open_requests, true);
             }
@@ -112,7 +114,7 @@
         true
     }
 
-    /// The attempts in flight of a request that is over are cancelled.
+    /// Cancels the attempts in flight of a finished request.
     fn cancel_attempts(&mut self, request: RequestId) {
         let Some(open) = self.requests.get(request) else { return };
         let in_flight = open.attempts.iter().enumerate().filter(|(_, attempt)| attempt.in_flight);
--- a/crates/nickelgw-node-core/src/ledger/tests.rs
+++ b/crates/nickelgw-node-core/src/ledger/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the ledger: single cases, then random sequences of events against its invariants.
+//! Tests of the ledger: single cases, then random sequences of events that check its invariants.
 
 use super::entry::LEASE_SHARE;
 use super::*;
@@ -45,14 +45,15 @@
     assert_eq!((ledger.counters.abandoned, ledger.counters.released), (1, 0));
 }
 
-/// A prefill of a request whose reservation bears the request's name, at an engine.
+/// Starts a prefill of request 1, whose reservation is named after the request.
 fn begin_shared_prefill(ledger: &mut Ledger, now: f64, prefill: u32) -> ReservationId {
     let id = ReservationId { owner: 1, prefill };
     ledger.prefill_begins(now, id, Reservation { named_after_request: true, ..reservation(1) });
     id
 }
 
-/// It was reserved until the request was over: a prefill that had ended well as its connection broke (issue 39).
+/// Guards against a reservation that is kept until its request is finished, because the connection broke
+/// although the prefill had succeeded (issue 39).
 #[test]
 fn reservation_of_a_failed_prefill_is_released_at_once() {
     let mut ledger = new_ledger();
@@ -69,10 +70,10 @@
     assert!(!ledger.is_releasing(1) && ledger.is_empty());
 }
 
-/// An attempt that gives no sign does not stop the clock (issue 39).
-#[test_case(false; "and ends without one")]
-#[test_case(true; "and begins to answer after all")]
-fn claimed_reservation_is_released_when_its_lease_ends(begins: bool) {
+/// Guards against a reservation that is kept for an attempt from which no engine has answered (issue 39).
+#[test_case(false; "attempt ends without an answer")]
+#[test_case(true; "attempt returns its first token after all")]
+fn claimed_reservation_is_released_when_its_lease_ends(returns_first_token: bool) {
     let mut ledger = new_ledger();
     let id = begin_shared_prefill(&mut ledger, 0.5, 0);
     ledger.prefill_done(1.0, id);
@@ -82,30 +83,30 @@
     let (calls, _) = ledger.poll_releases(1.0 + lease_s);
     assert_eq!((calls.len(), ledger.take_expired()), (1, vec![1]));
     ledger.release_answered(1.3, id, true, false);
-    // The attempt may have claimed it before: its end decides.
+    // The attempt may have claimed the reservation before the release, so its end decides.
     assert!(!ledger.is_empty() && ledger.claim(1.4, 1, 2).is_none());
-    if begins {
+    if returns_first_token {
         ledger.claim_served(1.5, 1, 1);
         assert!(ledger.is_empty());
         return;
     }
     ledger.claim_ended(1.5, 1, 1, false);
     let (calls, _) = ledger.poll_releases(1.5);
-    assert_eq!(calls.len(), 1, "what it had claimed is reserved again");
+    assert_eq!(calls.len(), 1, "the reservation that the attempt had claimed is released");
     ledger.release_answered(1.51, id, true, false);
     assert_release_is_repeated(&mut ledger, 1.51, id);
 }
 
-/// A release call that overtook the end of an attempt spared its claim, and the next prefill began beside it.
+/// Guards against a prefill that starts while an earlier reservation is left, because the release reached the
+/// engine before the end of the attempt that claimed it.
 fn assert_release_is_repeated(ledger: &mut Ledger, confirmed_at: f64, id: ReservationId) {
-    let again = confirmed_at + RETRY_FOLLOW_UP_S;
-    assert!(ledger.is_releasing(id.owner) && ledger.poll_releases(again - 0.01).0.is_empty());
-    assert_eq!(ledger.poll_releases(again).0.len(), 1);
-    ledger.release_answered(again, id, true, false);
+    let repeat_at = confirmed_at + RETRY_FOLLOW_UP_S;
+    assert!(ledger.is_releasing(id.owner) && ledger.poll_releases(repeat_at - 0.01).0.is_empty());
+    assert_eq!(ledger.poll_releases(repeat_at).0.len(), 1);
+    ledger.release_answered(repeat_at, id, true, false);
     assert!(ledger.is_empty());
 }
 
-/// Only an engine's answer renews the lease.
 #[test_case(true, 0.2 + LEASE_SHARE * RESERVATION_LIMIT_S; "answered")]
 #[test_case(false, LEASE_SHARE * RESERVATION_LIMIT_S; "not answered")]
 fn lease_is_renewed_only_by_answers(answered: bool, until_s: f64) {
@@ -149,7 +150,7 @@
 }
 
 #[test]
-fn reservations_of_a_gone_engine_are_counted_as_lost_without_calls() {
+fn reservations_of_an_ended_engine_are_counted_as_lost_without_calls() {
     let mut ledger = new_ledger();
     (0..6).for_each(|n| add_unclaimed(&mut ledger, 1.0, n));
     ledger.release_all(1.0, 0);
@@ -157,12 +158,13 @@
     let (calls, _) = ledger.poll_releases(1.0);
     assert_eq!(calls.len(), 2);
     ledger.release_answered(1.05, reservation_id(3), false, false);
-    // 0 awaits an answer, 3 its next try; both were at r0, as was 6.
-    ledger.engines_gone(1.06, |gone| gone.prefill_engine.id == "r0");
+    // The release call for 0 is in flight, and the one for 3 waits for its retry; both reservations are at
+    // r0.
+    ledger.engines_gone(1.06, |lost| lost.prefill_engine.id == "r0");
     assert_eq!((ledger.counters.lost, ledger.len()), (1, 5));
     ledger.release_answered(1.2, reservation_id(0), false, false);
     assert_eq!(ledger.counters.lost, 2);
-    // Others are released by calls as before.
+    // Reservations at other engines are released by calls as before.
     (0..6).for_each(|n| ledger.release_all(1.3, n));
     assert_eq!(ledger.poll_releases(1.3).0.len(), 4);
 }
@@ -181,14 +183,14 @@
     assert!(ledger.is_empty() && ledger.indexes.wakeups.is_empty() && ledger.indexes.releasing.is_empty());
 }
 
-/// What the property test has in flight around a ledger.
+/// A ledger with the release calls and claims in flight around it.
 struct Simulation {
     ledger: Ledger,
     now: f64,
     attempt: u32,
     prefills: u64,
     release_calls: Vec<ReservationId>,
-    /// Claims in flight: request, attempt, name of the reservation.
+    /// Claims in flight: request, attempt and name of the reservation.
     claims: Vec<(u64, u32, Rc<str>)>,
     named_after_request: bool,
 }
@@ -212,8 +214,11 @@
 
     fn poll(&mut self) {
         for (id, reservation) in self.ledger.poll_releases(self.now).0 {
-            let spared = self.named_after_request;
-            assert!(spared || !self.is_claimed(&reservation.name), "released while an attempt claims it");
+            let may_be_claimed = self.named_after_request;
+            assert!(
+                may_be_claimed || !self.is_claimed(&reservation.name),
+                "released while an attempt claims it"
+            );
             self.release_calls.push(id);
         }
         for entry in self.ledger.entries.values() {
@@ -238,7 +243,7 @@
 
     fn claim(&mut self, owner: u64) {
         if let Some(reservation) = self.ledger.claim(self.now, owner, self.attempt) {
-            assert!(!self.is_claimed(&reservation.name), "claimed twice");
+            assert!(!self.is_claimed(&reservation.name), "reservation claimed by two attempts");
             self.claims.push((owner, self.attempt, reservation.name));
         }
     }
@@ -258,27 +263,27 @@
         }
     }
 
-    fn step(&mut self, (what, pick, elapsed_s): (u8, u64, f64)) {
+    fn step(&mut self, (event, pick, elapsed_s): (u8, u64, f64)) {
         self.now += elapsed_s;
         self.poll();
         self.attempt += 1;
-        match what {
+        match event {
             0 | 1 => self.prefill(pick, elapsed_s < 0.2),
             2 => {
                 let id = ReservationId { owner: pick, prefill: self.attempt - 1 };
                 self.ledger.prefill_failed(self.now, id, true);
             }
             3 => self.claim(pick),
-            4 | 5 if !self.claims.is_empty() => self.end_claim(pick, what == 4),
+            4 | 5 if !self.claims.is_empty() => self.end_claim(pick, event == 4),
             6 => self.ledger.release_all(self.now, pick),
             7 => self.answer_calls(pick % 3 > 0),
-            8 if pick == 0 => self.ledger.engines_gone(self.now, |gone| gone.prefill_engine.id == "r1"),
+            8 if pick == 0 => self.ledger.engines_gone(self.now, |lost| lost.prefill_engine.id == "r1"),
             _ => {}
         }
     }
 
-    /// Overdue requests by a walk over all that is being released, in the order in which their releases began.
-    fn overdue_by_walk(&self) -> Vec<u64> {
+    /// Finds overdue requests by a scan of all releases, in the order in which the releases began.
+    fn overdue_by_full_scan(&self) -> Vec<u64> {
         let releasing = self.ledger.indexes.releasing.iter().map(|(_, id)| *id);
         let is_overdue = |id: &ReservationId| {
             let entry = &self.ledger.entries[id];
@@ -290,8 +295,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, rng_seed: RngSeed::Fixed(31), failure_persistence: None, ..ProptestConfig::default() })]
-    /// In whatever order events come: each reservation is counted once as it ends, none stands unclaimed past the limit,
-    /// none is claimed by two attempts, and the indexes agree with the stages.
+    /// In any order of events, each reservation is counted once when it ends, none stays unclaimed beyond the
+    /// limit, none is claimed by two attempts, and the indexes agree with the stages.
     #[test]
     fn each_reservation_is_counted_once(
         steps in prop::collection::vec((0u8..9, 0u64..12, 0.0..0.3f64), 1..200),
@@ -321,9 +326,10 @@
         prop_assert!(ledger.is_empty() && ledger.indexes.releasing.is_empty());
     }
 
-    /// The index of watched releases gives what a walk over all of them would, in the same order and each once.
+    /// The index of unreported releases gives the same requests as a scan of all releases, in the same order
+    /// and each once.
     #[test]
-    fn overdue_reservations_are_those_that_a_walk_over_all_releases_finds(
+    fn overdue_reservations_are_those_that_a_scan_of_all_releases_finds(
         steps in prop::collection::vec((0u8..9, 0u64..12, 0.0..0.3f64), 1..200),
         named_after_request in any::<bool>(),
     ) {
@@ -332,14 +338,14 @@
             simulation.step(step);
             let unreported = simulation.ledger.entries.values().filter(|entry| entry.is_unreported()).count();
             prop_assert_eq!(simulation.ledger.indexes.unreported.len(), unreported);
-            let expected = simulation.overdue_by_walk();
+            let expected = simulation.overdue_by_full_scan();
             prop_assert_eq!(simulation.ledger.take_overdue(simulation.now), expected);
             prop_assert!(simulation.ledger.take_overdue(simulation.now).is_empty());
         }
     }
 }
 
-/// The end of an attempt and the release take two connections: the engine may hear of them in either order.
+/// The end of an attempt and the release use two connections, so they may reach the engine in either order.
 #[test]
 fn release_that_may_have_overtaken_the_end_of_an_attempt_is_repeated_once() {
     let mut ledger = new_ledger();
@@ -350,10 +356,10 @@
     ledger.release_all(1.1, 1);
     assert_eq!(ledger.poll_releases(1.1).0.len(), 1);
     ledger.release_answered(1.11, id, true, true);
-    let again = 1.11 + FOLLOW_UP_SHARE * RESERVATION_LIMIT_S;
-    assert_eq!(ledger.poll_releases(again - 0.01).0, vec![]);
-    assert_eq!(ledger.poll_releases(again).0.len(), 1);
-    assert!(ledger.take_overdue(9.0).is_empty(), "it was confirmed");
-    ledger.release_answered(again, id, true, true);
+    let repeat_at = 1.11 + FOLLOW_UP_SHARE * RESERVATION_LIMIT_S;
+    assert_eq!(ledger.poll_releases(repeat_at - 0.01).0, vec![]);
+    assert_eq!(ledger.poll_releases(repeat_at).0.len(), 1);
+    assert!(ledger.take_overdue(9.0).is_empty(), "a confirmed release is not overdue");
+    ledger.release_answered(repeat_at, id, true, true);
     assert!(ledger.is_empty());
 }
--- a/crates/nickelgw-node-core/src/membership.rs
+++ b/crates/nickelgw-node-core/src/membership.rs
@@ -1,4 +1,4 @@
-//! The node's surroundings: endpoint lists, the fleet that it is part of, and what earlier processes left.
+//! Endpoint lists, membership in a fleet, and state restored from earlier processes.
 
 use crate::commands::{Endpoint, Reservation};
 use crate::node_core::{NodeCore, RestoredState};
@@ -27,7 +27,7 @@
     }
 }
 
-/// The entry of an engine that has been removed.
+/// Returns an entry that marks the engine as removed.
 fn removed_engine(id: &str) -> EngineEntry {
     EngineEntry {
         id: id.to_string(),
@@ -41,13 +41,15 @@
 }
 
 impl NodeCore {
-    /// Other processes than before run under these ids: what was known of the old ones is void with the next list.
+    /// Discards what is known of the engines with these ids, because other processes now run under them. The
+    /// next endpoint list adds them again.
     pub fn engines_replaced(&mut self, now: f64, ids: &[String]) {
         let removed: Vec<EngineEntry> = ids.iter().map(|id| removed_engine(id)).collect();
         self.router.update_endpoints(now, &removed, false);
     }
 
-    /// A new endpoint list. One that is older than the list in use is an answer that was overtaken, and ignored.
+    /// Applies an endpoint list. A list with an older revision than the list in use arrived late and is
+    /// ignored.
     pub fn update_endpoints(&mut self, now: f64, list: &EndpointList) {
         if self.revision.is_some_and(|revision| list.revision < revision) {
             return;
@@ -67,46 +69,51 @@
         }
     }
 
-    /// The node's position in its fleet has changed: its number, and how many nodes there are.
+    /// Sets the node's position in its fleet: its number and the number of nodes; `None` if it has no
+    /// position.
     pub fn set_fleet_position(&mut self, now: f64, position: Option<(u32, u32)>) {
         self.router.set_fleet_size(now, position.map(|(_, node_count)| node_count));
     }
 
-    /// From now on the node is one of a fleet, under this name.
+    /// Joins a fleet under this name. `round_s`: seconds between two rounds of zone updates.
     pub fn join_fleet(&mut self, name: &str, config: ZoneConfig, round_s: f64, seed: u64) {
         let zones = self.config.zones.clone();
         self.zone_failover = Some(ZoneFailover::new(zones, name, config, round_s, seed));
     }
 
-    /// Records of other nodes have come: zones change their states by them. Gives what other nodes are to be sent.
+    /// Updates the states of zones by the gossip records of other nodes. Returns what to publish to them;
+    /// `None` if the node is not in a fleet.
     pub fn zone_round(&mut self, now: f64, peers: &[PeerRecord]) -> Option<ZoneRound> {
         Some(self.zone_failover.as_mut()?.update(now, &mut self.router, peers))
     }
 
-    /// Restores what an earlier process of this node had learned; false: the record cannot be read.
+    /// Restores the learned state of an earlier process of this node; returns `false` if the record cannot be
+    /// decoded. `confidence`: weight of the restored state, from 0 to 1.
     pub fn restore_state(&mut self, record: &[u8], confidence: f64) -> bool {
         let learned = warm_state::decode(record, self.config.started_at_unix_s);
         self.restored_state = learned.map(|learned| RestoredState { learned, confidence });
         self.restored_state.is_some()
     }
 
-    /// The record of what this process has learned, for the node's next one.
+    /// Returns the record of what this process has learned, for the node's next process.
     pub fn learned_state(&self, now: f64) -> Vec<u8> {
         warm_state::encode(&self.router.learned_state(now), self.config.started_at_unix_s)
     }
 
-    /// The last endpoint list of an earlier process: used until a source gives one, whose revision may be any.
+    /// Applies the last endpoint list of an earlier process. The first list from a source replaces it,
+    /// whatever its revision.
     pub fn restore_endpoints(&mut self, now: f64, list: &EndpointList) {
         self.update_endpoints(now, list);
         self.revision = None;
     }
 
-    /// The endpoint list could not be fetched.
+    /// Records that the endpoint list could not be fetched.
     pub fn endpoint_poll_failed(&mut self, now: f64) {
         self.router.endpoint_poll_failed(now);
     }
 
-    /// Updates one listed endpoint. An engine in a zone that is not in the settings is left out, as if removed.
+    /// Updates one listed endpoint. Returns `None` for an engine in a zone that is not in the settings, which
+    /// is treated as removed.
     fn update_endpoint(&mut self, entry: &EndpointEntry) -> Option<EngineEntry> {
         let zone = self.config.zones.iter().position(|zone| *zone == entry.zone)?;
         let role = engine_role(entry.role);
@@ -132,8 +139,8 @@
         })
     }
 
-    /// Forgets endpoints that are not listed. An engine that is gone, or listed at another address, is a process that has
-    /// ended, with what it had reserved.
+    /// Removes endpoints that are not listed. The process of an engine that is not listed any more, or is
+    /// listed at another address, counts as ended, and its reservations as lost.
     fn remove_unlisted(&mut self, now: f64, entries: &[EngineEntry]) {
         let listed: BTreeSet<&str> = entries.iter().map(|entry| &*entry.id).collect();
         let endpoints = &mut self.endpoints;
--- a/crates/nickelgw-node-core/src/orphan_cleanup.rs
+++ b/crates/nickelgw-node-core/src/orphan_cleanup.rs
@@ -1,23 +1,23 @@
-//! After a start, prefill engines may hold reservations that an earlier process of this node made. Each engine is called once
-//! to release them; a call that fails is retried with exponential backoff. An engine first listed long after the start holds
-//! none.
+//! Release of reservations that earlier processes of this node made and that prefill engines may still hold
+//! after a start. Each engine is called once; a call that fails is retried with exponential backoff. An
+//! engine that is first listed long after the start holds no such reservations and is not called.
 
 use crate::backoff::exponential_backoff_s;
 use crate::Endpoint;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Seconds before a failed call is retried, at first and at most.
+/// Initial and maximum backoff before a failed call is retried, in seconds.
 const INITIAL_BACKOFF_S: f64 = 0.05;
 const MAX_BACKOFF_S: f64 = 1.0;
-/// Calls in flight at once.
+/// Maximum number of calls in flight.
 const MAX_CONCURRENT_CALLS: usize = 16;
-/// Longest that an answer is awaited here; the shell's own timeout is shorter.
+/// Seconds after which a call without an answer is made again; the shell's own timeout is shorter.
 const CALL_TIMEOUT_S: f64 = 5.0;
-/// Seconds until the next poll while the number of calls in flight delays others.
+/// Seconds until the next poll while calls wait because the maximum number of calls is in flight.
 const FULL_POLL_INTERVAL_S: f64 = 0.05;
 
-/// How far the cleanup of one engine has come.
+/// State of the call to one engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum CallState {
     Scheduled { at: f64, retries: u32 },
@@ -25,28 +25,29 @@
     Done,
 }
 
-/// The engines that are still to be called.
+/// The listed prefill engines, each with the state of its call.
 pub struct OrphanCleanup {
-    /// Calls begin then: an earlier process that still serves its open requests needs its reservations.
+    /// Time of the first calls: until then an earlier process may still serve open requests and need its
+    /// reservations.
     from: f64,
-    /// Engines listed later hold nothing of an earlier process any more.
+    /// Time after which engines hold no reservations of earlier processes any more.
     until: f64,
-    /// By address: an engine that returns at another address is another process.
+    /// Engines by address: an engine that returns at another address is another process.
     engines: BTreeMap<String, (Rc<Endpoint>, CallState)>,
 }
 
 impl OrphanCleanup {
-    /// A cleanup between two times.
+    /// Creates a cleanup that makes calls between two times.
     pub fn new(from: f64, until: f64) -> OrphanCleanup {
         OrphanCleanup { from, until, engines: BTreeMap::new() }
     }
 
-    /// Whether no listed engine is to be called.
+    /// Returns whether all listed engines are done.
     pub fn is_done(&self) -> bool {
         self.engines.values().all(|engine| engine.1 == CallState::Done)
     }
 
-    /// The prefill engines as listed now.
+    /// Replaces the prefill engines by those that are listed now.
     pub fn update_endpoints(&mut self, now: f64, prefill_engines: impl Iterator<Item = Rc<Endpoint>>) {
         let initial = if now <= self.until {
             CallState::Scheduled { at: self.from.max(now), retries: 0 }
@@ -62,11 +63,11 @@
         self.engines = listed;
     }
 
-    /// A call has ended. `confirmed`: the engine has released everything.
+    /// Records the end of a call. `confirmed`: the engine has released all reservations of earlier processes.
     pub fn release_finished(&mut self, now: f64, address: &str, confirmed: bool) {
         let Some((_, state)) = self.engines.get_mut(address) else { return };
         let CallState::InFlight { retries, .. } = *state else { return };
-        // After the window the engine's own limit has freed what it held.
+        // After the window the engine has freed these reservations at its own time limit.
         *state = if confirmed || now > self.until {
             CallState::Done
         } else {
@@ -75,7 +76,7 @@
         };
     }
 
-    /// Engines to call now, and when to poll again.
+    /// Returns the engines to call now, and when to poll again (`None` if all are done).
     pub fn poll_calls(&mut self, now: f64) -> (Vec<Rc<Endpoint>>, Option<f64>) {
         let mut calls = Vec::new();
         let mut wake_at: Option<f64> = None;
--- a/crates/nickelgw-node-core/src/orphan_cleanup_tests.rs
+++ b/crates/nickelgw-node-core/src/orphan_cleanup_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the calls that release what earlier processes reserved.
+//! Tests of the calls that release reservations of earlier processes.
 
 use super::*;
 
@@ -18,7 +18,7 @@
         for engine in called {
             let count = calls.entry(engine.address.clone()).or_default();
             *count += 1;
-            // The first does not answer its first call at all, the second fails two.
+            // a0 does not answer its first call, and a1 fails its first two calls.
             match engine.address.as_str() {
                 "a0" if *count == 1 => {}
                 "a1" => cleanup.release_finished(now, "a1", *count == 3),
@@ -29,7 +29,8 @@
         assert!(now < 20.0);
     }
     assert_eq!((calls["a0"], calls["a1"], calls["a2"], calls.len()), (2, 3, 1, 40));
-    // Listed again, it is done; one at another address is new, and long after the start none is called.
+    // An engine that is listed again stays done, and one at a new address is called. Long after the start no
+    // engine is called.
     cleanup.update_endpoints(20.0, [endpoint(2), endpoint(50)].into_iter());
     assert_eq!(cleanup.poll_calls(20.0).0, vec![endpoint(50)]);
     cleanup.update_endpoints(100.0, [endpoint(60)].into_iter());
--- a/crates/nickelgw-node-core/src/release_scheduler/tests.rs
+++ b/crates/nickelgw-node-core/src/release_scheduler/tests.rs
@@ -13,20 +13,20 @@
     ReservationId { owner, prefill: 0 }
 }
 
-/// A scheduler with releases of so many requests, all reserved at the engine 0.
+/// Returns a scheduler with this number of releases, all of reservations at engine 0.
 fn scheduler(releases: u64) -> ReleaseScheduler {
     let mut scheduler = ReleaseScheduler::new(1);
     (0..releases).for_each(|owner| scheduler.enqueue(0.0, id(owner), reservation(0)));
     scheduler
 }
 
-/// Polls with so many engines.
+/// Polls the scheduler, which can choose from this number of engines.
 fn poll(scheduler: &mut ReleaseScheduler, now: f64, engines: usize) -> Vec<ReleaseCall> {
     scheduler.poll(now, |_| true, |_| (0..engines).map(endpoint).collect())
 }
 
 #[test]
-fn engine_that_does_not_answer_is_asked_by_one_call_for_all() {
+fn engine_that_does_not_answer_gets_one_call_at_a_time() {
     let mut scheduler = scheduler(1000);
     let mut calls_made = 0;
     for step in 0..1000u32 {
@@ -69,7 +69,8 @@
     assert!(poll(&mut scheduler, 0.3, 2).is_empty());
 }
 
-/// A release whose hedged calls were all on new connections stood beside others confirmed on open ones at the same engine.
+/// Guards against a release that is not confirmed because all its hedged calls use new connections, while the
+/// same engine confirms other releases on open ones.
 #[test_case(0.1, ReleaseConnection::Any; "it answered just now")]
 #[test_case(1.0, ReleaseConnection::New; "it answered long ago")]
 fn hedged_call_uses_an_open_connection_of_an_engine_that_just_answered(
@@ -86,7 +87,7 @@
     assert_eq!((hedged.connection, &*hedged.endpoint.id), (expected, "e1"));
 }
 
-/// All open connections are silent, and there is no other engine.
+/// No open connection responds, and there is no other engine.
 #[test]
 fn engine_is_called_on_a_new_connection_after_an_idle_one_failed() {
     let mut scheduler = scheduler(1);
@@ -97,11 +98,12 @@
     assert_eq!(
         scheduler.call_ended(0.5, second.id, ReleaseOutcome::Unanswered),
         Some((id(0), false)),
-        "the ledger retries it"
+        "the release returns to the ledger, which retries it"
     );
 }
 
-/// New connections come up too late, as on a busy machine, and open ones answer: they are used again.
+/// Guards against calls that all use new connections, which are established too late on a busy machine, while
+/// open connections would answer.
 #[test]
 fn idle_connections_are_tried_again_after_a_new_one_failed() {
     let mut scheduler = scheduler(3);
@@ -135,7 +137,8 @@
     assert_eq!(limit_at(&mut health), 2);
 }
 
-/// An attempt ended while the call was in flight: what the engine answers may be about the time before.
+/// If an attempt ends while the call is in flight, the engine's answer may describe the state before that
+/// end.
 #[test]
 fn answer_to_an_earlier_round_is_ignored() {
     let mut scheduler = scheduler(1);
@@ -169,7 +172,7 @@
     assert_eq!(scheduler.wake_at(0.0), None);
 }
 
-/// Work that a call costs an engine on a new connection, and on an open one.
+/// Engine time of a call on a new connection and on an open one, in seconds.
 const NEW_CONNECTION_S: f64 = 0.02;
 const OPEN_CONNECTION_S: f64 = 0.0005;
 const CALL_TIMEOUT_S: f64 = 0.25;
@@ -183,13 +186,13 @@
     outcome: ReleaseOutcome,
 }
 
-/// Nodes that release at engines which do one thing after the other, and finish what they have begun for a caller that has
-/// gone.
+/// Nodes that release reservations at engines. Each engine processes one call after the other, and finishes
+/// calls whose callers no longer wait.
 struct SimulatedFleet {
     nodes: Vec<ReleaseScheduler>,
-    /// Until when each engine is busy.
+    /// Time until which each engine is busy.
     busy_until: Vec<f64>,
-    /// Open idle connections by node and engine.
+    /// Number of idle connections by node and engine.
     idle: HashMap<(usize, String), usize>,
     calls: Vec<SimulatedCall>,
     calls_made: usize,
@@ -198,7 +201,7 @@
 }
 
 impl SimulatedFleet {
-    /// A fleet with an engine for each two nodes, and so many releases at each node.
+    /// Creates a fleet with one engine for every two nodes and this number of releases at each node.
     fn new(nodes: usize, releases: u64) -> SimulatedFleet {
         let engines = nodes / 2;
         let mut schedulers: Vec<ReleaseScheduler> =
@@ -226,7 +229,7 @@
         ended.into_iter().for_each(|call| self.end_call(now, call));
         let engines = self.busy_until.len();
         for node in 0..self.nodes.len() {
-            // Another node asks another four engines.
+            // Each node calls four engines, which differ between nodes.
             let choose = |prefill: &Rc<Endpoint>| -> Vec<Rc<Endpoint>> {
                 let others = (0..3).map(|other| endpoint((node + 5 * other + 1) % engines));
                 std::iter::once(prefill.clone()).chain(others).collect()
@@ -276,7 +279,8 @@
     }
 }
 
-/// Repeated release calls kept engines from answering in time, for as long as they were made (release-storm.md).
+/// Guards against repeated release calls that keep engines from answering in time for as long as they are
+/// made (release-storm.md).
 #[test_case(24; "24 nodes")]
 #[test_case(48; "48 nodes")]
 #[test_case(96; "96 nodes")]
--- a/crates/nickelgw-node-core/src/request_admission.rs
+++ b/crates/nickelgw-node-core/src/request_admission.rs
@@ -1,4 +1,5 @@
-//! Acceptance of requests: the node's and the tenants' limits, and the fair share where there is not enough for all.
+//! Acceptance of requests, subject to the limits of the node and of tenants and to the fair share under
+//! overload.
 
 use crate::admission::{AdmittedRequest, RejectReason};
 use crate::commands::RequestId;
@@ -6,12 +7,12 @@
 use crate::request_table::{OpenRequest, RequestStage};
 use nickelgw::interface::IncomingRequest;
 
-/// Share of its TTFT objective after which a first token counts as late for the concurrency limit: a limit that waited for
-/// missed objectives would act when they have been missed.
+/// Share of the TTFT objective after which a first token counts as late for the concurrency limit. A limit
+/// that reacted only to missed objectives would act too late to prevent them.
 const LATE_FIRST_TOKEN_SHARE: f64 = 0.4;
 
 impl NodeCore {
-    /// Accepts a request, or gives the reason why not.
+    /// Accepts a request, or returns the reason why it is rejected.
     pub fn accept_request(
         &mut self,
         now: f64,
@@ -49,13 +50,13 @@
         Ok(self.requests.insert(handle, request))
     }
 
-    /// Seconds within which the request's first token is wanted.
+    /// Returns the request's TTFT objective in seconds.
     pub fn ttft_objective_s(&self, admitted: &AdmittedRequest) -> f64 {
         let route = self.routes.get(admitted.route);
         route.map_or(f64::INFINITY, |route| route.ttft_objective_s(admitted.prompt_tokens))
     }
 
-    /// The tenant with its weight, where tenants have weights.
+    /// Returns the tenant with its weight; `None` if there is no fair share or no tenant.
     pub(crate) fn tenant_weight(&self, tenant: Option<usize>) -> Option<(usize, f64)> {
         let tenant = tenant?;
         Some((tenant, *self.config.fair_share.as_ref()?.weights.get(tenant)?))
--- a/crates/nickelgw-node-core/src/request_table.rs
+++ b/crates/nickelgw-node-core/src/request_table.rs
@@ -1,26 +1,26 @@
-//! The table of requests that are open, or whose attempts are still in flight.
+//! Table of requests that are open or have attempts in flight.
 
 use crate::trace::RequestTrace;
 use crate::RequestId;
 use nickelgw::interface::RequestHandle;
 
-/// How far a request has come.
+/// Stage of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestStage {
-    /// No token has come.
+    /// The request waits for its first token.
     Waiting,
-    /// This attempt streams its answer.
+    /// A decode attempt has returned the first token and streams the response.
     Streaming { attempt: u32 },
-    /// It is answered, or its client has disconnected.
+    /// The request has its final answer, or its client has disconnected.
     Finished,
 }
 
-/// A call to an engine for a request.
+/// An attempt of a request.
 pub(crate) struct Attempt {
     pub(crate) is_prefill: bool,
     pub(crate) in_flight: bool,
     pub(crate) dispatched_at: f64,
-    /// A decode attempt that is not known not to have run.
+    /// Whether this is a decode attempt that may have run.
     pub(crate) may_have_run: bool,
 }
 
@@ -28,15 +28,16 @@
 pub(crate) struct OpenRequest {
     pub(crate) serial: u64,
     pub(crate) route: usize,
-    /// By which engines know the request in all its attempts; none: each attempt has a name of its own.
+    /// Name of the request at engines, common to all its attempts; `None` if each attempt has a name of its
+    /// own.
     pub(crate) name: Option<String>,
     pub(crate) trace: Option<RequestTrace>,
     pub(crate) tenant: Option<usize>,
-    /// A first token after this time tells the concurrency limit that too much is open.
+    /// Time after which the first token counts as late for the concurrency limit.
     pub(crate) late_after: f64,
     pub(crate) stage: RequestStage,
     pub(crate) deadline: f64,
-    /// When its whole answer is wanted; infinite for a client that streams.
+    /// Deadline of the whole response; infinite for a client that streams.
     pub(crate) unary_deadline: f64,
     pub(crate) attempts: Vec<Attempt>,
 }
@@ -46,14 +47,15 @@
         self.stage == RequestStage::Finished
     }
 
-    /// Whether nothing can have had an effect. Where attempts can't be cancelled a prefill in flight goes on.
+    /// Returns whether a retry of the request is safe because no attempt can have had an effect. If attempts
+    /// cannot be cancelled, a prefill in flight continues, so a retry is not safe.
     pub(crate) fn is_retry_safe(&self, can_cancel: bool) -> bool {
         let is_harmless = |attempt: &Attempt| !attempt.may_have_run && (can_cancel || !attempt.in_flight);
         self.stage == RequestStage::Waiting && self.attempts.iter().all(is_harmless)
     }
 }
 
-/// Requests by the decision module's handles.
+/// Requests, indexed by the decision module's handles.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     slots: Vec<Option<OpenRequest>>,
@@ -61,7 +63,7 @@
 }
 
 impl RequestTable {
-    /// The serial number of the next request.
+    /// Returns the serial number of the next request.
     pub(crate) fn next_serial(&mut self) -> u64 {
         self.last_serial += 1;
         self.last_serial
@@ -77,7 +79,7 @@
         RequestId { slot: handle.0, serial }
     }
 
-    /// The handle is void from now on.
+    /// Removes a request; its handle is invalid from now on.
     pub(crate) fn remove(&mut self, handle: RequestHandle) {
         self.slots[handle.0 as usize] = None;
     }
@@ -94,7 +96,7 @@
         self.slots.get_mut(id.slot as usize)?.as_mut().filter(|request| request.serial == id.serial)
     }
 
-    /// Whether the request is answered, abandoned by its client, or unknown.
+    /// Returns whether the request is finished or unknown.
     pub(crate) fn is_finished(&self, id: RequestId) -> bool {
         self.get(id).is_none_or(OpenRequest::is_finished)
     }
@@ -111,12 +113,12 @@
         Some(RequestId { slot: slot as u32, serial })
     }
 
-    /// All requests, in the order of their handles.
+    /// Returns all requests, in the order of their handles.
     pub(crate) fn ids(&self) -> Vec<RequestId> {
         (0..self.slots.len() as u32).filter_map(|slot| self.id_of(RequestHandle(slot))).collect()
     }
 
-    /// The trace of an open request.
+    /// Returns the trace of an open request; `None` if there is none with this id.
     pub(crate) fn trace(&self, id: &str) -> Option<&RequestTrace> {
         let mut traces = self.slots.iter().flatten().filter_map(|request| request.trace.as_ref());
         traces.find(|trace| *trace.id == *id)
--- a/crates/nickelgw-node-core/src/shutdown_tests.rs
+++ b/crates/nickelgw-node-core/src/shutdown_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the shutdown's stages: single cases, then random sequences of signals.
+//! Tests of the shutdown stages: single cases, then random sequences of signals.
 
 use super::*;
 use proptest::prelude::*;
@@ -24,7 +24,7 @@
         vec![ShutdownCommand::StopListening, ShutdownCommand::StopAccepting]
     );
     assert_eq!(lifecycle.poll_commands(12.0, remaining(1, 0, 1)).0, vec![]);
-    // Its last stream has ended, and the connection's last bytes are on their way.
+    // The last stream has ended, and the last bytes of its connection are still being sent.
     assert_eq!(lifecycle.poll_commands(12.5, remaining(0, 0, 1)).0, vec![]);
     assert_eq!(lifecycle.poll_commands(12.6, remaining(0, 0, 0)).0, vec![ShutdownCommand::Exit(Exit::Clean)]);
 }
@@ -65,7 +65,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: RngSeed::Fixed(41), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn stages_only_advance_commands_come_once_and_the_end_comes_in_time(
+    fn stages_only_advance_commands_come_once_and_the_process_exits_in_time(
         steps in prop::collection::vec((0u8..6, 0usize..3, 0.0..0.6f64), 1..80),
     ) {
         let (mut lifecycle, mut now, mut commands, mut drain_began_at) = (ProcessLifecycle::new(CONFIG), 0.0, Vec::new(), None);
@@ -74,10 +74,10 @@
             Stage::Starting => 0, Stage::Serving => 1, Stage::Announcing { .. } => 2,
             Stage::Draining { .. } => 3, Stage::Ending { .. } => 4, Stage::Exited(_) => 5,
         };
-        for (what, count, elapsed_s) in steps {
+        for (event, count, elapsed_s) in steps {
             now += elapsed_s;
             let before = rank(lifecycle.stage());
-            match what {
+            match event {
                 0 => lifecycle.endpoints_known(),
                 1 => { lifecycle.begin_drain(now, count == 1); drain_began_at = drain_began_at.or(Some(now)); }
                 2 if drain_began_at.is_some() => lifecycle.skip_stage(now),
--- a/crates/nickelgw-node-core/src/tests.rs
+++ b/crates/nickelgw-node-core/src/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the core: single cases here and in `processes_and_tenants`, random sequences of events in `simulation`.
+//! Tests of the core: single cases here and in `processes_and_tenants`; `simulation` runs random sequences of
+//! events.
 
 mod processes_and_tenants;
 mod simulation;
@@ -10,7 +11,7 @@
 
 const RESERVATION_LIMIT_S: f64 = 0.5;
 const IDEMPOTENCY_WINDOW_S: f64 = 3.0;
-/// By route.
+/// Idempotency by route number.
 const IDEMPOTENCY: [Idempotency; 3] = [
     Idempotency::Idempotent,
     Idempotency::Keyed { scope: IdempotencyScope::Zone, window_s: IDEMPOTENCY_WINDOW_S },
@@ -107,7 +108,7 @@
     AttemptResult { outcome, ..AttemptResult::default() }
 }
 
-/// The attempts that the core dispatches now.
+/// Polls the core and returns the attempts that it starts.
 fn dispatched(core: &mut NodeCore, now: f64) -> Vec<AttemptRequest> {
     let started = |command| match command {
         Command::StartAttempt(attempt) => Some(attempt),
@@ -117,21 +118,22 @@
 }
 
 fn next_attempt(core: &mut NodeCore, now: f64) -> AttemptRequest {
-    dispatched(core, now).into_iter().next().expect("an attempt")
+    dispatched(core, now).into_iter().next().expect("the core starts an attempt")
 }
 
 #[test]
 fn request_is_prefilled_handed_over_and_streamed() {
     let mut core = core(4);
     let request = core.accept_request(1.0, &admitted(0)).unwrap();
-    // The hashed prefill engine is probed first, and waited for no longer than a 32nd of the objective.
+    // The prefill engine chosen by hash is probed first; the request waits for it at most a 32nd of its
+    // objective.
     core.poll_commands(1.0);
     let prefill = next_attempt(&mut core, 1.02);
     assert_eq!(prefill.kind, AttemptKind::Prefill);
     core.attempt_ended(1.1, request, prefill.attempt, result(AttemptOutcome::Prefilled));
     let decode = next_attempt(&mut core, 1.1);
     let AttemptKind::Decode { reservation: Some(reservation), .. } = &decode.kind else {
-        panic!("the reservation goes to a decode engine")
+        panic!("expected a decode attempt with a reservation")
     };
     assert_eq!((&*reservation.name, &reservation.prefill_engine), (prefill.name.as_str(), &prefill.engine));
     assert!(core.response_started(1.2, request, decode.attempt));
@@ -178,7 +180,7 @@
     assert!(core.poll_commands(wake).commands.is_empty() && core.is_quiet());
 }
 
-// A prefill whose answer was lost has made a reservation that nothing will claim.
+// A prefill whose answer was lost may have made a reservation that no attempt will claim.
 #[test_case(AttemptOutcome::TimedOut, true; "no answer")]
 #[test_case(AttemptOutcome::ConnectionLost, true; "connection lost")]
 #[test_case(AttemptOutcome::ErrorStatus(500), true; "failed")]
@@ -217,7 +219,7 @@
 }
 
 #[test]
-fn shutdown_rejects_what_may_be_retried_and_fails_the_rest() {
+fn shutdown_rejects_requests_that_are_safe_to_retry_and_fails_the_others() {
     let mut core = core(8);
     let (prefilling, reserved, decoding) = (
         core.accept_request(1.0, &admitted(0)),
@@ -243,7 +245,7 @@
         attempt_of(&decoding).attempt,
         result(AttemptOutcome::Prefilled),
     );
-    // One decode engine has proved that it has not run.
+    // One decode engine rejects its attempt, which proves that the attempt has not run.
     for attempt in dispatched(&mut core, 1.3) {
         if Ok(attempt.request) == reserved {
             core.attempt_ended(1.31, attempt.request, attempt.attempt, result(AttemptOutcome::Rejected));
@@ -262,7 +264,7 @@
     assert_eq!(answer(&decoding), Some(FinalAnswer::Failed(FailureReason::ShuttingDown)));
     assert!(
         commands.iter().any(|command| matches!(command, Command::Release(_))),
-        "what was reserved is released"
+        "the reservation is released"
     );
     assert_eq!((core.accept_request(1.4, &admitted(0)), core.open()), (Err(RejectReason::ShuttingDown), 0));
 }
--- a/crates/nickelgw-node-core/src/tests/processes_and_tenants.rs
+++ b/crates/nickelgw-node-core/src/tests/processes_and_tenants.rs
@@ -1,11 +1,12 @@
-//! What one process leaves to the next, and what tenants leave to each other.
+//! Tests of learned state restored in the next process, of the limits and fair shares of tenants, and of
+//! grants.
 
 use super::*;
 use nickelgw::interface::LearnedState;
 use nickelgw_chat::core::grant::{GrantChecker, GrantClaims, GrantKey};
 use nickelgw_tenants::core::fair_share;
 
-/// Makes the attempts that the core dispatches end 0.1 s later; gives the prefill engines among them.
+/// Ends the attempts that the core starts now 0.1 s later; returns the prefill engines among them.
 fn end_attempts(core: &mut NodeCore, now: f64, prefill_outcome: AttemptOutcome) -> Vec<String> {
     let mut prefill_engines = Vec::new();
     for command in core.poll_commands(now).commands {
@@ -18,7 +19,7 @@
     prefill_engines
 }
 
-/// What is cancelled as a client disconnects, or dispatched meanwhile, ends too.
+/// Disconnects a client and ends the attempts that the core then cancels or starts.
 fn disconnect(core: &mut NodeCore, now: f64, request: RequestId) {
     core.client_disconnected(now, request);
     for command in core.poll_commands(now).commands {
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn learned_state_is_restored_by_its_confidence() {
+fn learned_state_is_restored_in_proportion_to_its_confidence() {
     let mut old = core(64);
     let (mut now, mut failed_engine) = (1.0, None);
     // Prefills take longer than first assumed, and those of the last request fail.
@@ -55,7 +56,7 @@
             .any(|engine| Some(&engine.id) == failed_engine.as_ref() && engine.recent_failures > 0.2)
     };
     assert!(knows_failure(&learned), "{learned:?}");
-    // The next process has another time zero.
+    // The next process starts later and has a different time zero.
     let restored = |confidence: f64| {
         let mut core = core(64);
         core.config.started_at_unix_s = now;
@@ -91,7 +92,7 @@
         100.0,
     );
     let admitted_for = |tenant| AdmittedRequest { tenant: Some(tenant), ..admitted(0) };
-    // One alone is never rejected for fairness; requests that fail late show that too much is open.
+    // A tenant alone is never rejected for fairness. Requests that fail late lower the concurrency limit.
     let mut open = Vec::new();
     for n in 0..60 {
         let now = 1.0 + 0.05 * f64::from(n);
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn decode_attempt_carries_a_grant_by_the_active_key() {
+fn decode_attempt_carries_a_grant_made_with_the_active_key() {
     let key = |n| GrantKey::of(n, &format!("a long enough secret {n}")).unwrap();
     let mut core = core(4);
     core.config.started_at_unix_s = 1000.0;
--- a/crates/nickelgw-node-core/src/tests/simulation.rs
+++ b/crates/nickelgw-node-core/src/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! Engines and clients as a simulation around the core: each command is checked against the rules as it comes, under random
-//! sequences of events.
+//! Property tests of the core with simulated engines and clients: under random sequences of events, each
+//! command is checked against the rules.
 
 use super::*;
 use crate::guard::Violation;
@@ -27,19 +27,19 @@
     client_disconnected: bool,
     possible_runs: Vec<PossibleRun>,
     in_flight: BTreeSet<u32>,
-    /// An attempt that was cancelled may go on.
-    may_go_on: bool,
+    /// Whether a cancelled attempt may still run.
+    may_still_run: bool,
     response_started: bool,
 }
 
 struct Simulation {
     core: NodeCore,
-    /// Whether an attempt that is cancelled has ended.
+    /// Whether a cancelled attempt ends at its engine.
     can_cancel: bool,
     now: f64,
     requests: BTreeMap<RequestId, SimulatedRequest>,
     attempts: Vec<AttemptRequest>,
-    /// Reservations that stand, and since when no attempt of their request was in flight.
+    /// Open reservations by name, with their request and the time at which its latest attempt ended.
     reservations: BTreeMap<String, (RequestId, f64)>,
     release_calls: Vec<ReleaseCallId>,
     probes: Vec<String>,
@@ -77,7 +77,7 @@
         }
         for (name, (request, idle_since)) in &self.reservations {
             let is_idle = self.requests[request].in_flight.is_empty();
-            assert!(!is_idle || self.now < idle_since + RESERVATION_LIMIT_S, "{name} is not released");
+            assert!(!is_idle || self.now < idle_since + RESERVATION_LIMIT_S, "{name} not released in time");
         }
     }
 
@@ -96,11 +96,11 @@
     }
 
     fn cancel_attempt(&mut self, request: RequestId, attempt: u32) {
-        let is_meant = |other: &AttemptRequest| (other.request, other.attempt) == (request, attempt);
-        if let Some(index) = self.attempts.iter().position(is_meant) {
+        let is_cancelled = |other: &AttemptRequest| (other.request, other.attempt) == (request, attempt);
+        if let Some(index) = self.attempts.iter().position(is_cancelled) {
             let cancelled = self.attempts.swap_remove(index);
-            let may_go_on = !self.can_cancel;
-            self.request(request).may_go_on |= may_go_on;
+            let may_still_run = !self.can_cancel;
+            self.request(request).may_still_run |= may_still_run;
             self.end_attempt(cancelled, AttemptOutcome::Cancelled);
         }
     }
@@ -113,10 +113,10 @@
         assert!(answered.response_started || now <= answered.deadline + 1e-9, "answered after the deadline");
         let is_rejected = matches!(answer, FinalAnswer::Rejected { .. });
         // A prefill counts until it has ended.
-        let has_ended =
-            answered.possible_runs.is_empty() && answered.in_flight.is_empty() && !answered.may_go_on;
-        let is_retry_safe = has_ended || IDEMPOTENCY[answered.route] == Idempotency::Idempotent;
-        assert!(!is_rejected || is_retry_safe, "rejected though it may have run");
+        let nothing_ran =
+            answered.possible_runs.is_empty() && answered.in_flight.is_empty() && !answered.may_still_run;
+        let is_retry_safe = nothing_ran || IDEMPOTENCY[answered.route] == Idempotency::Idempotent;
+        assert!(!is_rejected || is_retry_safe, "rejected although an attempt may have run");
         answered.answers.push(answer);
     }
 
@@ -125,22 +125,22 @@
         let request = self.requests.get_mut(&attempt.request).unwrap();
         let is_open = request.answers.is_empty() && !request.client_disconnected;
         assert!(is_open, "attempt after the final answer");
-        assert!(request.in_flight.is_empty(), "attempt beside one in flight");
+        assert!(request.in_flight.is_empty(), "attempt while another is in flight");
         if let AttemptKind::Decode { reservation, .. } = &attempt.kind {
             let zone = zone_of(&attempt.engine);
             match (IDEMPOTENCY[request.route], request.possible_runs.first()) {
                 (Idempotency::NonIdempotent, Some(_)) => panic!("a non-idempotent request is retried"),
                 (Idempotency::Keyed { .. }, Some(first)) => {
                     let in_window = now < first.dispatched_at + IDEMPOTENCY_WINDOW_S;
-                    assert!(first.zone == zone && in_window, "outside scope or window");
+                    assert!(first.zone == zone && in_window, "retry outside the idempotency scope or window");
                 }
                 _ => {}
             }
             if let Some(reservation) = reservation {
-                let stands = self.reservations.contains_key(&*reservation.name);
-                assert!(stands, "a released reservation is handed over");
+                let is_reserved = self.reservations.contains_key(&*reservation.name);
+                assert!(is_reserved, "a decode attempt claims a released reservation");
             }
-            // Until an outcome proves otherwise it may have run.
+            // The attempt may have run until its outcome proves otherwise.
             request.possible_runs.push(PossibleRun { attempt: attempt.attempt, dispatched_at: now, zone });
         }
         request.in_flight.insert(attempt.attempt);
@@ -163,7 +163,7 @@
         self.core.attempt_ended(self.now, attempt.request, attempt.attempt, result(outcome));
     }
 
-    /// Time passes by the core's own wake-ups, as in a shell.
+    /// Advances the time and polls at the core's own wake-ups, as a shell does.
     fn advance(&mut self, elapsed_s: f64) {
         let until = self.now + elapsed_s;
         while let Some(wake_at) = self.wake_at.filter(|&wake_at| wake_at < until) {
@@ -211,7 +211,7 @@
         }
     }
 
-    /// A second end of the same attempt is ignored.
+    /// Ends an attempt twice: the core must ignore the second end.
     fn end_attempt_twice(&mut self, event: u8, index: usize, pick: usize) {
         let attempt = self.attempts.swap_remove(index);
         let outcome = random_outcome(event, pick, attempt.kind == AttemptKind::Prefill);
@@ -253,7 +253,7 @@
         }
     }
 
-    /// All attempts in flight come to an end, and time passes.
+    /// Ends all attempts in flight, confirms all release calls, and lets time pass.
     fn finish(&mut self) {
         for round in 0..400 {
             while let Some(attempt) = self.attempts.pop() {
@@ -284,7 +284,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: RngSeed::Fixed(20), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn every_order_of_events_keeps_the_rules(
+    fn random_sequences_of_events_break_no_rule(
         steps in prop::collection::vec((0u8..15, any::<usize>(), 0.0..0.2f64), 1..160),
         can_cancel in any::<bool>(),
     ) {
@@ -296,7 +296,7 @@
             prop_assert_eq!(endings, 1, "{:?}", id);
         }
         let core = &simulation.core;
-        prop_assert!(core.is_quiet(), "something is kept for requests that are over");
+        prop_assert!(core.is_quiet(), "state of finished requests is left in the core");
         let mut violations = core.guard.counts().keys();
         let broken = violations.find(|violation| **violation != Violation::ReservationOverdue);
         prop_assert_eq!(broken, None);
--- a/crates/nickelgw-node-core/src/unary_deadlines.rs
+++ b/crates/nickelgw-node-core/src/unary_deadlines.rs
@@ -1,15 +1,16 @@
-//! Deadlines of answers that have begun and that clients do not stream: they must be complete in time.
+//! Deadlines by which responses that have begun and are not streamed to the client must be complete.
 
 use crate::RequestId;
 use std::collections::BTreeSet;
 
-/// Requests by the time at which their answers must be complete.
+/// Requests ordered by the time at which their responses must be complete.
 #[derive(Default)]
 pub(crate) struct UnaryDeadlines {
     by_time: BTreeSet<(u64, RequestId)>,
 }
 
-/// Times are not negative, so the order of their bits is their own.
+/// Converts a time to an ordered key. The bits of non-negative floating-point numbers have the same order as
+/// the numbers.
 fn time_key(at: f64) -> u64 {
     at.max(0.0).to_bits()
 }
@@ -23,14 +24,14 @@
         self.by_time.remove(&(time_key(at), request));
     }
 
-    /// Takes out a request whose time is up.
+    /// Removes and returns a request whose deadline has passed; `None` if there is none.
     pub(crate) fn pop_expired(&mut self, now: f64) -> Option<RequestId> {
         let &(key, request) = self.by_time.first().filter(|first| f64::from_bits(first.0) <= now)?;
         self.by_time.remove(&(key, request));
         Some(request)
     }
 
-    /// When the next time is up.
+    /// Returns the next deadline; `None` if there is none.
     pub(crate) fn next(&self) -> Option<f64> {
         self.by_time.first().map(|first| f64::from_bits(first.0))
     }
--- a/crates/nickelgw-node-core/src/warm_state.rs
+++ b/crates/nickelgw-node-core/src/warm_state.rs
@@ -1,12 +1,13 @@
-//! The record of what the decision module has learned, for the node's next process. Its times are Unix times.
+//! Record of what the decision module has learned, for the node's next process. Times in the record are Unix
+//! times.
 
 use nickelgw::interface::{LearnedEngine, LearnedState};
 use serde::{Deserialize, Serialize};
 
-/// Engines in a record at most; those with failures come first.
+/// Maximum number of engines in a record; those with failures come first.
 const MAX_ENGINES: usize = 1024;
 
-/// The record as it is stored. Its JSON names are part of the stored form.
+/// The stored record. Its JSON names are part of the storage format.
 #[derive(Serialize, Deserialize)]
 struct StateRecord {
     #[serde(rename = "figures")]
@@ -25,7 +26,7 @@
     last_failure_at_unix_s: f64,
 }
 
-/// The record of a learned state. `epoch_unix_s`: Unix time at the process's time zero.
+/// Encodes a learned state as a record. `epoch_unix_s`: Unix time at the process's time zero.
 pub fn encode(state: &LearnedState, epoch_unix_s: f64) -> Vec<u8> {
     let engine_record = |engine: &LearnedEngine| EngineRecord {
         id: engine.id.clone(),
@@ -40,7 +41,8 @@
     serde_json::to_vec(&record).unwrap_or_default()
 }
 
-/// The learned state of a record; none: it is not such a record.
+/// Decodes the learned state of a record; returns `None` if the bytes are not a valid record. `epoch_unix_s`:
+/// Unix time at the process's time zero.
 pub fn decode(bytes: &[u8], epoch_unix_s: f64) -> Option<LearnedState> {
     let record: StateRecord = serde_json::from_slice(bytes).ok()?;
     let learned_engine = |engine: EngineRecord| LearnedEngine {
--- a/crates/nickelgw-node-core/src/warm_state_tests.rs
+++ b/crates/nickelgw-node-core/src/warm_state_tests.rs
@@ -1,8 +1,8 @@
-//! Tests of the stored form.
+//! Tests of the storage format.
 
 use super::*;
 
-/// As versions before the fields were renamed wrote it.
+/// A record as written by versions before the fields were renamed.
 const STORED: &str = r#"{"figures":[0.5,2.0],"engines":[{"id":"r0","started":900.0,"faults":0.75,"fault_at":1002.5},{"id":"r1","started":null,"faults":0.0,"fault_at":1000.0}]}"#;
 
 #[test]
--- a/crates/nickelgw-node-core/src/zone_failover.rs
+++ b/crates/nickelgw-node-core/src/zone_failover.rs
@@ -1,6 +1,7 @@
-//! A node as one of a fleet. What its decision module observed of each zone goes into the node's gossip record; what all nodes
-//! of its zone observed changes the states of zones; and the decision module is told one thing, the traffic weight of each
-//! zone. No sockets and no clock.
+//! Zone failover in a fleet of nodes. The node publishes its decision module's observations of each zone in
+//! its gossip record. The observations of all nodes of its zone determine the states of zones, and the
+//! decision module is given only the resulting traffic weight of each zone. This module has no sockets and no
+//! clock.
 
 use nanorand::{Rng, WyRand};
 use nickelgw::decide::Router;
@@ -11,23 +12,24 @@
     ZoneCapacity, ZoneConfig, ZoneObservation, ZoneState, ZoneStates, ZoneTransition,
 };
 
-/// Engines of a suspected zone that all nodes together probe in a round: as many as prove it lost.
+/// Number of engines of a suspected zone that all nodes together probe in a round: as many as suffice to
+/// prove the zone lost.
 const PROBES_WHILE_SUSPECTED: f64 = 8.0;
-/// Engines that they probe in a round while the zone is evacuated or recovering.
+/// Number of engines of an evacuated or recovering zone that all nodes together probe in a round.
 const PROBES_PER_ROUND: f64 = 1.0;
-/// Milliseconds in a second, for ages in records.
+/// Milliseconds per second: ages in gossip records are in milliseconds.
 const MS_PER_S: f64 = 1e3;
-/// Zone weights travel in thousandths.
+/// Full weight of a zone in gossip records, which hold weights in thousandths.
 const FULL_WEIGHT_PER_MILLE: u16 = 1000;
 
-/// What other nodes, or this one on their behalf, have reported of a zone.
+/// Reports of a zone that this node has made or received.
 #[derive(Clone)]
 struct ReportedZone {
-    /// Unreachable engines that this node has reported already.
+    /// Hashes of the unreachable engines that this node has already reported.
     unreachable: Vec<u64>,
-    /// When other nodes last found an engine of it unreachable.
+    /// When other nodes last found an engine of the zone unreachable.
     last_unreachable_at: f64,
-    /// When any engine of it last responded, as far as other nodes know.
+    /// When an engine of the zone last responded, as far as other nodes know.
     last_response_at: f64,
 }
 
@@ -38,17 +40,17 @@
         last_response_at: f64::NEG_INFINITY,
     };
 
-    fn note_response(&mut self, at: Option<f64>) {
+    fn record_response(&mut self, at: Option<f64>) {
         self.last_response_at = self.last_response_at.max(at.unwrap_or(f64::NEG_INFINITY));
     }
 }
 
-/// The states of zones as this node and its peers observe them.
+/// States of zones, derived from the observations of this node and its peers.
 pub struct ZoneFailover {
     zone_states: ZoneStates,
     config: ZoneConfig,
     zones: Vec<String>,
-    /// Hash of this node's name.
+    /// Hash of the name of this node.
     node: u64,
     random: WyRand,
     probed_at: f64,
@@ -56,26 +58,27 @@
     reported: Vec<ReportedZone>,
 }
 
-/// What a round brought.
+/// Result of a round of zone updates.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneRound {
-    /// Zones that have changed their states.
+    /// State changes of zones.
     pub transitions: Vec<ZoneTransition>,
-    /// The zones of the node's own record.
+    /// Zone reports for the node's own gossip record.
     pub reports: Vec<ZoneReport>,
-    /// Whether peers are to be sent the record at once.
+    /// Whether the record is to be sent to peers at once.
     pub urgent: bool,
-    /// No zone is evacuated or recovering.
+    /// Whether no zone is evacuated or recovering.
     pub all_zones_active: bool,
 }
 
-/// An engine's hash as it travels: half of that of its name.
+/// Returns an engine's hash as gossip records hold it: the lower 32 bits of the hash of its id.
 fn engine_hash(id: &str) -> u64 {
     name_hash(id) & u64::from(u32::MAX)
 }
 
 impl ZoneFailover {
-    /// All zones active. `name` is the node's, `round_s` the time between two rounds.
+    /// Creates states in which all zones are active. `name`: name of this node. `round_s`: seconds between
+    /// two rounds.
     pub fn new(zones: Vec<String>, name: &str, config: ZoneConfig, round_s: f64, seed: u64) -> ZoneFailover {
         ZoneFailover {
             zone_states: ZoneStates::new(zones.len(), config),
@@ -89,13 +92,13 @@
         }
     }
 
-    /// Each zone with its traffic weight.
+    /// Returns each zone with its traffic weight.
     pub fn zone_weights(&self) -> Vec<(String, f64)> {
         let zones = self.zones.iter().enumerate();
         zones.map(|(zone, name)| (name.clone(), self.zone_states.weight(zone))).collect()
     }
 
-    /// Logs a line for each transition.
+    /// Logs one line for each state change.
     pub fn log_transitions(&self, transitions: &[ZoneTransition]) {
         for transition in transitions {
             let zone = &self.zones[transition.zone];
@@ -113,8 +116,9 @@
         }
     }
 
-    /// Applies what the decision module and the other nodes of this zone observed, and sets the weights of zones in the
-    /// decision module. States are as seen from a zone: what nodes of other zones reach is their own.
+    /// Applies the observations of the decision module and of the other nodes of this zone, and sets the
+    /// weights of zones in the decision module. States are as seen from this zone: nodes of other zones may
+    /// reach other engines.
     pub fn update(&mut self, now: f64, router: &mut Router, peers: &[PeerRecord]) -> ZoneRound {
         let zone_count = self.zones.len();
         let (mut observations, capacities) = self.observe_own(now, router);
@@ -124,13 +128,13 @@
             router.set_zone_weight(zone as u32, self.zone_states.weight(zone));
         }
         self.probe_zones(now, router, peers.len() + 1);
-        self.note_peer_reports(&observations);
+        self.record_peer_reports(&observations);
         let (reports, urgent) = self.report(now, &observations[..zone_count]);
         let all_zones_active = (0..zone_count).all(|zone| self.zone_states.weight(zone) == 1.0);
         ZoneRound { transitions, reports, urgent, all_zones_active }
     }
 
-    /// This node's own observation of each zone, and the engines there.
+    /// Returns this node's own observation of each zone, and the number of engines in it.
     fn observe_own(&self, now: f64, router: &Router) -> (Vec<ZoneObservation>, Vec<ZoneCapacity>) {
         let mut capacities = vec![ZoneCapacity::default(); self.zones.len()];
         let unobserved = |zone| ZoneObservation {
@@ -165,8 +169,9 @@
             && engine.unreachable_at > now - self.config.evidence_window_s
     }
 
-    /// Has engines probed in zones whose state depends on it. Updates come more often than rounds, so the number goes by the
-    /// time since the last one; the fleet's sum is the same however many nodes there are.
+    /// Requests probes of engines in zones whose state depends on them. Updates come more often than rounds,
+    /// so the number of probes is proportional to the time since the last update. The total of the fleet does
+    /// not depend on the number of nodes.
     fn probe_zones(&mut self, now: f64, router: &mut Router, node_count: usize) {
         let rounds = ((now - self.probed_at) / self.round_s).min(1.0);
         self.probed_at = now;
@@ -185,7 +190,7 @@
         f64::from(self.random.generate::<u32>()) / f64::from(u32::MAX)
     }
 
-    /// Another node's record, in this node's time.
+    /// Converts another node's record to observations in this node's time.
     fn observations_of<'a>(&'a self, peer: &'a PeerRecord) -> impl Iterator<Item = ZoneObservation> + 'a {
         let time_of = move |age_ms: u32| peer.reported_at - f64::from(age_ms) / MS_PER_S;
         peer.record.zone_reports.iter().filter_map(move |report| {
@@ -200,37 +205,39 @@
         })
     }
 
-    fn note_peer_reports(&mut self, observations: &[ZoneObservation]) {
+    fn record_peer_reports(&mut self, observations: &[ZoneObservation]) {
         for observation in observations.iter().filter(|observation| observation.node != self.node) {
             let times = observation.unreachable.iter().map(|engine| engine.1);
             let last_unreachable_at = times.fold(f64::NEG_INFINITY, f64::max);
             let reported = &mut self.reported[observation.zone];
             reported.last_unreachable_at = reported.last_unreachable_at.max(last_unreachable_at);
-            reported.note_response(observation.last_response_at);
+            reported.record_response(observation.last_response_at);
         }
     }
 
-    /// The zones of the node's own record, and whether they are urgent. Peers are told at once of an engine newly
-    /// unreachable, as long as that may change a zone's state, and of a response after they found engines unreachable, if
-    /// no node has reported it: it ends their suspicion. All else comes with the next refresh: if all nodes reported
-    /// everything at once, nothing would arrive in time.
+    /// Returns the zone reports for the node's own record, and whether they are urgent. Two things are sent
+    /// to peers at once: a newly unreachable engine, if it can still change the zone's state, and a response
+    /// that came after peers found engines unreachable and that no node has reported, because it ends their
+    /// suspicion. Everything else waits for the next refresh: if all nodes sent everything at once, nothing
+    /// would arrive in time.
     fn report(&mut self, now: f64, own: &[ZoneObservation]) -> (Vec<ZoneReport>, bool) {
         let mut urgent = false;
         let mut reports = Vec::with_capacity(own.len());
         for observation in own {
             let weight = self.zone_states.own_weight(observation.zone);
-            urgent |= self.note_own_report(observation, weight);
+            urgent |= self.record_own_report(observation, weight);
             reports.push(self.zone_report(now, observation, weight));
         }
-        // Zones without trouble come last: a record has room for so many.
+        // Active zones without unreachable engines come last, because a record holds a limited number of
+        // zones.
         reports.sort_by_key(|report| {
             report.unreachable.is_empty() && report.weight_per_mille == FULL_WEIGHT_PER_MILLE
         });
         (reports, urgent)
     }
 
-    /// Notes what this node reports of a zone; gives whether it is urgent.
-    fn note_own_report(&mut self, observation: &ZoneObservation, weight: f64) -> bool {
+    /// Records what this node reports of a zone; returns whether the report is urgent.
+    fn record_own_report(&mut self, observation: &ZoneObservation, weight: f64) -> bool {
         let reported = &mut self.reported[observation.zone];
         let mut unreachable = observation.unreachable.iter();
         let newly_unreachable =
@@ -240,7 +247,7 @@
                 && reported.last_response_at <= reported.last_unreachable_at;
         let urgent = newly_unreachable || contradicts_peers;
         if urgent {
-            reported.note_response(observation.last_response_at);
+            reported.record_response(observation.last_response_at);
         }
         let is_unreachable = |hash: &u64| observation.unreachable.iter().any(|engine| engine.0 == *hash);
         reported.unreachable.retain(is_unreachable);
