--- a/crates/nickelgw-node-core/src/config.rs
+++ b/crates/nickelgw-node-core/src/config.rs
@@ -19,8 +19,8 @@
     pub stream_idle_timeout_s: f64,
     /// How long an unconfirmed release is retried, in seconds.
     pub release_timeout_s: f64,
-    /// Start and end of the period in which reservations of earlier processes are released, in the process's
-    /// time.
+    /// Start and end of the period in which reservations of earlier processes are released, in seconds since
+    /// the process's time zero.
     pub orphan_cleanup_window_s: (f64, f64),
     /// Retry-After of requests that are rejected because the node shuts down, in seconds.
     pub retry_after_s: f64,
--- a/crates/nickelgw-node-core/src/counters.rs
+++ b/crates/nickelgw-node-core/src/counters.rs
@@ -9,7 +9,7 @@
     pub completed: u64,
     /// Requests that were accepted and then rejected; a retry is safe.
     pub rejected: u64,
-    /// Requests that failed after an attempt may have run.
+    /// Requests that failed; an attempt may have run.
     pub failed: u64,
     /// Requests whose clients disconnected before the final answer.
     pub disconnected: u64,
--- a/crates/nickelgw-node-core/src/ledger/tests.rs
+++ b/crates/nickelgw-node-core/src/ledger/tests.rs
@@ -63,7 +63,7 @@
     let (calls, _) = ledger.poll_releases(1.0);
     assert_eq!(calls.len(), 1);
     ledger.release_answered(1.01, first, false, false);
-    assert!(ledger.is_releasing(1), "not confirmed");
+    assert!(ledger.is_releasing(1), "the release is not confirmed");
     let (calls, _) = ledger.poll_releases(1.1);
     assert_eq!(calls.len(), 1);
     ledger.release_answered(1.11, first, true, false);
@@ -97,8 +97,8 @@
     assert_release_is_repeated(&mut ledger, 1.51, id);
 }
 
-/// Guards against a prefill that starts while an earlier reservation is left, because the release reached the
-/// engine before the end of the attempt that claimed it.
+/// Asserts that a confirmed release is repeated once. Guards against a prefill that starts while an earlier
+/// reservation is left, because its release reached the engine before the end of the attempt that claimed it.
 fn assert_release_is_repeated(ledger: &mut Ledger, confirmed_at: f64, id: ReservationId) {
     let repeat_at = confirmed_at + RETRY_FOLLOW_UP_S;
     assert!(ledger.is_releasing(id.owner) && ledger.poll_releases(repeat_at - 0.01).0.is_empty());
--- a/crates/nickelgw-node-core/src/membership.rs
+++ b/crates/nickelgw-node-core/src/membership.rs
@@ -81,8 +81,8 @@
         self.zone_failover = Some(ZoneFailover::new(zones, name, config, round_s, seed));
     }
 
-    /// Updates the states of zones by the gossip records of other nodes. Returns what to publish to them;
-    /// `None` if the node is not in a fleet.
+    /// Updates the states of zones from the gossip records of other nodes. Returns what to publish to these
+    /// nodes; `None` if the node is not in a fleet.
     pub fn zone_round(&mut self, now: f64, peers: &[PeerRecord]) -> Option<ZoneRound> {
         Some(self.zone_failover.as_mut()?.update(now, &mut self.router, peers))
     }
--- a/crates/nickelgw-node-core/src/release_scheduler/engine_health.rs
+++ b/crates/nickelgw-node-core/src/release_scheduler/engine_health.rs
@@ -8,7 +8,7 @@
 /// call opens a connection, which costs the engine work.
 const MIN_CALLS_IN_FLIGHT: usize = 1;
 const MAX_CALLS_IN_FLIGHT: usize = 4;
-/// An answer within the first time is quick, and one after the second is slow.
+/// An answer within `QUICK_ANSWER_S` is quick, and one later than `SLOW_ANSWER_S` is slow.
 const QUICK_ANSWER_S: f64 = 0.01;
 const SLOW_ANSWER_S: f64 = 0.05;
 /// An engine that answered within this time has an open connection that responds.
--- a/crates/nickelgw-node-core/src/release_scheduler/tests.rs
+++ b/crates/nickelgw-node-core/src/release_scheduler/tests.rs
@@ -71,8 +71,8 @@
 
 /// Guards against a release that is not confirmed because all its hedged calls use new connections, while the
 /// same engine confirms other releases on open ones.
-#[test_case(0.1, ReleaseConnection::Any; "it answered just now")]
-#[test_case(1.0, ReleaseConnection::New; "it answered long ago")]
+#[test_case(0.1, ReleaseConnection::Any; "engine answered just now")]
+#[test_case(1.0, ReleaseConnection::New; "engine answered long ago")]
 fn hedged_call_uses_an_open_connection_of_an_engine_that_just_answered(
     enqueued_at: f64,
     expected: ReleaseConnection,
--- a/crates/nickelgw-node-core/src/shutdown.rs
+++ b/crates/nickelgw-node-core/src/shutdown.rs
@@ -1,12 +1,12 @@
 //! Life cycle of a node process, without I/O: what is allowed in each stage, and when the next one begins.
 //!
-//! | stage | health checks | new connections | new requests | streams | ends at |
+//! | stage | health checks | new connections | new requests | streams | ends after |
 //! | --- | --- | --- | --- | --- | --- |
 //! | starting | fail | accepted | rejected: no engine is known | - | the first endpoint list |
 //! | serving | succeed | accepted | accepted | run | a signal to shut down |
-//! | announcing | fail | until handed over | last of the connection | run | `announce_s` |
-//! | draining | fail | refused | rejected, with Retry-After | run | no open request, or `drain_timeout_s` |
-//! | ending | fail | refused | rejected | one final answer each | nothing left, or `exit_timeout_s` |
+//! | announcing | fail | until handed over | accepted, as the last of the connection | run | `announce_s` |
+//! | draining | fail | refused | rejected, with Retry-After | run | all requests, or `drain_timeout_s` |
+//! | ending | fail | refused | rejected | one final answer each | all releases, or `exit_timeout_s` |
 
 /// Seconds between checks of the remaining work while the process drains and ends.
 const POLL_INTERVAL_S: f64 = 0.02;
