--- a/crates/nickelgw-platform/src/core/chunked.rs
+++ b/crates/nickelgw-platform/src/core/chunked.rs
@@ -1,33 +1,34 @@
-//! The chunked transfer coding, decoded incrementally.
+//! Incremental decoder of the chunked transfer coding.
 
 use super::{MalformedMessage, MAX_HEADERS};
 use bytes::{Buf, BytesMut};
 
-/// Longest line with a chunk's size.
+/// Maximum length of the line with a chunk's size.
 const MAX_SIZE_LINE_BYTES: usize = 256;
-/// Longest trailers.
+/// Maximum length of all trailers together.
 const MAX_TRAILERS_BYTES: usize = 4096;
 
+/// Part of the body that the decoder expects next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum DecoderState {
     #[default]
     Size,
-    /// So many bytes of the chunk are still to arrive.
+    /// Data of a chunk, of which this many bytes are still to arrive.
     Data(usize),
-    /// The line end behind the data.
+    /// The line end after a chunk's data.
     DataEnd,
     Trailers,
     Finished,
 }
 
-/// Where decoding stopped.
+/// Point at which decoding stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeStep {
     /// More bytes are needed.
     Incomplete,
-    /// A chunk has ended, and bytes may follow it.
+    /// A chunk has ended; the buffer may hold bytes that follow it.
     ChunkEnd,
-    /// The body has ended, trailers included.
+    /// The body has ended, including its trailers.
     BodyEnd,
 }
 
@@ -38,8 +39,9 @@
 }
 
 impl ChunkedDecoder {
-    /// Moves what has arrived of the body, up to a chunk's end, from `buffer` to the end of `body`. No chunk may be longer
-    /// than `max_chunk_bytes`: one that announces gigabytes is found by its size, not by its end.
+    /// Moves the bytes of the body that have arrived, up to the end of a chunk, from `buffer` to the end of
+    /// `body`. Fails as soon as a chunk's size exceeds `max_chunk_bytes`, so that a chunk that announces
+    /// gigabytes is rejected by its size line and not by its data.
     pub fn decode(
         &mut self,
         buffer: &mut BytesMut,
@@ -90,13 +92,14 @@
         }
     }
 
-    /// Whether a chunk has begun and not ended yet.
+    /// Returns whether a chunk has begun and not ended yet.
     pub fn in_chunk(&self) -> bool {
         matches!(self.state, DecoderState::Data(_) | DecoderState::DataEnd)
     }
 }
 
-/// The length of the line with a chunk's size, and that size; none until the line has arrived.
+/// Returns the length of the line with a chunk's size, and that size; `None` until the whole line has
+/// arrived.
 fn chunk_size(buffer: &[u8], max_chunk_bytes: usize) -> Result<Option<(usize, usize)>, MalformedMessage> {
     match httparse::parse_chunk_size(buffer) {
         Err(_) => Err(MalformedMessage::Chunk),
@@ -111,7 +114,7 @@
     }
 }
 
-/// The length of the trailers; none until all of them have arrived.
+/// Returns the length of the trailers; `None` until all of them have arrived.
 fn trailers_length(buffer: &[u8]) -> Result<Option<usize>, MalformedMessage> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     match httparse::parse_headers(buffer, &mut headers) {
--- a/crates/nickelgw-platform/src/core/endpoint_list.rs
+++ b/crates/nickelgw-platform/src/core/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The engines as discovery announces them: the whole list, or what has changed of it.
+//! The list of engines as discovery announces it: the whole list, or the changes since an earlier version.
 
 use nickelgw::interface::EngineRole;
 use nickelgw_platform_config::MachineKind;
@@ -6,6 +6,7 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
+/// One engine in a response of discovery.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Instance {
@@ -23,10 +24,10 @@
     started_at_ms: Option<f64>,
 }
 
-/// One response of discovery.
+/// One response of discovery: the whole list (`reset`), or the changes since an earlier version.
 #[derive(Clone, Debug, Deserialize)]
 pub struct DiscoveryUpdate {
-    /// The list's version, as the answering agent counts.
+    /// Version of the list, as counted by the discovery agent that responded.
     pub generation: u64,
     #[serde(default)]
     reset: bool,
@@ -40,18 +41,18 @@
         serde_json::from_slice(bytes)
     }
 
-    /// Whether these are changes that lead to an older list than the one of this generation.
+    /// Returns whether this update consists of changes that lead to a list older than that of `generation`.
     pub fn is_older_than(&self, generation: u64) -> bool {
         !self.reset && self.generation < generation
     }
 
-    /// Whether nothing has changed, as after a watch whose time has passed.
+    /// Returns whether nothing has changed, as in the response to a watch that has timed out.
     pub fn is_empty(&self) -> bool {
         !self.reset && self.instances.is_empty()
     }
 }
 
-/// The engines as last announced.
+/// Engines as discovery announced them last.
 pub struct DiscoveredEndpoints {
     machine_kinds: Vec<MachineKind>,
     by_id: BTreeMap<String, EndpointEntry>,
@@ -59,12 +60,13 @@
 }
 
 impl DiscoveredEndpoints {
-    /// An empty list; engines are of these kinds, with their role and memory in tokens.
+    /// Creates an empty list. An engine's machine kind determines its role and its memory in tokens.
     pub fn new(machine_kinds: Vec<MachineKind>) -> DiscoveredEndpoints {
         DiscoveredEndpoints { machine_kinds, by_id: BTreeMap::new(), updates: 0 }
     }
 
-    /// None for a machine kind that the settings do not name: such an engine cannot be used and is left out of the list.
+    /// Returns the list's entry for an engine; `None` if the settings do not name its machine kind: such an
+    /// engine cannot be used and is left out of the list.
     fn entry(&self, instance: Instance) -> Option<EndpointEntry> {
         let mut kinds = self.machine_kinds.iter();
         let kind = kinds.find(|kind| kind.name == instance.machine_type)?;
@@ -103,12 +105,13 @@
         self.updates += 1;
     }
 
-    /// Whether new attempts may go to the engine, as last announced.
+    /// Returns whether new attempts may go to the engine, according to the last announcement.
     pub fn is_active(&self, id: &str) -> bool {
         self.by_id.get(id).is_some_and(|entry| entry.state == EngineState::Active)
     }
 
-    /// The whole list as it is now. Its revision counts the updates applied: another agent may count otherwise.
+    /// Returns the whole list as it is now. Its revision is the number of updates applied, not the
+    /// generation: another discovery agent may count generations differently.
     pub fn snapshot(&self) -> EndpointList {
         EndpointList { revision: self.updates, engines: self.by_id.values().cloned().collect() }
     }
--- a/crates/nickelgw-platform/src/core/engine.rs
+++ b/crates/nickelgw-platform/src/core/engine.rs
@@ -1,4 +1,4 @@
-//! Messages to and from engines: requests as they are forwarded, and what responses mean for an attempt.
+//! Messages to and from engines: forwarded requests, and how responses determine an attempt's outcome.
 
 use super::request::RequestHead;
 use super::{closes_connection, framing, head_length, names, Framing, MalformedMessage, MAX_HEADERS};
@@ -11,14 +11,15 @@
 use std::collections::BTreeMap;
 use std::convert::Infallible;
 
-/// Most values of one load report.
+/// Maximum number of values in one load report.
 const MAX_REPORT_VALUES: usize = 16;
-/// Values are tokens, requests and shares: no plausible one is above this.
+/// Maximum value in a load report: values are tokens, requests and shares, of which none above this is
+/// plausible.
 const MAX_REPORT_VALUE: f64 = 1e9;
-/// Shortest and longest timeout that an engine is given, in seconds.
+/// Shortest and longest timeout stated to an engine, in seconds.
 const ATTEMPT_TIMEOUT_RANGE_S: (f64, f64) = (0.001, 86_400.0);
 
-/// A client's request as it is forwarded, in each of its attempts.
+/// A client's request in the form in which each of its attempts forwards it.
 pub struct ForwardedRequest {
     /// The request's id.
     pub id: String,
@@ -29,13 +30,14 @@
 }
 
 impl ForwardedRequest {
-    /// The request with this head, id and body.
+    /// Creates the forwarded form of the request with this head, id and body.
     pub fn new(head: &RequestHead, id: &str, body: Bytes) -> ForwardedRequest {
         let request_line = format!("{} {} HTTP/1.1\r\n", head.method, head.target);
         ForwardedRequest { id: id.to_string(), request_line, headers: head.forwarded_headers.clone(), body }
     }
 
-    /// The bytes of one attempt at the engine of this address, with its timeout.
+    /// Encodes one attempt at the engine with this address. `timeout_s` is the time that the attempt has
+    /// left.
     pub fn encode(&self, address: &str, timeout_s: f64) -> Vec<u8> {
         let timeout_s = timeout_s.clamp(ATTEMPT_TIMEOUT_RANGE_S.0, ATTEMPT_TIMEOUT_RANGE_S.1);
         let timeout_ms = (timeout_s * 1e3).ceil() as u64;
@@ -52,29 +54,30 @@
     }
 }
 
-/// The bytes of a request without a body.
+/// Encodes a request without a body.
 pub fn encode_bodiless_request(method: &str, target: &str, address: &str) -> Vec<u8> {
     format!("{method} {target} HTTP/1.1\r\nhost: {address}\r\n\r\n").into_bytes()
 }
 
-/// The head of an engine's response, as far as it is used.
+/// Head of an engine's response, as far as it is used.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResponseHead {
     /// The status code.
     pub status: u16,
     /// How the body is delimited.
     pub framing: Framing,
-    /// The connection closes after the response.
+    /// Whether the connection closes after the response.
     pub closes_connection: bool,
-    /// The engine states that it has not begun with the request.
+    /// Whether the engine states that it rejects the request and has not begun to process it.
     pub rejected: bool,
-    /// The body is a stream of events.
+    /// Whether the body is a stream of server-sent events.
     pub is_event_stream: bool,
-    /// The engine's load.
+    /// The engine's load; `None` if the head has no valid load report.
     pub load: Option<LoadReport>,
 }
 
-/// Parses a response's head at the front of the bytes, with its length; none until all of it has arrived.
+/// Parses the head of a response at the start of `bytes` and returns it with its length; `None` until all of
+/// it has arrived.
 pub fn parse_response_head(bytes: &[u8]) -> Result<Option<(ResponseHead, usize)>, MalformedMessage> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -93,8 +96,8 @@
     Ok(Some((head, length)))
 }
 
-/// Parses a report like `x0=0.4,x1=2.5`. A malformed one is ignored: it is an addition to a response that is valid without
-/// it.
+/// Parses a load report such as `x0=0.4,x1=2.5`; `None` if it is malformed. A malformed report is ignored,
+/// since the response is valid without it.
 pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut values: BTreeMap<&str, f64> = BTreeMap::new();
     for pair in text.split(',').take(MAX_REPORT_VALUES) {
@@ -119,7 +122,7 @@
     })
 }
 
-/// The load report in a stream's closing comment.
+/// Returns the load report in a stream's closing comment; `None` if there is no valid one.
 pub fn load_report_in_comment(events: &[u8]) -> Option<LoadReport> {
     let comments = events.split(|byte| *byte == b'\n').filter(|line| line.first() == Some(&b':'));
     comments.filter_map(|line| std::str::from_utf8(line).ok()).find_map(|line| {
@@ -129,7 +132,8 @@
     })
 }
 
-/// What a response that is no stream means for an attempt; `is_prefill`: it was sent to a prefill engine.
+/// Returns the outcome of an attempt whose response is not a stream. `is_prefill` states that the attempt was
+/// sent to a prefill engine.
 pub fn unary_outcome(head: &ResponseHead, is_prefill: bool) -> AttemptOutcome {
     match head.status {
         202 if is_prefill => AttemptOutcome::Prefilled,
@@ -140,7 +144,8 @@
     }
 }
 
-/// Prompt tokens that a prefill engine found in its cache, from the body of its response.
+/// Returns the number of prompt tokens that a prefill engine found in its cache, from the body of its
+/// response; 0 if the body does not state it.
 pub fn cached_tokens(body: &[u8]) -> f64 {
     #[derive(serde::Deserialize)]
     struct PrefillResponse {
--- a/crates/nickelgw-platform/src/core/event_stream.rs
+++ b/crates/nickelgw-platform/src/core/event_stream.rs
@@ -1,43 +1,45 @@
-//! Server-sent events decoded from a chunked body: only complete ones, as soon as they are complete, whatever the chunks.
+//! Decoder of server-sent events in a chunked body. It returns only complete events, each as soon as it is
+//! complete, independently of the chunk boundaries.
 
 use super::chunked::{ChunkedDecoder, DecodeStep};
 use super::{MalformedMessage, MAX_BODY_BYTES};
 use bytes::{Bytes, BytesMut};
 
-/// A part of a stream that can be forwarded.
+/// Part of a stream that can be forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamPiece {
-    /// One complete event, or several that an engine wrote into one chunk.
+    /// One complete event, or several if an engine wrote them into one chunk.
     Events(Bytes),
     /// The stream is complete.
     End,
 }
 
-/// The fields that an event's lines may have.
+/// Names of the fields that an event's lines may have.
 const FIELD_NAMES: [&[u8]; 4] = [b"data", b"event", b"id", b"retry"];
 
 /// Decoder of one stream of events.
 #[derive(Debug, Default)]
 pub struct EventStreamDecoder {
     chunked: ChunkedDecoder,
-    /// What has arrived of events that are not complete.
+    /// Bytes received of events that are not complete.
     pending: BytesMut,
-    /// Bytes of it in which no event ends.
+    /// Number of bytes at the start of `pending` that have been searched and contain no event's end.
     scanned: usize,
-    /// Found behind events that were complete before it.
+    /// Error found after events that were complete; the next call returns it.
     error: Option<MalformedMessage>,
 }
 
 impl EventStreamDecoder {
-    /// Removes what has become complete from the buffer; none until something has.
+    /// Takes the events that have become complete out of the buffer; `None` if no event has.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<StreamPiece>, MalformedMessage> {
         if let Some(error) = self.error {
             return Err(error);
         }
-        // Chunk by chunk: where an engine writes one for each event they stay as they are.
+        // Decoded chunk by chunk: if an engine writes one event per chunk, each of its events is a piece of
+        // its own.
         let complete = loop {
             let step = self.chunked.decode(buffer, &mut self.pending, MAX_BODY_BYTES);
-            // The body's end ends its last event too.
+            // The end of the body also ends its last event.
             let complete =
                 if step == Ok(DecodeStep::BodyEnd) { self.pending.len() } else { self.complete_length() };
             self.error = step.err();
@@ -54,7 +56,8 @@
         };
         let events = self.pending.split_to(complete).freeze();
         self.scanned = 0;
-        // A size that does not match lets the next chunk's line into the data: no engine made that.
+        // If a chunk's size is too large, the size line of the next chunk is taken for data: that is no event
+        // of an engine.
         if !is_event_stream(&events) {
             self.error = Some(MalformedMessage::Events);
             return Err(MalformedMessage::Events);
@@ -62,14 +65,14 @@
         Ok(Some(StreamPiece::Events(events)))
     }
 
-    /// Whether the chunk of the piece that was returned last is still arriving.
+    /// Returns whether the chunk that contains the end of the last returned piece is still arriving.
     pub fn in_chunk(&self) -> bool {
         self.chunked.in_chunk()
     }
 
-    /// Length of the complete events in front: up to the last empty line.
+    /// Returns the length of the complete events at the start of `pending`: up to the last empty line.
     fn complete_length(&mut self) -> usize {
-        // The line before an end may have been scanned before.
+        // The first bytes of an event's end may be among those already scanned.
         let from = self.scanned.saturating_sub(2);
         self.scanned = self.pending.len();
         let unscanned = self.pending.get(from..).unwrap_or_default();
@@ -81,7 +84,7 @@
     }
 }
 
-/// Whether each line has a field that events may have.
+/// Returns whether the field name of each line is one that events may have.
 fn is_event_stream(events: &[u8]) -> bool {
     let is_field = |line: &[u8]| {
         let name = line.split(|byte| *byte == b':').next().unwrap_or_default();
--- a/crates/nickelgw-platform/src/core/log_limiter.rs
+++ b/crates/nickelgw-platform/src/core/log_limiter.rs
@@ -1,24 +1,27 @@
-//! Rate limit of log lines about malformed messages: one a minute of each kind, with how many there were.
+//! Rate limit of log lines about malformed messages: one line per minute and kind, with the number of
+//! occurrences.
 
 use std::collections::BTreeMap;
 
-/// Seconds between two lines of a kind.
+/// Minimum time between two lines of one kind.
 const INTERVAL_S: f64 = 60.0;
 
+/// Time of a kind's last line, and number of occurrences since then.
 #[derive(Clone, Copy, Debug)]
 struct KindState {
     logged_at: f64,
     occurrences: u64,
 }
 
-/// When each kind was last logged, and how often it has occurred since.
+/// Rate limiter of log lines, by kind.
 #[derive(Default)]
 pub struct LogRateLimiter {
     kinds: BTreeMap<&'static str, KindState>,
 }
 
 impl LogRateLimiter {
-    /// Counts one more of a kind. If a line may be logged, returns how many there were since the last one.
+    /// Counts an occurrence of `kind`. Returns the number of occurrences since the last line if a line may be
+    /// logged now; otherwise `None`.
     pub fn record(&mut self, now: f64, kind: &'static str) -> Option<u64> {
         let never = KindState { logged_at: f64::NEG_INFINITY, occurrences: 0 };
         let state = self.kinds.entry(kind).or_insert(never);
--- a/crates/nickelgw-platform/src/core/mod.rs
+++ b/crates/nickelgw-platform/src/core/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's protocol without I/O: message heads and bodies, load reports, the endpoint list, and what each
-//! response of an engine means.
+//! The platform's protocol without I/O: message heads and bodies, load reports, the endpoint list, and how
+//! each response of an engine is interpreted.
 
 pub mod chunked;
 pub mod discovery_timing;
@@ -9,71 +9,73 @@
 pub mod log_limiter;
 pub mod request;
 
-/// Names of the platform's headers, all lower case, and paths under which engines are called.
+/// Names of the platform's headers, all in lower case, and paths of calls to engines.
 pub mod names {
-    /// The request's id, the same in all attempts.
+    /// Id of the request, the same in all of its attempts.
     pub const REQUEST_ID: &str = "x-call-id";
-    /// The class, by which the request's route is found.
+    /// Class of the request, which selects its route.
     pub const CLASS: &str = "x-call-class";
-    /// The tenant.
+    /// Tenant that sends the request.
     pub const TENANT: &str = "x-caller";
-    /// Requests with the same value share a prefix, most likely.
+    /// Session of the request: requests with the same value most likely share a prompt prefix.
     pub const SESSION: &str = "x-route-hash";
-    /// The time within which a first token is worth anything.
+    /// The client's timeout in milliseconds: a first token that comes later is worthless to it.
     pub const TIMEOUT: &str = "x-budget-ms";
-    /// Lengths of the prompt and its prefix, in tokens.
+    /// Prefix of the prompt, and the lengths of the prompt and the prefix in tokens.
     pub const REQUEST_INFO: &str = "x-call-info";
     /// Set by a client that repeats a request.
     pub const RETRY: &str = "x-again";
-    /// An engine's load report.
+    /// Load report of an engine.
     pub const LOAD_REPORT: &str = "x-load-report";
-    /// Set by an engine that has not begun with the request.
+    /// Set by an engine that rejects a request which it has not begun to process.
     pub const REJECTED: &str = "x-rejected";
-    /// Reservations are released under this path, followed by the request's id.
+    /// Path under which reservations are released; the request's id follows it.
     pub const RESERVATIONS_PATH: &str = "/internal/reservations/";
 }
 
-/// Longest body, of a request and of a piece of a response.
+/// Maximum size of the body of a request or of a response that is not a stream, and of one chunk or event of
+/// a stream.
 pub const MAX_BODY_BYTES: usize = 256 * 1024;
-/// Longest list of discovery: as many engines as are kept, with long names.
+/// Maximum size of an endpoint list from discovery: room for as many engines as are kept, with long names.
 pub const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
-/// Longest message head.
+/// Maximum size of a message head.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Most headers of one message.
+/// Maximum number of headers of one message.
 pub const MAX_HEADERS: usize = 64;
 
 /// How a message's body is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// By its length in bytes.
+    /// Length of the body in bytes.
     Length(usize),
-    /// By the chunked transfer coding.
+    /// The chunked transfer coding.
     Chunked,
-    /// Not stated: a request has no body, a response's ends with its connection.
+    /// Not stated: a request has no body, and a response's body ends when its connection closes.
     Unspecified,
 }
 
-/// Bytes that violate the protocol.
+/// Error returned when received bytes violate the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedMessage {
-    /// The head does not parse.
-    #[error("a head that cannot be read")]
+    /// The head cannot be parsed.
+    #[error("message head cannot be parsed")]
     Head,
-    /// The head states no usable length, or more than one.
-    #[error("a head with two lengths, or one that is none")]
+    /// The head states an invalid body length, an unsupported transfer coding, or more than one of either.
+    #[error("message head states an invalid body length or transfer coding, or more than one")]
     Length,
-    /// A chunk's size does not parse, or does not match its data.
-    #[error("a chunk that cannot be read or does not fit")]
+    /// A chunk's size or the trailers cannot be parsed, or a chunk's size does not match its data.
+    #[error("chunk size or trailers cannot be parsed, or chunk size does not match the data")]
     Chunk,
-    /// A limit of this module is exceeded.
-    #[error("longer than allowed")]
+    /// The message exceeds a size limit.
+    #[error("message exceeds a size limit")]
     TooLong,
     /// The body is not a stream of server-sent events.
-    #[error("not a stream of events")]
+    #[error("response body is not a stream of server-sent events")]
     Events,
 }
 
-/// The framing that a head's headers state. A second length could hide another message in the body, so it is an error.
+/// Returns the framing that a head's headers state. A second length could hide another message in the body
+/// (request smuggling), so it is an error.
 pub fn framing(headers: &[httparse::Header]) -> Result<Framing, MalformedMessage> {
     let mut stated = Framing::Unspecified;
     for header in headers {
@@ -86,12 +88,12 @@
     Ok(stated)
 }
 
-/// The framing that one header states; none if it is not about framing.
+/// Returns the framing that one header states; `None` if the header is not about framing.
 fn framing_of_header(header: &httparse::Header) -> Result<Option<Framing>, MalformedMessage> {
     if header.name.eq_ignore_ascii_case("content-length") {
         let digits = std::str::from_utf8(header.value).ok().map(str::trim);
         let digits = digits.filter(|text| !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit()));
-        // More digits than fit are a length too, and over every limit.
+        // A length too large for `usize` is a valid one, and exceeds every limit.
         let length = digits.ok_or(MalformedMessage::Length)?.parse().unwrap_or(usize::MAX);
         return Ok(Some(Framing::Length(length)));
     }
@@ -104,7 +106,7 @@
     Ok(None)
 }
 
-/// Length of a head as it was parsed; none until all of it has arrived.
+/// Returns the length of a parsed head; `None` until all of it has arrived.
 fn head_length(parsed: httparse::Result<usize>, received: usize) -> Result<Option<usize>, MalformedMessage> {
     match parsed {
         Err(_) => Err(MalformedMessage::Head),
@@ -114,7 +116,7 @@
     }
 }
 
-/// Whether the headers state that the connection closes after this message.
+/// Returns whether the headers state that the connection closes after this message.
 fn closes_connection(headers: &[httparse::Header]) -> bool {
     let mut connection = headers.iter().filter(|header| header.name.eq_ignore_ascii_case("connection"));
     connection.any(|header| header.value.to_ascii_lowercase().windows(5).any(|window| window == b"close"))
--- a/crates/nickelgw-platform/src/core/request.rs
+++ b/crates/nickelgw-platform/src/core/request.rs
@@ -1,16 +1,18 @@
-//! A client's request: what its head asks for, and why it is refused before admission.
+//! A client's request: its head, and the checks before admission.
 
 use super::{closes_connection, framing, head_length, names, Framing, MalformedMessage, MAX_HEADERS};
 use nickelgw_node_core::AdmittedRequest;
 
-/// Path of requests to models.
+/// Path of chat requests.
 pub const CHAT_PATH: &str = "/v1/chat/completions";
 /// Path of readiness probes.
 pub const READINESS_PATH: &str = "/healthz";
+/// Maximum length of a request's id.
 const MAX_ID_BYTES: usize = 64;
-/// Digits of the largest number in a header.
+/// Maximum number of digits of a number in a header.
 const MAX_DIGITS: usize = 9;
-/// Headers that are about one connection (RFC 9110, 7.6.1), or that an attempt has of its own.
+/// Headers that are not forwarded: they apply to a single connection (RFC 9110, 7.6.1), or each attempt sets
+/// its own.
 const NOT_FORWARDED: [&str; 13] = [
     "connection",
     "keep-alive",
@@ -27,7 +29,7 @@
     "content-type",
 ];
 
-/// Values of the platform's headers; each may stand once.
+/// Values of the platform's headers; each header may occur only once.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct PlatformHeaders {
     id: Option<String>,
@@ -36,12 +38,13 @@
     session: Option<String>,
     timeout: Option<String>,
     info: Option<String>,
-    /// The client states that it repeats a request.
+    /// Set by a client that repeats a request.
     retry: Option<String>,
 }
 
 impl PlatformHeaders {
-    /// Where the value of the header with this lower-case name is stored; none for all others.
+    /// Returns the field for the header with this lower-case name; `None` if it is not a header of the
+    /// platform.
     fn slot(&mut self, name: &str) -> Option<&mut Option<String>> {
         Some(match name {
             names::REQUEST_ID => &mut self.id,
@@ -51,13 +54,14 @@
             names::TIMEOUT => &mut self.timeout,
             names::REQUEST_INFO => &mut self.info,
             names::RETRY => &mut self.retry,
-            // Where classes are deduplicated a request has its key in a header that the page of this deployment names.
+            // The header with the idempotency key of a deduplicated class is named by each deployment: it is
+            // forwarded like any other header.
             _ => return None,
         })
     }
 }
 
-/// A request's head, as far as it is used.
+/// Head of a request, as far as it is used.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestHead {
     /// The method.
@@ -66,14 +70,16 @@
     pub target: String,
     /// How the body is delimited.
     pub framing: Framing,
-    /// The connection closes after the response.
+    /// Whether the connection closes after the response.
     pub closes_connection: bool,
-    /// Header lines that engines receive as they came, whether they mean anything here or not.
+    /// Header lines that are forwarded to engines unchanged, including those of headers that this node does
+    /// not use.
     pub forwarded_headers: Vec<u8>,
     platform: PlatformHeaders,
 }
 
-/// Parses a head at the front of the bytes, with its length; none until all of it has arrived.
+/// Parses the head at the start of `bytes` and returns it with its length; `None` until all of it has
+/// arrived.
 pub fn parse_request_head(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, MalformedMessage> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -109,7 +115,7 @@
             return Ok(());
         };
         let value = std::str::from_utf8(header.value).map_err(|_| MalformedMessage::Head)?.trim();
-        // A header that stands twice has no value.
+        // A platform header that occurs twice has no unambiguous value.
         if slot.replace(value.to_string()).is_some() {
             return Err(MalformedMessage::Head);
         }
@@ -120,7 +126,7 @@
     }
 }
 
-/// Whether a `Connection` header names this header as one of the connection alone.
+/// Returns whether a `Connection` header lists this header as one that applies only to the connection.
 fn is_connection_option(name: &str, headers: &[httparse::Header]) -> bool {
     let connection = headers.iter().filter(|header| header.name.eq_ignore_ascii_case("connection"));
     let mut options = connection.flat_map(|header| header.value.split(|byte| *byte == b','));
@@ -133,21 +139,21 @@
     }
 }
 
-/// Names of routes and tenants, in the order of their numbers.
+/// Names of routes and tenants; the position of a name is the index by which the core refers to it.
 pub struct KnownNames {
-    /// Classes, by which routes are found.
+    /// Names of the classes, each of which has its own route.
     pub routes: Vec<String>,
-    /// Tenants; none: any is accepted.
+    /// Names of the tenants; if there are none, any tenant is accepted.
     pub tenants: Vec<String>,
 }
 
-/// Why a request cannot be used; the text is part of the response.
+/// Reason why a request is refused before admission; its text is part of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
     /// The id header is missing.
     #[error("a request without an id")]
     MissingId,
-    /// The id is empty, too long, or has characters that would change a path.
+    /// The id is empty, too long, or has characters that would change the path of a release call.
     #[error("an id that is none")]
     InvalidId,
     /// The class header is missing.
@@ -162,16 +168,16 @@
     /// The timeout header is missing.
     #[error("a request without a budget")]
     MissingTimeout,
-    /// The timeout is no number.
+    /// The timeout is not a number.
     #[error("a budget that is no number")]
     InvalidTimeout,
-    /// A length in tokens is no number, or larger than the body.
+    /// A length in tokens is not a number, or exceeds the body's length in bytes.
     #[error("a length that cannot be")]
     InvalidLength,
     /// The prefix is longer than the prompt.
     #[error("a beginning longer than its prompt")]
     PrefixLongerThanPrompt,
-    /// The body is no JSON.
+    /// The body is not JSON.
     #[error("a body that is not JSON")]
     InvalidBody,
 }
@@ -181,22 +187,22 @@
 }
 
 impl RequestHead {
-    /// The id, whether it is valid or not.
+    /// Returns the id, even if it is invalid; `None` if the request has no id.
     pub fn id(&self) -> Option<&str> {
         self.platform.id.as_deref()
     }
 
-    /// Whether the client asks for the rest of a stream that broke.
+    /// Returns whether the client asks for the rest of a stream that broke.
     pub fn is_resumption(&self) -> bool {
         self.platform.retry.as_deref() == Some("again")
     }
 
-    /// The target without its query.
+    /// Returns the target without its query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// The request with this head and body, for admission.
+    /// Checks the request with this head and body, and returns it in the form in which it is admitted.
     pub fn to_admitted(&self, known: &KnownNames, body: &[u8]) -> Result<AdmittedRequest, RequestError> {
         let id = self.valid_id()?;
         let class = self.platform.class.as_deref().ok_or(RequestError::MissingClass)?;
@@ -248,11 +254,11 @@
         Ok(timeout_ms.ok_or(RequestError::InvalidTimeout)? / 1e3)
     }
 
-    /// Reads the prefix and the lengths of prompt and prefix.
+    /// Adds the prefix and the lengths of prompt and prefix, which the request info header states.
     fn add_info(&self, request: &mut AdmittedRequest, body_bytes: usize) -> Result<(), RequestError> {
         let max_tokens = body_bytes as f64;
         let tokens = |text: &str| {
-            // No text has more tokens than characters; a larger length would distort what is learnt.
+            // No text has more tokens than characters; a larger length would distort the learned estimates.
             let tokens: Option<f64> = text.parse().ok();
             tokens
                 .filter(|tokens| is_number(text) && *tokens <= max_tokens)
