--- a/crates/nickelgw-platform-config/src/lib.rs
+++ b/crates/nickelgw-platform-config/src/lib.rs
@@ -54,7 +54,7 @@
 }
 
 /// A report's values by the names that the options give them, or by the platform's own.
-pub fn load<E>(value: impl Fn(&str) -> Result<Option<f64>, E>) -> Result<EngineLoad, E> {
+pub fn read_engine_load<E>(value: impl Fn(&str) -> Result<Option<f64>, E>) -> Result<EngineLoad, E> {
     Ok(EngineLoad {
         memory_share: value("x0")?,
         slot_share: value("load_share")?.or(value("util")?),
--- a/crates/nickelgw-platform-config/tests/settings.rs
+++ b/crates/nickelgw-platform-config/tests/settings.rs
@@ -4,7 +4,7 @@
 
 use nickelgw::decide::Router;
 use nickelgw::interface::{EngineRole, Idempotency, IdempotencyScope, IncomingRequest};
-use nickelgw_platform_config::{load, PlatformConfig};
+use nickelgw_platform_config::{read_engine_load, PlatformConfig};
 use serde_json::{json, Value};
 use test_case::test_case;
 
@@ -128,7 +128,7 @@
 fn a_report_is_read_by_its_documented_names() {
     let load_of = |names: &[(&str, f64)]| {
         let value = |name: &str| Ok::<_, ()>(names.iter().find(|x| x.0 == name).map(|x| x.1));
-        load(value).unwrap()
+        read_engine_load(value).unwrap()
     };
     let reported =
         load_of(&[("x0", 0.4), ("x1", 2.0), ("load_share", 0.5), ("depth", 3.0), ("concurrent", 4.0)]);
--- a/crates/nickelgw-platform/src/core/engine.rs
+++ b/crates/nickelgw-platform/src/core/engine.rs
@@ -4,7 +4,7 @@
 use super::{closes_connection, framing, head_length, names, Framing, MalformedMessage, MAX_HEADERS};
 use bytes::Bytes;
 use nickelgw_node_core::AttemptOutcome;
-use nickelgw_platform_config::load;
+use nickelgw_platform_config::read_engine_load;
 use nickelgw_protocol::load::{
     LoadReport, INFLIGHT_REQUESTS_METRIC, PENDING_PROMPT_TOKENS_METRIC, QUEUED_REQUESTS_METRIC,
 };
@@ -108,7 +108,7 @@
         }
         values.insert(name.trim(), value);
     }
-    let Ok(engine_load) = load(|name: &str| Ok::<_, Infallible>(values.get(name).copied()));
+    let Ok(engine_load) = read_engine_load(|name: &str| Ok::<_, Infallible>(values.get(name).copied()));
     let named = [
         (INFLIGHT_REQUESTS_METRIC, engine_load.inflight),
         (QUEUED_REQUESTS_METRIC, engine_load.queue_len),
--- a/crates/nickelgw-simulator-adapter/src/node.rs
+++ b/crates/nickelgw-simulator-adapter/src/node.rs
@@ -80,7 +80,7 @@
         return Err(ConfigError::field(event, "telemetry", "an object"));
     }
     let value = |name: &str| report.get(name).map(|_| number(report, name)).transpose();
-    nickelgw_platform_config::load(value).map(Some)
+    nickelgw_platform_config::read_engine_load(value).map(Some)
 }
 
 fn outcome(event: &Value) -> Result<Outcome, ConfigError> {
