--- a/crates/nickelgw-platform/src/clients/connection_table.rs
+++ b/crates/nickelgw-platform/src/clients/connection_table.rs
@@ -1,4 +1,5 @@
-//! The table of clients' connections: bounded, and idle ones make room for new ones.
+//! The table of clients' connections. Its size is limited; idle connections are closed to make room for new
+//! ones.
 
 use async_channel::{Receiver, Sender};
 use nickelgw_node::within;
@@ -7,28 +8,31 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A connection that has been idle for less than this after a request is not closed to make room.
+/// Minimum idle time after a request before a connection may be closed to make room.
 const MIN_IDLE_S: f64 = 2.0;
-/// A connection that has carried no request is not closed before it has been silent for this: its client's first request is
-/// on its way, and unlike one on a connection that was used before it is not sent again.
+/// Minimum time for which a new connection may stay without a byte before it may be closed: its client's
+/// first request may be on its way, and clients do not repeat it, unlike a request on a connection that was
+/// used before.
 const MIN_SILENT_S: f64 = 0.5;
-/// How often it is tried to make room while the table is full, or descriptors are exhausted.
+/// Interval at which the node tries to make room while the table is full or descriptors are exhausted.
 const ROOM_RETRY_S: f64 = 0.02;
-/// So many connections are closed at once to make room, as a part of the table: one for one, a rush of silent connections
-/// kept usual clients out for seconds.
+/// The table's size divided by this is the number of connections closed at once to make room. When only one
+/// was closed for each new one, a rush of silent connections kept regular clients out for seconds.
 const CLOSED_AT_ONCE_DIVISOR: usize = 8;
 
-/// The state of one connection.
+/// State of one connection.
 pub struct ConnectionState {
-    /// Idle since then, without one byte of a request; none: a request is arriving or open.
+    /// Time since which the connection has been idle, without one byte of a request; `None` while a request
+    /// is arriving or open.
     pub idle_since: Cell<Option<f64>>,
-    /// It has carried a whole request.
+    /// Whether the connection has carried a whole request.
     pub has_carried_request: Cell<bool>,
     close: Sender<()>,
 }
 
 impl ConnectionState {
-    /// Whether it has been idle for long enough to be closed, which takes `min_idle_s` after a request.
+    /// Returns whether the connection has been idle long enough to be closed: for `min_idle_s` if it has
+    /// carried a request, else for `MIN_SILENT_S`.
     fn may_close(&self, now: f64, min_idle_s: f64) -> bool {
         let min_idle_s = if self.has_carried_request.get() { min_idle_s } else { MIN_SILENT_S };
         self.idle_since.get().is_some_and(|since| since + min_idle_s <= now)
@@ -44,12 +48,12 @@
     removals: Receiver<()>,
 }
 
-/// A connection's place in the table; dropped, the place is free.
+/// A connection's place in the table; dropping it frees the place.
 pub struct ConnectionEntry {
     table: Rc<ConnectionTable>,
-    /// The connection's number.
+    /// Number of the connection.
     pub number: u64,
-    /// The connection's state.
+    /// State of the connection.
     pub state: Rc<ConnectionState>,
 }
 
@@ -61,7 +65,7 @@
 }
 
 impl ConnectionTable {
-    /// An empty table for so many connections.
+    /// Creates an empty table for up to `max_connections` connections.
     pub fn new(max_connections: usize) -> Rc<ConnectionTable> {
         let (removed, removals) = async_channel::bounded(1);
         Rc::new(ConnectionTable {
@@ -73,17 +77,18 @@
         })
     }
 
-    /// Number of connections.
+    /// Returns the number of connections.
     pub fn len(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// Whether there is no place for one more.
+    /// Returns whether the table has no place for another connection.
     pub fn is_full(&self) -> bool {
         self.len() >= self.max_connections
     }
 
-    /// A place for a new connection, and a channel that closes when the connection is to be closed.
+    /// Adds a new connection. Returns its place in the table, and a channel that closes when the connection
+    /// is to be closed.
     pub fn insert(self: &Rc<Self>, now: f64) -> (ConnectionEntry, Receiver<()>) {
         let (close, closing) = async_channel::bounded(1);
         let state = Rc::new(ConnectionState {
@@ -96,12 +101,13 @@
         (ConnectionEntry { table: self.clone(), number, state }, closing)
     }
 
-    /// Closes those that have been idle the longest. Never one on which a request is arriving.
+    /// Closes the connections that have been idle the longest, but never one on which a request is arriving.
     pub fn make_room(&self, now: f64) {
         let connections = self.connections.borrow();
         let may_close = |state: &&Rc<ConnectionState>| state.may_close(now, MIN_IDLE_S);
         let mut idle: Vec<&Rc<ConnectionState>> = connections.values().filter(may_close).collect();
-        // Those that have carried a request before those that never did: theirs may still be on its way.
+        // Connections that have carried a request come first: the first request on another may still be on
+        // its way.
         idle.sort_by(|left, right| {
             let by_idle = left.idle_since.get().partial_cmp(&right.idle_since.get()).unwrap_or(Equal);
             right.has_carried_request.cmp(&left.has_carried_request).then(by_idle)
@@ -112,13 +118,14 @@
         }
     }
 
-    /// Waits until a place is free, for a short time at most.
+    /// Waits until a place is free, but no longer than `ROOM_RETRY_S`.
     pub async fn wait_for_room(&self) {
         within(ROOM_RETRY_S, self.removals.recv()).await;
     }
 
-    /// Closes connections without an open or arriving request, also those that a request was just answered on: their clients
-    /// send a request that crosses the close again. A new connection is left its time for the first request.
+    /// Closes connections without an open or arriving request, including those on which a request was just
+    /// answered: if a request crosses the close, its client sends it again. A new connection keeps
+    /// `MIN_SILENT_S` for its first request.
     pub fn close_idle(&self, now: f64) {
         let connections = self.connections.borrow();
         for state in connections.values().filter(|state| state.may_close(now, 0.0)) {
--- a/crates/nickelgw-platform/src/clients/mod.rs
+++ b/crates/nickelgw-platform/src/clients/mod.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: accepted up to a limit, each carries one request after another.
+//! Server for clients' connections: accepts them up to a limit, and serves one request after another on each.
 
 mod connection_table;
 mod memory;
@@ -25,7 +25,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// A connection that has been idle for so long after a response is closed; sooner where others need its place.
+/// Idle time after a response at which a connection is closed; it is closed sooner if others need its place.
 const KEEP_ALIVE_TIMEOUT_S: f64 = 30.0;
 
 /// The server for clients.
@@ -34,14 +34,15 @@
     known_names: KnownNames,
     memory: Rc<MemoryBudget>,
     table: Rc<ConnectionTable>,
-    /// When the listener's backlog was seen empty: what is accepted later had not arrived by then.
+    /// Time at which the listener's backlog was last seen empty: connections accepted since, and their bytes,
+    /// arrived after it.
     backlog_empty_at: Cell<Instant>,
-    /// Each response is the last of its connection.
+    /// Whether the node is shutting down: each response is then the last of its connection.
     draining: Cell<bool>,
 }
 
 impl ClientServer {
-    /// A server for so many connections at once.
+    /// Creates a server for up to `max_connections` connections at once.
     pub fn new(
         node: Rc<Node>,
         known_names: KnownNames,
@@ -59,8 +60,8 @@
         })
     }
 
-    /// Accepts until told to stop, and then what the system has accepted already: a request on such a connection counts as
-    /// received.
+    /// Accepts connections until told to stop, and then those that the system has already accepted: a request
+    /// on such a connection counts as received.
     pub async fn accept(self: Rc<Self>, listener: Async<TcpListener>, stop: Receiver<()>) {
         loop {
             self.accept_waiting(listener.get_ref()).await;
@@ -79,8 +80,8 @@
         close_listener(listener, async |listener: &TcpListener| self.accept_waiting(listener).await).await;
     }
 
-    /// Accepts until the backlog is empty. While the table is full a new connection waits unaccepted: closed unserved, its
-    /// first request would have failed.
+    /// Accepts connections until the backlog is empty. While the table is full, new connections wait in the
+    /// backlog: if they were accepted and closed unserved, their first requests would fail.
     async fn accept_waiting(self: &Rc<Self>, listener: &TcpListener) {
         loop {
             while self.table.is_full() {
@@ -94,8 +95,8 @@
                     return;
                 }
                 Err(error) => {
-                    // Out of descriptors, or the peer disconnected while it waited. The listener stays readable meanwhile,
-                    // so that a repetition at once would spin.
+                    // No descriptor is free, or the peer disconnected while it waited in the backlog. The
+                    // listener stays readable, so that a retry at once would spin.
                     tracing::debug!(at = self.node.now(), %error, "accept failed");
                     self.make_room().await;
                 }
@@ -109,7 +110,8 @@
     }
 
     fn start_connection(self: &Rc<Self>, stream: Async<TcpStream>) {
-        // It is in the table before its task runs: otherwise a whole backlog would be accepted beyond the limit.
+        // The connection is in the table before its task runs: otherwise a whole backlog would be accepted
+        // beyond the limit.
         let (entry, closing) = self.table.insert(self.node.now());
         tracing::debug!(
             at = self.node.now(),
@@ -121,7 +123,7 @@
         self.node.executor().spawn(serving).detach();
     }
 
-    /// From now on each response is the last of its connection.
+    /// Makes each response from now on the last of its connection.
     pub fn begin_drain(&self) {
         self.draining.set(true);
     }
@@ -131,7 +133,7 @@
         self.table.close_idle(self.node.now());
     }
 
-    /// Number of connections.
+    /// Returns the number of connections.
     pub fn connections(&self) -> usize {
         self.table.len()
     }
@@ -141,9 +143,9 @@
         stream: Async<TcpStream>,
         entry: ConnectionEntry,
         closing: Receiver<()>,
-        empty_at: Instant,
+        backlog_empty_at: Instant,
     ) {
-        let socket = ClientSocket::new(stream, empty_at, &self.memory);
+        let socket = ClientSocket::new(stream, backlog_empty_at, &self.memory);
         let mut buffer = BytesMut::new();
         let mut limits = IdleLimits { timeout_s: REQUEST_TIMEOUT_S, closing: &closing };
         loop {
@@ -158,7 +160,7 @@
             }
             socket.memory.set(buffer.len());
             if buffer.is_empty() {
-                // Hundreds are idle for long: none keeps a buffer.
+                // Hundreds of connections may be idle for long: none of them keeps a buffer.
                 buffer = BytesMut::new();
             }
             limits.timeout_s = KEEP_ALIVE_TIMEOUT_S;
--- a/crates/nickelgw-platform/src/clients/receive.rs
+++ b/crates/nickelgw-platform/src/clients/receive.rs
@@ -1,4 +1,4 @@
-//! Receiving a client's request, within limits of time and memory.
+//! Receives a client's request within limits of time and memory.
 
 use super::connection_table::ConnectionState;
 use super::socket::ClientSocket;
@@ -11,26 +11,26 @@
 use nickelgw_node::within;
 use std::time::Instant;
 
-/// A request arrives whole within this, from its first byte.
+/// Time within which a whole request has to arrive, from its first byte.
 pub const REQUEST_TIMEOUT_S: f64 = 2.4;
 
-/// A request that has arrived whole.
+/// A request that has arrived completely.
 pub struct ReceivedRequest {
-    /// Its head.
+    /// Head of the request.
     pub head: RequestHead,
-    /// Its body.
+    /// Body of the request.
     pub body: Bytes,
-    /// When its last byte arrived at this machine.
+    /// Time at which the request's last byte arrived at this machine.
     pub arrived_at: Instant,
 }
 
-/// Why no request came.
+/// Reason why no request was received.
 pub enum NoRequest {
     /// The connection ended.
     ConnectionEnded,
     /// The connection is to be closed.
     Closing,
-    /// It is refused with this status and message.
+    /// The request is refused with this status and message.
     Refused(u16, &'static str),
 }
 
@@ -49,15 +49,15 @@
     }
 }
 
-/// When a connection that waits for a request is closed.
+/// Conditions under which a connection that waits for a request is closed.
 pub struct IdleLimits<'a> {
-    /// After so long without a byte.
+    /// Time without a byte after which the connection is closed, in seconds.
     pub timeout_s: f64,
-    /// When this channel closes.
+    /// Channel that closes when the connection is to be closed.
     pub closing: &'a Receiver<()>,
 }
 
-/// Receives the next request. While none has begun to arrive the connection is marked as idle, since `now`.
+/// Receives the next request. Until its first byte arrives, the connection is marked as idle since `now`.
 pub async fn receive_request(
     socket: &ClientSocket,
     buffer: &mut BytesMut,
@@ -69,11 +69,11 @@
         state.idle_since.set(Some(now()));
         wait_for_first_byte(socket, buffer, limits).await?;
     }
-    // From its first byte a request is on its way: its connection is not closed to make room.
+    // Once the first byte of a request has arrived, its connection is not closed to make room.
     state.idle_since.set(None);
     let first_byte_at = socket.arrival_before(buffer.len().saturating_sub(1));
     let remaining_s = REQUEST_TIMEOUT_S - first_byte_at.elapsed().as_secs_f64();
-    // What has arrived is read also when no time remains.
+    // If no time remains, a request that has arrived completely is still read.
     let request = within(remaining_s, receive_whole_request(socket, buffer)).await;
     let (head, body) = request.unwrap_or(Err(NoRequest::Refused(408, "a request that does not end")))?;
     Ok(ReceivedRequest { head, body, arrived_at: socket.arrival_before(buffer.len()) })
@@ -92,7 +92,7 @@
     match or(first_read, closing).await.flatten() {
         Some(Ok(length)) if length > 0 => Ok(()),
         Some(_) => Err(NoRequest::ConnectionEnded),
-        // A request may arrive in the very moment of the close.
+        // A request may arrive just as the connection is about to be closed.
         None if socket.read_before_close(buffer) => Ok(()),
         None => Err(NoRequest::Closing),
     }
--- a/crates/nickelgw-platform/src/clients/response.rs
+++ b/crates/nickelgw-platform/src/clients/response.rs
@@ -1,4 +1,4 @@
-//! Responses to clients that this node makes itself, and writing to a client's socket.
+//! Responses that the node itself generates, and writing to a client's socket.
 
 use super::socket::ClientSocket;
 use futures_lite::AsyncWriteExt;
@@ -6,22 +6,23 @@
 use std::borrow::Cow;
 use std::io::ErrorKind;
 
-/// A client that accepts no byte for so long has disconnected.
+/// Time without an accepted byte after which a client counts as disconnected.
 const WRITE_STALL_TIMEOUT_S: f64 = 5.0;
 
-/// What becomes of a connection after a response.
+/// What happens to a connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// It carries the next request.
+    /// The connection waits for the next request.
     KeepAlive,
-    /// That was its last response.
+    /// The response was the connection's last, and the connection is closed.
     Close,
-    /// Its client has disconnected.
+    /// The client has disconnected.
     Disconnected,
 }
 
 impl NextStep {
-    /// After a response that was written, or could not be.
+    /// Returns the next step after a response. `written` states whether the response could be written, and
+    /// `close` whether the connection closes after it.
     pub fn after_response(written: bool, close: bool) -> NextStep {
         match (written, close) {
             (false, _) => NextStep::Disconnected,
@@ -31,20 +32,20 @@
     }
 }
 
-/// A response of the node's own.
+/// A response that the node itself generates.
 pub struct NodeResponse {
     /// The status code.
     pub status: u16,
-    /// The message in the body.
+    /// Message in the body.
     pub message: Cow<'static, str>,
-    /// A retry is welcome after so long.
+    /// Time in seconds after which a retry is welcome; `None` if the response states none.
     pub retry_after_s: Option<f64>,
-    /// The connection closes afterwards.
+    /// Whether the connection closes after the response.
     pub close: bool,
 }
 
 impl NodeResponse {
-    /// A response without a time for a retry.
+    /// Creates a response that states no time for a retry.
     pub fn new(status: u16, message: impl Into<Cow<'static, str>>, close: bool) -> NodeResponse {
         NodeResponse { status, message: message.into(), retry_after_s: None, close }
     }
@@ -66,7 +67,7 @@
     }
 }
 
-/// The header of a connection that closes after the response.
+/// Returns the header line that announces the close of the connection; empty if the connection stays open.
 pub fn connection_header(close: bool) -> &'static str {
     if close {
         "connection: close\r\n"
@@ -90,7 +91,8 @@
     }
 }
 
-/// Whether all bytes were written. A slow client is not a disconnected one: each part that it accepts restarts the timeout.
+/// Writes all bytes and returns whether that succeeded. A slow client does not count as disconnected: each
+/// part that it accepts restarts the timeout.
 pub async fn write_all(socket: &ClientSocket, mut bytes: &[u8]) -> bool {
     let mut stream = &socket.stream;
     while !bytes.is_empty() {
--- a/crates/nickelgw-platform/src/clients/serve.rs
+++ b/crates/nickelgw-platform/src/clients/serve.rs
@@ -1,4 +1,4 @@
-//! Serving one request: admission, and the response that the node or an engine gives.
+//! Serves one request: admits it, and writes the response of the node or of an engine.
 
 use super::receive::ReceivedRequest;
 use super::response::{connection_header, write_all, NextStep, NodeResponse};
@@ -12,19 +12,19 @@
 use nickelgw_node_core::AdmittedRequest;
 use std::rc::Rc;
 
-/// Events that wait are written together, up to so many bytes and one event.
+/// Size up to which queued events are written together; the last event may exceed it.
 const MAX_WRITE_BYTES: usize = 64 * 1024;
 
-/// Why a request is not admitted.
+/// Reason why a request is not admitted.
 enum NotAdmitted {
-    /// Its client has disconnected.
+    /// The client has disconnected.
     Disconnected,
-    /// It is answered at once.
+    /// The request is refused with this response.
     Refused(NodeResponse),
 }
 
 impl ClientServer {
-    /// Answers a request.
+    /// Serves a request to the end of its response.
     pub(super) async fn serve_request(
         self: &Rc<Self>,
         socket: &Rc<ClientSocket>,
@@ -45,7 +45,8 @@
         response.write(socket).await
     }
 
-    /// Its connection has no further use: hundreds that asked this and stayed filled the table within 2 s.
+    /// Returns the response to a readiness probe. It closes the connection: hundreds of connections that
+    /// stayed open after a probe filled the table within 2 s.
     fn readiness(&self) -> NodeResponse {
         if self.draining.get() {
             NodeResponse::new(503, "leaving", true)
@@ -73,7 +74,7 @@
             return Err(NotAdmitted::Refused(response));
         }
         if socket.disconnection() == Some(Disconnection::Closed) {
-            // Pipelined by a client that has disconnected meanwhile.
+            // The request was pipelined by a client that has disconnected meanwhile.
             return Err(NotAdmitted::Disconnected);
         }
         if head.is_resumption() {
@@ -96,7 +97,7 @@
         })
     }
 
-    /// Waits for the response and writes it, while observing whether the client stays connected.
+    /// Waits for the response and writes it, and watches meanwhile whether the client stays connected.
     async fn respond(
         &self,
         socket: &ClientSocket,
@@ -108,7 +109,7 @@
             Ok(first) => first,
             Err(Disconnection::Closed) => return NextStep::Disconnected,
             Err(Disconnection::PipelineOverflow) => {
-                // Attempts for it are cancelled before its response.
+                // Cancels the request's attempts before the response is written.
                 drop(guard);
                 return NodeResponse::new(413, "more than one request before its answer", true)
                     .write(socket)
@@ -119,7 +120,7 @@
             Ok(Reply::Stream(pieces)) => {
                 let forwarded = forward_stream(socket, pieces, close).await;
                 guard.ended = forwarded.is_ok();
-                return forwarded.unwrap_or_else(|broken| broken);
+                return forwarded.unwrap_or_else(|next_step| next_step);
             }
             Ok(Reply::Rejected(retry_after_s)) => {
                 let response = NodeResponse::new(503, "no engine has room in time", close);
@@ -128,13 +129,13 @@
             Ok(Reply::Failed) | Err(_) => NodeResponse::new(504, "no answer began in time", close),
         };
         guard.ended = true;
-        // Its id is free with its response.
+        // Frees the request's id before the response is written, so that the client can use the id again.
         drop(guard);
         response.write(socket).await
     }
 }
 
-/// Forwards a stream. An error: it broke, and the connection ends without the last chunk.
+/// Forwards a stream. Returns an error if the stream broke: the connection then ends without the last chunk.
 async fn forward_stream(
     socket: &ClientSocket,
     pieces: Receiver<StreamPiece>,
@@ -162,7 +163,8 @@
     }
 }
 
-/// Appends this piece and those that wait, up to a limit, as chunks. True: the last one ends the stream.
+/// Appends `first` and the queued pieces as chunks, up to `MAX_WRITE_BYTES`. Returns `true` if the last one
+/// ends the stream.
 fn encode_pieces(bytes: &mut Vec<u8>, first: StreamPiece, pieces: &Receiver<StreamPiece>) -> bool {
     let mut next = Some(first);
     while let Some(piece) = next {
--- a/crates/nickelgw-platform/src/clients/socket.rs
+++ b/crates/nickelgw-platform/src/clients/socket.rs
@@ -1,4 +1,5 @@
-//! A client's socket: whether the client has disconnected, what it sends before its response, and how it is closed.
+//! A client's socket: detects whether the client has disconnected, buffers what the client sends before its
+//! response, and closes the connection.
 
 use super::memory::{MemoryBudget, MemoryUse};
 use crate::core::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
@@ -13,40 +14,41 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Bytes buffered of a client that does not wait for its response: as many as one request may have. One that sends more
-/// is refused, since unread bytes hide whether it has disconnected.
+/// Maximum number of bytes buffered from a client before its response: the maximum size of one request. A
+/// client that sends more is refused, since unread bytes hide whether it has disconnected.
 const MAX_PIPELINED_BYTES: usize = MAX_BODY_BYTES + MAX_HEAD_BYTES;
-/// After its last response a connection is read on for so long, and for so many bytes: closed over unread ones it would be
-/// reset, and the response lost with it.
+/// Time for which a connection is still read after its last response: a connection that is closed with unread
+/// bytes is reset, and the response is lost with it.
 const LINGER_S: f64 = 0.5;
+/// Maximum number of bytes read after a connection's last response.
 const LINGER_BYTES: usize = MAX_BODY_BYTES;
 
-/// Why a response is no longer awaited.
+/// Reason why a response is no longer awaited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disconnection {
     /// The client has closed its connection, or its sending direction.
     Closed,
-    /// It sends more requests than are buffered before its response.
+    /// The client has sent more before its response than is buffered.
     PipelineOverflow,
 }
 
 /// The socket of one client's connection.
 pub struct ClientSocket {
-    /// The stream itself.
+    /// Stream of the connection.
     pub stream: Async<TcpStream>,
-    /// When what was read had arrived.
+    /// Arrival times of the bytes that were read.
     arrivals: RefCell<ArrivalTimes>,
-    /// What arrived while a response was awaited.
+    /// Bytes that arrived while a response was awaited.
     pipelined: RefCell<BytesMut>,
     disconnection: Cell<Option<Disconnection>>,
-    /// The memory that the connection uses.
+    /// Memory that the connection uses.
     pub memory: MemoryUse,
-    /// Bytes of the open request.
+    /// Size of the open request's body in bytes; 0 if no request is open.
     open_request_bytes: Cell<usize>,
 }
 
 impl ClientSocket {
-    /// A socket on this stream, on which nothing had arrived by `empty_at`.
+    /// Creates a socket on this stream, on which no byte had arrived by `empty_at`.
     pub fn new(stream: Async<TcpStream>, empty_at: Instant, budget: &Rc<MemoryBudget>) -> Rc<ClientSocket> {
         let _ = stream.get_ref().set_nodelay(true);
         let memory = MemoryUse::new(budget);
@@ -60,25 +62,26 @@
         })
     }
 
-    /// When the last byte before the `unused` ones at the end arrived.
+    /// Returns when the last byte before the last `unused` bytes read arrived.
     pub fn arrival_before(&self, unused: usize) -> Instant {
         self.arrivals.borrow_mut().arrival_before(unused)
     }
 
-    /// A request of so many bytes is open; what has arrived behind it is buffered.
+    /// Marks a request with a body of this many bytes as open, and buffers the bytes that arrived after it.
     pub fn begin_request(&self, bytes: usize, pipelined: BytesMut) {
         self.pipelined.replace(pipelined);
         self.open_request_bytes.set(bytes);
     }
 
-    /// The response has been written. Returns what arrived meanwhile, the next request.
+    /// Marks the request as answered. Returns the bytes that arrived meanwhile, which belong to the next
+    /// request.
     pub fn end_request(&self) -> BytesMut {
         self.open_request_bytes.set(0);
         self.pipelined.take()
     }
 
-    /// Whether the client has disconnected. Reads what is available without waiting: the end of the connection is behind
-    /// whatever was sent before it.
+    /// Returns how the client has disconnected; `None` if it is connected. Reads the available bytes without
+    /// waiting, since the end of the connection comes after all bytes that were sent before it.
     pub fn disconnection(&self) -> Option<Disconnection> {
         while self.disconnection.get().is_none() {
             let mut pipelined = self.pipelined.borrow_mut();
@@ -98,7 +101,7 @@
         self.disconnection.get()
     }
 
-    /// The future's result, unless the client disconnects before.
+    /// Returns the future's result, or an error if the client disconnects first.
     pub async fn while_connected<T>(&self, future: impl Future<Output = T>) -> Result<T, Disconnection> {
         let disconnected = async {
             loop {
@@ -113,12 +116,14 @@
         futures_lite::future::or(async { Ok(future.await) }, disconnected).await
     }
 
-    /// Reads what arrived in the very moment in which the connection was to be closed: a request that counts as received.
+    /// Reads bytes that arrived just as the connection was about to be closed, and returns whether there were
+    /// any: their request counts as received.
     pub fn read_before_close(&self, buffer: &mut BytesMut) -> bool {
         matches!(self.read_available(buffer), Ok(length) if length > 0)
     }
 
-    /// Closes so that the last response arrives. What is received after this is discarded.
+    /// Closes the connection in such a way that the last response arrives. Bytes received from now on are
+    /// discarded.
     pub async fn close(&self) {
         close_lingering(&self.stream, LINGER_S, LINGER_BYTES).await;
     }
--- a/crates/nickelgw-platform/src/config.rs
+++ b/crates/nickelgw-platform/src/config.rs
@@ -6,19 +6,21 @@
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 
-/// The environment variable with the configuration file's path.
+/// Environment variable with the path of the configuration file.
 pub const CONFIG_PATH_VARIABLE: &str = "RELAY_CONFIG";
-/// On sockets, reservations are held for so much longer than the settings state (the platform's protocol).
+/// Time by which reservations are held longer on sockets than the settings state (the platform's protocol).
 const RESERVATION_ALLOWANCE_S: f64 = 0.3;
-/// SIGKILL comes so long after the longest deadline, which counts as no longer than `MAX_DEADLINE_S` (the platform's
-/// protocol).
+/// Time from the longest deadline to SIGKILL; that deadline counts as no longer than `MAX_DEADLINE_S` (the
+/// platform's protocol).
 const KILL_ALLOWANCE_S: f64 = 0.7;
+/// Upper limit of the deadline that determines the time of SIGKILL, and default for a class without a
+/// deadline.
 const MAX_DEADLINE_S: f64 = 3.0;
-/// Variables of the environment that repeat fields of the file.
+/// Environment variables that repeat a field of the file, each with the field's name.
 const REPEATED_FIELDS: [(&str, &str); 3] =
     [("RELAY_NAME", "name"), ("RELAY_LISTEN", "listen"), ("RELAY_DISCOVERY", "discovery")];
 
-/// Why a configuration file cannot be used.
+/// Error returned when a configuration file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFileError {
     /// The file cannot be read.
@@ -55,29 +57,30 @@
 
 /// The node's configuration.
 pub struct NodeConfig {
-    /// Where clients connect.
+    /// Address at which clients connect.
     pub listen: String,
     /// Address of discovery.
     pub discovery: String,
-    /// What the settings state for all nodes.
+    /// Deployment and names that the settings state.
     pub platform: PlatformConfig,
-    /// The endpoint list as it was known before the start.
+    /// Endpoint list as it was known before the start; `None` if none was known.
     pub known_endpoints: Option<DiscoveryUpdate>,
-    /// Descriptors that the process may have.
+    /// Maximum number of descriptors of the process.
     pub max_descriptors: usize,
-    /// Memory that the process may have.
+    /// Maximum memory of the process, in units of 1024 * 1024 bytes.
     pub memory_mb: f64,
-    /// Nothing new is dispatched to an engine so long after it was announced as draining.
+    /// Time in seconds from the announcement that an engine is draining until no attempt may be dispatched to
+    /// it.
     pub stop_dispatch_within_s: f64,
-    /// Most open requests.
+    /// Maximum number of open requests.
     pub max_open_requests: usize,
-    /// Timeout of opening a connection.
+    /// Timeout for opening a connection, in seconds.
     pub connect_timeout_s: f64,
-    /// Engines close connections that have been idle for so long.
+    /// Idle time in seconds after which engines close a connection.
     pub engine_idle_timeout_s: f64,
-    /// SIGKILL comes no sooner than so long after SIGTERM.
+    /// Minimum time from SIGTERM to SIGKILL, in seconds.
     pub kill_after_s: f64,
-    /// A probe is answered with a load report.
+    /// Whether engines answer a probe with a load report.
     pub reports_load: bool,
 }
 
@@ -88,7 +91,7 @@
     serde_json::from_slice(&bytes).map_err(not_json)
 }
 
-/// Reads only the address of discovery, which a new configuration may change while the node serves.
+/// Reads only the address of discovery, which a new configuration may change while the node is serving.
 pub fn read_discovery_address(path: &Path) -> Result<String, ConfigFileError> {
     let config = read_json(path)?;
     let address = text(&config, "discovery").map(str::to_string);
@@ -96,7 +99,7 @@
 }
 
 impl NodeConfig {
-    /// Reads the file; `environment` looks up a variable.
+    /// Reads and parses the file. `environment` looks up an environment variable.
     pub fn read(
         path: &Path,
         environment: impl Fn(&str) -> Option<String>,
@@ -105,7 +108,7 @@
         NodeConfig::parse(&config, environment).map_err(|error| ConfigFileError::invalid(path, error))
     }
 
-    /// Parses a configuration; `environment` looks up a variable.
+    /// Parses a configuration. `environment` looks up an environment variable.
     pub fn parse(
         config: &Value,
         environment: impl Fn(&str) -> Option<String>,
@@ -139,7 +142,7 @@
     }
 }
 
-/// Variables of the environment that repeat a field must have its value.
+/// Checks that each environment variable that repeats a field of the file has the field's value.
 fn check_environment(
     config: &Value,
     environment: impl Fn(&str) -> Option<String>,
@@ -147,7 +150,7 @@
     for (variable, field) in REPEATED_FIELDS {
         let differs = |value: String| config.get(field).and_then(Value::as_str) != Some(&value);
         if environment(variable).is_some_and(differs) {
-            return Err(ConfigError(format!("field {field} is not what {variable} says")));
+            return Err(ConfigError(format!("field {field} differs from environment variable {variable}")));
         }
     }
     Ok(())
@@ -155,7 +158,7 @@
 
 fn seed(config: &Value) -> Result<u64, ConfigError> {
     let seed = u64::from_str_radix(text(config, "seed")?, 16);
-    seed.map_err(|_| ConfigError("field seed is not a number in hexadecimal".into()))
+    seed.map_err(|_| ConfigError("field seed is not a hexadecimal number".into()))
 }
 
 fn known_endpoints(config: &Value) -> Result<Option<DiscoveryUpdate>, ConfigError> {
--- a/crates/nickelgw-platform/src/connection.rs
+++ b/crates/nickelgw-platform/src/connection.rs
@@ -1,5 +1,5 @@
-//! One connection to an engine or to discovery, on a plain socket: hyper cannot tell when a request's last byte has been
-//! written, which decides whether the request may have run.
+//! One connection to an engine or to discovery, on a plain socket. hyper is not used since it does not report
+//! when a request's last byte has been written, which decides whether the request may have run.
 
 use crate::core::engine::{self, ResponseHead};
 use crate::core::event_stream::{EventStreamDecoder, StreamPiece};
@@ -14,14 +14,15 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Interim responses before the final one.
+/// Maximum number of interim responses before the final one.
 const MAX_INTERIM_RESPONSES: usize = 16;
 
-/// A descriptor in use; counted from when its connection is opened, as one that comes up late holds it as well.
+/// A descriptor in use. It counts from when the connection begins to be opened, since a connection that is
+/// established late uses a descriptor meanwhile as well.
 pub(crate) struct DescriptorPermit(Rc<Cell<usize>>);
 
 impl DescriptorPermit {
-    /// Counts one more.
+    /// Adds one to the number of descriptors in use.
     pub(crate) fn new(open: &Rc<Cell<usize>>) -> DescriptorPermit {
         open.set(open.get() + 1);
         DescriptorPermit(open.clone())
@@ -34,20 +35,22 @@
     }
 }
 
-/// A connection that this node opened; dropped it closes, by which the far side knows that nobody waits.
+/// A connection that this node opened. Dropping it closes it, which tells the peer that no response is
+/// awaited any more.
 pub struct Connection {
     pub(crate) address: String,
     stream: Rc<Async<TcpStream>>,
     buffer: BytesMut,
     idle_since: Instant,
-    /// How long it had been idle when it was last seen open.
+    /// Time in seconds for which the connection had been idle when it was last seen open.
     pub(crate) seen_open_after_s: f64,
-    /// How long it had been idle when the current call took it from the pool; none: it is new.
+    /// Time in seconds for which the connection had been idle when the current call took it from the pool;
+    /// `None` if it is new.
     idle_s: Option<f64>,
     _permit: DescriptorPermit,
 }
 
-/// Ends a connection at once, whoever holds it.
+/// Handle that ends a connection at once, whichever task holds the connection.
 pub struct ConnectionCloser(Rc<Async<TcpStream>>);
 
 impl ConnectionCloser {
@@ -58,7 +61,7 @@
 }
 
 impl Connection {
-    /// A new connection on this stream.
+    /// Creates a connection on this stream.
     pub(crate) fn new(address: &str, stream: Async<TcpStream>, permit: DescriptorPermit) -> Connection {
         Connection {
             address: address.to_string(),
@@ -71,22 +74,24 @@
         }
     }
 
-    /// How long it had been idle when the current call took it; none: it was opened for this call.
+    /// Returns for how many seconds the connection had been idle when the current call took it from the pool;
+    /// `None` if it was opened for this call.
     pub fn idle_s(&self) -> Option<f64> {
         self.idle_s
     }
 
-    /// How long it has been idle in the pool.
+    /// Returns for how many seconds the connection has been idle in the pool.
     pub(crate) fn idle_elapsed_s(&self) -> f64 {
         self.idle_since.elapsed().as_secs_f64()
     }
 
-    /// A call takes it from the pool, after so long.
+    /// Marks the connection as taken from the pool by a call, after it was idle for `idle_s`.
     pub(crate) fn set_in_use(&mut self, idle_s: f64) {
         self.idle_s = Some(idle_s);
     }
 
-    /// It goes back to the pool. False: bytes follow the last response, which would be taken for the next one.
+    /// Marks the connection as idle in the pool. Returns `false` if bytes follow the last response, since
+    /// they would be taken for the next response.
     pub(crate) fn set_idle(&mut self) -> bool {
         if !self.buffer.is_empty() {
             return false;
@@ -97,12 +102,12 @@
         true
     }
 
-    /// A handle by which another task can end the connection.
+    /// Returns a handle with which another task can end the connection.
     pub fn closer(&self) -> ConnectionCloser {
         ConnectionCloser(self.stream.clone())
     }
 
-    /// Whether nothing has arrived and the stream has not ended while the connection was idle.
+    /// Returns whether nothing has arrived and the stream has not ended while the connection was idle.
     pub(crate) fn is_reusable(&self) -> bool {
         loop {
             return match self.stream.get_ref().peek(&mut [0]) {
@@ -115,13 +120,13 @@
 
     /// Writes a request. Until its last byte is handed to the system the request is known not to have run.
     pub async fn write(&mut self, bytes: &[u8], delivered: &Cell<bool>) -> Result<(), AttemptOutcome> {
-        // After an error not all of it was accepted by the system.
+        // On an error, the system has not accepted all of the request.
         write_all(&self.stream, bytes).await.map_err(|_| AttemptOutcome::ConnectFailed)?;
         delivered.set(true);
         Ok(())
     }
 
-    /// The head of the final response: interim ones before it are skipped.
+    /// Reads the head of the final response; interim responses before it are skipped.
     pub async fn response_head(&mut self) -> Result<ResponseHead, AttemptOutcome> {
         for _ in 0..MAX_INTERIM_RESPONSES {
             let parse = |buffer: &mut BytesMut| {
@@ -138,7 +143,8 @@
         Err(AttemptOutcome::Malformed)
     }
 
-    /// The next piece of a stream of events. Dropped while it waits, it has lost nothing.
+    /// Reads the next piece of a stream of events. If the future is dropped while it waits, no bytes are
+    /// lost.
     pub async fn stream_piece(
         &mut self,
         decoder: &mut EventStreamDecoder,
@@ -146,7 +152,7 @@
         Ok(receive(&*self.stream, &mut self.buffer, |buffer| decoder.next(buffer)).await?)
     }
 
-    /// A whole body, and whether the connection can carry a further request.
+    /// Reads a whole body, and returns it with whether the connection can carry another request.
     pub async fn body(
         &mut self,
         head: &ResponseHead,
--- a/crates/nickelgw-platform/src/counters.rs
+++ b/crates/nickelgw-platform/src/counters.rs
@@ -1,14 +1,14 @@
-//! The node's counters in the log: once a minute while they change, and as the process exits.
+//! Logs the node's counters: once a minute while they change, and when the process exits.
 
 use crate::node::Node;
 use nickelgw_node::seconds;
 use smol::Timer;
 use std::rc::Rc;
 
-/// Seconds between two lines.
+/// Interval between two log lines.
 const LOG_INTERVAL_S: f64 = 60.0;
 
-/// Logs one line with all counters: requests by how they ended, reservations by what became of them.
+/// Logs one line with all counters: requests and reservations by how they ended.
 pub fn log(node: &Node) {
     let core = node.core.borrow();
     let (requests, reservations) = (core.counters, core.ledger.counters);
@@ -25,7 +25,7 @@
     );
 }
 
-/// Logs the line regularly, until dropped.
+/// Logs the line at regular intervals until the future is dropped.
 pub async fn log_regularly(node: Rc<Node>) {
     let mut logged = None;
     loop {
--- a/crates/nickelgw-platform/src/discovery.rs
+++ b/crates/nickelgw-platform/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Follows discovery: the whole list first, then a watch that waits for what changes.
+//! Client of discovery: fetches the whole list first, and then watches for changes.
 
 use crate::core::discovery_timing::{DiscoveryCall, DiscoveryTimeouts};
 use crate::core::endpoint_list::DiscoveryUpdate;
@@ -16,59 +16,61 @@
 use std::time::Instant;
 
 const LIST_PATH: &str = "/v1/servers";
-/// A watch continues with its next call; one that is answered at once is not repeated without end.
+/// Gap after each call, so that watches which are answered at once do not follow each other in a busy loop.
+/// The next call continues the watch.
 const CALL_INTERVAL_S: f64 = 0.005;
-/// Gap behind a watch that was answered with nothing before its time: a watch continues where the next call comes within
-/// 0.2 s (the platform's protocol).
+/// Gap after a watch that was answered early and without changes. The next call continues the watch if it
+/// comes within 0.2 s (the platform's protocol).
 const EMPTY_WATCH_GAP_S: f64 = 0.1;
-/// Connections to discovery: the one in use, and one that is about to close.
+/// Maximum number of connections to discovery: the one in use, and one that is about to close.
 pub const MAX_CONNECTIONS: usize = 2;
 
-/// Why no update came of a call.
+/// Error returned when a call to discovery gives no update.
 #[derive(Debug, thiserror::Error)]
 enum FetchError {
     /// The response violates the protocol.
     #[error("{0}")]
     Malformed(String),
-    /// There was no response.
-    #[error("{0:?}")]
+    /// No whole response was received.
+    #[error("no response of discovery: {0:?}")]
     NoResponse(AttemptOutcome),
     /// The response has an error status.
-    #[error("status {0}")]
+    #[error("discovery responded with status {0}")]
     Status(u16),
 }
 
-/// Follows discovery for one node.
+/// Client of discovery for one node.
 pub struct DiscoveryClient {
-    /// The node that applies updates.
+    /// Node that applies the updates.
     pub node: Rc<Node>,
-    /// Connections of discovery's own: however many are open to engines and clients, the list is received.
+    /// Connection pool for discovery alone, so that the list is received however many connections to engines
+    /// and clients are open.
     pub pool: Rc<ConnectionPool>,
     /// Timeouts of the calls.
     pub timeouts: DiscoveryTimeouts,
-    /// Where discovery is.
+    /// Address of discovery.
     pub address: Rc<RefCell<String>>,
-    /// Receives a message when the address has changed.
+    /// Channel that receives a message when the address has changed.
     pub address_changes: Receiver<()>,
 }
 
-/// How far the client has come.
+/// State of the client between calls.
 #[derive(Default)]
 struct FollowState {
-    /// Generation of the last update; none: the whole list is to be fetched.
+    /// Generation of the last update; `None` if the whole list is to be fetched.
     generation: Option<u64>,
-    /// Calls that failed in a row.
+    /// Number of consecutive failed calls.
     failures: u32,
 }
 
 impl DiscoveryClient {
-    /// Follows discovery until dropped.
+    /// Applies the updates of discovery to the node until the future is dropped.
     pub async fn follow(self) {
         let mut state = FollowState::default();
         loop {
             let called_at = Instant::now();
             let Some(fetched) = self.fetch(state.generation).await else {
-                // The new agent is asked for the whole list at once.
+                // The whole list is fetched from the agent at the new address at once.
                 state = FollowState::default();
                 continue;
             };
@@ -80,7 +82,8 @@
         }
     }
 
-    /// One call for the list, or for changes since a generation; none: the address has changed meanwhile.
+    /// Makes one call for the list, or for changes since a generation; `None` if the address has changed
+    /// meanwhile.
     async fn fetch(&self, generation: Option<u64>) -> Option<Result<DiscoveryUpdate, FetchError>> {
         let address = self.address.borrow().clone();
         let (kind, target) = match generation {
@@ -112,7 +115,9 @@
         response: Result<(ResponseHead, Bytes), AttemptOutcome>,
     ) -> Result<DiscoveryUpdate, FetchError> {
         match response {
-            Err(AttemptOutcome::Malformed) => Err(self.malformed("an answer that cannot be read".into())),
+            Err(AttemptOutcome::Malformed) => {
+                Err(self.malformed("discovery response is not valid HTTP or exceeds a size limit".into()))
+            }
             Err(outcome) => Err(FetchError::NoResponse(outcome)),
             Ok((head, body)) if head.status == 200 => {
                 DiscoveryUpdate::parse(&body).map_err(|error| self.malformed(error.to_string()))
@@ -127,7 +132,8 @@
     }
 
     async fn apply(&self, update: DiscoveryUpdate, state: &mut FollowState, called_at: Instant) {
-        // Changes of an older list than was asked for: another agent's, or one that restarted. The whole list resolves it.
+        // These changes belong to an older list than the node has: they come from another agent, or from one
+        // that restarted. Fetching the whole list resolves this.
         if state.generation.is_some_and(|generation| update.is_older_than(generation)) {
             state.generation = None;
             return;
@@ -138,7 +144,8 @@
         *state = FollowState { generation: Some(update.generation), failures: 0 };
         self.node.apply_update(update);
         if returned_early {
-            // It brought nothing and did not wait: repeated at once it would spin. The address may change meanwhile.
+            // The watch returned no changes and did not wait: repeating it at once would spin. The address
+            // may change meanwhile.
             if within(EMPTY_WATCH_GAP_S, self.address_changed()).await.is_some() {
                 state.generation = None;
             }
@@ -152,7 +159,7 @@
         state.failures += 1;
     }
 
-    /// Ready when the address has changed; never when nobody can change it any more.
+    /// Completes when the address has changed; never if it can no longer change.
     async fn address_changed(&self) {
         if self.address_changes.recv().await.is_err() {
             std::future::pending::<()>().await;
--- a/crates/nickelgw-platform/src/lib.rs
+++ b/crates/nickelgw-platform/src/lib.rs
@@ -1,5 +1,6 @@
-//! A node on the operators' platform: their protocol for clients, engines and discovery, their process lifecycle, around
-//! the core that all front ends share. Everything runs on one thread and writes no files.
+//! A node on the operators' platform: the platform's protocol for clients, engines and discovery, and its
+//! process lifecycle, around the core that all front ends share. Everything runs on one thread, and no files
+//! are written.
 
 mod clients;
 pub mod config;
--- a/crates/nickelgw-platform/src/node/attempts.rs
+++ b/crates/nickelgw-platform/src/node/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts at engines: the exchange with a prefill engine, and with a decode engine up to the end of its stream.
+//! Attempts at engines: the exchange with a prefill engine, and the exchange with a decode engine up to the
+//! end of its stream.
 
 use super::{Node, Reply};
 use crate::clients::socket::ClientSocket;
@@ -13,27 +14,28 @@
 use nickelgw_protocol::load::LoadReport;
 use std::cell::{Cell, RefCell};
 
-/// Pieces of a stream that wait for a slow client before reading from its engine pauses.
+/// Number of pieces of a stream that are queued for a slow client before reading from the engine pauses.
 const MAX_QUEUED_PIECES: usize = 32;
-/// How long the first event waits for the rest of its chunk. Events are to be forwarded within 0.3 s (the platform's page).
+/// Time for which the first event is held back until the rest of its chunk arrives. Events have to be
+/// forwarded within 0.3 s (the platform's protocol).
 const FIRST_EVENT_DELAY_S: f64 = 0.1;
 
-/// How far an attempt has come, for the one that cancels it.
+/// Progress of an attempt, read when the attempt is cancelled or times out.
 #[derive(Default)]
 pub(super) struct AttemptProgress {
-    /// The request's last byte has been written.
+    /// Whether the request's last byte has been written.
     pub(super) delivered: Cell<bool>,
-    /// The connection that it is written to.
+    /// Connection to which the request is written; `None` until there is one.
     pub(super) connection: RefCell<Option<ConnectionCloser>>,
 }
 
 impl AttemptProgress {
-    /// The result of an attempt whose time is up.
+    /// Returns the result of an attempt whose timeout has expired.
     fn timed_out(&self) -> AttemptResult {
         if self.delivered.get() {
-            ended_by(AttemptOutcome::TimedOut)
+            result_with(AttemptOutcome::TimedOut)
         } else {
-            ended_by(AttemptOutcome::ConnectFailed)
+            result_with(AttemptOutcome::ConnectFailed)
         }
     }
 }
@@ -43,19 +45,20 @@
     connection: Connection,
     decoder: EventStreamDecoder,
     first: Bytes,
-    /// What arrived behind it while the rest of its chunk was awaited.
+    /// Piece after the first event, if it arrived while the rest of that event's chunk was awaited.
     next: Option<StreamPiece>,
-    /// The connection can carry a further request.
+    /// Whether the connection can carry another request after the stream.
     reusable: bool,
     load: Option<LoadReport>,
 }
 
-fn ended_by(outcome: AttemptOutcome) -> AttemptResult {
+/// Returns a result with this outcome, without a load report and cached tokens.
+fn result_with(outcome: AttemptOutcome) -> AttemptResult {
     AttemptResult { outcome, ..AttemptResult::default() }
 }
 
 impl Node {
-    /// Carries out an attempt to its end.
+    /// Carries out an attempt to its end, and returns its result.
     pub(super) async fn execute_attempt(
         &self,
         attempt: &AttemptRequest,
@@ -63,7 +66,7 @@
         client: &ClientSocket,
         progress: &AttemptProgress,
     ) -> AttemptResult {
-        // The timeout counts from here, not from each step.
+        // The timeout covers all steps of the attempt together.
         let timeout_s = attempt.timeout_s;
         match attempt.kind {
             AttemptKind::Prefill => within(timeout_s, self.prefill(attempt, forwarded, client, progress))
@@ -87,8 +90,8 @@
         progress: &AttemptProgress,
     ) -> AttemptResult {
         match self.send_request(attempt, forwarded, client, progress).await {
-            Err(outcome) => ended_by(outcome),
-            Ok((_, head)) if head.is_event_stream => ended_by(AttemptOutcome::Malformed),
+            Err(outcome) => result_with(outcome),
+            Ok((_, head)) if head.is_event_stream => result_with(AttemptOutcome::Malformed),
             Ok((connection, head)) => self.read_unary_body(connection, head, true).await,
         }
     }
@@ -105,17 +108,18 @@
         let pool = &self.parts.pool;
         let usage = if attempt.runs_once { ConnectionUse::SingleAttempt } else { ConnectionUse::Attempt };
         let mut connection = pool.connection(&attempt.engine.address, usage).await?;
-        // The connection may have come up late: the attempt begins only now.
+        // Opening the connection may have taken a while, and the attempt begins only now.
         if client.disconnection().is_some() {
             pool.put_idle(connection);
             return Err(AttemptOutcome::NotDelivered);
         }
-        // Nothing new begins at an engine that was announced as draining meanwhile: as if it had rejected the request.
+        // No attempt begins at an engine that was announced as draining meanwhile. The outcome is as if the
+        // engine had rejected the request.
         if !self.endpoints.borrow().is_active(&attempt.engine.id) {
             return Err(AttemptOutcome::Rejected);
         }
         progress.connection.replace(Some(connection.closer()));
-        // The connection may have taken a while: the engine receives the time that remains now.
+        // Opening the connection may have taken a while: the engine is told the time that remains now.
         let remaining_s = attempt.timeout_s - (self.now() - started_at);
         let bytes = forwarded.encode(&attempt.engine.address, remaining_s);
         connection.write(&bytes, &progress.delivered).await?;
@@ -133,7 +137,7 @@
         Ok((connection, head?))
     }
 
-    /// Reads a response that is no stream to its end.
+    /// Reads a response that is not a stream to its end.
     async fn read_unary_body(
         &self,
         mut connection: Connection,
@@ -141,7 +145,7 @@
         is_prefill: bool,
     ) -> AttemptResult {
         let outcome = engine::unary_outcome(&head, is_prefill);
-        // The status has decided the outcome: a body that breaks off affects only the connection.
+        // The status has decided the outcome: a truncated body affects only the connection.
         let cached_tokens = match connection.body(&head, MAX_BODY_BYTES).await {
             Ok((body, reusable)) => {
                 if reusable {
@@ -154,7 +158,8 @@
         AttemptResult { outcome, load: head.load, cached_tokens }
     }
 
-    /// Sends the request and reads up to the first event of the stream, which is complete before any of it is forwarded.
+    /// Sends the request and reads the stream up to the end of its first event: none of that event is
+    /// forwarded before it is complete.
     async fn read_stream_head(
         &self,
         attempt: &AttemptRequest,
@@ -163,32 +168,33 @@
         progress: &AttemptProgress,
     ) -> Result<StartedStream, AttemptResult> {
         let sent = self.send_request(attempt, forwarded, client, progress).await;
-        let (mut connection, head) = sent.map_err(ended_by)?;
+        let (mut connection, head) = sent.map_err(result_with)?;
         if head.status != 200 {
             return Err(self.read_unary_body(connection, head, false).await);
         }
         if !head.is_event_stream || head.framing != Framing::Chunked {
-            return Err(ended_by(AttemptOutcome::Malformed));
+            return Err(result_with(AttemptOutcome::Malformed));
         }
         let mut decoder = EventStreamDecoder::default();
-        let piece = connection.stream_piece(&mut decoder).await.map_err(ended_by)?;
+        let piece = connection.stream_piece(&mut decoder).await.map_err(result_with)?;
         let StreamPiece::Events(first) = piece else {
-            return Err(ended_by(AttemptOutcome::Malformed));
+            return Err(result_with(AttemptOutcome::Malformed));
         };
         let reusable = !head.closes_connection;
         let mut stream = StartedStream { connection, decoder, first, next: None, reusable, load: head.load };
-        // A chunk that breaks off or does not match its size is found, mostly, before any of it is forwarded.
+        // In most cases this wait detects a chunk that is truncated or does not match its size before any of
+        // it is forwarded.
         if stream.decoder.in_chunk() {
             let next = stream.connection.stream_piece(&mut stream.decoder);
             match within(FIRST_EVENT_DELAY_S, next).await {
                 None => {}
-                Some(next) => stream.next = Some(next.map_err(ended_by)?),
+                Some(next) => stream.next = Some(next.map_err(result_with)?),
             }
         }
         Ok(stream)
     }
 
-    /// Makes the stream the response to its client, and forwards it.
+    /// Starts the response to the client with this stream, and forwards the stream to its end.
     async fn forward_stream(
         &self,
         attempt: &AttemptRequest,
@@ -196,19 +202,19 @@
         idle_timeout_s: f64,
     ) -> AttemptResult {
         if !self.core.borrow_mut().response_started(self.now(), attempt.request, attempt.attempt) {
-            return ended_by(AttemptOutcome::Cancelled);
+            return result_with(AttemptOutcome::Cancelled);
         }
         self.wake();
         tracing::debug!(at = self.now(), request = %attempt.name, "stream started");
         let Some(pending) = self.pending.borrow_mut().remove(&attempt.request) else {
-            return ended_by(AttemptOutcome::Cancelled);
+            return result_with(AttemptOutcome::Cancelled);
         };
         let (sender, receiver) = async_channel::bounded(MAX_QUEUED_PIECES);
         let _ = pending.reply.try_send(Reply::Stream(receiver));
         self.forward_pieces(attempt, stream, idle_timeout_s, sender).await
     }
 
-    /// Forwards a stream as it arrives, and returns how it ended.
+    /// Forwards a stream as it arrives, and returns the attempt's result.
     async fn forward_pieces(
         &self,
         attempt: &AttemptRequest,
@@ -221,14 +227,14 @@
         loop {
             let piece = match next {
                 Ok(piece) => piece,
-                Err(outcome) => return ended_by(outcome),
+                Err(outcome) => return result_with(outcome),
             };
             if let StreamPiece::Events(events) = &piece {
                 load = engine::load_report_in_comment(events).or(load);
             }
             let is_end = piece == StreamPiece::End;
             if sender.send(piece).await.is_err() {
-                return ended_by(AttemptOutcome::Cancelled);
+                return result_with(AttemptOutcome::Cancelled);
             }
             if is_end {
                 tracing::debug!(at = self.now(), request = %attempt.name, "stream finished");
--- a/crates/nickelgw-platform/src/node/commands.rs
+++ b/crates/nickelgw-platform/src/node/commands.rs
@@ -1,4 +1,4 @@
-//! The event loop: runs the core's commands whenever something has happened or its time has come.
+//! The event loop: runs the core's commands whenever an event has occurred or the core's next wake-up is due.
 
 use super::attempts::AttemptProgress;
 use super::{Node, Reply, RunningAttempt};
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 
 impl Node {
-    /// Runs the core's commands until dropped.
+    /// Runs the core's commands until the future is dropped.
     pub async fn run_event_loop(self: Rc<Self>) {
         let mut wake_at = None;
         loop {
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Runs commands until there are none. Returns when the core is to be polled again, if nothing happens before.
+    /// Runs commands until there are none. Returns when the core is to be polled again if no event occurs
+    /// before; `None` if only an event requires that.
     fn run_commands(self: &Rc<Self>) -> Option<f64> {
         let now = self.now();
         loop {
@@ -75,7 +76,8 @@
         }
     }
 
-    /// Runs one command. True: the core has received an event meanwhile and is to be polled at once.
+    /// Runs one command. Returns `true` if the core has received an event meanwhile and is to be polled at
+    /// once.
     fn run_command(self: &Rc<Self>, now: f64, command: Command) -> bool {
         match command {
             Command::StartAttempt(attempt) => return !self.start_attempt(now, attempt),
@@ -83,13 +85,15 @@
             Command::Answer { request, answer } => self.answer(request, answer),
             Command::Release(call) => self.executor().spawn(self.clone().release(call)).detach(),
             Command::Probe(endpoint) => self.executor().spawn(self.clone().probe(endpoint)).detach(),
-            // Reservations of earlier processes are released by the platform, and the list comes unasked.
+            // The platform releases reservations of earlier processes, and the discovery client fetches the
+            // endpoint list by itself.
             Command::ReleaseOrphans(_) | Command::PollEndpoints => {}
         }
         false
     }
 
-    /// Starts an attempt. False: its client has gone, and the core knows that it was not delivered.
+    /// Starts an attempt. Returns `false` if the client has disconnected; the core has then been told that
+    /// the attempt was not delivered.
     fn start_attempt(self: &Rc<Self>, now: f64, attempt: AttemptRequest) -> bool {
         let (request, number) = (attempt.request, attempt.attempt);
         let Some((forwarded, client)) = self.connected_client(request) else {
@@ -114,7 +118,7 @@
     ) {
         let result = self.execute_attempt(&attempt, &forwarded, &client, &progress).await;
         let (request, number) = (attempt.request, attempt.attempt);
-        // It cannot be cancelled any more: it ends by itself.
+        // The attempt can no longer be cancelled: its task runs to its end.
         if let Some(running) = self.attempts.borrow_mut().remove(&(request, number)) {
             running.task.detach();
         }
@@ -126,14 +130,14 @@
         self.wake();
     }
 
-    /// The client's side of a request, if the client is still connected.
+    /// Returns a pending request and its client's socket; `None` if the client has disconnected.
     fn connected_client(&self, request: RequestId) -> Option<(Rc<ForwardedRequest>, Rc<ClientSocket>)> {
         let (forwarded, client) = self
             .pending
             .borrow()
             .get(&request)
             .map(|pending| (pending.forwarded.clone(), pending.client.clone()))?;
-        // The socket knows before the connection's task does, which may be late under load.
+        // The socket is asked because the connection's task may notice a disconnection late under load.
         client.disconnection().is_none().then_some((forwarded, client))
     }
 
@@ -142,7 +146,8 @@
         else {
             return false;
         };
-        // The executor drops a task some time later; what follows may be sent before that.
+        // The connection is closed here because the executor drops the task some time later, and the messages
+        // that follow may be sent before that.
         progress.connection.take().inspect(ConnectionCloser::close);
         drop(task);
         let outcome =
@@ -154,14 +159,14 @@
     }
 
     fn answer(&self, request: RequestId, answer: FinalAnswer) {
-        // A stream that has begun was ended where its end was received.
+        // A response that has begun as a stream is ended by the task of its attempt.
         let Some(pending) = self.pending.borrow_mut().remove(&request) else { return };
         tracing::debug!(at = self.now(), request = %pending.forwarded.id, ?answer, "response sent");
-        let message = match answer {
+        let reply = match answer {
             FinalAnswer::Rejected { retry_after_s } => Reply::Rejected(retry_after_s),
             FinalAnswer::Failed(_) | FinalAnswer::Completed => Reply::Failed,
         };
-        let _ = pending.reply.try_send(message);
+        let _ = pending.reply.try_send(reply);
     }
 }
 
--- a/crates/nickelgw-platform/src/node/control_calls.rs
+++ b/crates/nickelgw-platform/src/node/control_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to engines that carry no request of a client: probes and releases of reservations.
+//! Calls to engines that do not carry a client's request: probes and releases of reservations.
 
 use super::Node;
 use crate::core::discovery_timing::ResponseTimeouts;
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 impl Node {
-    /// Probes an engine and passes what it answers to the core.
+    /// Probes an engine and passes its response to the core.
     pub(super) async fn probe(self: Rc<Self>, endpoint: Rc<Endpoint>) {
         let call = ShortCall {
             method: "GET",
@@ -25,7 +25,7 @@
                 let load_in_body = text.and_then(|text| engine::parse_load_report(text.trim()));
                 let outcome = match head.status {
                     200 => AttemptOutcome::Completed,
-                    // It answers, and has no capacity now.
+                    // The engine responds, but has no capacity now.
                     503 => AttemptOutcome::Rejected,
                     status => AttemptOutcome::ErrorStatus(status),
                 };
@@ -36,7 +36,8 @@
         self.wake();
     }
 
-    /// One call that releases all that is reserved for a request.
+    /// Makes one call that releases all reservations of a request at an engine, and passes the result to the
+    /// core.
     pub(super) async fn release(self: Rc<Self>, call: ReleaseCall) {
         let id = &call.reservation.name;
         let target = format!("{}{id}", names::RESERVATIONS_PATH);
--- a/crates/nickelgw-platform/src/node/mod.rs
+++ b/crates/nickelgw-platform/src/node/mod.rs
@@ -1,6 +1,6 @@
-//! The node's core on the platform's sockets. This module has the node's state and passes events to the core; `commands`
-//! runs what the core then orders, `attempts` carries out attempts at engines, and `control_calls` probes engines and
-//! releases reservations. Everything runs on one thread.
+//! Connects the node's core to the platform's sockets. This module holds the node's state and passes events
+//! to the core; `commands` runs the commands that the core returns, `attempts` carries out attempts at
+//! engines, and `control_calls` probes engines and releases reservations. Everything runs on one thread.
 
 mod attempts;
 mod commands;
@@ -22,18 +22,18 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The client's side of a request whose response has not begun.
+/// A request whose response has not begun, with its client's socket and the channel for its reply.
 struct PendingRequest {
     forwarded: Rc<ForwardedRequest>,
     reply: Sender<Reply>,
     client: Rc<ClientSocket>,
 }
 
-/// How a request is answered.
+/// Reply to a request.
 pub enum Reply {
-    /// The stream's pieces; it is complete only if [`StreamPiece::End`] ends it.
+    /// Pieces of the stream; the stream is complete only if [`StreamPiece::End`] is the last one.
     Stream(Receiver<StreamPiece>),
-    /// Rejected: a retry is harmless, after so long if that is stated.
+    /// The request is rejected and a retry is harmless, after this time in seconds if it is `Some`.
     Rejected(Option<f64>),
     /// No response began in time.
     Failed,
@@ -45,7 +45,7 @@
     progress: Rc<AttemptProgress>,
 }
 
-/// What a node is made of, besides its core and the endpoint list.
+/// Parts of a node besides its core and the endpoint list.
 pub struct NodeParts {
     /// Runs the tasks of attempts, probes and releases.
     pub executor: Rc<LocalExecutor<'static>>,
@@ -53,15 +53,15 @@
     pub pool: Rc<ConnectionPool>,
     /// The node's clock.
     pub clock: Clock,
-    /// Timeout of a probe or a release call.
+    /// Timeout of a probe or a release call, in seconds.
     pub control_timeout_s: f64,
-    /// Path that probes ask for.
+    /// Path of probe calls.
     pub probe_path: &'static str,
 }
 
-/// One node: its core, the requests that are open, and the attempts that run for them.
+/// One node: its core, the open requests, and the attempts that run for them.
 pub struct Node {
-    /// The state machine that decides.
+    /// State machine that makes the decisions.
     pub core: RefCell<NodeCore>,
     endpoints: RefCell<DiscoveredEndpoints>,
     log_limiter: RefCell<LogRateLimiter>,
@@ -74,12 +74,13 @@
     woken: Receiver<()>,
 }
 
-/// An admitted request. Dropped before it has ended, it reports to the core that its client has disconnected.
+/// An admitted request. If it is dropped before the request has ended, it reports to the core that the client
+/// has disconnected.
 pub struct RequestGuard {
     node: Rc<Node>,
     id: String,
     request: RequestId,
-    /// The request has been answered.
+    /// Whether the request has been answered.
     pub ended: bool,
 }
 
@@ -96,7 +97,7 @@
 }
 
 impl Node {
-    /// A node that knows no open request.
+    /// Creates a node without open requests.
     pub fn new(core: NodeCore, endpoints: DiscoveredEndpoints, parts: NodeParts) -> Rc<Node> {
         let (wake, woken) = async_channel::bounded(1);
         Rc::new(Node {
@@ -112,34 +113,36 @@
         })
     }
 
-    /// Seconds since the process started.
+    /// Returns the seconds since the process started.
     pub fn now(&self) -> f64 {
         self.seconds_at(Instant::now())
     }
 
-    /// The same at another moment; less than zero before the start.
+    /// Returns the seconds from the process's start to `moment`; negative if it was before the start.
     pub fn seconds_at(&self, moment: Instant) -> f64 {
         self.parts.clock.seconds_at(moment)
     }
 
-    /// The executor of all of the node's tasks.
+    /// Returns the executor of all of the node's tasks.
     pub fn executor(&self) -> &LocalExecutor<'static> {
         &self.parts.executor
     }
 
-    /// Logs bytes that cannot be used: they cost their connection alone, and the log one line a minute of each source.
+    /// Logs that malformed bytes were received, at most one line per minute and source. Such bytes affect
+    /// only the connection on which they arrived.
     pub fn log_malformed(&self, source: &'static str, reason: &str) {
         if let Some(occurrences) = self.log_limiter.borrow_mut().record(self.now(), source) {
             tracing::warn!(source, reason, occurrences, "malformed message rejected");
         }
     }
 
-    /// Lets the core decide again, once all tasks that are ready have passed their events to it.
+    /// Wakes the event loop, so that the core decides again once all tasks that are ready have passed their
+    /// events to it.
     pub fn wake(&self) {
         let _ = self.wake.try_send(());
     }
 
-    /// Applies what discovery announces.
+    /// Applies an update of discovery to the endpoint list, and passes the list to the core.
     pub fn apply_update(&self, update: DiscoveryUpdate) {
         if update.is_empty() {
             return;
@@ -150,12 +153,13 @@
         self.wake();
     }
 
-    /// Whether a request with this id is open: engines could not distinguish the two.
+    /// Returns whether a request with this id is open: engines could not distinguish two open requests with
+    /// one id.
     pub fn is_open(&self, id: &str) -> bool {
         self.open_ids.borrow().contains(id)
     }
 
-    /// Admits a request, or states why it is not admitted.
+    /// Admits a request, or returns the reason why it is not admitted.
     pub fn accept(
         self: &Rc<Self>,
         request: &AdmittedRequest,
@@ -183,23 +187,23 @@
         Ok((RequestGuard { node: self.clone(), id, request: request_id, ended: false }, replied))
     }
 
-    /// Fails all requests whose response has not begun; streams go on.
+    /// Fails all requests whose response has not begun; streams continue.
     pub fn fail_unstarted(&self) {
         self.core.borrow_mut().fail_unstarted(self.now());
         self.wake();
     }
 
-    /// The process is about to exit.
+    /// Informs the core that the process is about to exit.
     pub fn process_exiting(&self) {
         self.core.borrow_mut().process_exiting();
     }
 
-    /// Number of open requests.
+    /// Returns the number of open requests.
     pub fn open_requests(&self) -> usize {
         self.core.borrow().open()
     }
 
-    /// Whether no attempt is under way and no reservation remains to be released.
+    /// Returns whether no attempt is under way and no reservation remains to be released.
     pub fn is_quiet(&self) -> bool {
         self.core.borrow().is_quiet()
     }
--- a/crates/nickelgw-platform/src/pool.rs
+++ b/crates/nickelgw-platform/src/pool.rs
@@ -1,4 +1,4 @@
-//! Pool of connections to engines and discovery, bounded by descriptors.
+//! Pool of connections to engines and discovery, limited by the number of descriptors.
 
 use crate::connection::DescriptorPermit;
 pub use crate::connection::{Connection, ConnectionCloser};
@@ -13,67 +13,73 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// An attempt that may not be repeated takes a connection that has been idle for no longer than this part of the idle
-/// timeout that its engine was observed to have.
+/// Maximum idle time of a connection that is reused for an attempt that may not be repeated, as a share of
+/// the idle timeout that was observed at the engine.
 const SINGLE_ATTEMPT_IDLE_SHARE: f64 = 0.5;
-/// Engines whose idle timeouts are remembered.
+/// Maximum number of engines whose idle timeouts are remembered.
 const MAX_OBSERVED_ENGINES: usize = 2048;
-/// Seconds between two checks of idle connections.
+/// Interval between two checks of idle connections.
 const IDLE_CHECK_INTERVAL_S: f64 = 1.0;
 
-/// What a connection is for. Attempts leave some descriptors to calls that release reservations and probe engines.
+/// Purpose of a connection. Some descriptors are not available for attempts, but reserved for calls that
+/// release reservations or probe engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionUse {
     /// An attempt that may be repeated.
     Attempt,
-    /// An attempt that may not: a request that crosses the far side's close is reset, and may have run.
+    /// An attempt that may not be repeated: a request that crosses the engine's close of the connection is
+    /// reset, and may have run.
     SingleAttempt,
     /// A probe, a release, or a call to discovery.
     Control,
-    /// A control call that does not use an idle connection, since those may be silent.
+    /// A control call on a new connection, since the engine may no longer respond on idle ones.
     NewConnection,
 }
 
-/// A call without a body, whose response is short.
+/// A call without a body and with a short response.
 pub struct ShortCall<'a> {
-    /// The method.
+    /// Method.
     pub method: &'a str,
     /// Path and query.
     pub target: &'a str,
     /// Host and port.
     pub address: &'a str,
-    /// Which connections it may use.
+    /// Purpose, which determines the connections that the call may use.
     pub usage: ConnectionUse,
     /// Timeouts of the response.
     pub timeouts: ResponseTimeouts,
-    /// Longest body of the response.
+    /// Maximum size of the response's body.
     pub max_body_bytes: usize,
 }
 
 /// Limits of a pool.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
-    /// Timeout of opening a connection.
+    /// Timeout for opening a connection, in seconds.
     pub connect_timeout_s: f64,
-    /// Longest time that a connection is kept idle: engines close theirs at a time of their own.
+    /// Longest time for which a connection is kept idle, in seconds: engines close idle connections after a
+    /// timeout of their own.
     pub max_idle_s: f64,
-    /// Most connections.
+    /// Maximum number of connections.
     pub max_connections: usize,
-    /// So many of them are reserved for calls other than attempts.
+    /// Number of connections that are reserved for calls other than attempts.
     pub reserved_for_control: usize,
 }
 
-/// Idle connections by address, the most recently used last.
+/// Pool of connections to a set of addresses.
 pub struct ConnectionPool {
+    /// Idle connections by address, the most recently used last.
     idle: RefCell<BTreeMap<String, Vec<Connection>>>,
-    /// How long an engine was observed to keep idle connections, where one of them has ended.
+    /// Time in seconds for which an engine was observed to keep idle connections, by address. Engines that
+    /// were never observed to end one have no entry.
     observed_idle_timeout_s: RefCell<BTreeMap<String, f64>>,
+    /// Number of connections that are open or being opened.
     open: Rc<Cell<usize>>,
     limits: PoolLimits,
 }
 
 impl ConnectionPool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     pub fn new(limits: PoolLimits) -> Rc<ConnectionPool> {
         Rc::new(ConnectionPool {
             idle: RefCell::default(),
@@ -83,7 +89,7 @@
         })
     }
 
-    /// An idle connection, or a new one.
+    /// Returns an idle connection, or opens a new one.
     pub async fn connection(
         &self,
         address: &str,
@@ -130,7 +136,8 @@
         }
     }
 
-    /// A connection that has been idle for less than so long, and is not known to have ended.
+    /// Takes a connection from the pool that has been idle for less than `max_idle_s` and is not known to
+    /// have ended; `None` if there is none.
     fn idle_connection(&self, address: &str, max_idle_s: f64) -> Option<Connection> {
         loop {
             let mut connection = self.idle.borrow_mut().get_mut(address).and_then(Vec::pop)?;
@@ -144,7 +151,8 @@
         }
     }
 
-    /// Learns from a call on a connection how long its engine keeps idle ones: it was answered, or the connection broke.
+    /// Learns from a call on a reused connection how long its engine keeps idle connections: either the call
+    /// was answered, or the connection broke.
     pub fn record_use(&self, connection: &Connection, answered: bool) {
         let Some(idle_s) = connection.idle_s() else { return };
         if !answered {
@@ -155,14 +163,15 @@
         }
     }
 
-    /// It has ended while it was idle: since it was last seen open, at a time that is not known.
+    /// Learns from a connection that has ended while it was idle, at an unknown time after it was last seen
+    /// open.
     fn record_idle_close(&self, connection: &Connection, idle_s: f64) {
         self.record_idle_timeout(&connection.address, connection.seen_open_after_s.max(idle_s / 2.0));
     }
 
     fn record_idle_timeout(&self, address: &str, observed_s: f64) {
         let mut engines = self.observed_idle_timeout_s.borrow_mut();
-        // Engines come and go; what is forgotten is observed again.
+        // Engines come and go; a timeout that is forgotten is observed again.
         if engines.len() >= MAX_OBSERVED_ENGINES && !engines.contains_key(address) {
             engines.clear();
         }
@@ -170,7 +179,7 @@
         *timeout_s = timeout_s.min(observed_s);
     }
 
-    /// Keeps a connection whose last response was read to its end for the next call.
+    /// Returns a connection whose last response was read to its end to the pool, for the next call.
     pub fn put_idle(&self, mut connection: Connection) {
         if connection.set_idle() {
             self.idle.borrow_mut().entry(connection.address.clone()).or_default().push(connection);
@@ -181,7 +190,7 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes connections that have been idle for too long, or have ended, until dropped.
+    /// Closes connections that have been idle for too long or have ended, until the future is dropped.
     pub async fn close_expired(self: Rc<Self>) {
         loop {
             Timer::after(seconds(IDLE_CHECK_INTERVAL_S)).await;
@@ -206,7 +215,8 @@
         reusable
     }
 
-    /// A call without a body: its whole response, or an error once a timeout has passed.
+    /// Makes a call without a body. Returns the whole response, or an error if the call fails or a timeout
+    /// expires.
     pub async fn call(&self, call: &ShortCall<'_>) -> Result<(ResponseHead, Bytes), AttemptOutcome> {
         let exchange = async {
             let head = within(call.timeouts.head_s, self.call_head(call)).await;
--- a/crates/nickelgw-platform/src/reload.rs
+++ b/crates/nickelgw-platform/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reloads the configuration while the node serves: the address of discovery may change.
+//! Reloads the configuration while the node is serving: the address of discovery may change.
 
 use crate::config::{self, ConfigFileError};
 use crate::node::Node;
@@ -9,27 +9,28 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// A configuration that cannot be read is read again so often, so long after: it may be half written, and the new
-/// discovery counts from 4 s after SIGHUP.
+/// Maximum number of times that a configuration file that cannot be used is read again, since it may be half
+/// written. What the new discovery address announces counts from 4 s after SIGHUP.
 const MAX_RETRIES: usize = 20;
+/// Interval between two reads of a file that cannot be used.
 const RETRY_INTERVAL_S: f64 = 0.1;
 
-/// Reloads the configuration whenever that is requested.
+/// Reloads the configuration whenever a reload is requested.
 pub struct ConfigReloader {
-    /// The node, for its clock.
+    /// Node whose clock is used for log lines.
     pub node: Rc<Node>,
-    /// The configuration file; none: there is nothing to reload.
+    /// Configuration file; `None` if there is nothing to reload.
     pub config_path: Option<PathBuf>,
-    /// Requests to reload.
+    /// Channel of the requests to reload.
     pub requests: Receiver<()>,
-    /// The address to be updated.
+    /// Address of discovery, which is updated.
     pub discovery_address: Rc<RefCell<String>>,
-    /// Receives a message for each update.
+    /// Channel that receives a message for each update of the address.
     pub address_changed: Sender<()>,
 }
 
 impl ConfigReloader {
-    /// Handles requests until nobody can make one, or until dropped.
+    /// Handles requests until their channel is closed or the future is dropped.
     pub async fn run(self) {
         while self.requests.recv().await.is_ok() {
             tracing::debug!(at = self.node.now(), "configuration reloaded");
@@ -44,7 +45,8 @@
         }
     }
 
-    /// Reads the file again while it is invalid, unless a further request comes. Until it is valid the old address counts.
+    /// Reads the address. While the file is invalid it is read again, unless another request comes; until it
+    /// is valid, the old address is used.
     async fn read_address(&self, path: &Path) -> Result<String, ConfigFileError> {
         let mut address = config::read_discovery_address(path);
         for _ in 0..MAX_RETRIES {
--- a/crates/nickelgw-platform/src/server.rs
+++ b/crates/nickelgw-platform/src/server.rs
@@ -1,4 +1,4 @@
-//! The node as a whole: its limits, its background tasks, and its run from the start to the exit.
+//! The node as a whole: its limits, its background tasks, and its run from start to exit.
 
 use crate::clients::{ClientServer, MemoryBudget};
 use crate::config::NodeConfig;
@@ -20,27 +20,31 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A stream silent for so long is lost: a client may not wait longer than 5 s after an engine's last event.
+/// Time without data after which a stream counts as lost: a client may not wait longer than 5 s after an
+/// engine's last event.
 const STREAM_IDLE_TIMEOUT_S: f64 = 4.0;
-/// What is refused during a shutdown may be retried after so long, where the settings allow it: another node serves it.
+/// Time after which a request that is refused during a shutdown may be retried, if the settings allow that:
+/// another node serves it.
 const SHUTDOWN_RETRY_AFTER_S: f64 = 1.0;
-/// A release is repeated for so long: engines may be away for many seconds, and nobody else frees what stands there.
+/// Time for which a release is repeated: engines may be unreachable for many seconds, and nothing else frees
+/// the reservation.
 const RELEASE_TIMEOUT_S: f64 = 30.0;
-/// Descriptors that the process itself needs: standard streams, poller and its wakers, signals, the listener, a
-/// configuration that is read anew; and one more that is accepted before it is counted.
+/// Descriptors that the process itself needs: standard streams, the poller and its wakers, signals, the
+/// listener, a configuration file that is reloaded, and one more connection that is accepted before it is
+/// counted.
 const PROCESS_DESCRIPTORS: usize = 14;
-/// Part of the other descriptors for clients' connections. Clients may leave all of theirs idle: none of the rest is used
-/// for them.
+/// Share of the other descriptors that is for clients' connections. Clients may leave all of theirs idle, so
+/// none of the rest is used for them.
 const CLIENT_DESCRIPTOR_SHARE: f64 = 0.57;
-/// Part of engines' descriptors that is reserved for releases and probes.
+/// Share of the engines' descriptors that is reserved for releases and probes.
 const CONTROL_DESCRIPTOR_SHARE: f64 = 0.1;
-/// Part of the memory that requests may use.
+/// Share of the process's memory that requests may use.
 const REQUEST_MEMORY_SHARE: f64 = 0.25;
-/// Connections are kept idle for this part of the engines' timeout: one that is about to be closed at the far side would
-/// break what is sent on it.
+/// Share of the engines' idle timeout for which connections to them are kept idle: a request that is sent on
+/// a connection which the engine is about to close would fail.
 const IDLE_SHARE: f64 = 0.6;
 
-/// How the process's descriptors are divided.
+/// Division of the process's descriptors.
 struct DescriptorLimits {
     clients: usize,
     engines: usize,
@@ -57,7 +61,7 @@
     }
 }
 
-/// Serves until a shutdown is requested and has ended, or the future is dropped.
+/// Runs a node until a requested shutdown has ended, or until the future is dropped.
 pub async fn run(
     listener: TcpListener,
     config: NodeConfig,
@@ -87,7 +91,8 @@
         address: discovery_address.clone(),
         address_changes,
     };
-    // Until the process exits: what is announced during a shutdown counts for attempts that still go out.
+    // Reloads until the process exits: what discovery announces during a shutdown applies to attempts that
+    // still start.
     let reloader = ConfigReloader {
         node: node.clone(),
         config_path,
@@ -112,7 +117,7 @@
     Ok(())
 }
 
-/// The pools of engines and of discovery.
+/// Connection pools for engines and for discovery.
 struct Pools {
     engines: Rc<ConnectionPool>,
     discovery: Rc<ConnectionPool>,
--- a/crates/nickelgw-platform/src/shutdown.rs
+++ b/crates/nickelgw-platform/src/shutdown.rs
@@ -1,4 +1,5 @@
-//! The node's shutdown: new connections are served for a while, open requests end, and reservations are released.
+//! The node's shutdown: new connections are served for a while, open requests are completed, and reservations
+//! are released.
 
 use crate::clients::ClientServer;
 use crate::node::Node;
@@ -7,36 +8,37 @@
 use smol::{Task, Timer};
 use std::rc::Rc;
 
-/// New connections still come for 0.2 to 0.4 s after the request to shut down. Streams go on to their end: broken on
-/// purpose, so that their clients ask elsewhere, they were served less than half as often.
+/// Time for which connections are still accepted after the request to shut down, since new ones come for
+/// another 0.2 to 0.4 s. Streams continue to their end: when they were broken on purpose, so that their
+/// clients ask another node, they were completed less than half as often.
 const ACCEPT_DURATION_S: f64 = 0.5;
-/// Requests whose response has not begun are answered so long before the process is killed.
+/// Time before the process is killed at which requests whose response has not begun are answered.
 const ANSWER_BEFORE_KILL_S: f64 = 0.4;
-/// Seconds between two checks whether all has ended.
+/// Interval between two checks whether the shutdown is complete.
 const CHECK_INTERVAL_S: f64 = 0.02;
 
-/// Times that the platform sets.
+/// Time limits that the platform sets.
 pub struct ShutdownTimes {
-    /// SIGKILL comes no sooner than so long after the request to shut down.
+    /// Minimum time from the request to shut down to SIGKILL, in seconds.
     pub kill_after_s: f64,
 }
 
-/// What a shutdown ends.
+/// A shutdown, and the parts of the process that it ends.
 pub struct Shutdown {
     /// The node.
     pub node: Rc<Node>,
     /// The server for clients.
     pub clients: Rc<ClientServer>,
-    /// Accepts connections.
+    /// Task that accepts connections.
     pub accepting: Task<()>,
-    /// Closed, it ends that.
+    /// Channel that ends `accepting` when it is closed.
     pub stop_accepting: Sender<()>,
-    /// Times that the platform sets.
+    /// Time limits that the platform sets.
     pub times: ShutdownTimes,
 }
 
 impl Shutdown {
-    /// Waits for a request to shut down, and until the shutdown has ended.
+    /// Waits for a request to shut down, and then until the shutdown has ended.
     pub async fn serve_until_ended(self, requests: Receiver<()>) {
         let _ = requests.recv().await;
         tracing::debug!(at = self.node.now(), open = self.node.open_requests(), "shutdown requested");
@@ -50,7 +52,7 @@
         tracing::debug!(at = self.node.now(), "shutdown finished");
     }
 
-    /// Waits until nothing is open; at `answer_at` requests whose response has not begun are answered.
+    /// Waits until nothing is open. At `answer_at`, requests whose response has not begun are answered.
     async fn wait_until_ended(&self, answer_at: f64) {
         let mut answered = false;
         loop {
--- a/crates/nickelgw-platform/src/stream_io.rs
+++ b/crates/nickelgw-platform/src/stream_io.rs
@@ -1,4 +1,4 @@
-//! Reading and writing TCP streams: buffered reads, and messages parsed as their bytes arrive.
+//! Reads and writes TCP streams: buffered reads, and messages that are parsed as their bytes arrive.
 
 use crate::core::chunked::{ChunkedDecoder, DecodeStep};
 use crate::core::{Framing, MalformedMessage};
@@ -9,10 +9,11 @@
 use std::io::{self, ErrorKind, Read};
 use std::net::TcpStream;
 
-/// Bytes of one read.
+/// Maximum number of bytes per read call.
 const READ_BYTES: usize = 8 * 1024;
 
-/// Appends what has arrived to the buffer, without waiting; 0 at the end of the stream.
+/// Appends the bytes that have arrived to the buffer without waiting, and returns their number; 0 at the end
+/// of the stream.
 pub fn read_available(mut stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<usize> {
     let mut bytes = [0; READ_BYTES];
     let length = loop {
@@ -25,12 +26,13 @@
     Ok(length)
 }
 
-/// A connection that is read.
+/// A connection that can be read.
 pub trait Readable {
-    /// Its stream.
+    /// Returns the connection's stream.
     fn stream(&self) -> &Async<TcpStream>;
 
-    /// Appends what has arrived to the buffer, without waiting; 0 at the end of the stream.
+    /// Appends the bytes that have arrived to the buffer without waiting, and returns their number; 0 at the
+    /// end of the stream.
     fn read_available(&self, buffer: &mut BytesMut) -> io::Result<usize> {
         read_available(self.stream().get_ref(), buffer)
     }
@@ -42,12 +44,13 @@
     }
 }
 
-/// Appends what arrives to the buffer; 0 at the end of the stream. Dropped while it waits, it has read nothing.
+/// Waits for bytes, appends them to the buffer and returns their number; 0 at the end of the stream. If the
+/// future is dropped while it waits, nothing has been read.
 pub async fn read(connection: &impl Readable, buffer: &mut BytesMut) -> io::Result<usize> {
     connection.stream().read_with(|_| connection.read_available(buffer)).await
 }
 
-/// Writes all of the bytes; a call that a signal interrupts is repeated.
+/// Writes all of the bytes; repeats a call that is interrupted by a signal.
 pub async fn write_all(mut stream: &Async<TcpStream>, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match stream.write(bytes).await {
@@ -60,13 +63,13 @@
     Ok(())
 }
 
-/// Why a message was not received.
+/// Error returned when a message could not be received.
 #[derive(Debug, thiserror::Error)]
 pub enum ReceiveError {
-    /// The connection ended or failed first.
-    #[error("the connection ended")]
+    /// The connection ended or failed before the message was complete.
+    #[error("connection ended before the message was complete")]
     ConnectionEnded,
-    /// What arrived violates the protocol.
+    /// The received bytes violate the protocol.
     #[error(transparent)]
     Malformed(#[from] MalformedMessage),
 }
@@ -80,7 +83,7 @@
     }
 }
 
-/// Reads until `parse` finds what it looks for in the buffer, and removes it there.
+/// Reads until `parse` finds a message part in the buffer and takes it out, and returns that part.
 pub async fn receive<T>(
     connection: &impl Readable,
     buffer: &mut BytesMut,
@@ -96,7 +99,7 @@
     }
 }
 
-/// Reads a message's whole body; none longer than allowed.
+/// Reads the whole body of a message; fails if it is longer than `max_bytes`.
 pub async fn receive_body(
     connection: &impl Readable,
     buffer: &mut BytesMut,
