--- a/crates/nickelgw-platform-config/src/lib.rs
+++ b/crates/nickelgw-platform-config/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operators' `options` object, from which a node gets its deployment: read the same for the simulator's wire and
-//! for the platform.
+//! Parser of the operators' `options` object, from which a node gets its deployment. The simulator's wire
+//! protocol and the platform use the same object.
 
 pub mod fields;
 
@@ -7,18 +7,18 @@
 use nickelgw::interface::{Deployment, EngineLoad, EngineRole, Idempotency, IdempotencyScope, ModelRoute};
 use serde_json::{json, Value};
 
-/// TPOT objective of a route for which the options have none.
+/// TPOT objective in seconds of a route for which the options state none.
 const DEFAULT_TPOT_S: f64 = 0.06;
-/// Memory of a machine kind for which the options have none.
+/// Memory in tokens of a machine kind for which the options state none.
 const DEFAULT_MEMORY_TOKENS: f64 = 1.0;
-/// Microseconds for a thousand prompt tokens, as seconds for one.
+/// Divisor that converts microseconds per 1000 prompt tokens to seconds per token.
 const US_PER_1000_TOKENS: f64 = 1e9;
-/// Pending prompt tokens are reported in thousands.
+/// Tokens per reported unit of pending prompt tokens, which are reported in thousands.
 const TOKENS_PER_REPORTED_UNIT: f64 = 1000.0;
 
-/// What the options say, with the names for which the decision module has indices.
+/// The parsed options, with the names for which the decision module uses indices.
 pub struct PlatformConfig {
-    /// What the decision module is started with.
+    /// Deployment with which the decision module is started.
     pub deployment: Deployment,
     /// Names of the model routes.
     pub routes: Vec<String>,
@@ -26,34 +26,35 @@
     pub tenants: Vec<String>,
     /// Names of the zones.
     pub zones: Vec<String>,
-    /// The kinds of engines.
+    /// Machine kinds of the engines.
     pub machine_kinds: Vec<MachineKind>,
 }
 
-/// A kind of engine.
+/// A machine kind: engines of one kind have the same role and memory.
 pub struct MachineKind {
-    /// Its name in the endpoint list.
+    /// Name of the kind in the endpoint list.
     pub name: String,
-    /// What engines of this kind can do.
+    /// Role of engines of this kind.
     pub role: EngineRole,
-    /// Tokens that the KV cache memory of one holds.
+    /// Number of tokens that the KV cache memory of one engine holds.
     pub memory_tokens: f64,
 }
 
-/// The index of the name that a field holds.
-pub fn position_of(names: &[String], line: &Value, field: &str) -> Result<usize, ConfigError> {
-    let wanted = text(line, field)?;
+/// Returns the index in `names` of the name that a field of `object` holds.
+pub fn position_of(names: &[String], object: &Value, field: &str) -> Result<usize, ConfigError> {
+    let wanted = text(object, field)?;
     let position = names.iter().position(|name| name == wanted);
-    position.ok_or_else(|| ConfigError::field(line, field, "a name from the settings"))
+    position.ok_or_else(|| ConfigError::field(object, field, "a name from the settings"))
 }
 
-/// An object that must be present.
-pub fn object<'a>(line: &'a Value, field: &str) -> Result<&'a Value, ConfigError> {
-    let value = line.get(field).filter(|value| value.is_object());
-    value.ok_or_else(|| ConfigError::field(line, field, "an object"))
+/// Returns the object in a field of `parent`, which must be present.
+pub fn object<'a>(parent: &'a Value, field: &str) -> Result<&'a Value, ConfigError> {
+    let value = parent.get(field).filter(|value| value.is_object());
+    value.ok_or_else(|| ConfigError::field(parent, field, "an object"))
 }
 
-/// A report's values by the names that the options give them, or by the platform's own.
+/// Reads an engine's load from the values of its report. `value` looks up a value by name; a value has the
+/// name that the options give it, or the platform's own.
 pub fn read_engine_load<E>(value: impl Fn(&str) -> Result<Option<f64>, E>) -> Result<EngineLoad, E> {
     Ok(EngineLoad {
         memory_share: value("x0")?,
@@ -65,7 +66,7 @@
 }
 
 impl PlatformConfig {
-    /// Reads the `options` object; `seed` is that of the node's random choices.
+    /// Parses the `options` object. `seed` is the seed of the node's random choices.
     pub fn parse(options: &Value, seed: u64) -> Result<PlatformConfig, ConfigError> {
         let sections = Sections::of(options)?;
         let (routes, route_names) = sections.routes()?;
@@ -95,7 +96,7 @@
         })
     }
 
-    /// An item of a list of numbers in `family_info`, or the default where it has none.
+    /// Returns the number at `index` of a list in `family_info`, or the default if the list has no such item.
     fn info_number(&self, field: &str, index: usize, default: f64) -> Result<f64, ConfigError> {
         let value = list(self.info, field)?.get(index).map_or(Some(default), Value::as_f64);
         value.ok_or_else(|| ConfigError::field(self.info, field, "a list of numbers"))
