--- a/crates/nickelgw-platform-config/tests/settings.rs
+++ b/crates/nickelgw-platform-config/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Options of other deployments: absent fields, and values at the edge.
+//! Tests of parsing the options: absent fields, invalid fields and limiting values, as other deployments may
+//! have them.
 
 #![allow(missing_docs)]
 
@@ -8,7 +9,7 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-/// One zone, one route, no tenants, no reports, no probes, nothing that may be left out.
+/// Options with one zone and one route, without tenants, reports and probes, and without any optional field.
 fn minimal_options() -> Value {
     json!({"az": "z", "balancers": 1, "my_number": 0, "tick_s": 0.004, "zones": ["z"], "kinds": ["k1", "k2"],
         "classes": [{"name": "only", "slo_s": 1.0, "idempotency": "pure"}],
@@ -66,12 +67,12 @@
     );
 }
 
-#[test_case("/classes/0/idempotency", json!("perhaps"), "pure, token or side_effect"; "an unknown effect")]
+#[test_case("/classes/0/idempotency", json!("perhaps"), "pure, token or side_effect"; "an unknown idempotency")]
 #[test_case("/classes/0/group", json!("rack"), "all, zone or cell"; "an unknown group")]
 #[test_case("/classes/0/slo_s", json!("1"), "slo_s"; "an objective that is text")]
 #[test_case("/family_info/role_by_kind", json!(["read"]), "role_by_kind"; "a kind without a role")]
 #[test_case("/az", json!("elsewhere"), "az"; "a zone that the settings lack")]
-#[test_case("/limits", json!([]), "limits"; "limits that are no object")]
+#[test_case("/limits", json!([]), "limits"; "limits that are not an object")]
 fn an_invalid_field_is_named_in_the_error(pointer: &str, value: Value, field: &str) {
     let mut options = minimal_options();
     match options.pointer_mut(pointer) {
@@ -82,7 +83,7 @@
     assert!(message.contains(field), "{message}");
 }
 
-/// A tenant without a quota gets what others leave.
+/// A tenant with a quota of zero gets the capacity that others leave.
 #[test]
 fn a_quota_of_zero_rejects_nothing_while_there_is_room() {
     let mut options = minimal_options();
--- a/crates/nickelgw-platform/examples/causes.rs
+++ b/crates/nickelgw-platform/examples/causes.rs
@@ -1,19 +1,22 @@
-//! Why requests were not served within their objective, as a table by cause, route and engines: read from the logs of all
-//! nodes of a day (`--log-level debug`).
+//! Prints why requests were not served within their objective, as a table by cause, state of the engines and
+//! route. The data is read from the logs of all nodes of a day (`--log-level debug`).
 //!
 //!     cargo run --release -p nickelgw-platform --example causes -- LOGS [--warmup SECONDS] [--prefills]
 //!
-//! `--warmup`: an engine is called warming up for so long after its start (the settings' warm_within_s). `--prefills`: times
-//! of prefills that finished, expected and measured, by how many requests were at the engine before.
+//! `--warmup`: time after its start during which an engine counts as warming up (`warm_within_s` in the
+//! settings). `--prefills`: also prints expected and measured times of finished prefills, by the number of
+//! requests that were at the engine before.
 
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::Path;
 
-/// Seconds for which an engine warms up, if `--warmup` does not state otherwise.
+/// Time for which an engine warms up, in seconds, if `--warmup` is not given.
 const DEFAULT_WARMUP_S: f64 = 13.0;
-/// Names of the rejection reason's fields with the engines that admitted the request, and with all of them.
+/// Current and former name of the field of a rejection reason with the number of engines that admitted the
+/// request.
 const ADMITTING_FIELDS: [&str; 2] = ["admitting", "open"];
+/// Current and former name of the field of a rejection reason with the number of all prefill engines.
 const ENGINES_FIELDS: [&str; 2] = ["prefill_engines", "readers"];
 
 /// One request, as its node logged it.
@@ -22,7 +25,7 @@
     route: u32,
     accepted_at: f64,
     ttft_objective_s: f64,
-    /// The client's whole time for a first token.
+    /// The client's timeout for the first token, in seconds.
     timeout_s: f64,
     attempts: Vec<Attempt>,
     prefilled_at: Option<f64>,
@@ -43,7 +46,7 @@
     outcome: Option<String>,
 }
 
-/// A prefill that finished.
+/// Expected and measured time of a prefill that finished, in seconds.
 pub struct PrefillTime {
     expected_s: f64,
     measured_s: f64,
@@ -52,28 +55,30 @@
 /// Requests by cause and engines, and by route.
 #[derive(Default)]
 pub struct CauseTable {
-    /// Engines younger than this are warming up.
+    /// Age in seconds below which an engine counts as warming up.
     pub warmup_s: f64,
-    /// Requests not served within their objective: by cause and state of the engines, then by route.
+    /// Numbers of requests not served within their objective: by cause and state of the engines, then by
+    /// route.
     pub rows: BTreeMap<(String, &'static str), BTreeMap<u32, u32>>,
-    /// Accepted requests by route.
+    /// Numbers of accepted requests by route.
     pub accepted: BTreeMap<u32, u32>,
-    /// Requests served within their objective by route.
+    /// Numbers of requests served within their objective, by route.
     pub served: BTreeMap<u32, u32>,
-    /// Prefills that finished, by the binary logarithm of the requests ahead.
+    /// Prefills that finished, by the number of requests ahead: 0 if there was none, otherwise one more than
+    /// the whole part of that number's binary logarithm.
     pub prefills: BTreeMap<u32, Vec<PrefillTime>>,
 }
 
-/// What the logs contain.
+/// Content of the logs, as far as it is used.
 #[derive(Default)]
 pub struct LogContents {
     /// Accepted requests by id.
     pub requests: BTreeMap<String, RequestTrace>,
-    /// Requests refused before admission, by reason.
+    /// Numbers of requests refused before admission, by reason.
     pub refused: BTreeMap<String, u32>,
 }
 
-/// The value of `name=` in a line, without quotes.
+/// Returns the value of `name=` in a line, without quotes; `None` if the line has no such field.
 fn field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     let (start, _) = line.match_indices(name).find(|(start, _)| {
         let before = line[..*start].chars().next_back();
@@ -91,7 +96,7 @@
 }
 
 impl LogContents {
-    /// Adds one node's log; a request's id is unique across all nodes.
+    /// Adds the log of one node. A request's id is unique across all nodes.
     pub fn add(&mut self, text: &str) {
         for line in text.lines() {
             let Some(message) = line.split(": ").nth(1) else { continue };
@@ -151,12 +156,12 @@
         self.started_at.is_some_and(|started_at| started_at - self.accepted_at <= self.ttft_objective_s)
     }
 
-    /// The name of the rejection reason.
+    /// Returns the name of the rejection reason; `None` if the request was not rejected.
     fn rejection_name(&self) -> Option<&str> {
         self.rejection.as_deref().map(|reason| reason.split(' ').next().unwrap_or(reason))
     }
 
-    /// A field of the rejection reason, by any of its names.
+    /// Returns a field of the rejection reason under the first of these names that it has.
     fn rejection_field(&self, names: &[&str]) -> Option<u32> {
         let reason = self.rejection.as_deref()?;
         names.iter().find_map(|name| {
@@ -165,7 +170,7 @@
         })
     }
 
-    /// Why the request was not served within its objective.
+    /// Returns why the request was not served within its objective.
     fn cause(&self) -> String {
         let Some(last) = self.attempts.last() else { return self.cause_without_attempt() };
         if let Some(started_at) = self.started_at {
@@ -213,7 +218,8 @@
         format!("started late: {}", longest.map_or("", |(phase, _)| phase))
     }
 
-    /// How the engines of its last attempt were; without an attempt, whether some did not admit it.
+    /// Returns the state of the last attempt's engine; without an attempt, whether all engines admitted the
+    /// request.
     fn engine_state(&self, warmup_s: f64) -> &'static str {
         match self.attempts.last() {
             None => self.admitting_state(),
@@ -234,7 +240,8 @@
         }
     }
 
-    /// The prefill that finished last, with its number of requests ahead.
+    /// Returns the time of the request's finished prefill, with the number of requests ahead of it; `None` if
+    /// no prefill finished.
     fn prefill_time(&self) -> Option<(f64, PrefillTime)> {
         let prefilled = |attempt: &&Attempt| attempt.outcome.as_deref() == Some("Prefilled");
         let attempt = self.attempts.iter().find(prefilled)?;
@@ -264,7 +271,8 @@
         if request.finished && request.started_in_time() {
             *self.served.entry(request.route).or_default() += 1;
         } else {
-            // Such clients repeat their requests; they are no more than one each.
+            // Marked in the table, since clients with such a timeout repeat their requests; each request
+            // counts only once.
             let is_short = request.started_at.is_none() && request.timeout_s < request.ttft_objective_s;
             let short = if is_short { ", client's timeout below the objective" } else { "" };
             let row = (request.cause() + short, request.engine_state(self.warmup_s));
--- a/crates/nickelgw-platform/src/clients/socket.rs
+++ b/crates/nickelgw-platform/src/clients/socket.rs
@@ -28,7 +28,7 @@
 pub enum Disconnection {
     /// The client has closed its connection, or its sending direction.
     Closed,
-    /// The client has sent more before its response than is buffered.
+    /// The client has sent more before its response than may be buffered.
     PipelineOverflow,
 }
 
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Returns when the last byte before the last `unused` bytes read arrived.
+    /// Returns the arrival time of the last byte that was read before the final `unused` bytes.
     pub fn arrival_before(&self, unused: usize) -> Instant {
         self.arrivals.borrow_mut().arrival_before(unused)
     }
--- a/crates/nickelgw-platform/src/core/tests.rs
+++ b/crates/nickelgw-platform/src/core/tests.rs
@@ -23,7 +23,7 @@
     KnownNames { routes: vec!["doc".into(), "chat".into()], tenants: vec!["acme".into()] }
 }
 
-/// The request with this head, as it is admitted.
+/// Returns the request with this head in the form in which it is admitted.
 fn admitted(text: &str) -> Result<AdmittedRequest, String> {
     let parsed = parse_request_head(text.as_bytes()).map_err(|error| error.to_string())?;
     let (head, _) = parsed.ok_or("the head is incomplete")?;
@@ -49,29 +49,30 @@
     assert!(parse_request_head(incomplete).unwrap().is_none());
 }
 
-// Unusable requests: each is refused before admission, none reaches the decision module or an engine.
+// Invalid requests are refused before admission: none reaches the decision module or an engine.
 #[test_case("X-Call-Id: 9b1f03aa\r\n", ""; "no id")]
 #[test_case("9b1f03aa", "../x"; "an id that would change a path")]
 #[test_case("X-Caller: acme", "X-Call-Id: other"; "two ids")]
-#[test_case("Class: chat", "Class: nope"; "no such class")]
-#[test_case("acme", "nobody"; "no such caller")]
+#[test_case("Class: chat", "Class: nope"; "unknown class")]
+#[test_case("acme", "nobody"; "unknown caller")]
 #[test_case("4800", "-3"; "negative budget")]
-#[test_case("4800", "soon"; "budget is no number")]
+#[test_case("4800", "soon"; "budget that is not a number")]
 #[test_case("4800", "99999999999999999999"; "huge budget")]
 #[test_case("prompt_len=12", "prompt_len=-12"; "negative length")]
 #[test_case("prompt_len=12", "prompt_len=99999999"; "more tokens than characters")]
 #[test_case("Content-Length: 20", "Content-Length: 20\r\nTransfer-Encoding: chunked"; "two framings")]
 #[test_case("Content-Length: 20", "Content-Length: 20\r\nContent-Length: 20"; "two lengths")]
 #[test_case("Content-Length: 20", "Content-Length: -1"; "negative content length")]
-#[test_case("Content-Length: 20", "Transfer-Encoding: gzip, chunked"; "other coding")]
-#[test_case("HTTP/1.1", "HTTP/9"; "no such version")]
-#[test_case("Host: app.svc", "Ho st: app.svc"; "a header that cannot be read")]
-fn unusable_request_is_refused(part: &str, replacement: &str) {
+#[test_case("Content-Length: 20", "Transfer-Encoding: gzip, chunked"; "unsupported transfer coding")]
+#[test_case("HTTP/1.1", "HTTP/9"; "unsupported version")]
+#[test_case("Host: app.svc", "Ho st: app.svc"; "malformed header")]
+fn invalid_request_is_refused(part: &str, replacement: &str) {
     assert!(VALID_HEAD.contains(part));
     assert!(admitted(&VALID_HEAD.replacen(part, replacement, 1)).is_err());
 }
 
-/// Another deployment's key of a deduplicated class is a header that this one's page does not name.
+/// The header with the idempotency key of a deduplicated class (X-Dedupe) is named by a deployment and
+/// unknown to the node.
 #[test]
 fn head_is_forwarded_without_the_headers_of_its_connection() {
     let text = VALID_HEAD.replacen(
@@ -107,7 +108,7 @@
     StreamPiece::Events(Bytes::from(text.to_string()))
 }
 
-/// The pieces decoded from these bytes, which arrive part by part.
+/// Decodes bytes that arrive in these parts. Returns the pieces, and the error at which decoding ended.
 fn decode_parts(parts: &[&[u8]]) -> (Vec<StreamPiece>, Result<(), MalformedMessage>) {
     let (mut decoder, mut buffer) = (EventStreamDecoder::default(), BytesMut::new());
     let mut pieces = Vec::new();
@@ -138,36 +139,42 @@
 fn events_are_decoded_whole_and_as_soon_as_they_are_complete() {
     let stream = format!("{}0\r\n\r\n", chunk(EVENT));
     assert_eq!(decode(stream.as_bytes()), (vec![events(EVENT), StreamPiece::End], Ok(())));
-    // Before its chunk is complete.
+    // An event is returned before its chunk is complete.
     assert_eq!(decode(b"9\r\ndata: 1\n\n").0, [events(EVENT)]);
     assert_eq!(decode(b"20\r\ndata: 1\n\ndata: 2").0, [events(EVENT)]);
-    // Not its half, even if that chunk is complete.
+    // Half an event is not returned, even if its chunk is complete.
     let parts = [chunk("data: "), chunk("1\n"), chunk("\n")];
     assert_eq!(decode(parts[0].as_bytes()).0, []);
     assert_eq!(decode(parts[..2].concat().as_bytes()).0, []);
     assert_eq!(decode(parts.concat().as_bytes()).0, [events(EVENT)]);
-    // Other line ends, several at once, and what the end of the stream ends.
+    // Events with other line ends, several events at once, and an event that is ended by the end of the
+    // stream.
     assert_eq!(decode(chunk("data: 1\r\n\r\n").as_bytes()).0, [events("data: 1\r\n\r\n")]);
     let two_and_a_part = chunk("data: 1\n\ndata: 2\n\nda");
     assert_eq!(decode(two_and_a_part.as_bytes()).0, [events("data: 1\n\ndata: 2\n\n")]);
-    assert_eq!(decode(chunk(EVENT).repeat(2).as_bytes()).0, [events(EVENT), events(EVENT)], "chunk by chunk");
+    assert_eq!(
+        decode(chunk(EVENT).repeat(2).as_bytes()).0,
+        [events(EVENT), events(EVENT)],
+        "one piece per chunk"
+    );
     let comment = format!("{}0\r\n\r\n", chunk(": X-Load-Report: x0=1"));
     assert_eq!(decode(comment.as_bytes()).0, [events(": X-Load-Report: x0=1"), StreamPiece::End]);
 }
 
-// Malformed streams: found before anything of the event is forwarded.
+// Malformed streams are detected before any of the event is forwarded.
 #[test_case(b"zz\r\nab\r\n", MalformedMessage::Chunk; "no size")]
 #[test_case(b"2\r\nabc\r\n", MalformedMessage::Chunk; "too small a size")]
 #[test_case(b"4\r\nab\r\n4\r\n", MalformedMessage::Chunk; "too large a size")]
 #[test_case(b"c0000000\r\nab", MalformedMessage::TooLong; "3 GB")]
-#[test_case(b"fffffffffffffffff\r\nab", MalformedMessage::Chunk; "past all numbers")]
-#[test_case(b"0\r\nno trailer\r\n\r\n", MalformedMessage::Chunk; "bad trailers")]
-#[test_case(b"9\r\nnoise: \n\n\r\n", MalformedMessage::Events; "no event")]
+#[test_case(b"fffffffffffffffff\r\nab", MalformedMessage::Chunk; "size beyond 64 bits")]
+#[test_case(b"0\r\nno trailer\r\n\r\n", MalformedMessage::Chunk; "malformed trailers")]
+#[test_case(b"9\r\nnoise: \n\n\r\n", MalformedMessage::Events; "unknown field")]
 fn malformed_chunk_is_detected(bytes: &[u8], error: MalformedMessage) {
     assert_eq!(decode(bytes), (vec![], Err(error)));
 }
 
-/// The next chunk's line in the data: the first event is complete, and nothing behind it is forwarded.
+/// The data contains the size line of the next chunk: the first event is complete and forwarded, and nothing
+/// after it.
 #[test]
 fn size_that_includes_the_next_chunk_ends_the_stream() {
     let bytes = format!("40\r\n{EVENT}\r\n{}{}", chunk(EVENT), chunk(&"data: 22\n\n".repeat(9)));
@@ -188,19 +195,19 @@
     for step in [DecodeStep::ChunkEnd, DecodeStep::ChunkEnd, DecodeStep::ChunkEnd, DecodeStep::BodyEnd] {
         assert_eq!(decoder.decode(&mut bytes, &mut body, 4), Ok(step));
     }
-    assert_eq!(&body[..], b"abcabcabc", "the sum is the caller's to limit");
+    assert_eq!(&body[..], b"abcabcabc", "the caller limits the length of all chunks together");
     assert_eq!(
         ChunkedDecoder::default().decode(&mut BytesMut::from(&b"5\r\n"[..]), &mut body, 4),
         Err(MalformedMessage::TooLong)
     );
 }
 
-#[test_case("202 Accepted", true, AttemptOutcome::Prefilled; "read")]
-#[test_case("202 Accepted", false, AttemptOutcome::Malformed; "a writer that says read")]
-#[test_case("410 Gone\r\nX-Rejected: 1", false, AttemptOutcome::ReservationNotFound; "no state")]
-#[test_case("503 Full\r\nX-Rejected: 1", true, AttemptOutcome::Rejected; "turned away")]
-#[test_case("504 Late\r\nX-Rejected: 1", false, AttemptOutcome::Rejected; "too late")]
-#[test_case("503 Full", false, AttemptOutcome::ErrorStatus(503); "a bare 503 proves nothing")]
+#[test_case("202 Accepted", true, AttemptOutcome::Prefilled; "prefilled")]
+#[test_case("202 Accepted", false, AttemptOutcome::Malformed; "202 from a decode engine")]
+#[test_case("410 Gone\r\nX-Rejected: 1", false, AttemptOutcome::ReservationNotFound; "no reservation")]
+#[test_case("503 Full\r\nX-Rejected: 1", true, AttemptOutcome::Rejected; "rejected because full")]
+#[test_case("504 Late\r\nX-Rejected: 1", false, AttemptOutcome::Rejected; "rejected because too late")]
+#[test_case("503 Full", false, AttemptOutcome::ErrorStatus(503); "503 without rejection header")]
 #[test_case("500 Error", true, AttemptOutcome::ErrorStatus(500); "error")]
 fn response_status_decides_the_outcome(head: &str, is_prefill: bool, expected: AttemptOutcome) {
     let bytes = format!("HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n");
@@ -209,7 +216,7 @@
 }
 
 #[test]
-fn head_that_does_not_end_in_place_is_malformed() {
+fn head_without_an_empty_line_at_its_end_is_malformed() {
     let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n9\r\ndata: 1\n\n\r\n";
     assert!(parse_response_head(head).is_err());
     assert!(parse_response_head(b"\x00\x07noise").is_err());
@@ -257,7 +264,7 @@
 }
 
 proptest! {
-    // Bytes from outside never cost more than their connection.
+    // Received bytes never cause a panic, whatever they are.
     #[test]
     fn any_bytes_are_parsed_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
         let _ = parse_request_head(&bytes);
@@ -292,7 +299,8 @@
         prop_assert!(buffer.is_empty());
     }
 
-    // Whatever the chunks, and however they arrive: all of it, unchanged, each piece complete events.
+    // Independently of the chunks and of how they arrive, all data is decoded unchanged, and each piece has
+    // complete events.
     #[test]
     fn events_are_decoded_the_same_whatever_the_chunks(
         texts in proptest::collection::vec("[a-z0-9 :]{0,12}", 1..12),
@@ -323,7 +331,7 @@
         prop_assert_eq!((pieces.pop(), end), (Some(StreamPiece::End), Ok(())));
         let mut text = Vec::new();
         for piece in pieces {
-            let StreamPiece::Events(data) = piece else { panic!("one end") };
+            let StreamPiece::Events(data) = piece else { panic!("a second end of the stream") };
             prop_assert!(data.ends_with(b"\n\n"));
             text.extend_from_slice(&data);
         }
--- a/crates/nickelgw-platform/src/node/attempts.rs
+++ b/crates/nickelgw-platform/src/node/attempts.rs
@@ -119,7 +119,8 @@
             return Err(AttemptOutcome::Rejected);
         }
         progress.connection.replace(Some(connection.closer()));
-        // Opening the connection may have taken a while: the engine is told the time that remains now.
+        // Opening the connection may have taken a while: the timeout stated to the engine is the time that
+        // remains now.
         let remaining_s = attempt.timeout_s - (self.now() - started_at);
         let bytes = forwarded.encode(&attempt.engine.address, remaining_s);
         connection.write(&bytes, &progress.delivered).await?;
--- a/crates/nickelgw-platform/src/node/commands.rs
+++ b/crates/nickelgw-platform/src/node/commands.rs
@@ -137,7 +137,7 @@
             .borrow()
             .get(&request)
             .map(|pending| (pending.forwarded.clone(), pending.client.clone()))?;
-        // The socket is asked because the connection's task may notice a disconnection late under load.
+        // The socket is checked, since the connection's task may notice a disconnection late under load.
         client.disconnection().is_none().then_some((forwarded, client))
     }
 
--- a/crates/nickelgw-platform/src/shutdown.rs
+++ b/crates/nickelgw-platform/src/shutdown.rs
@@ -10,7 +10,7 @@
 
 /// Time for which connections are still accepted after the request to shut down, since new ones come for
 /// another 0.2 to 0.4 s. Streams continue to their end: when they were broken on purpose, so that their
-/// clients ask another node, they were completed less than half as often.
+/// clients ask another node, their requests were served less than half as often.
 const ACCEPT_DURATION_S: f64 = 0.5;
 /// Time before the process is killed at which requests whose response has not begun are answered.
 const ANSWER_BEFORE_KILL_S: f64 = 0.4;
--- a/crates/nickelgw-platform/tests/cases/arrival.rs
+++ b/crates/nickelgw-platform/tests/cases/arrival.rs
@@ -1,4 +1,5 @@
-//! The time of a request counts from the arrival of its last byte, wherever the request waits before it is read.
+//! The deadline of a request counts from the arrival of its last byte, wherever the request waits before it
+//! is read.
 
 use crate::common::*;
 use serde_json::json;
@@ -9,22 +10,25 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// What the time that an engine is given may exceed what its client has left (the platform's page).
+/// Amount by which the timeout stated to an engine may exceed the time that the client has left (the
+/// platform's protocol).
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// A wait that shows whether it is counted.
+/// Shortest wait that shows whether waiting time is counted.
 const MIN_WAIT: Duration = Duration::from_millis(250);
-/// What a client waits for its first token: less than an attempt may take by itself, so that it limits the attempt.
+/// The client's timeout for the first token: less than an attempt may take by itself, so that it limits the
+/// attempt.
 const BUDGET: Duration = Duration::from_millis(1500);
-/// The class's objective, in seconds: no request is rejected because it has waited.
+/// Objective of the class in seconds, long enough that no request is rejected because it has waited.
 const OBJECTIVE_S: f64 = 4.0;
 const DESCRIPTORS: usize = 256;
-/// Descriptors of a node whose table of clients is small.
+/// Descriptors of a node whose table of client connections is small.
 const FEW_DESCRIPTORS: usize = 64;
 
-/// When an attempt arrived, and the time that it was given.
+/// Arrival time of each attempt, and the timeout that the attempt stated.
 type Attempts = Arc<Mutex<Vec<(Instant, Duration)>>>;
 
-/// A prefill engine that answers after so long, and the attempts that it got.
+/// Starts a prefill engine that responds after `delay`, and returns it with the attempts that it has
+/// received.
 fn timed_prefill_engine(delay: Duration) -> (Peer, Attempts) {
     let attempts = Attempts::default();
     let recorded = attempts.clone();
@@ -41,18 +45,19 @@
     chat_request(id).replace("X-Budget-Ms: 4000", &format!("X-Budget-Ms: {}", budget.as_millis()))
 }
 
-/// Asserts that an attempt was given no more than the client had left, and came late enough to show it.
+/// Asserts that an attempt waited long enough for the test, and that its timeout was no longer than the
+/// client had left.
 fn assert_budget_within(sent_at: Instant, (arrived_at, given): (Instant, Duration)) {
     let waited = arrived_at - sent_at;
-    assert!(waited > MIN_WAIT, "it did not wait: {waited:?}");
+    assert!(waited > MIN_WAIT, "the request waited only {waited:?}");
     let left = BUDGET.saturating_sub(waited);
     assert!(
         given <= left + DEADLINE_SLACK,
-        "given {given:?} with {left:?} left, {waited:?} after it was sent"
+        "the attempt stated {given:?} while the client had {left:?} left, {waited:?} after it sent the request"
     );
 }
 
-/// Silent clients that fill a node's table and go on into the backlog, where further connections wait.
+/// Connects silent clients that fill a node's table and part of its backlog, where further connections wait.
 fn fill_table(node: &TestNode) -> Vec<TcpStream> {
     (0..FEW_DESCRIPTORS / 2).map(|_| node.connect()).collect()
 }
@@ -64,7 +69,8 @@
     })
 }
 
-/// Engines were given the time that the request had waited in the backlog of a full table (soak with a crowd, seed 4).
+/// Regression test (soak with a crowd, seed 4): the timeout stated to engines still included the time that
+/// the request had waited in the backlog because the table was full.
 #[test]
 fn time_in_the_backlog_counts_against_the_deadline() {
     let (prefill, attempts) = timed_prefill_engine(Duration::ZERO);
@@ -78,7 +84,7 @@
     assert_budget_within(sent_at, attempt);
 }
 
-/// A request whose time was over when it was read still went to engines.
+/// Regression test: a request whose deadline had passed when it was read was still sent to engines.
 #[test]
 fn request_that_is_read_after_its_deadline_is_answered_and_reaches_no_engine() {
     let (prefill, attempts) = timed_prefill_engine(Duration::ZERO);
@@ -87,10 +93,11 @@
     let _silent = fill_table(&node);
     let response = node.exchange(request_with_budget("wa02", MIN_WAIT / 2).as_bytes());
     assert!(response.starts_with("HTTP/1.1 50"), "{response}");
-    assert!(attempts.lock().unwrap().is_empty(), "it reached an engine");
+    assert!(attempts.lock().unwrap().is_empty(), "the request reached an engine");
 }
 
-/// A request that is sent behind an open one on the same connection had its whole time from the end of that one.
+/// Regression test: the deadline of a request sent after an open one on the same connection counted from the
+/// end of that one.
 #[test_case(false; "sent while the first is open")]
 #[test_case(true; "sent together with the first")]
 fn time_behind_an_open_request_counts_against_the_deadline(together: bool) {
--- a/crates/nickelgw-platform/tests/cases/client_disconnect.rs
+++ b/crates/nickelgw-platform/tests/cases/client_disconnect.rs
@@ -1,4 +1,5 @@
-//! Clients that disconnect: no attempt starts for them, whatever the state of their request, and reservations are released.
+//! Clients that disconnect: no attempt starts for them, whatever the state of their request, and their
+//! reservations are released.
 
 use crate::common::*;
 use serde_json::json;
@@ -8,14 +9,14 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// After a client has disconnected no attempt starts later than this.
+/// Time after a client's disconnection after which no attempt may start.
 const MAX_DELAY: Duration = Duration::from_millis(100);
 
 fn sleep_ms(ms: u64) {
     sleep(Duration::from_millis(ms));
 }
 
-/// A prefill engine that answers like this after so long.
+/// Starts a prefill engine that responds with `bytes` after `ms` milliseconds.
 fn slow_prefill_engine(ms: u64, bytes: Vec<u8>) -> Peer {
     peer(move |_, _| {
         sleep_ms(ms);
@@ -29,23 +30,26 @@
 
 /// How a client disconnects.
 #[derive(Clone, Copy)]
-enum Departure {
+enum DisconnectKind {
     Closes,
-    /// It closes only its sending direction: on this platform that cancels an attempt, and a request as well.
+    /// The client closes only its sending direction: on this platform that cancels an attempt, and a request
+    /// as well.
     HalfCloses,
-    /// It closes behind so many pipelined requests, of so many bytes each.
-    ClosesBehind(usize, usize),
+    /// The client closes after this many pipelined requests, of this many bytes each.
+    ClosesAfterPipelining(usize, usize),
 }
 
-fn request_and_leave(
+/// Sends a request and disconnects after `after_ms` milliseconds. Returns the connection if it is only half
+/// closed.
+fn request_and_disconnect(
     node: &TestNode,
     id: &str,
-    departure: Departure,
+    disconnect: DisconnectKind,
     after_ms: u64,
 ) -> Option<std::net::TcpStream> {
     let mut client = node.connect();
     client.write_all(chat_request(id).as_bytes()).unwrap();
-    if let Departure::ClosesBehind(n, bytes) = departure {
+    if let DisconnectKind::ClosesAfterPipelining(n, bytes) = disconnect {
         for number in 0..n {
             let body = format!(r#"{{"model":"chat","messages":["{}"]}}"#, "x".repeat(bytes));
             let head = chat_request(&format!("{id}-{number}"));
@@ -55,17 +59,17 @@
         }
     }
     sleep_ms(after_ms);
-    if matches!(departure, Departure::HalfCloses) {
+    if matches!(disconnect, DisconnectKind::HalfCloses) {
         client.shutdown(Shutdown::Write).unwrap();
         return Some(client);
     }
     None
 }
 
-#[test_case(Departure::Closes; "closed")]
-#[test_case(Departure::HalfCloses; "half closed")]
-#[test_case(Departure::ClosesBehind(6, 20_000); "closed behind pipelined requests")]
-fn no_attempt_starts_for_a_client_that_disconnected_while_queued(departure: Departure) {
+#[test_case(DisconnectKind::Closes; "closed")]
+#[test_case(DisconnectKind::HalfCloses; "half closed")]
+#[test_case(DisconnectKind::ClosesAfterPipelining(6, 20_000); "closed after pipelined requests")]
+fn no_attempt_starts_for_a_client_that_disconnected_while_queued(disconnect: DisconnectKind) {
     // No prefill engine is known until a while after the client has disconnected.
     let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
     let list_text = endpoint_list(&[&prefill], &[&decode]).to_string();
@@ -78,39 +82,40 @@
         PeerAction::Respond(http_response("200 OK", &list_text))
     });
     let node = start_node(&discovery, &[], &[&decode], None);
-    let _half_open = request_and_leave(&node, "ca01", departure, 60);
+    let _half_open = request_and_disconnect(&node, "ca01", disconnect, 60);
     sleep_ms(900);
     assert!(prefill.received("POST").is_empty() && decode.received("POST").is_empty());
-    // The prefill engine was idle because of the client, not because of the list.
+    // A later request is served: the prefill engine had got no attempt because of the disconnection, not
+    // because of the list.
     assert!(node.exchange(chat_request("ca02").as_bytes()).starts_with("HTTP/1.1 200"));
 }
 
-#[test_case(Departure::Closes; "closed")]
-#[test_case(Departure::HalfCloses; "half closed")]
-#[test_case(Departure::ClosesBehind(6, 20_000); "closed behind pipelined requests")]
-fn no_decode_starts_for_a_client_that_disconnected_during_prefill(departure: Departure) {
+#[test_case(DisconnectKind::Closes; "closed")]
+#[test_case(DisconnectKind::HalfCloses; "half closed")]
+#[test_case(DisconnectKind::ClosesAfterPipelining(6, 20_000); "closed after pipelined requests")]
+fn no_decode_starts_for_a_client_that_disconnected_during_prefill(disconnect: DisconnectKind) {
     let (prefill, decode) =
         (slow_prefill_engine(400, prefill_response()), peer(|_, _| PeerAction::Respond(stream_response())));
     let node = start_node(&silent_discovery(), &[&prefill], &[&decode], None);
-    let _half_open = request_and_leave(&node, "ca03", departure, 60);
+    let _half_open = request_and_disconnect(&node, "ca03", disconnect, 60);
     prefill.wait_for("DELETE /internal/reservations/ca03 ");
     sleep_ms(600);
     assert!(
         decode.received("POST").is_empty(),
         "the prefill finished 340 ms after the client had disconnected"
     );
-    assert_eq!(prefill.received("POST").len(), 1, "nor does an attempt start for a pipelined request");
+    assert_eq!(prefill.received("POST").len(), 1, "no attempt starts for a pipelined request either");
 }
 
-#[test_case(Departure::Closes; "closed")]
-#[test_case(Departure::ClosesBehind(6, 20_000); "closed behind pipelined requests")]
-fn no_retry_starts_for_a_client_that_disconnected_before_it(departure: Departure) {
-    // Full: a further attempt is dispatched only after a while.
+#[test_case(DisconnectKind::Closes; "closed")]
+#[test_case(DisconnectKind::ClosesAfterPipelining(6, 20_000); "closed after pipelined requests")]
+fn no_retry_starts_for_a_client_that_disconnected_before_it(disconnect: DisconnectKind) {
+    // The engine is full: another attempt is dispatched only after a while.
     let rejection = http_response("503 Full\r\nX-Rejected: 1", "");
     let (prefill, decode) =
         (slow_prefill_engine(150, rejection), peer(|_, _| PeerAction::Respond(stream_response())));
     let node = start_node(&silent_discovery(), &[&prefill], &[&decode], None);
-    let _half_open = request_and_leave(&node, "ca04", departure, 60);
+    let _half_open = request_and_disconnect(&node, "ca04", disconnect, 60);
     let before = prefill.received("POST").len();
     sleep_ms(MAX_DELAY.as_millis() as u64);
     let within_delay = prefill.received("POST").len();
@@ -118,10 +123,11 @@
     assert_eq!((before, within_delay, prefill.received("POST").len()), (1, 1, 1));
 }
 
-/// The attempt starts when its bytes are written: a connection established after the client has disconnected carries none.
-#[test_case(Departure::Closes; "closed")]
-#[test_case(Departure::ClosesBehind(6, 20_000); "closed behind pipelined requests")]
-fn connection_established_too_late_carries_no_attempt(departure: Departure) {
+/// An attempt starts when its bytes are written: on a connection established after the client has
+/// disconnected, none are.
+#[test_case(DisconnectKind::Closes; "closed")]
+#[test_case(DisconnectKind::ClosesAfterPipelining(6, 20_000); "closed after pipelined requests")]
+fn connection_established_too_late_carries_no_attempt(disconnect: DisconnectKind) {
     let unreachable = unreachable_host();
     let decode = peer(|_, _| PeerAction::Respond(stream_response()));
     let mut prefill = prefill_engine();
@@ -131,13 +137,14 @@
         config["settings"]["limits"]["connect_timeout_s"] = json!(5.0);
         config["settings"]["limits"]["most_tries"] = json!(2);
     });
-    let _half_open = request_and_leave(&node, "ca05", departure, 150);
+    let _half_open = request_and_disconnect(&node, "ca05", disconnect, 150);
     let bytes = unreachable.bytes_after_recovery(Duration::from_millis(2500));
     assert_eq!(bytes, 0);
     assert!(decode.received("POST").is_empty());
 }
 
-/// More than a request's bytes before the response: unread bytes would hide whether the client has disconnected.
+/// A client sends more before its response than the longest request has: unread bytes would hide whether it
+/// has disconnected.
 #[test]
 fn client_that_floods_its_connection_gets_an_error_and_its_attempt_is_cancelled() {
     let (prefill, decode) =
@@ -156,7 +163,7 @@
     assert!(node.exchange(b"GET /healthz HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200"));
 }
 
-/// Usual clients are answered however many requests they pipeline within reason.
+/// Clients are answered if they pipeline requests within the limit of buffered bytes.
 #[test]
 fn pipelined_requests_are_answered_in_their_order() {
     let (prefill, decode) =
--- a/crates/nickelgw-platform/tests/cases/connection_close.rs
+++ b/crates/nickelgw-platform/tests/cases/connection_close.rs
@@ -1,4 +1,5 @@
-//! Bytes in the very moment of a close, and peers that are slow, endless or too many.
+//! Bytes that arrive just as a connection is closed, and peers that are slow, send without end, or are too
+//! many.
 
 use crate::common::*;
 use std::io::{ErrorKind, Read, Write};
@@ -6,7 +7,8 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// Reads to the end of the connection: what arrived, and whether it ended cleanly rather than by a reset.
+/// Reads to the end of the connection. Returns what arrived, and whether the connection ended cleanly rather
+/// than by a reset.
 fn read_to_end(client: &mut std::net::TcpStream) -> (String, bool) {
     let (mut received_text, mut bytes) = (String::new(), [0; 4096]);
     loop {
@@ -19,9 +21,9 @@
     }
 }
 
-/// Closed over unread bytes a connection is reset, and the response is lost with it.
-#[test_case("POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n", "HTTP/1.1 413"; "too long")]
-#[test_case("nonsense\r\n\r\n", "HTTP/1.1 400"; "unreadable")]
+/// A connection that is closed with unread bytes is reset, and the response is lost with it.
+#[test_case("POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n", "HTTP/1.1 413"; "body too long")]
+#[test_case("nonsense\r\n\r\n", "HTTP/1.1 400"; "not HTTP")]
 fn last_response_is_not_lost_by_a_reset(head: &str, expected: &str) {
     let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
     let node = start_node(&silent_discovery(), &[&prefill], &[&decode], None);
@@ -33,11 +35,12 @@
     let (response, closed_cleanly) = read_to_end(&mut client);
     assert!(
         response.starts_with(expected) && response.ends_with('}') && closed_cleanly,
-        "{closed_cleanly} {response}"
+        "closed cleanly: {closed_cleanly}, response: {response}"
     );
 }
 
-/// A request on an idle connection at the very moment of a shutdown is answered, or was never forwarded.
+/// A request on an idle connection that arrives just as a shutdown closes it is answered, or is never
+/// forwarded.
 #[test]
 fn request_at_the_moment_of_a_shutdown_is_answered_or_never_forwarded() {
     for round in 0..12 {
@@ -51,18 +54,19 @@
         sleep(Duration::from_micros(497_000 + 1_000 * round));
         let written = idle_client.write_all(chat_request("da02").as_bytes()).is_ok();
         let (response, _) = read_to_end(&mut idle_client);
-        // What was read after the close would be forwarded a little later.
+        // A request that was read after the close would be forwarded a little later.
         sleep(Duration::from_millis(100));
         let was_forwarded =
             prefill.received("POST").iter().any(|request| request.contains("X-Call-Id: da02"));
         assert!(
             !was_forwarded || response.ends_with("0\r\n\r\n"),
-            "written {written}, and the response was {response:?}"
+            "the request was forwarded; written: {written}, response: {response:?}"
         );
     }
 }
 
-/// The table is full, and a request arrives slowly: idle connections make room, never this one.
+/// While the table is full and a request arrives slowly, idle connections are closed to make room, but not
+/// the request's.
 #[test]
 fn connection_with_an_arriving_request_is_not_closed_to_make_room() {
     let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
@@ -80,20 +84,21 @@
     drop(clients);
 }
 
-#[test_case(b"HTTP/1.1 20".to_vec(); "half a line")]
-#[test_case(format!("{STREAM_HEAD}4").into_bytes(); "half a chunk's size")]
-#[test_case(format!("{STREAM_HEAD}40\r\ndata: {{\"n\"").into_bytes(); "half an event")]
+#[test_case(b"HTTP/1.1 20".to_vec(); "in the status line")]
+#[test_case(format!("{STREAM_HEAD}4").into_bytes(); "in a chunk's size")]
+#[test_case(format!("{STREAM_HEAD}40\r\ndata: {{\"n\"").into_bytes(); "in an event")]
 fn truncated_response_before_the_first_event_is_retried(bytes: Vec<u8>) {
     let response = response_after_failed_attempt("da04", move || PeerAction::RespondAndClose(bytes.clone()));
     assert!(response.contains(&chunk(EVENTS[0])) && response.ends_with("0\r\n\r\n"), "{response}");
 }
 
-/// An endless response costs its connection alone: bounded in bytes or by the attempt's timeout, and another engine serves.
+/// An endless response affects only its connection: it is limited in bytes or by the attempt's timeout, and a
+/// retry is served.
 #[test_case("HTTP/1.1 200 OK\r\nx-more: ", "and more "; "a head")]
 #[test_case("", "HTTP/1.1 102 Processing\r\n\r\n"; "interim responses")]
 #[test_case("HTTP/1.1 503 Full\r\ntransfer-encoding: chunked\r\n\r\n", "4\r\nmore\r\n"; "an error")]
 #[test_case(STREAM_HEAD, "1"; "a chunk's size")]
-fn endless_response_costs_its_connection_alone(first: &'static str, repeated: &'static str) {
+fn endless_response_affects_only_its_connection(first: &'static str, repeated: &'static str) {
     let decode = peer(move |_, n| match n {
         1 => PeerAction::RespondEndlessly(first, repeated),
         _ => PeerAction::Respond(stream_response()),
@@ -106,7 +111,8 @@
     assert!(started_at.elapsed() < Duration::from_secs(3));
 }
 
-/// A client that reads a response slowly gets all of it, in order; one that sends slowly gets an error in time.
+/// A client that reads a response slowly gets all of it in order; one that sends a request slowly gets an
+/// error in time.
 #[test]
 fn very_slow_client_is_served_or_refused_in_time() {
     let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
@@ -116,7 +122,7 @@
     let (mut response, mut byte_buffer) = (String::new(), [0; 16]);
     while !response.ends_with("0\r\n\r\n") {
         let n = client.read(&mut byte_buffer).unwrap();
-        assert!(n > 0, "{response}");
+        assert!(n > 0, "the response ended early: {response}");
         response.push_str(&String::from_utf8_lossy(&byte_buffer[..n]));
         sleep(Duration::from_millis(10));
     }
@@ -135,7 +141,8 @@
     assert!(read_response(&mut client).starts_with("HTTP/1.1 408"));
 }
 
-/// A flood over many connections: all get an error, a response or a close, and the node continues to serve.
+/// Many connections send bodies of a wrong length at once: each gets an error response or a close, and the
+/// node continues to serve.
 #[test]
 fn flood_over_many_connections_is_answered_and_ends() {
     let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
@@ -148,7 +155,8 @@
                 let head = chat_request(&format!("db{n}")).replace("Content-Length: ", "Content-Length: 26");
                 let _ = client.write_all(head.as_bytes());
                 let _ = client.write_all(&vec![b'x'; 200_000]);
-                // Fewer bytes than were announced, or more: it ends either way.
+                // The request sends fewer bytes than it announces, or more: the connection ends in either
+                // case.
                 let (response, _) = read_to_end(&mut client);
                 response
             })
--- a/crates/nickelgw-platform/tests/cases/discovery.rs
+++ b/crates/nickelgw-platform/tests/cases/discovery.rs
@@ -1,5 +1,6 @@
-//! When a change of the endpoint list is applied: whatever call failed before, it counts as announced 6 s after discovery
-//! had it and could be reached, and the node reserves a second of that for itself.
+//! Time until a change of the endpoint list is applied. Whichever calls failed before, a change counts as
+//! announced 6 s after discovery had it and could be reached, and the node reserves one second of that for
+//! itself.
 
 use crate::common::*;
 use serde_json::{json, Value};
@@ -10,17 +11,18 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
+/// Maximum time until a change is applied, from when discovery has it and can be reached.
 const MAX_DELAY_S: f64 = 5.0;
 
-/// What the discovery agent has, and how it answers.
+/// State of the discovery agent, and the faults of its next responses.
 struct Agent {
     generation: u64,
     instances: Value,
-    /// Calls for the list that will not be answered.
+    /// Number of further calls for the list that will not be answered.
     unanswered_lists: usize,
-    /// Watches that will not be answered.
+    /// Number of further watches that will not be answered.
     unanswered_watches: usize,
-    /// Lists that will be broken off in the middle.
+    /// Number of further lists that will be truncated in the middle.
     truncated_lists: usize,
 }
 
@@ -72,7 +74,7 @@
     peer(move |request, _| respond(&shared, request))
 }
 
-/// Two prefill engines, the first of which drains; the lists before and after that.
+/// Two prefill engines, the first of which drains, and the lists before and after its drain.
 struct DrainScenario {
     first: Peer,
     second: Peer,
@@ -94,7 +96,7 @@
         self.start_node_with_limit(discovery, path, 1.0)
     }
 
-    /// A node that may dispatch nothing so long after a drain was announced.
+    /// Starts a node that may not dispatch to an engine later than `limit_s` after its drain was announced.
     fn start_node_with_limit(
         &self,
         discovery: &Peer,
@@ -107,12 +109,16 @@
         })
     }
 
-    /// From now on discovery has the change and can be reached. Returns the seconds until the node applies it.
+    /// Returns the seconds until the node applies the change. From now on discovery has the change and can be
+    /// reached.
     fn seconds_until_applied(&self, node: &TestNode) -> f64 {
         let started_at = Instant::now();
         let mut n = 0;
         while self.second.received("POST").is_empty() {
-            assert!(started_at.elapsed() < TEST_TIMEOUT, "never applied");
+            assert!(
+                started_at.elapsed() < TEST_TIMEOUT,
+                "the change was not applied within {TEST_TIMEOUT:?}"
+            );
             node.exchange(chat_request(&format!("{:08x}", started_at.elapsed().as_micros())).as_bytes());
             sleep(Duration::from_millis(20));
         }
@@ -122,7 +128,7 @@
             node.exchange(chat_request(&format!("b{n}")).as_bytes());
             n += 1;
         }
-        assert_eq!(self.first.received("POST").len(), before, "it drains");
+        assert_eq!(self.first.received("POST").len(), before, "the draining engine got an attempt");
         delay_s
     }
 }
@@ -133,8 +139,8 @@
     agent.instances = drain.after.clone();
 }
 
-/// A watch falls silent just as it has begun, and the next call for the list is not answered either: with watches of 4 s
-/// and 1 s for each response the node applied the change after more than 6 s.
+/// Regression test: a watch is not answered from its start, and neither is the next call for the list. With
+/// watches of 4 s and a timeout of 1 s for each response, the node applied the change after more than 6 s.
 #[test]
 fn change_missed_by_a_silent_watch_is_applied_in_time() {
     let drain = drain_scenario();
@@ -151,7 +157,7 @@
     assert!(drain.seconds_until_applied(&node) < MAX_DELAY_S);
 }
 
-/// An address where nobody listens yet.
+/// Returns a bound socket that does not listen yet, and its address.
 fn refusing_address() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
@@ -159,7 +165,7 @@
     (socket, address)
 }
 
-/// Gaps after refusals are bounded, however many there were.
+/// The gap between calls is limited, however many calls were refused before.
 #[test]
 fn change_is_applied_at_once_after_20_s_of_refused_connections() {
     let drain = drain_scenario();
@@ -176,7 +182,8 @@
     assert!(!recovered.received("GET").is_empty());
 }
 
-/// The agent accepts connections and answers nothing; a call that it accepted before its recovery is never answered.
+/// The agent accepts connections and answers nothing. A call that it accepted before its recovery is never
+/// answered.
 #[test]
 fn change_is_applied_in_time_after_calls_that_are_never_answered() {
     let drain = drain_scenario();
@@ -200,7 +207,8 @@
     assert!(drain.seconds_until_applied(&node) < 2.0);
 }
 
-/// What a new address has counts 4 s after SIGHUP, also where the old one is silent.
+/// What a new discovery address announces counts from 4 s after SIGHUP, also if the old address does not
+/// respond.
 #[test]
 fn new_discovery_address_during_an_outage_is_called_at_once() {
     let drain = drain_scenario();
@@ -217,7 +225,8 @@
     assert!(delay_s < 1.0);
 }
 
-/// The first list after an outage is followed by a watch at once: a drain right after it is applied.
+/// The first list after an outage is followed by a watch at once, so that a drain right after that list is
+/// applied.
 #[test]
 fn drain_in_the_second_after_the_recovery_is_applied() {
     let drain = drain_scenario();
@@ -233,8 +242,9 @@
     assert!(drain.seconds_until_applied(&node) < 1.0);
 }
 
-/// Another deployment's fleet days: nothing new may be dispatched 0.25 s after the recovery announced a drain, and a call
-/// under way then was awaited until its timeout of a second: 24 attempts started too late.
+/// Regression test (fleet days of another deployment): nothing may be dispatched to an engine 0.25 s after
+/// the recovery announced its drain, but a call under way was awaited until its timeout of one second, and 24
+/// attempts started too late.
 #[test]
 fn drain_at_the_recovery_is_applied_within_the_time_to_stop_dispatching() {
     let drain = drain_scenario();
@@ -247,7 +257,8 @@
     assert!(drain.seconds_until_applied(&node) < 0.25);
 }
 
-/// A connection to an engine is established after the drain was announced: the attempt goes to another engine.
+/// If a connection to an engine is established only after the engine's drain was announced, the attempt goes
+/// to another engine.
 #[test]
 fn no_attempt_is_written_to_a_connection_established_after_the_drain() {
     let (unreachable, second) = (unreachable_host(), prefill_engine());
@@ -269,14 +280,14 @@
     shared.lock().unwrap().generation += 1;
     sleep(Duration::from_millis(600));
     let bytes = unreachable.bytes_after_recovery(Duration::from_millis(2500));
-    assert_eq!(bytes, 0, "it drains");
+    assert_eq!(bytes, 0, "bytes were sent to the draining engine");
     let response = read_response(&mut client);
     assert!(response.ends_with("0\r\n\r\n") && second.received("POST").len() == 1, "{response}");
 }
 
-/// An agent that answers each watch at once, and with nothing, is not called without end.
+/// An agent that answers each watch at once and without changes is called at a limited rate.
 #[test]
-fn watch_that_is_answered_at_once_is_not_repeated_without_end() {
+fn watch_that_is_answered_at_once_is_repeated_at_a_limited_rate() {
     let drain = drain_scenario();
     let shared = new_agent(drain.before.clone());
     let agent = shared.clone();
@@ -294,7 +305,8 @@
     assert!((4..=12).contains(&calls), "{calls} calls in a second");
 }
 
-/// Discovery has restarted and counts from the beginning: changes of its new list cannot be applied to the old one.
+/// Discovery has restarted and counts generations from the beginning: changes of its new list cannot be
+/// applied to the old list.
 #[test]
 fn changes_of_an_older_list_lead_to_a_fetch_of_the_whole_list() {
     let drain = drain_scenario();
@@ -312,7 +324,7 @@
             ));
         }
         if request.contains("since=") {
-            // Nothing is newer than that.
+            // There are no changes since that generation.
             sleep(Duration::from_millis(400));
             return PeerAction::Respond(http_response(
                 "200 OK",
--- a/crates/nickelgw-platform/tests/cases/event_stream.rs
+++ b/crates/nickelgw-platform/tests/cases/event_stream.rs
@@ -1,4 +1,5 @@
-//! Events are forwarded complete, as they arrive, whatever the chunks in which an engine writes them.
+//! Events are forwarded complete and as soon as they arrive, independently of the chunks in which an engine
+//! writes them.
 
 use crate::common::*;
 use std::io::{Read, Write};
@@ -20,7 +21,8 @@
     received_text
 }
 
-/// A decode engine that writes these pieces one after another, each when the test has received the one before.
+/// Starts a decode engine that writes these pieces one after another, each once the test has received the one
+/// before.
 fn gated_decode_engine(pieces: Vec<String>, gate: Receiver<()>) -> Peer {
     let unused = Mutex::new(Some((pieces, gate)));
     peer(move |_, _| {
@@ -30,7 +32,7 @@
         PeerAction::UseConnection(Box::new(move |connection| {
             for piece in pieces {
                 connection.write_all(piece.as_bytes()).unwrap();
-                // The node may have cancelled the attempt: then nobody opens the gate.
+                // If the node has cancelled the attempt, the gate is never opened.
                 let _ = gate.recv_timeout(TEST_TIMEOUT);
             }
         }))
@@ -39,17 +41,18 @@
 
 const SECOND_EVENT: &str = "data: {\"n\":2}\n\n";
 
-/// Requests of one day were lost so: a third of the engines' first chunks held ten bytes of an event, the connection was
-/// reset behind them, and the client received half an event and a close.
-#[test_case("data: {\"ch"; "half a line")]
-#[test_case("data: {\"n\":1}\n"; "all but its end")]
+/// Regression test (requests of one day): a third of the engines' first chunks held ten bytes of an event,
+/// the connection was reset after them, and the client received half an event and a close.
+#[test_case("data: {\"ch"; "in a line")]
+#[test_case("data: {\"n\":1}\n"; "before its empty line")]
 fn stream_that_breaks_inside_its_first_event_is_retried(incomplete: &str) {
     let bytes = format!("{STREAM_HEAD}{}", chunk(incomplete)).into_bytes();
     let response = response_after_failed_attempt("ea01", move || PeerAction::RespondAndClose(bytes.clone()));
     assert!(response.contains(&chunk(EVENTS[0])) && response.ends_with("0\r\n\r\n"), "{response}");
 }
 
-/// Two events in one chunk, the second much later; one event in a chunk that never ends; events in many pieces.
+/// Cases: two events in one chunk, the second much later; one event in a chunk whose end comes late; events
+/// in many pieces.
 #[test_case(&format!("1e\r\n{}", EVENTS[0]), &format!("{SECOND_EVENT}\r\n"); "two in one chunk")]
 #[test_case(&format!("{:x}\r\n{}", EVENTS[0].len(), EVENTS[0]), &format!("\r\n{}", chunk(SECOND_EVENT)); "a chunk without its end")]
 #[test_case(&format!("{}{}", chunk("data: {\"n\""), chunk(":1}\n\ndata: ")), &chunk("{\"n\":2}\n\n"); "in pieces")]
@@ -61,7 +64,10 @@
     let mut client = node.open_request("ea02", &decode);
     let started_at = Instant::now();
     let response = read_until(&mut client, EVENTS[0]);
-    assert!(response.ends_with(&chunk(EVENTS[0])), "the first alone, and complete: {response}");
+    assert!(
+        response.ends_with(&chunk(EVENTS[0])),
+        "only the first event, and all of it, is expected: {response}"
+    );
     assert!(started_at.elapsed() < Duration::from_secs(5), "{:?}", started_at.elapsed());
     open_gate.send(()).unwrap();
     assert_eq!(read_until(&mut client, SECOND_EVENT), chunk(SECOND_EVENT));
@@ -69,7 +75,8 @@
     assert_eq!(read_until(&mut client, "0\r\n\r\n"), "0\r\n\r\n");
 }
 
-/// A size that does not match is still detected before the first event is forwarded, when the data arrives at once.
+/// A chunk size that does not match the data is detected before the first event is forwarded, if the data
+/// arrives at once.
 #[test]
 fn first_chunk_with_a_wrong_size_fails_the_attempt() {
     let first = format!(
@@ -88,7 +95,7 @@
     );
 }
 
-/// Data that is no event is not forwarded, and the connection ends without the last chunk.
+/// Data that is not an event is not forwarded, and the connection ends without the last chunk.
 #[test]
 fn chunk_line_inside_the_data_is_not_forwarded() {
     let (open_gate, gate) = channel();
@@ -102,10 +109,11 @@
     assert!(read_until(&mut client, EVENTS[0]).ends_with(&chunk(EVENTS[0])));
     open_gate.send(()).unwrap();
     let remainder = read_response(&mut client);
-    assert_eq!(remainder, "", "nothing more, and a close");
+    assert_eq!(remainder, "", "the connection closes without further data");
 }
 
-/// It reads 150 KB a second for 8 s: what waited for it was one write of megabytes that had to finish within 5 s.
+/// Regression test: the client reads 150 KB per second for 8 s, while the data queued for it was one write of
+/// megabytes that had to finish within 5 s.
 #[test]
 fn slow_client_receives_its_whole_stream() {
     let event = format!("data: {}\n\n", "x".repeat(200_000));
--- a/crates/nickelgw-platform/tests/cases/idle_connections.rs
+++ b/crates/nickelgw-platform/tests/cases/idle_connections.rs
@@ -1,4 +1,4 @@
-//! Idle connections, and engines that close them at a time of their own.
+//! Idle connections, and engines that close them sooner than the settings state.
 
 use crate::common::*;
 use std::io::{Read, Write};
@@ -6,8 +6,9 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// A decode engine that closes connections idle for 0.8 s, far sooner than the settings state; a request on a connection
-/// idle for 0.5 s crosses that close: it is read and never answered.
+/// Starts a decode engine that closes connections idle for 0.8 s, far sooner than the settings state. A
+/// request on a connection idle for 0.5 s is treated as if it crossed that close: it is read and never
+/// answered.
 fn decode_engine_that_closes_early() -> Peer {
     let mut decode = peer(|_, _| PeerAction::Stall);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -40,8 +41,8 @@
     decode
 }
 
-/// Written to a connection that the engine closes just then, a request that may run once is lost to its client: nothing
-/// proves that it has not run.
+/// A request that may run only once is lost to its client if it is written to a connection which the engine
+/// is just closing, because nothing proves that it has not run.
 #[test]
 fn request_that_may_run_once_avoids_connections_about_to_be_closed() {
     let (prefill, decode) = (prefill_engine(), decode_engine_that_closes_early());
@@ -50,9 +51,9 @@
     });
     let served = |id: &str| node.exchange(chat_request(id).as_bytes()).ends_with("0\r\n\r\n");
     assert!(served("ia01"));
-    // The engine closes it, and that is observed.
+    // The engine closes the idle connection, and the node observes that.
     sleep(Duration::from_millis(2100));
     assert!(served("ia02"));
     sleep(Duration::from_millis(600));
-    assert!(served("ia03"), "it was written to a connection about to be closed");
+    assert!(served("ia03"), "the request was written to a connection about to be closed");
 }
--- a/crates/nickelgw-platform/tests/cases/shutdown.rs
+++ b/crates/nickelgw-platform/tests/cases/shutdown.rs
@@ -1,4 +1,5 @@
-//! Shutdown: reloads meanwhile, connections that are not accepted yet, requests without a response.
+//! Shutdown of a node: reloads during it, connections that are not accepted yet, and requests without a
+//! response.
 
 use crate::common::*;
 use serde_json::{json, Value};
@@ -12,7 +13,7 @@
     std::env::temp_dir().join(format!("nickelgw-shutdown-{name}-{}.json", std::process::id()))
 }
 
-/// A prefill engine that answers once the channel is closed.
+/// Starts a prefill engine that responds once the returned channel is closed.
 fn gated_prefill_engine() -> (async_channel::Sender<()>, Peer) {
     let (gate, gate_opened) = async_channel::bounded::<()>(1);
     let prefill = peer(move |_, _| {
@@ -25,12 +26,13 @@
 fn assert_ends_within(node: TestNode, within: Duration) {
     let deadline = Instant::now() + within;
     while !node.thread.is_finished() {
-        assert!(Instant::now() < deadline, "it does not end");
+        assert!(Instant::now() < deadline, "the node did not exit within {within:?}");
         sleep(Duration::from_millis(5));
     }
 }
 
-/// With both requests in one queue the shutdown did not fit behind reloads that were not handled yet.
+/// Regression test: with both kinds of requests in one queue, a shutdown did not fit behind reloads that were
+/// not handled yet.
 #[test]
 fn shutdown_is_handled_however_many_reloads_precede_it() {
     let (signals, receiver) = nickelgw_platform::signal_channel();
@@ -54,7 +56,8 @@
     assert!(started_at.elapsed() < Duration::from_secs(3));
 }
 
-/// After a shutdown request no reload was handled: drains that the new agent announced were ignored by later attempts.
+/// Regression test: after a shutdown request no reload was handled, and later attempts ignored drains that
+/// the new agent announced.
 #[test]
 fn reload_during_a_shutdown_changes_the_discovery_address() {
     let (gate, prefill) = gated_prefill_engine();
@@ -74,7 +77,7 @@
     let node = start_node(&old_discovery, &[&prefill], &[&draining_decode], Some(path.clone()));
     let mut client = node.open_request("ha01", &prefill);
     node.signals.request_shutdown();
-    // It is not ready any more: the request has been handled.
+    // Once the node is not ready any more, it has handled the shutdown request.
     while !node.exchange(b"GET /healthz HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503") {}
     std::fs::write(&path, node_config("x", &new_discovery.address.to_string(), Value::Null).to_string())
         .unwrap();
@@ -87,11 +90,12 @@
     assert_eq!(
         (draining_decode.received("POST").len(), active_decode.received("POST").len()),
         (0, 1),
-        "the first one drains"
+        "attempts at the draining and at the active decode engine"
     );
 }
 
-/// The file was being written when the signal came: read only once, it was ignored until the next signal.
+/// Regression test: if the file was still being written when the signal came, it was read only once and then
+/// ignored until the next signal.
 #[test]
 fn half_written_configuration_is_read_again() {
     let path = config_file("half");
@@ -108,7 +112,8 @@
     std::fs::remove_file(path).unwrap();
 }
 
-/// The listener was closed over connections in its backlog, which were reset with their requests.
+/// Regression test: the listener was closed with connections in its backlog, which were reset with their
+/// requests.
 #[test]
 fn connections_in_the_backlog_are_answered_before_the_listener_closes() {
     let (gate, prefill) = gated_prefill_engine();
@@ -125,7 +130,11 @@
     let accepted: Vec<TcpStream> = (0..27).map(open_request).collect();
     let deadline = Instant::now() + TEST_TIMEOUT;
     while prefill.received("POST").len() < 15 {
-        assert!(Instant::now() < deadline, "{} sent", prefill.received("POST").len());
+        assert!(
+            Instant::now() < deadline,
+            "only {} of 15 requests reached the prefill engine",
+            prefill.received("POST").len()
+        );
         sleep(Duration::from_millis(5));
     }
     let waiting: Vec<TcpStream> = (27..33).map(open_request).collect();
@@ -139,14 +148,15 @@
         .collect();
     let responses: Vec<String> = threads.into_iter().map(|thread| thread.join().unwrap()).collect();
     for (number, response) in responses.iter().enumerate() {
-        assert!(response.starts_with("HTTP/1.1 "), "{number}: {response:?}");
+        assert!(response.starts_with("HTTP/1.1 "), "client {number} received {response:?}");
     }
     assert_ends_within(node, TEST_TIMEOUT);
 }
 
-/// A connection that came up between the last accept and the close of the listener was reset with its request.
+/// Regression test: a connection that was established between the last accept and the close of the listener
+/// was reset with its request.
 #[test]
-fn connections_that_come_as_the_listener_closes_are_answered() {
+fn connections_established_as_the_listener_closes_are_answered() {
     const CLIENTS: usize = 64;
     let node = start_node(&silent_discovery(), &[], &[], None);
     let send_until_refused = |address: std::net::SocketAddr| {
@@ -164,11 +174,12 @@
     sleep(Duration::from_millis(100));
     node.signals.request_shutdown();
     let unanswered: usize = clients.into_iter().map(|client| client.join().unwrap()).sum();
-    assert_eq!(unanswered, 0, "connected, and closed with no answer");
+    assert_eq!(unanswered, 0, "number of connections that were closed without a response");
     assert_ends_within(node, TEST_TIMEOUT);
 }
 
-/// SIGKILL comes 0.7 s after the longest deadline of the settings. A retry-after time is stated only where they allow it.
+/// SIGKILL comes 0.7 s after the longest deadline of the settings. A retry-after time is stated only if the
+/// settings allow it.
 #[test]
 fn unstarted_request_is_answered_before_the_process_is_killed() {
     for (retry_after, deadline_s) in [(false, 1.0), (true, 1.0)] {
@@ -192,7 +203,8 @@
     }
 }
 
-/// The attempt ends before its client is answered: a class that may run once was rejected while an engine still ran it.
+/// Regression test: a request of a class that may run only once was rejected while an engine still ran it.
+/// The attempt has to end before the client is answered.
 #[test]
 fn attempt_is_closed_before_its_client_is_rejected() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -210,7 +222,7 @@
     assert!(connection.read(&mut [0; 4096]).unwrap() > 0);
     node.signals.request_shutdown();
     assert!(read_response(&mut client).starts_with("HTTP/1.1 503"));
-    // Without waiting: the end has arrived already.
+    // Read without waiting, since the end of the connection must have arrived already.
     connection.set_nonblocking(true).unwrap();
     let mut bytes = [0; 4096];
     let closed = loop {
@@ -222,7 +234,8 @@
     assert_eq!(closed, Ok(0));
 }
 
-/// A new connection was closed as idle before its first request had come (new-connection-closed-unread.md).
+/// Regression test (new-connection-closed-unread.md): a new connection was closed as idle before its first
+/// request had arrived.
 #[test]
 fn first_request_on_a_new_connection_is_answered_during_shutdown() {
     let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
@@ -233,17 +246,18 @@
     sleep(Duration::from_millis(250));
     let _ = client.write_all(chat_request("he01").as_bytes());
     let response = read_response(&mut client);
-    assert!(response.starts_with("HTTP/1.1 "), "closed with no answer: {response:?}");
+    assert!(response.starts_with("HTTP/1.1 "), "closed without a response: {response:?}");
     assert_ends_within(node, Duration::from_secs(3));
 }
 
-/// A new connection that stays silent is left its time for a request and no more: the process does not wait for it.
+/// A new connection that stays silent is given a limited time for its first request, and does not delay the
+/// exit beyond it.
 #[test]
-fn silent_new_connection_does_not_hold_up_a_shutdown() {
+fn silent_new_connection_does_not_delay_a_shutdown() {
     let node = start_node(&silent_discovery(), &[], &[], None);
     node.signals.request_shutdown();
     sleep(Duration::from_millis(400));
     let mut client = node.connect();
     assert_ends_within(node, Duration::from_millis(2000));
-    assert_eq!(client.read(&mut [0; 8]).unwrap(), 0, "closed, not reset");
+    assert_eq!(client.read(&mut [0; 8]).unwrap(), 0, "the connection is closed, not reset");
 }
--- a/crates/nickelgw-platform/tests/cases/unreachable_zone.rs
+++ b/crates/nickelgw-platform/tests/cases/unreachable_zone.rs
@@ -1,4 +1,5 @@
-//! An unreachable zone: connections to its engines are never established, while the time of a reservation runs.
+//! An unreachable zone: connections to its engines are never established, while the time limit of a
+//! reservation runs.
 
 use crate::common::*;
 use serde_json::{json, Value};
@@ -7,10 +8,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long the settings and the platform's protocol allow a reservation without an attempt under way.
+/// Time for which the settings and the platform's protocol allow a reservation without an attempt under way.
 const MAX_RESERVATION_S: f64 = 0.5 + 0.3;
 
-/// A prefill engine, and when it finished a prefill.
+/// Starts a prefill engine, and returns it with the time at which it last finished a prefill.
 fn timed_prefill_engine() -> (Peer, Arc<Mutex<Option<Instant>>>) {
     let prefilled_at = Arc::new(Mutex::new(None));
     let recorded = prefilled_at.clone();
@@ -22,7 +23,8 @@
     (prefill, prefilled_at)
 }
 
-/// Zone a has the prefill engine and five unreachable decode engines; the other decode engine is in zone b.
+/// Starts a node. Zone a has the prefill engine and five unreachable decode engines; the other decode engine,
+/// if there is one, is in zone b.
 fn start_node_with_unreachable_zone(
     prefill: SocketAddr,
     unreachable: SocketAddr,
@@ -43,7 +45,8 @@
     )
 }
 
-/// Fleet days with a zone lost: five of its decode engines were tried, 250 ms each, and the reservation stood for 1.25 s.
+/// Regression test (fleet days with a zone lost): five of its decode engines were tried for 250 ms each, and
+/// the reservation was held for 1.25 s.
 #[test]
 fn reservation_without_a_reachable_decode_engine_is_released_in_time() {
     let ((prefill, prefilled_at), unreachable) = (timed_prefill_engine(), unreachable_host());
@@ -68,7 +71,8 @@
     );
 }
 
-/// An attempt states the time that remains when it is written, not when its connection was opened.
+/// An attempt states the time that remains when it is written, not the time when the node began to open its
+/// connection.
 #[test]
 fn attempt_on_a_late_connection_states_the_remaining_timeout() {
     let unreachable = unreachable_host();
@@ -85,13 +89,13 @@
     client.write_all(chat_request("ba03").as_bytes()).unwrap();
     std::thread::sleep(Duration::from_millis(600));
     let text = unreachable.text_after_recovery(Duration::from_millis(1500));
-    let attempt = text.split("POST ").nth(1).expect("an attempt is written");
+    let attempt = text.split("POST ").nth(1).expect("an attempt is written after the recovery");
     let timeout_ms: u64 = attempt
         .lines()
         .find_map(|line| line.strip_prefix("x-budget-ms: "))
         .and_then(|ms| ms.parse().ok())
         .unwrap();
-    // It was written no sooner than the host had recovered.
+    // The attempt was written no sooner than the host had recovered.
     assert!(
         timeout_ms <= 4000 - 600 + 150,
         "{timeout_ms} ms stated, {:?} after the request",
--- a/crates/nickelgw-platform/tests/causes.rs
+++ b/crates/nickelgw-platform/tests/causes.rs
@@ -1,4 +1,4 @@
-//! The table of causes, from lines as nodes log them.
+//! Tests of the table of causes, with log lines as nodes write them.
 
 #[path = "../examples/causes.rs"]
 #[allow(dead_code)]
@@ -63,7 +63,8 @@
     assert_eq!(rows, [(cause, engines, Some(1))]);
 }
 
-/// The reason's name and fields as the decision module prints them, so that a renamed field is noticed here.
+/// Uses the reason as the decision module prints it, so that the test fails if its name or a field is
+/// renamed.
 #[test]
 fn rejection_reason_is_understood_as_it_is_logged() {
     let reason = RejectionReason::TooLate {
--- a/crates/nickelgw-platform/tests/common/mod.rs
+++ b/crates/nickelgw-platform/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A node on loopback, and engines and a discovery service that answer as each test needs. Every wait has a timeout.
+//! Test harness: a node on loopback, and engines and a discovery service that respond as each test needs.
+//! Every wait has a timeout.
 
 use nickelgw_platform::config::NodeConfig;
 use nickelgw_platform::SignalSender;
@@ -8,20 +9,20 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Far above scheduling noise.
+/// Timeout of waits, far above scheduling noise.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What a peer does with a request.
 pub enum PeerAction {
     /// Writes this response.
     Respond(Vec<u8>),
-    /// Writes this and closes.
+    /// Writes this response and closes the connection.
     RespondAndClose(Vec<u8>),
-    /// Writes nothing until the far side closes.
+    /// Writes nothing until the node closes the connection.
     Stall,
-    /// Writes the first, then the second repeatedly until the far side closes.
+    /// Writes the first text, then the second one repeatedly until the node closes the connection.
     RespondEndlessly(&'static str, &'static str),
-    /// Does this with its connection, which then stays open.
+    /// Calls this function with the connection, which then stays open.
     UseConnection(Box<dyn FnOnce(&mut TcpStream) + Send>),
 }
 
@@ -33,12 +34,12 @@
 }
 
 impl UnreachableHost {
-    /// The host recovers and accepts connections for so long. Returns how many bytes are sent on them.
+    /// Lets the host recover and accept connections for this time. Returns the number of bytes sent on them.
     pub fn bytes_after_recovery(&self, within: Duration) -> usize {
         self.text_after_recovery(within).len()
     }
 
-    /// The host recovers and accepts connections for so long. Returns what is sent on them.
+    /// Lets the host recover and accept connections for this time. Returns the text sent on them.
     pub fn text_after_recovery(&self, within: Duration) -> String {
         self.listener.set_nonblocking(true).unwrap();
         let (mut connections, mut text) = (Vec::new(), String::new());
@@ -65,11 +66,16 @@
     let mut backlog = Vec::new();
     while let Ok(connection) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
         backlog.push(connection);
-        assert!(backlog.len() < 10_000, "it accepts all connections");
+        assert!(
+            backlog.len() < 10_000,
+            "the host accepts {} connections and its backlog is not full",
+            backlog.len()
+        );
     }
     UnreachableHost { address, listener, _backlog: backlog }
 }
 
+/// An engine or a discovery service, and the requests that it has received.
 #[derive(Clone)]
 pub struct Peer {
     pub address: SocketAddr,
@@ -91,7 +97,8 @@
     }
 }
 
-/// A peer that handles its nth request by this function; release calls are always answered.
+/// Starts a peer that handles requests by this function, which is given a request's text and the number of
+/// POST requests received so far. Release calls are always answered.
 pub fn peer(act: impl Fn(&str, usize) -> PeerAction + Send + Sync + 'static) -> Peer {
     peer_on(TcpListener::bind("127.0.0.1:0").unwrap(), act)
 }
@@ -122,9 +129,9 @@
                         PeerAction::RespondAndClose(bytes) => return drop(connection.write_all(&bytes)),
                         PeerAction::UseConnection(handle) => handle(&mut connection),
                         PeerAction::RespondEndlessly(first, more) => {
-                            let mut going = connection.write_all(first.as_bytes()).is_ok();
-                            while going {
-                                going = connection.write_all(more.as_bytes()).is_ok();
+                            let mut connected = connection.write_all(first.as_bytes()).is_ok();
+                            while connected {
+                                connected = connection.write_all(more.as_bytes()).is_ok();
                             }
                             return;
                         }
@@ -142,19 +149,23 @@
 }
 
 impl Peer {
-    /// Requests received that begin so; `CLOSED` stands for a connection that was closed while stalled.
+    /// Returns the received requests that begin with `prefix`. `CLOSED` stands for a connection that the node
+    /// closed while the peer stalled.
     pub fn received(&self, prefix: &str) -> Vec<String> {
         self.received.lock().unwrap().iter().filter(|request| request.starts_with(prefix)).cloned().collect()
     }
 
-    /// Waits until it has received a request that begins so.
+    /// Waits until the peer has received a request that begins with `prefix`, and returns the request.
     pub fn wait_for(&self, prefix: &str) -> String {
         let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
             if let Some(request) = self.received(prefix).into_iter().next() {
                 return request;
             }
-            assert!(Instant::now() < deadline, "never received {prefix}");
+            assert!(
+                Instant::now() < deadline,
+                "no request that begins with {prefix} was received within {TEST_TIMEOUT:?}"
+            );
             std::thread::sleep(Duration::from_millis(2));
         }
     }
@@ -202,7 +213,7 @@
     json!({"generation": 3, "reset": true, "instances": prefill.chain(decode).collect::<Vec<_>>()})
 }
 
-/// A node's whole configuration.
+/// Returns the whole configuration of a node.
 pub fn node_config(listen: &str, discovery: &str, known: Value) -> Value {
     json!({"name": "n0", "listen": listen, "discovery": discovery, "seed": "8c1f", "known": known,
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
@@ -218,7 +229,7 @@
             "rules": {"stop_sending_within_s": 1.0, "cold_from": 0.3, "fall_s": 2.0, "tip_multiple": 3.0, "warm_within_s": 9.0}}})
 }
 
-/// A node that knows these engines; `path`: its configuration file when it reloads.
+/// Starts a node that knows these engines. `path` is the configuration file that it reads when it reloads.
 pub fn start_node(
     discovery: &Peer,
     prefill_engines: &[&Peer],
@@ -228,7 +239,7 @@
     start_node_with(discovery, endpoint_list(prefill_engines, decode_engines), path, |_| {})
 }
 
-/// A node that knows this endpoint list, with a change of its configuration.
+/// Starts a node that knows this endpoint list. `change` modifies its configuration.
 pub fn start_node_with(
     discovery: &Peer,
     known: Value,
@@ -241,17 +252,17 @@
     change(&mut config);
     let parsed_config = NodeConfig::parse(&config, |_| None).map_err(|error| error.0).unwrap();
     let (signals, receiver) = nickelgw_platform::signal_channel();
-    let work =
+    let serve =
         move || smol::block_on(nickelgw_platform::run(listener, parsed_config, path, receiver)).unwrap();
-    TestNode { address, signals, thread: std::thread::spawn(work) }
+    TestNode { address, signals, thread: std::thread::spawn(serve) }
 }
 
-/// A discovery service that never answers.
+/// Starts a discovery service that never responds.
 pub fn silent_discovery() -> Peer {
     peer(|_, _| PeerAction::Stall)
 }
 
-/// A client's request.
+/// Returns a client's chat request with this id.
 pub fn chat_request(id: &str) -> String {
     let body = r#"{"model":"chat","stream":true,"messages":[]}"#;
     format!(
@@ -269,7 +280,7 @@
         connection
     }
 
-    /// A client whose request has reached this engine.
+    /// Connects a client, sends its request, and waits until the request has reached this engine.
     pub fn open_request(&self, id: &str, engine: &Peer) -> TcpStream {
         let mut connection = self.connect();
         connection.write_all(chat_request(id).as_bytes()).unwrap();
@@ -277,7 +288,7 @@
         connection
     }
 
-    /// The node's response to these bytes, up to its end or the close.
+    /// Returns the node's response to these bytes, up to its end or the close of the connection.
     pub fn exchange(&self, bytes: &[u8]) -> String {
         let mut connection = self.connect();
         let _ = connection.write_all(bytes);
@@ -285,7 +296,8 @@
     }
 }
 
-/// A response to its end: by its length, its last chunk, or the close.
+/// Reads a response to its end, which is stated by its length, its last chunk, or the close of the
+/// connection.
 pub fn read_response(connection: &mut TcpStream) -> String {
     let (mut bytes_read, mut bytes) = (String::new(), [0; 4096]);
     loop {
@@ -304,7 +316,8 @@
     }
 }
 
-/// The response to a client whose decode engine fails the first attempt like this and serves the retry.
+/// Returns the response to a client whose decode engine handles the first attempt by `first`, so that it
+/// fails, and serves the retry.
 pub fn response_after_failed_attempt(
     id: &str,
     first: impl Fn() -> PeerAction + Send + Sync + 'static,
--- a/crates/nickelgw-platform/tests/sockets.rs
+++ b/crates/nickelgw-platform/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! The platform's protocol on sockets; each difficult case is caused by a peer that behaves so.
+//! Tests of the platform's protocol on sockets. In each failure case a peer causes the failure by its
+//! behaviour.
 
 #[path = "cases/arrival.rs"]
 mod arrival;
@@ -44,8 +45,8 @@
     );
 }
 
-#[test_case("HTTP/1.1 200 OK\r\nno colon\r\n\r\n"; "a head that cannot be read")]
-#[test_case("\u{1}\u{2}noise\r\n"; "noise")]
+#[test_case("HTTP/1.1 200 OK\r\nno colon\r\n\r\n"; "malformed head")]
+#[test_case("\u{1}\u{2}noise\r\n"; "random bytes")]
 #[test_case(&format!("{STREAM_HEAD}zz\r\nab"); "a chunk without a size")]
 #[test_case(&format!("{STREAM_HEAD}c0000000\r\nab"); "a chunk of 3 GB")]
 #[test_case(&format!("{STREAM_HEAD}2\r\ndata: 1\n\n\r\n"); "a chunk with a wrong size")]
@@ -71,7 +72,7 @@
     }
 }
 
-#[test_case(""; "cut")]
+#[test_case(""; "truncated")]
 #[test_case("zz\r\nab\r\n"; "malformed")]
 fn broken_stream_ends_the_connection_without_the_last_chunk(remainder: &str) {
     let bytes = format!("{STREAM_HEAD}{}{remainder}", chunk(EVENTS[0])).into_bytes();
@@ -95,7 +96,7 @@
 
 #[test]
 fn reservation_at_an_unreachable_engine_is_released_through_another() {
-    // It finishes one prefill, and then accepts no connection.
+    // The prefill engine finishes one prefill, and then accepts no connection.
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut prefill = prefill_engine();
     prefill.address = listener.local_addr().unwrap();
@@ -122,18 +123,21 @@
         client.write_all(chat_request(id).as_bytes()).unwrap();
         let response = read_response(&mut client);
         assert!(response.starts_with("HTTP/1.1 503"), "{response}");
-        assert!(!response.contains("retry-after"), "only where the settings allow it");
+        assert!(
+            !response.contains("retry-after"),
+            "a retry-after time is stated only where the settings allow it"
+        );
     }
     assert!(decode.received("POST").is_empty());
 }
 
-#[test_case("GET / HTTP/1.1\r\n\r\n"; "no such call")]
-#[test_case("nonsense\r\n\r\n"; "no request")]
-#[test_case("POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 60000000\r\n\r\nxx"; "60 MB")]
+#[test_case("GET / HTTP/1.1\r\n\r\n"; "unknown path")]
+#[test_case("nonsense\r\n\r\n"; "not HTTP")]
+#[test_case("POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 60000000\r\n\r\nxx"; "body of 60 MB")]
 #[test_case("POST /v1/chat/completions HTTP/1.1\r\nContent-Length: -5\r\n\r\nxx"; "a negative length")]
 #[test_case("POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 5\r\n\r\nxx"; "half a body")]
 #[test_case("POST /v1/chat/completions HTTP/1.1\r\nX: "; "half a head")]
-#[test_case(""; "nothing")]
+#[test_case(""; "no bytes")]
 fn misbehaving_client_gets_an_error_or_a_close_in_time(bytes: &str) {
     let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
     let node = start_node(&silent_discovery(), &[&prefill], &[&decode], None);
@@ -200,7 +204,7 @@
     let node = start_node(&silent_discovery(), &[&prefill], &[&decode], None);
     let mut client = node.open_request("aa14", &decode);
     node.signals.request_shutdown();
-    // New connections still come for a while.
+    // New connections are still accepted for a while.
     let ready = b"GET /healthz HTTP/1.1\r\n\r\n";
     assert!(node.exchange(ready).starts_with("HTTP/1.1 "));
     open_gate.send_blocking(()).unwrap();
@@ -208,26 +212,28 @@
     assert!(response.ends_with("0\r\n\r\n"), "{response}");
     let deadline = std::time::Instant::now() + TEST_TIMEOUT;
     while !node.thread.is_finished() {
-        assert!(std::time::Instant::now() < deadline, "it does not end");
+        assert!(std::time::Instant::now() < deadline, "the node does not exit");
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
 }
 
-/// On the day of bad clients new connections were closed unserved while silent ones filled the table.
+/// Regression test (day of bad clients): while silent connections filled the table, new connections were
+/// closed unserved.
 #[test]
 fn silent_connections_make_room_for_one_with_a_request() {
     let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
     let node = start_node(&silent_discovery(), &[&prefill], &[&decode], None);
-    // More than the part of 256 descriptors that is for clients.
+    // More connections than the share of the 256 descriptors that is for clients.
     let idle_clients: Vec<_> = (0..200).map(|_| node.connect()).collect();
     let response = node.exchange(chat_request("aa15").as_bytes());
     assert!(response.ends_with("0\r\n\r\n"), "{response}");
     drop(idle_clients);
 }
 
-/// Incident rd36976: hundreds of connections that asked whether the node is ready, and stayed, kept usual clients out.
+/// Regression test (incident rd36976): hundreds of connections that stayed open after a readiness probe kept
+/// regular clients out.
 #[test]
-fn connection_of_a_readiness_probe_occupies_no_place() {
+fn connection_of_a_readiness_probe_is_closed_after_its_response() {
     let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
     let node = start_node(&silent_discovery(), &[&prefill], &[&decode], None);
     let mut connections = Vec::new();
@@ -240,12 +246,13 @@
     let started_at = std::time::Instant::now();
     let response = node.exchange(chat_request("aa16").as_bytes());
     assert!(response.ends_with("0\r\n\r\n") && started_at.elapsed().as_secs_f64() < 1.5, "{response}");
-    assert_eq!(connections[0].read(&mut [0; 8]).unwrap(), 0, "closed with its answer");
+    assert_eq!(connections[0].read(&mut [0; 8]).unwrap(), 0, "the connection is closed after its response");
 }
 
-/// A list longer than any request was refused, and the node knew only the engines of its start.
-#[test_case(false; "in one length")]
-#[test_case(true; "in one chunk")]
+/// Regression test: a list longer than the longest request was refused, and the node knew only the engines
+/// from its start.
+#[test_case(false; "with a content length")]
+#[test_case(true; "as one chunk")]
 fn list_of_over_a_thousand_engines_is_applied(chunked: bool) {
     let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
     let (prefill_engines, decode_engines) = (vec![&prefill; 800], vec![&decode; 800]);
@@ -268,5 +275,5 @@
         std::thread::sleep(std::time::Duration::from_millis(50));
         node.exchange(chat_request(&format!("ab{n:02}")).as_bytes()).starts_with("HTTP/1.1 200")
     });
-    assert!(served);
+    assert!(served, "no request was served by the engines of the list");
 }
