--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,86 +1,88 @@
-//! The plain types that callers exchange with the decision module.
+//! Plain data types that callers exchange with the decision module.
+//!
+//! Times are in seconds on the caller's clock unless a field says otherwise.
 
-/// What an engine can do.
+/// Phases that an engine can run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EngineRole {
-    /// Prefills prompts and holds the KV cache until a decode engine has taken it over.
+    /// Prefills prompts and holds each KV cache until a decode engine has taken it over.
     #[default]
     Prefill,
-    /// Decodes what a prefill engine has prefilled.
+    /// Decodes requests that a prefill engine has prefilled.
     Decode,
     /// Prefills and decodes.
     Unified,
 }
 
-/// The engines that drop each other's repeats of a request.
+/// Set of engines within which a repeated request is recognized by its idempotency key and dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyScope {
     /// All engines.
     All,
-    /// Those of one zone.
+    /// Engines of one zone.
     Zone,
-    /// Those of one cell.
+    /// Engines of one cell.
     Cell,
 }
 
-/// Whether a request may run again.
+/// Condition under which a request may be run again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// Always.
+    /// It may always be run again.
     Idempotent,
-    /// Within the scope and for the time in which engines remember its key.
+    /// It may be run again within the scope and for the time in which engines remember its idempotency key.
     Keyed {
-        /// The engines that drop each other's repeats.
+        /// Engines that drop each other's repeats.
         scope: IdempotencyScope,
-        /// For how long they remember a key.
+        /// Time for which they remember a key.
         window_s: f64,
     },
-    /// Only when it is certain that it did not run.
+    /// It may be run again only if it is certain that it has not run.
     NonIdempotent,
 }
 
-/// The objectives and rules of one model route.
+/// Latency objectives and idempotency of one model route.
 #[derive(Clone, Debug)]
 pub struct ModelRoute {
-    /// Time to first token of an empty prompt.
+    /// Objective for the time to first token (TTFT) of an empty prompt.
     pub ttft_objective_s: f64,
-    /// What each prompt token adds to that.
+    /// Time that each prompt token adds to that objective.
     pub ttft_objective_per_token_s: f64,
-    /// Time per output token.
+    /// Objective for the time per output token (TPOT).
     pub tpot_objective_s: f64,
-    /// Whether its requests may run again.
+    /// Condition under which its requests may be run again.
     pub idempotency: Idempotency,
 }
 
-/// What a node is given when it starts.
+/// Settings that a node's decision module is created with.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// The number of this node.
+    /// Number of this node.
     pub node: u32,
-    /// How many nodes there are.
+    /// Number of nodes in the fleet.
     pub node_count: u32,
     /// Seed of all random choices.
     pub seed: u64,
-    /// The zone of this node.
+    /// Zone of this node.
     pub zone: u32,
-    /// The shortest time between two rounds of decisions.
+    /// Shortest time between two rounds of decisions.
     pub tick_s: f64,
-    /// The model routes; requests name them by index.
+    /// Model routes; requests refer to them by index.
     pub routes: Vec<ModelRoute>,
-    /// Requests a second of each tenant that all nodes together admit first.
+    /// Quota of each tenant, in requests per second over all nodes; requests within it are admitted first.
     pub tenant_quotas: Vec<f64>,
-    /// Attempts that one request may make at most.
+    /// Largest number of attempts for one request.
     pub max_attempts: u32,
     /// Whether decode engines can prefill a prompt themselves.
     pub decode_engines_prefill: bool,
-    /// How long an engine holds a reservation.
+    /// Time for which an engine holds a reservation.
     pub reservation_limit_s: f64,
-    /// How long a connection may take to be established, where a reservation's time runs on meanwhile; 0: an
-    /// attempt counts from its dispatch on.
+    /// Time-out for establishing a connection, if the time of a reservation keeps running meanwhile; 0 if an
+    /// attempt counts as delivered once it is dispatched.
     pub connect_timeout_s: f64,
-    /// Price of moving a KV cache to another cell, in parts of the tightest first-token objective.
+    /// Cost of moving a KV cache to another cell, as a fraction of the tightest TTFT objective.
     pub cross_cell_price: f64,
-    /// Price of dispatching to another zone, in parts of the tightest first-token objective.
+    /// Cost of dispatching to another zone, as a fraction of the tightest TTFT objective.
     pub cross_zone_price: f64,
     /// Whether attempts can be cancelled.
     pub can_cancel: bool,
@@ -88,249 +90,251 @@
     pub can_probe: bool,
     /// Whether the node must poll for the endpoint list.
     pub must_poll_endpoints: bool,
-    /// Longest retry-after that clients heed, where they are given one.
+    /// Longest retry-after time that clients honor; `None` if clients are given none.
     pub max_retry_after_s: Option<f64>,
-    /// Share of its capacity that an engine has at once after its start.
+    /// Share of its capacity that an engine has immediately after its start.
     pub slow_start_initial_share: f64,
-    /// Time until an engine has all of its capacity.
+    /// Time from an engine's start until it has its full capacity.
     pub warmup_s: f64,
-    /// How many times its capacity an engine may be sent in slow start.
+    /// Multiple of its current capacity that all nodes together may send to an engine in slow start.
     pub overload_multiple: f64,
-    /// The time over which that is measured.
+    /// Time window over which that load is measured.
     pub overload_window_s: f64,
 }
 
-/// Whether an engine is in service.
+/// State of an engine in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It is sent requests.
+    /// The engine accepts requests.
     #[default]
     Active,
-    /// It finishes what it has.
+    /// The engine finishes its current requests and accepts no new ones.
     Draining,
-    /// It is gone.
+    /// The engine is no longer listed.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct EngineEntry {
-    /// Its name, the same at all nodes.
+    /// Engine id, the same at all nodes.
     pub id: String,
-    /// Where it is.
+    /// Zone of the engine.
     pub zone: u32,
-    /// The group of engines within its zone among which KV caches move cheaply.
+    /// Group of engines in the zone between which transfers of KV caches are cheap.
     pub cell: u32,
-    /// What it can do.
+    /// Phases that the engine can run.
     pub role: EngineRole,
-    /// Tokens that its KV cache memory holds.
+    /// Capacity of its KV cache memory in tokens.
     pub memory_tokens: f64,
-    /// Whether it is in service.
+    /// State of the engine.
     pub lifecycle: Lifecycle,
-    /// When its process started; `None`: long ago.
+    /// Start time of its process; `None` if it started so long ago that it is warm.
     pub started_at: Option<f64>,
 }
 
-/// Load as an engine reports it; what it leaves out is `None`.
+/// Load report of an engine; values that the engine does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineLoad {
     /// Share of its KV cache memory in use.
     pub memory_share: Option<f64>,
     /// Share of its slots in use.
     pub slot_share: Option<f64>,
-    /// Requests that wait.
+    /// Number of requests that wait.
     pub queue_len: Option<f64>,
-    /// Requests that wait or are served.
+    /// Number of requests that wait or are being served.
     pub inflight: Option<f64>,
-    /// Prompt tokens that wait to be prefilled.
+    /// Number of prompt tokens that wait to be prefilled.
     pub pending_prompt_tokens: Option<f64>,
 }
 
-/// How an attempt or a probe ended.
+/// Outcome of an attempt or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole response came.
+    /// The whole response was received.
     Completed,
     /// The prompt was prefilled, and its KV cache is reserved.
     Prefilled,
     /// The engine answered with an error.
     EngineError,
-    /// The engine had no room, or no reservation for it.
+    /// The engine rejected it: it had no room, or it held no reservation for the request.
     Rejected,
-    /// No response came in time.
+    /// No response was received in time.
     TimedOut,
     /// No connection was established.
     ConnectFailed,
     /// The connection broke.
     ConnectionLost,
-    /// It was cancelled by this node.
+    /// This node cancelled it.
     Cancelled,
     /// It was not sent.
     NotDelivered,
 }
 
-/// The end of an attempt.
+/// Report of an attempt that has ended.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Time since its dispatch.
+    /// Time from dispatch to end.
     pub elapsed_s: f64,
-    /// The request is over, by this attempt or before.
+    /// Whether the request is finished, by this attempt or earlier.
     pub request_finished: bool,
-    /// Prompt tokens that a prefill found in the engine's cache.
+    /// Number of prompt tokens that a prefill found in the engine's cache.
     pub cached_tokens: f64,
-    /// The decode engine found no reservation of the request.
+    /// Whether the decode engine rejected the attempt because it found no reservation of the request.
     pub reservation_missing: bool,
 }
 
-/// A request as its client sends it.
+/// A request as received from its client.
 #[derive(Clone, Debug)]
 pub struct IncomingRequest {
-    /// Its model route.
+    /// Index of its model route.
     pub route: usize,
-    /// Its tenant, where tenants have quotas.
+    /// Index of its tenant; `None` if no quota applies to it.
     pub tenant: Option<usize>,
-    /// When its last byte arrived at the node's machine. It may have waited before it was read.
+    /// When its last byte arrived at the node's machine; it may have waited there before it was read.
     pub arrived_at: f64,
-    /// When the client gives up.
+    /// When the client stops waiting for the response.
     pub deadline: f64,
-    /// Length of the prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: f64,
-    /// Length of the part of it that is shared with other sessions.
+    /// Length in tokens of the prompt's prefix that is shared with other sessions.
     pub prefix_tokens: f64,
-    /// The session that it continues.
+    /// Name of its session; the prompt extends the session's earlier ones.
     pub session: String,
-    /// The name of the shared part.
+    /// Name of the shared prefix; `None` if there is none.
     pub prefix: Option<String>,
-    /// It is served only where others leave room.
+    /// Whether it is served only with capacity that other requests leave unused.
     pub is_background: bool,
 }
 
-/// The handle of an admitted request; good until [`Decisions::closed`] names it.
+/// Handle of an admitted request, valid until it is listed in [`Decisions::closed`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestHandle(pub u32);
 
-/// An engine, as an index good for one node.
+/// Handle of an engine, valid only at the node that issued it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EngineHandle(pub u32);
 
-/// An attempt to be made.
+/// Command to start an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Dispatch {
-    /// The request.
+    /// Request to send.
     pub request: RequestHandle,
-    /// Where it is sent.
+    /// Engine that it is sent to.
     pub engine: EngineHandle,
-    /// After what time without a response it has timed out.
+    /// Time without a response after which the attempt times out.
     pub timeout_s: f64,
 }
 
-/// Why a request was rejected or failed.
+/// Reason why a request was rejected or failed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RejectionReason {
-    /// Its client's time is up.
+    /// The client's deadline was reached.
     DeadlineExceeded,
-    /// Its idempotency or the number of its attempts allows no further one.
+    /// The route's idempotency or the limit on attempts allows no further attempt.
     NoAttemptLeft,
-    /// Its reservation found no decode engine in time.
+    /// No decode engine was found for its reservation in time.
     ReservationExpired,
-    /// It is too late to start.
+    /// The request can no longer be started before its deadline.
     TooLate {
         /// Prefill engines that slow start leaves to it.
         admitting: u32,
         /// Prefill engines available.
         prefill_engines: u32,
-        /// Wait for the first of those that it may go to.
+        /// Wait until the first of the admitting engines is available.
         prefill_wait_s: f64,
         /// Expected wait for a decode engine.
         decode_wait_s: f64,
     },
-    /// A first token in time is unlikely.
+    /// A first token within the TTFT objective is unlikely.
     ObjectiveUnlikely {
         /// Prefill engines that slow start leaves to it.
         admitting: u32,
         /// Prefill engines available.
         prefill_engines: u32,
-        /// Wait for the best of those that it may go to.
+        /// Expected wait at the engine chosen among the admitting ones.
         prefill_wait_s: f64,
-        /// Expected time of its prefill there.
+        /// Expected duration of the prefill there.
         prefill_s: f64,
         /// Expected wait for a decode engine.
         decode_wait_s: f64,
     },
 }
 
-/// Why an attempt was dispatched to its engine, as far as was known.
+/// State of the chosen engine, as far as it was known when an attempt was dispatched to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DispatchRationale {
-    /// Requests there before it.
+    /// Number of requests at the engine ahead of the attempt.
     pub requests_ahead: f64,
-    /// Expected time until its end, or its first token.
+    /// Expected time from dispatch to the end of a prefill or to the first token of a decode.
     pub expected_s: f64,
-    /// Age of the engine's process; infinite: it started long ago.
+    /// Age of the engine's process; infinite if it started long ago.
     pub engine_age_s: f64,
-    /// How long after its last response the engine could not be reached; below zero: it has responded since.
+    /// Time from the engine's last response to the last failure to reach it; negative if it has responded
+    /// since.
     pub unreachable_s: f64,
 }
 
-/// What to do, list by list, in this order.
+/// Commands that the caller carries out, list by list in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Decisions {
-    /// Attempts to cancel, by their number.
+    /// Attempts to cancel, each by its request and its number within the request.
     pub cancelled: Vec<(RequestHandle, u32)>,
-    /// Attempts to make.
+    /// Attempts to start.
     pub dispatches: Vec<Dispatch>,
-    /// Requests to reject, with the time after which the client may try again.
+    /// Requests to reject, each with its retry-after time in seconds, if one is to be given.
     pub rejected: Vec<(RequestHandle, Option<f64>)>,
-    /// Requests to answer with an error: they may have run.
+    /// Requests to answer with an error instead of a rejection, since they may have run.
     pub failed: Vec<RequestHandle>,
-    /// Why each rejected or failed request was, in order.
+    /// Reason for each rejected or failed request, in the order of the decisions.
     pub reasons: Vec<(RequestHandle, RejectionReason)>,
     /// Requests whose reservations are to be released.
     pub released: Vec<RequestHandle>,
     /// Engines to probe.
     pub probes: Vec<EngineHandle>,
-    /// Whether to fetch the endpoint list.
+    /// Whether to fetch the endpoint list now.
     pub poll_endpoints: bool,
-    /// When to call [`Router::decide`](crate::decide::Router::decide) again without an event.
+    /// When to call [`Router::decide`](crate::decide::Router::decide) again if no event occurs before; `None`
+    /// if no such call is needed.
     pub wake_at: Option<f64>,
-    /// Handles that are void from now on.
+    /// Handles that are invalid from now on.
     pub closed: Vec<RequestHandle>,
 }
 
-/// What a node has learned, for its next process.
+/// Learned state that a node's process hands to the next one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedState {
-    /// Averages and the latency model of a prefill, in an order of the module's own.
+    /// Averages and the latency model of a prefill, in an order defined by the decision module.
     pub averages: Vec<f64>,
-    /// Engines that failed of late.
+    /// Engines that failed recently.
     pub engines: Vec<LearnedEngine>,
 }
 
-/// What a node has learned of an engine.
+/// Learned state of one engine.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedEngine {
-    /// The engine's id.
+    /// Engine id.
     pub id: String,
-    /// When its process started; `None`: long ago.
+    /// Start time of the engine's process; `None` if it started long ago.
     pub started_at: Option<f64>,
-    /// Failures, decayed until `last_failure_at`.
+    /// Number of recent failures, decayed up to `last_failure_at`.
     pub recent_failures: f64,
-    /// When the last one was.
+    /// When the last failure occurred.
     pub last_failure_at: f64,
 }
 
-/// When an engine last responded, and when it last could not be reached; 0: never.
+/// Times of an engine's last response and of the last failure to reach it; 0 for never.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineObservation<'a> {
-    /// The engine's id.
+    /// Engine id.
     pub id: &'a str,
-    /// Its zone.
+    /// Zone of the engine.
     pub zone: u32,
-    /// What it can do.
+    /// Phases that the engine can run.
     pub role: EngineRole,
-    /// When it last responded to anything.
+    /// When it last responded to any probe or attempt.
     pub last_response_at: f64,
     /// When a probe or an attempt last could not reach it.
     pub unreachable_at: f64,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! nickelgw routes language-model requests to prefill and decode engines: the decision module and the types
-//! that its callers exchange with it.
+//! The decision module of nickelgw, which routes language-model requests to prefill and decode engines, and
+//! the types that it exchanges with its callers.
 
 pub mod decide;
 pub mod interface;
