--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,19 +1,22 @@
-//! All decisions of a node: which engine prefills a request, which one decodes it, what is rejected.
+//! All routing decisions of a node: which engine prefills a request, which one decodes it, and which requests
+//! are rejected.
 //!
-//! Callers make a [`Router`] from a [`Deployment`], report events as method calls ([`Router::admit_request`]
-//! returns the handle under which all later events of that request are reported) and, after each batch of
-//! events, carry out what [`Router::decide`] returns. The types exchanged are in [`crate::interface`].
+//! Callers create a [`Router`] from a [`Deployment`], report events as method calls
+//! ([`Router::admit_request`] returns the handle under which all later events of that request are reported)
+//! and, after each batch of events, carry out the [`Decisions`] that [`Router::decide`] returns. The types
+//! exchanged are in [`crate::interface`].
 //!
 //! [`Router::decide`] is the dispatcher of "HyperFlexis: Joint Design of Algorithms and Systems for Multi-SLO
 //! Serving and Fast Scaling", section 5 and Algorithm 1, for separate prefill and decode engines. The paper's
-//! maturity time of a worker is called `available_at` here. `docs/design.md` lists each departure.
+//! maturity time of a worker is called `available_at` here. `docs/design.md` lists each deviation from the
+//! paper.
 //!
 //! | step | module |
 //! | --- | --- |
 //! | events of requests and attempts | `admission`, `attempts`, `endpoints`, `probes` |
 //! | steps of `decide` | `averages`, `deadlines`, `migrator`, `dispatcher`, `dispatch` |
 //! | choice of engines | `prefill`, `prefill_cost`, `prefix_affinity`, `decode_engines`, `load` |
-//! | retries and endings | `retry`, `completion` |
+//! | retries and ends of requests | `retry`, `completion` |
 //! | protection of engines and tenants | `health`, `slow_start`, `zone_weights`, `tenant_quotas` |
 //! | state | `engine_table`, `request_table`, `settings`, `learned_state` |
 
@@ -58,7 +61,7 @@
 use tenant_quotas::TenantQuotas;
 use zone_weights::ZoneWeights;
 
-/// The decision module of one node: a state machine without clock, sockets or threads of its own.
+/// The decision module of one node: a sans-I/O state machine without clock, sockets or threads.
 #[derive(Default)]
 pub struct Router {
     limits: Limits,
@@ -74,12 +77,12 @@
     engines: EngineTable,
     requests: RequestTable,
     random: WyRand,
-    /// What the events since the last [`Router::decide`] have led to so far.
+    /// Decisions made since the last call of [`Router::decide`].
     decisions: Decisions,
 }
 
 impl Router {
-    /// A router that knows no engine yet.
+    /// Creates a router that knows no engine yet.
     pub fn new(deployment: Deployment) -> Self {
         let objectives = Objectives::new(&deployment.routes);
         let prefill_base_s = objectives.tpot_s / 2.0;
@@ -98,7 +101,7 @@
         }
     }
 
-    /// What to do after a batch of events: one round of the paper's Algorithm 1.
+    /// Returns what to do after a batch of events: one round of the paper's Algorithm 1.
     pub fn decide(&mut self, now: f64) -> Decisions {
         self.update_averages(now);
         self.enforce_deadlines(now);
@@ -115,17 +118,17 @@
         std::mem::take(&mut self.decisions)
     }
 
-    /// When an attempt of a request that is not closed was dispatched.
+    /// Returns when an attempt was dispatched; the request must not be closed.
     pub fn dispatched_at(&self, request: RequestHandle, attempt: u32) -> f64 {
         self.requests[request.0 as usize].attempts[attempt as usize].dispatched_at
     }
 
-    /// The id of an engine, as the endpoint list gave it.
+    /// Returns the id of an engine as given by the endpoint list.
     pub fn engine_id(&self, engine: EngineHandle) -> &str {
         &self.engines[engine.0 as usize].id
     }
 
-    /// A random number from 0 to 1.
+    /// Returns a random number from 0 to 1.
     fn random_fraction(&mut self) -> f64 {
         self.random.generate::<u32>() as f64 / u32::MAX as f64
     }
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -1,23 +1,24 @@
-//! Arrival of requests, and clients that disconnect.
+//! Arrivals of requests, and disconnects of clients.
 
 use super::hash::hash;
 use super::request_table::{Request, Stage};
 use super::Router;
 use crate::interface::{IncomingRequest, RequestHandle};
 
-/// Salts of the hashes of sessions and prefixes.
+/// Salt of session hashes.
 const SESSION_SALT: u64 = 1;
+/// Salt of prefix hashes.
 const PREFIX_SALT: u64 = 2;
 
 impl Router {
-    /// Takes in a request: the paper's `OnRequestArrive`.
+    /// Admits a request to the queue (the paper's `OnRequestArrive`) and returns its handle.
     pub fn admit_request(&mut self, now: f64, incoming: &IncomingRequest) -> RequestHandle {
         self.averages.record_prompt(incoming.prompt_tokens);
         let route = &self.objectives.routes[incoming.route];
         let ttft_deadline = incoming.arrived_at
             + route.ttft_objective_s
             + route.ttft_objective_per_token_s * incoming.prompt_tokens;
-        // Background work waits behind the rest, like what is over a quota, and counts against none.
+        // A background request waits behind the others like one over a quota, and counts against no quota.
         let over_quota = incoming.is_background
             || incoming.tenant.is_some_and(|tenant| self.tenant_quotas.is_over_quota(now, tenant));
         let mut request = Request {
@@ -39,7 +40,7 @@
         self.requests.insert(request)
     }
 
-    /// The client has gone: its request is over.
+    /// Reports that the client has disconnected, which finishes its request.
     pub fn client_disconnected(&mut self, request: RequestHandle) {
         if self.requests[request.0 as usize].stage != Stage::Closed {
             self.finish(request.0 as usize);
--- a/src/decide/attempts.rs
+++ b/src/decide/attempts.rs
@@ -1,21 +1,22 @@
-//! What becomes of attempts: first tokens and endings.
+//! Results of attempts: first tokens and outcomes.
 
 use super::engine_table::Phase;
 use super::request_table::{Attempt, AttemptState, DecodeStart, Stage};
 use super::Router;
 use crate::interface::{AttemptEnd, EngineLoad, Outcome, RejectionReason, RequestHandle};
 
-/// Part of a mean stream after which a full decode engine is expected to have room.
-const DECODE_ROOM_PART: f64 = 1.0 / 8.0;
-/// What a success leaves of an engine's recent failures.
-const FAILURES_AFTER_SUCCESS: f64 = 0.5;
+/// Time after which a full decode engine is expected to have room, as a fraction of the mean stream duration.
+const DECODE_ROOM_FRACTION: f64 = 1.0 / 8.0;
+/// Factor by which a success reduces an engine's recent failures.
+const FAILURE_FACTOR_ON_SUCCESS: f64 = 0.5;
 
-/// Only an answer proves that an attempt had arrived; without one it may never have left this node.
+/// Returns whether an outcome is an answer of the engine. Only an answer proves that the attempt arrived;
+/// without one it may never have left this node.
 fn is_answer(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Completed | Outcome::Prefilled | Outcome::EngineError | Outcome::Rejected)
 }
 
-/// Whether the engine was heard from.
+/// Returns whether an outcome shows that the engine responded.
 fn is_response(outcome: Outcome) -> bool {
     !matches!(
         outcome,
@@ -23,13 +24,13 @@
     )
 }
 
-/// Whether it is certain that a decode attempt did not run.
+/// Returns whether an outcome proves that a decode attempt did not run.
 fn proves_not_decoded(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotDelivered | Outcome::Prefilled)
 }
 
 impl Router {
-    /// The response of a request has begun.
+    /// Reports that the response of a request has begun.
     pub fn first_token(&mut self, now: f64, request: RequestHandle, attempt: u32) {
         let index = request.0 as usize;
         let engine = self.requests[index].attempts[attempt as usize].engine;
@@ -43,7 +44,8 @@
         self.record_success(engine);
     }
 
-    /// An attempt has ended; `load` is what its engine reported with that.
+    /// Reports that an attempt has ended; `load` is the load report that its engine sent with the result, if
+    /// any.
     pub fn attempt_finished(
         &mut self,
         now: f64,
@@ -86,7 +88,8 @@
         }
     }
 
-    /// An attempt that did not reach its engine speaks against the way to that zone.
+    /// Returns the final state of an attempt. An attempt that did not reach its engine is distinguished,
+    /// since it counts against all engines of that zone.
     fn state_after(&self, attempt: &Attempt, outcome: Outcome) -> AttemptState {
         let is_unreachable = self.engines[attempt.engine].unreachable_since(attempt.dispatched_at);
         let is_silent = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled) && is_unreachable;
@@ -107,34 +110,36 @@
                 self.requests[request].reservation = Some(attempt.engine);
                 self.record_prefill(request, attempt, end);
             }
-            // It may still be held at a prefill engine that the decode engine can't reach.
+            // The prefill engine may still hold the reservation if the decode engine can't reach it.
             Outcome::Rejected if attempt.phase == Phase::Decode && end.reservation_missing => {
                 self.release_reservation(request);
             }
             Outcome::Rejected => self.record_full_engine(now, request, attempt),
             Outcome::Cancelled | Outcome::NotDelivered => {}
             Outcome::ConnectFailed => self.record_unreachable(now, attempt.engine),
-            // A time-out while others were answered is a queue, not a failure.
+            // If the engine answered other requests meanwhile, the time-out is due to a queue and not a
+            // failure.
             Outcome::TimedOut if self.engines[attempt.engine].last_response_at > attempt.dispatched_at => {}
             _ => self.record_failure(now, attempt.engine),
         }
     }
 
-    /// No room: the engine is available when a place there is expected to be free.
+    /// Records that an engine had no room: it is available again when it is expected to have room.
     fn record_full_engine(&mut self, now: f64, request: usize, attempt: &Attempt) {
         let wait_s = match attempt.phase {
-            Phase::Decode => self.averages.mean_stream_s * DECODE_ROOM_PART,
-            Phase::Prefill => self.prefill_cost.of(self.requests[request].prompt_tokens),
+            Phase::Decode => self.averages.mean_stream_s * DECODE_ROOM_FRACTION,
+            Phase::Prefill => self.prefill_cost.predict_s(self.requests[request].prompt_tokens),
         };
         let engine = &mut self.engines[attempt.engine];
         engine.available_at = engine.available_at.max(now + wait_s);
     }
 
     pub(super) fn record_success(&mut self, engine: usize) {
-        self.engines[engine].recent_failures *= FAILURES_AFTER_SUCCESS;
+        self.engines[engine].recent_failures *= FAILURE_FACTOR_ON_SUCCESS;
     }
 
-    /// What an attempt that came to nothing has left of a reservation's time may not be enough for another.
+    /// Releases a reservation if the time that an attempt with an uncertain outcome has left of it is not
+    /// enough for another attempt.
     fn release_stale_reservation(
         &mut self,
         now: f64,
@@ -161,7 +166,8 @@
         }
     }
 
-    /// Retries from the reservation if it is still held, else from the prompt.
+    /// Retries a request: with decode if its reservation is still held, otherwise with prefill. If no retry
+    /// is allowed the request is rejected or failed.
     fn requeue_or_reject(&mut self, now: f64, request: usize, outcome: Outcome) {
         let is_reserved = self.requests[request].reservation.is_some();
         self.requests[request].stage = if is_reserved { Stage::Reserved } else { Stage::Queued };
--- a/src/decide/averages.rs
+++ b/src/decide/averages.rs
@@ -1,35 +1,36 @@
-//! Running averages, and those of the engines' loads: the paper's synchronization with the workers' states
-//! (Algorithm 1, `RunInBackground`).
+//! Moving averages of requests, and averages over the engines' loads: the paper's synchronization with the
+//! workers' states (Algorithm 1, `RunInBackground`).
 
 use super::engine_table::Phase;
 use super::Router;
 
-/// Assumed duration of a stream before any was seen, in times per output token: a few sentences.
+/// Assumed length of a stream before any was observed, in output tokens: a few sentences.
 const INITIAL_STREAM_TOKENS: f64 = 80.0;
 /// Weight of the latest stream in the mean duration.
 const STREAM_WEIGHT: f64 = 0.02;
-/// Weight of the latest prompt in the mean prompt.
+/// Weight of the latest prompt in the mean prompt length.
 const PROMPT_WEIGHT: f64 = 0.02;
 /// Weight of the latest prefill in the cost that each request ahead adds.
 const PREFILL_WEIGHT: f64 = 0.05;
 
-/// The engines of one phase together.
+/// Averages over the available engines of one phase.
 #[derive(Default)]
 pub(super) struct PhaseAverages {
-    /// Engines available, at least 1.
+    /// Number of engines available, at least 1.
     pub(super) available_engines: f64,
-    /// Mean wait at a prefill engine (s) or load of a decode engine (share), recent reports counting more.
-    pub(super) load: f64,
+    /// Mean wait at a prefill engine in seconds, or mean load of a decode engine as a share of its capacity.
+    /// Recent reports weigh more.
+    pub(super) congestion: f64,
 }
 
-/// What the node has seen on average.
+/// Averages over what the node has observed.
 #[derive(Default)]
 pub(super) struct Averages {
-    /// The time of the current round of decisions.
+    /// Time of the current round of decisions.
     pub(super) as_of: f64,
     pub(super) mean_stream_s: f64,
     pub(super) mean_prompt_tokens: f64,
-    /// What each request found at a prefill engine adds to a prefill.
+    /// Time that each request already at a prefill engine adds to a prefill.
     pub(super) batch_cost_per_request_s: f64,
     pub(super) prefill: PhaseAverages,
     pub(super) decode: PhaseAverages,
@@ -44,7 +45,7 @@
         }
     }
 
-    pub(super) fn of(&self, phase: Phase) -> &PhaseAverages {
+    pub(super) fn for_phase(&self, phase: Phase) -> &PhaseAverages {
         match phase {
             Phase::Prefill => &self.prefill,
             Phase::Decode => &self.decode,
@@ -67,7 +68,7 @@
 }
 
 impl Router {
-    /// Brings the averages over the engines up to date, against which single engines are judged.
+    /// Updates the averages over the engines, with which single engines are compared.
     pub(super) fn update_averages(&mut self, now: f64) {
         self.averages.as_of = now;
         let prefill_engines = self.available_engines(Phase::Prefill);
@@ -75,15 +76,16 @@
         self.averages.prefill.available_engines = prefill_engines.len().max(1) as f64;
         self.averages.decode.available_engines = decode_engines.len().max(1) as f64;
         self.update_local_affinity_share(&prefill_engines);
-        self.averages.prefill.load = self.average_load(now, &prefill_engines, Phase::Prefill);
-        self.averages.decode.load = self.average_load(now, &decode_engines, Phase::Decode);
+        self.averages.prefill.congestion = self.mean_congestion(now, &prefill_engines, Phase::Prefill);
+        self.averages.decode.congestion = self.mean_congestion(now, &decode_engines, Phase::Decode);
     }
 
-    fn average_load(&self, now: f64, engines: &[usize], phase: Phase) -> f64 {
+    fn mean_congestion(&self, now: f64, engines: &[usize], phase: Phase) -> f64 {
         let (mut sum, mut total_weight) = (0.0, 0.0);
         for &engine in engines {
             let reported_at = self.engines[engine].reported_at;
-            // By age, but gently: the prefill engines of popular texts are probed the most.
+            // The weight falls only slowly with the report's age, since the prefill engines of popular texts
+            // are probed most often and would dominate the average.
             let weight = 1.0 / (1.0 + (now - reported_at) / self.objectives.ttft_s);
             let load = match phase {
                 Phase::Prefill => self.engines[engine].reported_wait_s,
--- a/src/decide/completion.rs
+++ b/src/decide/completion.rs
@@ -1,15 +1,15 @@
-//! How requests end: rejected, failed or finished, and what they hold released.
+//! Ends of requests: rejection, failure, completion, and release of reservations.
 
 use super::engine_table::Phase;
 use super::request_table::{Attempt, Request, Stage};
 use super::Router;
 use crate::interface::{Idempotency, IdempotencyScope, RejectionReason, RequestHandle};
 
-/// Part of a mean stream after which a rejected client may try again.
-const RETRY_AFTER_PART: f64 = 1.0 / 4.0;
+/// Retry-after time of a rejected request, as a fraction of the mean stream duration.
+const RETRY_AFTER_FRACTION: f64 = 1.0 / 4.0;
 
 impl Router {
-    /// Answers at once: rejected where a repeat is harmless, else failed.
+    /// Ends a request at once: it is rejected if a repeat by the client is harmless, and failed otherwise.
     pub(super) fn reject_or_fail(&mut self, request: usize, reason: RejectionReason) {
         if self.requests[request].stage.is_over() {
             return;
@@ -17,7 +17,7 @@
         let handle = RequestHandle(request as u32);
         self.decisions.reasons.push((handle, reason));
         if self.is_repeat_harmless(&self.requests[request]) {
-            let by_load_s = self.averages.mean_stream_s * RETRY_AFTER_PART;
+            let by_load_s = self.averages.mean_stream_s * RETRY_AFTER_FRACTION;
             let retry_after_s = self.limits.max_retry_after_s.map(|longest_s| longest_s.min(by_load_s));
             self.decisions.rejected.push((handle, retry_after_s));
         } else {
@@ -31,9 +31,10 @@
         self.finish(request);
     }
 
-    /// Whether the client may send the request again without a second effect.
+    /// Returns whether the client may send the request again without the risk of a second side effect.
     fn is_repeat_harmless(&self, request: &Request) -> bool {
-        // A prefill is no effect once it has ended; where none may be cancelled it has not.
+        // A prefill has no side effect once it has ended. One in flight is cancelled; where attempts can't be
+        // cancelled, it counts as not ended.
         let may_take_effect = |attempt: &Attempt| {
             attempt.is_in_flight() && (attempt.phase == Phase::Decode || !self.limits.can_cancel)
         };
@@ -43,11 +44,11 @@
         }
     }
 
-    /// The request is over: what it holds is released, and its handle once no attempt is in flight.
+    /// Finishes a request: releases its reservation, and closes its handle once no attempt is in flight.
     pub(super) fn finish(&mut self, request: usize) {
         let handle = RequestHandle(request as u32);
         let in_flight = self.requests[request].has_attempt_in_flight();
-        // An attempt in flight keeps the reservation from being released: that is repeated when the last one ends.
+        // An attempt in flight may prevent the release, so the release is repeated when the last one ends.
         let request_state = &mut self.requests[request];
         if request_state.stage != Stage::Streaming && !request_state.attempts.is_empty() {
             self.decisions.released.push(handle);
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The reservation is given up, and the request goes on without it.
+    /// Releases a request's reservation; the request continues without it.
     pub(super) fn release_reservation(&mut self, request: usize) {
         self.requests[request].reservation = None;
         self.decisions.released.push(RequestHandle(request as u32));
--- a/src/decide/decode_engines.rs
+++ b/src/decide/decode_engines.rs
@@ -1,37 +1,40 @@
-//! The choice of a decode engine: the time of its step, the wait for room, and the way to it.
+//! Choice of a decode engine by its step time, the wait for room and the cost of the KV cache transfer.
 
 use super::engine_table::Phase;
 use super::request_table::Attempt;
 use super::Router;
 use crate::interface::EngineRole;
 
-/// Share of the TPOT objective that a step takes on an empty decode engine; the rest grows with its load.
+/// Step time of an empty decode engine as a share of the TPOT objective; the step time reaches the objective
+/// at full load.
 const EMPTY_STEP_SHARE: f64 = 0.4;
-/// Memory share past which a decode engine counts as full: reports are late and noisy.
+/// Memory share above which a decode engine counts as full; it is below 1 because reports are late and noisy.
 pub(super) const FULL_MEMORY_SHARE: f64 = 0.9;
-/// How far a decode engine's load lies from a recent report.
+/// Uncertainty of a decode engine's load right after a report, as a share of its capacity.
 const LOAD_UNCERTAINTY: f64 = 0.05;
-/// Random part of a choice, in times per output token.
-const JITTER: f64 = 0.1;
+/// Largest random addition to the estimated start time at a decode engine, as a fraction of the TPOT
+/// objective.
+const JITTER_FRACTION: f64 = 0.1;
 
-/// The decode engines together.
+/// State of the decode engines as a whole.
 pub(super) struct DecodeOutlook {
-    /// How long a request prefilled now is likely to wait for one of them.
+    /// Time that a request prefilled now is likely to wait for a decode engine.
     pub(super) wait_s: f64,
     /// Their mean load, at most 1.
     pub(super) load: f64,
 }
 
 impl Router {
-    /// Step time E_d of a decode engine: grows with its load; at the TPOT objective it is full (the paper's
-    /// relax = 0).
+    /// Returns the step time E_d of a decode engine. It grows with the engine's load; the engine is full when
+    /// it equals the TPOT objective (the paper's relax = 0).
     pub(super) fn decode_step_s(&self, engine: usize) -> f64 {
         let share = EMPTY_STEP_SHARE + (1.0 - EMPTY_STEP_SHARE) * self.estimated_load(engine);
         self.objectives.tpot_s * share
     }
 
-    /// Wait for room at a decode engine: memory comes free by the mean duration of a stream. The edge is soft:
-    /// the load is known roughly, the more so the older the report.
+    /// Returns the expected wait for room at a decode engine, whose memory becomes free over the mean
+    /// duration of a stream. The threshold is smoothed, since the load is known only roughly, and more so the
+    /// older the report.
     pub(super) fn decode_wait_s(&self, engine: usize, tokens: f64) -> f64 {
         let missing_share =
             self.estimated_load(engine) + tokens / self.engines[engine].memory_tokens - FULL_MEMORY_SHARE;
@@ -39,8 +42,8 @@
         uncertainty * (1.0 + (missing_share / uncertainty).exp()).ln() * self.averages.mean_stream_s
     }
 
-    /// The wait for a decode engine and the load, over those not held off: between the least and the mean wait,
-    /// since other nodes, too, send to whichever seems free.
+    /// Returns the wait and the load over the decode engines that are not held off. The wait is halfway
+    /// between the shortest and the mean wait, since other nodes also send to the engines that appear free.
     pub(super) fn decode_outlook(&self, now: f64) -> DecodeOutlook {
         let usable_until = now + self.objectives.ttft_s;
         let is_usable = |&engine: &usize| self.engines[engine].available_at < usable_until;
@@ -71,7 +74,7 @@
             if !self.may_decode_at(now, request, engine) {
                 continue;
             }
-            let jitter_s = JITTER * self.objectives.tpot_s * self.random_fraction();
+            let jitter_s = JITTER_FRACTION * self.objectives.tpot_s * self.random_fraction();
             let start_at = self.decode_start_at(now, request, engine) + jitter_s;
             if start_at < best_at {
                 (best_at, best) = (start_at, Some(engine));
@@ -89,7 +92,8 @@
             && self.slow_start_admits(now, request, engine)
     }
 
-    /// When a stream could start at a decode engine, with the costs of failures, distance and earlier attempts.
+    /// Returns when a stream could start at a decode engine, with the costs of failures, distance and earlier
+    /// attempts added.
     fn decode_start_at(&self, now: f64, request: usize, engine: usize) -> f64 {
         let prompt_tokens = self.requests[request].prompt_tokens;
         let start_at = self.engines[engine].available_at.max(now)
@@ -99,7 +103,7 @@
         start_at + self.transfer_cost_s(request, engine) + self.decode_retry_cost_s(request, engine)
     }
 
-    /// What moving the KV cache from its prefill engine costs.
+    /// Returns the cost of moving the KV cache from its prefill engine.
     fn transfer_cost_s(&self, request: usize, engine: usize) -> f64 {
         let engine = &self.engines[engine];
         match self.requests[request].reservation.map(|holder| &self.engines[holder]) {
@@ -111,8 +115,9 @@
         }
     }
 
-    /// Each earlier attempt there costs an objective. One that was not delivered counts against its whole zone:
-    /// engine by engine, a reservation's time would be gone.
+    /// Returns the cost of earlier attempts: one tightest TTFT objective for each attempt at this engine. An
+    /// attempt that was not delivered counts for all engines of its zone: if they were tried one by one, the
+    /// time of the reservation would run out.
     fn decode_retry_cost_s(&self, request: usize, engine: usize) -> f64 {
         let zone = self.engines[engine].zone;
         let counts = |attempt: &&Attempt| {
--- a/src/decide/dispatch.rs
+++ b/src/decide/dispatch.rs
@@ -1,29 +1,31 @@
-//! Dispatching a request to the engine chosen for it.
+//! Dispatch of a request to the engine chosen for it.
 
 use super::engine_table::Phase;
 use super::request_table::{Attempt, AttemptState, Stage};
 use super::Router;
 use crate::interface::{Dispatch, EngineHandle, RequestHandle};
 
-/// How many times the expected time an attempt may take where nothing tells a dead engine from a busy one.
+/// Multiple of the expected time after which an attempt times out in a deployment where a dead engine can't
+/// be distinguished from a busy one.
 const TIMEOUT_MULTIPLE: f64 = 6.0;
 
 impl Router {
     pub(super) fn dispatch_prefill(&mut self, now: f64, request: usize, engine: usize) {
         let tokens = self.uncached_tokens(engine, request);
         let wait_s = self.estimated_availability(now, engine) - now;
-        let prefill_s = self.prefill_cost.of(tokens);
+        let prefill_s = self.prefill_cost.predict_s(tokens);
         self.engines[engine].batch_s += prefill_s;
         self.engines[engine].batch_tokens += tokens;
         self.dispatch(now, request, engine, wait_s + prefill_s);
     }
 
-    /// `prefill_s`: what a prefill there takes, where the request has no reservation.
+    /// Dispatches a request to a decode engine. `prefill_s` is the expected duration of a prefill there, 0
+    /// for a request with a reservation.
     pub(super) fn dispatch_decode(&mut self, now: f64, request: usize, engine: usize, prefill_s: f64) {
         let step_s = self.decode_step_s(engine);
         let expected_s =
             step_s + self.decode_wait_s(engine, self.requests[request].prompt_tokens) + prefill_s;
-        // A decode engine is next available after its next step.
+        // A decode engine is available again after its next step.
         self.engines[engine].available_at = self.engines[engine].available_at.max(now + step_s);
         self.dispatch(now, request, engine, expected_s);
     }
@@ -59,7 +61,8 @@
         });
     }
 
-    /// Where probes tell a dead engine from a busy one, no place in a queue is given up for time alone.
+    /// Returns the time-out of an attempt. Where probes distinguish a dead engine from a busy one, an attempt
+    /// keeps its place in the engine's queue until the request's deadline.
     fn timeout_s(&self, now: f64, request: usize, expected_s: f64) -> f64 {
         let detects_dead_engines = self.limits.can_probe && self.limits.can_cancel;
         let limit_s = if detects_dead_engines {
--- a/src/decide/dispatcher.rs
+++ b/src/decide/dispatcher.rs
@@ -7,20 +7,21 @@
 use super::Router;
 use crate::interface::RejectionReason;
 
-/// θ of Algorithm 1: the least probability of a first token in time with which a request is admitted.
+/// θ of Algorithm 1: lowest probability of meeting the TTFT objective with which a request is admitted.
 const MIN_TTFT_PROBABILITY: f64 = 0.5;
-/// Loosest objective that the token budget is computed for.
+/// Loosest TTFT objective for which the token budget is computed.
 const MAX_BUDGET_TTFT_S: f64 = 60.0;
-/// Mean wait at the prefill engines past which the fleet is overloaded, in tightest first-token objectives.
-const OVERLOAD_WAIT_PART: f64 = 1.0 / 4.0;
-/// How much longer than at a prefill engine a prefill is expected to take at a decode engine.
+/// Mean wait at the prefill engines above which the fleet counts as overloaded, as a fraction of the tightest
+/// TTFT objective.
+const OVERLOAD_WAIT_FRACTION: f64 = 1.0 / 4.0;
+/// Expected duration of a prefill at a decode engine, as a multiple of that at a prefill engine.
 const DECODE_ENGINE_PREFILL_MULTIPLE: f64 = 4.0;
-/// Width of the probability curve in tightest first-token objectives: at idle decode engines, and what is added
-/// at full ones.
+/// Width of the probability curve at idle decode engines, as a fraction of the tightest TTFT objective.
 const IDLE_SPREAD: f64 = 0.05;
+/// Addition to that width at full decode engines, as a fraction of the tightest TTFT objective.
 const LOAD_SPREAD: f64 = 0.2;
 
-/// What holds for all requests of a round of decisions.
+/// State shared by all requests of a round of decisions.
 pub(super) struct DispatchContext {
     now: f64,
     pub(super) prefill_engines: Vec<usize>,
@@ -29,21 +30,22 @@
     is_overloaded: bool,
 }
 
-/// What a prefill at the chosen engine would be like.
+/// Estimate of a prefill at the chosen engine.
 struct PrefillEstimate {
     tokens: f64,
     wait_s: f64,
     prefill_s: f64,
 }
 
-/// The prefill engines that a request may go to, and how soon the first of them is available.
+/// Prefill engines that a request may go to, and the wait until the first of them is available.
 struct Candidates {
     engines: Vec<usize>,
     wait_s: f64,
 }
 
 impl Router {
-    /// The request queue Q_R of Algorithm 1: by TPOT objective, then arrival; what is over a tenant's quota last.
+    /// Returns the request queue Q_R of Algorithm 1: ordered by TPOT objective, then by arrival, with
+    /// requests over a tenant's quota last.
     pub(super) fn queue_by_objective(&self, open_requests: &[usize]) -> Vec<usize> {
         let is_queued = |request: &usize| self.requests[*request].stage == Stage::Queued;
         let mut queue: Vec<usize> = open_requests.iter().copied().filter(is_queued).collect();
@@ -70,8 +72,9 @@
         }
     }
 
-    /// The token budget of a prefill batch (equation 5 with E_d = 0: prefill engines don't decode): what the
-    /// tightest objective in the queue leaves, without the quadratic term of the cost.
+    /// Returns the token budget of a prefill batch (equation 5 with E_d = 0, since prefill engines don't
+    /// decode): the tokens that can be prefilled within the tightest TTFT objective in the queue, without the
+    /// quadratic term of the cost.
     fn prefill_budget(&self, queue: &[usize]) -> f64 {
         let objective_s = |&request: &usize| {
             let request = &self.requests[request];
@@ -82,16 +85,16 @@
         ((tightest_s - base_s) / s_per_1000_tokens * 1000.0).max(0.0)
     }
 
-    /// Whether the engines of one phase are full. Then a late answer would make others late, and the first-token
-    /// objective is the deadline.
+    /// Returns whether the engines of either phase are full. Then a late response would delay others, and the
+    /// TTFT objective is the deadline.
     fn is_overloaded(&self, now: f64, prefill_engines: &[usize], decode: &DecodeOutlook) -> bool {
         let waits_s = prefill_engines.iter().map(|&engine| self.estimated_availability(now, engine) - now);
         let mean_wait_s = waits_s.sum::<f64>() / prefill_engines.len().max(1) as f64;
-        decode.load >= FULL_MEMORY_SHARE || mean_wait_s > self.objectives.ttft_s * OVERLOAD_WAIT_PART
+        decode.load >= FULL_MEMORY_SHARE || mean_wait_s > self.objectives.ttft_s * OVERLOAD_WAIT_FRACTION
     }
 
-    /// The main loop of Algorithm 1: scans the queue, admits what will likely meet its objective and fits the
-    /// budget, and dispatches it.
+    /// Main loop of Algorithm 1: scans the queue, and admits and dispatches each request that will likely
+    /// meet its objective and fits the budget.
     pub(super) fn admit_and_dispatch(&mut self, context: &DispatchContext, queue: &[usize]) {
         for &request in queue {
             if self.is_awaiting_probe(context.now, request) || self.requests[request].release_pending {
@@ -126,7 +129,8 @@
         if fits && self.ttft_probability(context, request, &estimate) >= MIN_TTFT_PROBABILITY {
             self.dispatch_prefill(context.now, request, engine);
         } else if self.requests[request].over_quota || context.is_overloaded {
-            // What is over its quota does not wait for room that others need; under overload nothing waits.
+            // A request over its quota does not wait for room that others need; under overload no request
+            // waits.
             let reason = RejectionReason::ObjectiveUnlikely {
                 admitting: candidates.engines.len() as u32,
                 prefill_engines: context.prefill_engines.len() as u32,
@@ -138,8 +142,8 @@
         }
     }
 
-    /// The head of the worker queue Q_W of Algorithm 1, for one request: when a prefill could start at the
-    /// earliest among the engines that slow start leaves to it.
+    /// Returns the head of the worker queue Q_W of Algorithm 1 for one request: the engines that slow start
+    /// leaves to it, and the shortest wait until a prefill could start at one of them.
     fn earliest_start(&self, context: &DispatchContext, request: usize) -> Candidates {
         let now = context.now;
         let admits = |&engine: &usize| self.slow_start_admits(now, request, engine);
@@ -149,34 +153,37 @@
         Candidates { engines, wait_s: earliest_s }
     }
 
-    /// Whether a request can't be started before its deadline, or has no attempt left: it is rejected unread.
+    /// Returns whether a request can't be started before its deadline or has no attempt left. Such a request
+    /// is rejected before any prefill.
     fn is_too_late(&self, context: &DispatchContext, request: usize, candidates: &Candidates) -> bool {
-        let least_s = candidates.wait_s + self.prefill_cost.of(0.0) + context.decode.wait_s;
+        let least_s = candidates.wait_s + self.prefill_cost.predict_s(0.0) + context.decode.wait_s;
         let state = &self.requests[request];
         let deadline =
             if context.is_overloaded { state.ttft_deadline.min(state.deadline) } else { state.deadline };
         context.now + least_s > deadline || !self.may_retry(context.now, request, None)
     }
 
-    /// With no prefill engine to go to, a decode engine that can prefills the prompt itself.
+    /// Dispatches a request that no prefill engine may take to a decode engine that can also prefill, if
+    /// there is one.
     fn prefill_at_decode_engine(&mut self, now: f64, request: usize) {
         if let Some(engine) = self.choose_decode_engine(now, request) {
-            let prefill_s = self.prefill_cost.of(self.requests[request].prompt_tokens);
+            let prefill_s = self.prefill_cost.predict_s(self.requests[request].prompt_tokens);
             self.dispatch_decode(now, request, engine, DECODE_ENGINE_PREFILL_MULTIPLE * prefill_s);
         }
     }
 
-    /// Under overload a long uncached prompt takes the engine from several short ones, and weighs as much.
+    /// Estimates a prefill at an engine. Under overload a long uncached prompt displaces several short ones,
+    /// so its duration is weighted more.
     fn prefill_estimate(&self, context: &DispatchContext, request: usize, engine: usize) -> PrefillEstimate {
         let tokens = self.uncached_tokens(engine, request);
         let wait_s = self.estimated_availability(context.now, engine) - context.now;
-        let prefill_s = self.prefill_cost.of(tokens);
+        let prefill_s = self.prefill_cost.predict_s(tokens);
         let prefill_s = if context.is_overloaded { CACHE_SAVING_WEIGHT * prefill_s } else { prefill_s };
         PrefillEstimate { tokens, wait_s, prefill_s }
     }
 
-    /// `token_limit` of Algorithm 1: the budget, capped by the engine's free tokens. A prompt beyond the budget
-    /// goes alone to an idle engine.
+    /// Returns whether a prompt fits `token_limit` of Algorithm 1: the budget, capped by the engine's free
+    /// tokens. A prompt larger than the budget is dispatched alone to an idle engine.
     fn fits_budget(&self, context: &DispatchContext, engine: usize, tokens: f64) -> bool {
         let engine = &self.engines[engine];
         let used_share = engine.reported_load.memory_share.unwrap_or(0.0);
@@ -185,9 +192,10 @@
         engine.batch_tokens + tokens <= limit || (is_oversized && engine.attempts_in_flight == 0)
     }
 
-    /// `calculate_p` of Algorithm 1: the probability of a first token in time, less sure the busier the decode
-    /// engines are. Nor may a looser objective fill the decode engines until a tighter one can't be met: half
-    /// the tightest objective is left for them.
+    /// `calculate_p` of Algorithm 1: returns the probability of a first token in time. The curve is wider the
+    /// busier the decode engines are. So that requests with a looser objective don't fill the decode engines
+    /// until a tighter one can't be met, the wait for a decode engine is compared with at most half the
+    /// tightest objective.
     fn ttft_probability(&self, context: &DispatchContext, request: usize, estimate: &PrefillEstimate) -> f64 {
         let request = &self.requests[request];
         let tightest_s = self.objectives.ttft_s;
@@ -198,8 +206,9 @@
         1.0 / (1.0 + (-slack_s / spread_s).exp())
     }
 
-    /// A prefill engine that is available and got nothing takes the oldest waiting request, even below θ. Not so
-    /// when the decode engines are full: what is prefilled then only waits, and makes others wait.
+    /// Dispatches the oldest waiting requests to prefill engines that are available and got none, even if
+    /// their probability is below θ. This is not done when the decode engines are full: a request prefilled
+    /// then would only wait and make others wait.
     pub(super) fn dispatch_to_idle(&mut self, context: &DispatchContext, queue: &mut Vec<usize>) {
         queue.sort_by(|&x, &y| {
             self.requests[x].arrived_at.total_cmp(&self.requests[y].arrived_at).then(x.cmp(&y))
@@ -227,7 +236,8 @@
         context.prefill_engines.iter().copied().filter(may_get).collect()
     }
 
-    /// The update of maturity times in Algorithm 1: a prefill engine is next available when its batch is done.
+    /// Updates the maturity times as in Algorithm 1: a prefill engine is next available when its batch is
+    /// done.
     pub(super) fn advance_availability(&mut self, now: f64, prefill_engines: &[usize]) {
         for &engine in prefill_engines {
             let engine = &mut self.engines[engine];
--- a/src/decide/endpoints.rs
+++ b/src/decide/endpoints.rs
@@ -1,10 +1,10 @@
-//! The endpoint list, and polling for it.
+//! Updates from the endpoint list, and polling for the list.
 
 use super::Router;
 use crate::interface::{EngineEntry, Lifecycle};
 use std::collections::HashSet;
 
-/// When the endpoint list is to be polled.
+/// Schedule of polls for the endpoint list.
 #[derive(Default)]
 pub(super) struct EndpointPoll {
     is_wanted: bool,
@@ -16,14 +16,14 @@
         EndpointPoll { is_wanted, not_before: 0.0 }
     }
 
-    /// When the next poll is due; `None`: none is wanted.
+    /// Returns when the next poll is due; `None` if no poll is requested.
     pub(super) fn next_at(&self) -> Option<f64> {
         self.is_wanted.then_some(self.not_before)
     }
 }
 
 impl Router {
-    /// Takes in an endpoint list; a full one removes the engines that it leaves out.
+    /// Applies an endpoint list. A full list also removes the engines that it does not contain.
     pub fn update_endpoints(&mut self, now: f64, entries: &[EngineEntry], full: bool) {
         let listed: HashSet<&str> = entries.iter().map(|entry| &*entry.id).collect();
         for engine in self.engines.iter_mut().filter(|engine| full && !listed.contains(&*engine.id)) {
@@ -49,7 +49,8 @@
         engine.started_at = started_at;
     }
 
-    /// Fetching the list failed: it is polled again after a delay that differs from node to node.
+    /// Reports that fetching the endpoint list failed. The list is polled again after a random delay, so that
+    /// nodes do not poll at the same time.
     pub fn endpoint_poll_failed(&mut self, now: f64) {
         self.endpoint_poll.is_wanted = true;
         self.endpoint_poll.not_before = now + self.objectives.ttft_s * (0.5 + self.random_fraction());
--- a/src/decide/engine_table.rs
+++ b/src/decide/engine_table.rs
@@ -1,4 +1,4 @@
-//! The engines that the node knows.
+//! Table of the engines that the node knows, with the state of each.
 
 use super::Router;
 use crate::interface::{EngineLoad, EngineRole, Lifecycle};
@@ -6,17 +6,17 @@
 use std::ops::{Index, IndexMut};
 use std::slice::SliceIndex;
 
-/// Engines kept before the records of removed ones are reused.
+/// Number of engines from which on the records of removed engines are reused.
 const MAX_ENGINES: usize = 1024;
 
-/// The two phases of a request, each with its engines.
+/// Phase of a request. Each engine is used for one phase only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     Prefill,
     Decode,
 }
 
-/// All that is known of an engine.
+/// State of an engine as known to this node.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Engine {
     pub(super) id: String,
@@ -26,37 +26,39 @@
     pub(super) memory_tokens: f64,
     pub(super) lifecycle: Lifecycle,
     pub(super) started_at: f64,
-    /// When it can take more without missing an objective: the paper's maturity time.
+    /// When it can accept more work without missing an objective: the paper's maturity time.
     pub(super) available_at: f64,
-    /// Prefill time and tokens dispatched to it in this round of decisions.
+    /// Prefill time dispatched to it in this round of decisions.
     pub(super) batch_s: f64,
+    /// Uncached prompt tokens dispatched to it in this round of decisions.
     pub(super) batch_tokens: f64,
-    /// Times in a row that it could not be reached.
+    /// Number of consecutive failures to reach it, capped.
     pub(super) consecutive_unreachable: f64,
-    /// Failures, decaying since the last one.
+    /// Number of recent failures as of `last_failure_at`; decays from then on.
     pub(super) recent_failures: f64,
     pub(super) last_failure_at: f64,
-    /// Cached tokens found here of late, as a part of those expected.
+    /// Moving average of cached tokens found here relative to those expected.
     pub(super) cache_hit_rate: f64,
-    /// This node's attempts here without an ending.
+    /// Number of this node's attempts here that have not ended.
     pub(super) attempts_in_flight: u32,
-    /// Prompt tokens of this node's requests decoding here, now and at the last report.
+    /// Prompt tokens of this node's requests that are decoding here.
     pub(super) tokens_in_flight: f64,
+    /// Value of `tokens_in_flight` at the last load report.
     pub(super) tokens_at_report: f64,
     pub(super) reported_load: EngineLoad,
     pub(super) reported_at: f64,
-    /// Wait for a new request by the last report.
+    /// Wait for a new request according to the last report.
     pub(super) reported_wait_s: f64,
     pub(super) probed_at: f64,
     pub(super) awaiting_probe: bool,
-    /// When it last answered anything.
+    /// When it last responded to any probe or attempt.
     pub(super) last_response_at: f64,
     /// When a probe or an attempt last could not reach it.
     pub(super) unreachable_at: f64,
 }
 
 impl Engine {
-    /// An engine of which only the id is known.
+    /// Creates the record of an engine of which only the id is known.
     fn unknown(id: &str) -> Self {
         Engine {
             id: id.to_string(),
@@ -68,7 +70,7 @@
         }
     }
 
-    /// The phase that it serves; one that serves both is dispatched to as a decode engine.
+    /// Returns the phase that the engine is dispatched to for: decode if it can run both.
     pub(super) fn phase(&self) -> Phase {
         if self.role == EngineRole::Prefill {
             Phase::Prefill
@@ -77,24 +79,27 @@
         }
     }
 
-    /// When it last reported, or was asked to.
+    /// Returns when the engine last reported its load or was last probed for it, whichever is later.
     pub(super) fn load_requested_at(&self) -> f64 {
         self.reported_at.max(self.probed_at)
     }
 
-    /// Requests that wait or are served here by the last report, given the mean prompt.
+    /// Returns the number of requests that wait or are served here according to the last report. A count of
+    /// pending tokens is converted by the mean prompt length.
     pub(super) fn reported_requests(&self, mean_prompt_tokens: f64) -> f64 {
         let load = &self.reported_load;
         let by_tokens = load.pending_prompt_tokens.map(|tokens| tokens / mean_prompt_tokens.max(1.0));
         load.inflight.or(load.queue_len).or(by_tokens).unwrap_or(0.0)
     }
 
-    /// Whether it could not be reached since `at` and has not responded since then.
+    /// Returns whether the engine could not be reached at some time after `at` and has not responded since
+    /// then.
     pub(super) fn unreachable_since(&self, at: f64) -> bool {
         self.unreachable_at > at.max(self.last_response_at)
     }
 
-    /// Forgets what was known of an earlier process under this id. A process that has just started caches nothing.
+    /// Resets what was known of an earlier process under this id. A process that has just started has nothing
+    /// cached.
     pub(super) fn reset_process_state(&mut self, now: f64, is_long_running: bool) {
         self.consecutive_unreachable = 0.0;
         self.recent_failures = 0.0;
@@ -109,7 +114,8 @@
     }
 }
 
-/// The engines by index; an index stays good while the engine is known or has an attempt in flight.
+/// Engines by index. An index stays valid while the engine is listed, has an attempt in flight or awaits the
+/// answer to a probe.
 #[derive(Default)]
 pub(super) struct EngineTable {
     engines: Vec<Engine>,
@@ -133,7 +139,8 @@
         self.index_by_id.get(id).copied()
     }
 
-    /// The index of an engine, by its id. In a full table a new engine takes the record of a removed one.
+    /// Returns the index of the engine with this id and adds the engine if it is unknown. In a full table a
+    /// new engine takes over the record of a removed one, if there is one.
     pub(super) fn find_or_insert(&mut self, id: &str) -> usize {
         if let Some(index) = self.index_of(id) {
             return index;
@@ -168,7 +175,7 @@
 }
 
 impl Router {
-    /// The engines that may be sent requests of this phase.
+    /// Returns the engines that may be sent requests of this phase.
     pub(super) fn available_engines(&self, phase: Phase) -> Vec<usize> {
         (0..self.engines.len()).filter(|&engine| self.is_available(engine, phase)).collect()
     }
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -1,21 +1,24 @@
-//! Engine health: failures and overdue attempts, and engines that do not respond.
+//! Engine health: failures, overdue attempts and engines that do not respond.
 
 use super::engine_table::Engine;
 use super::Router;
 use crate::interface::{EngineHandle, Lifecycle};
 use std::collections::HashSet;
 
-/// Longest hold-off of an unreachable engine, and decay time of failures, in tightest first-token objectives.
+/// Longest hold-off of an unreachable engine, and decay time of failures, as multiples of the tightest TTFT
+/// objective.
 const MAX_HOLD_OFF: f64 = 6.0;
-/// First hold-off; it doubles with each further time in a row.
+/// First hold-off as a fraction of the tightest TTFT objective; it doubles with each consecutive failure to
+/// reach the engine.
 const FIRST_HOLD_OFF: f64 = 0.25;
-/// Times in a row beyond which the hold-off grows no further.
+/// Number of consecutive failures to reach an engine beyond which its hold-off grows no further.
 const MAX_CONSECUTIVE_UNREACHABLE: f64 = 8.0;
 
 impl Router {
-    /// A failure makes the engine a worse choice, the more so the more there were lately, but never bars it:
-    /// when most of a role fails now and then, all go on. Holds against engines that fail quickly, lose
-    /// answers or die; hurts when a lone error was chance, by half an objective for a while.
+    /// Records a failure. The more recent failures an engine has, the less it is preferred, but it is never
+    /// excluded: if most engines of a role fail occasionally, all stay in use. This protects against engines
+    /// that fail quickly, lose responses or crash. A single chance error costs the engine half a TTFT
+    /// objective for a while.
     pub(super) fn record_failure(&mut self, now: f64, engine: usize) {
         let recent_failures = self.recent_failures(now, &self.engines[engine]) + 1.0;
         let engine = &mut self.engines[engine];
@@ -28,13 +31,14 @@
         engine.recent_failures * (-age_s / (MAX_HOLD_OFF * self.objectives.ttft_s)).exp()
     }
 
-    /// Expected time lost at the engine by failing there.
+    /// Returns the expected time lost by failures at the engine.
     pub(super) fn failure_cost_s(&self, now: f64, engine: usize) -> f64 {
         let recent_failures = self.recent_failures(now, &self.engines[engine]);
         self.objectives.ttft_s * (1.0 - 1.0 / (1.0 + recent_failures))
     }
 
-    /// No probe or connection got through: held off, longer each time in a row, until it responds.
+    /// Records that a probe or connection did not reach the engine. The engine is held off until it responds,
+    /// for a time that grows with each consecutive failure.
     pub(super) fn record_unreachable(&mut self, now: f64, engine: usize) {
         let engine = &mut self.engines[engine];
         engine.unreachable_at = now;
@@ -45,7 +49,8 @@
         engine.available_at = engine.available_at.max(now + hold_off_s);
     }
 
-    /// Any response ends the hold-off of an unreachable engine: a partition that heals is used again at once.
+    /// Records a response. Any response ends the hold-off of an unreachable engine, so that engines behind a
+    /// healed partition are used again immediately.
     pub(super) fn record_response(&mut self, now: f64, engine: usize) {
         let engine = &mut self.engines[engine];
         if engine.unreachable_at > engine.last_response_at {
@@ -55,8 +60,8 @@
         engine.last_response_at = now;
     }
 
-    /// Engines at which to try, in this order, a call that any of them can serve: the preferred one, unless it was
-    /// unreachable since its last response, then those that responded last.
+    /// Returns engines at which to try, in this order, a call that any of them can serve: first the preferred
+    /// one, unless it has been unreachable since its last response, then those with the latest responses.
     pub fn engines_by_last_response(&self, preferred: &str, limit: usize) -> Vec<EngineHandle> {
         let may_serve = |&index: &usize| {
             let engine = &self.engines[index];
@@ -71,7 +76,7 @@
             let order = key(&self.engines[x]).partial_cmp(&key(&self.engines[y]));
             order.unwrap_or(std::cmp::Ordering::Equal)
         });
-        // One of each zone first: what is cut off is a zone more often than not.
+        // One engine of each zone comes first, since most partitions cut off a whole zone.
         let mut zones = HashSet::new();
         let (first, others): (Vec<usize>, Vec<usize>) =
             engines.into_iter().partition(|&engine| zones.insert(self.engines[engine].zone));
--- a/src/decide/learned_state.rs
+++ b/src/decide/learned_state.rs
@@ -1,17 +1,19 @@
-//! What is handed out for the node's next process and for its operators, and restored.
+//! Export of learned state for the node's next process, its restoration, and views of the state for
+//! operators.
 
 use super::engine_table::Engine;
 use super::Router;
 use crate::interface::*;
 
-/// Averages that are handed out, and how many of them, the first ones, are never negative.
+/// Number of averages in the learned state.
 const AVERAGE_COUNT: usize = 21;
+/// Number of averages, from the first on, that must not be negative.
 const NON_NEGATIVE_COUNT: usize = 6;
-/// Recent failures of an engine below which they are not worth keeping.
-const MIN_FAILURES: f64 = 0.05;
+/// Number of recent failures, decayed, up to which an engine is left out of the learned state.
+const MIN_LEARNED_FAILURES: f64 = 0.05;
 
 impl Router {
-    /// Why an attempt was dispatched to its engine.
+    /// Returns why an attempt was dispatched to its engine.
     pub fn dispatch_rationale(&self, request: RequestHandle, attempt: u32) -> DispatchRationale {
         let attempt = self.requests[request.0 as usize].attempts[attempt as usize];
         let engine = &self.engines[attempt.engine];
@@ -23,15 +25,15 @@
         }
     }
 
-    /// What is worth keeping for this node's next process.
+    /// Returns the learned state to keep for this node's next process.
     pub fn learned_state(&self, now: f64) -> LearnedState {
         let mut averages = vec![
             self.averages.mean_stream_s,
             self.averages.mean_prompt_tokens,
             self.averages.batch_cost_per_request_s,
             self.slow_start.mean_start_gap_s,
-            self.averages.prefill.load,
-            self.averages.decode.load,
+            self.averages.prefill.congestion,
+            self.averages.decode.congestion,
         ];
         averages.extend(self.prefill_cost.sums.iter().flatten().chain(&self.prefill_cost.coefficients));
         let learned_engine = |engine: &Engine| LearnedEngine {
@@ -41,7 +43,7 @@
             last_failure_at: now,
         };
         let has_failed = |engine: &&Engine| {
-            engine.lifecycle == Lifecycle::Active && self.recent_failures(now, engine) > MIN_FAILURES
+            engine.lifecycle == Lifecycle::Active && self.recent_failures(now, engine) > MIN_LEARNED_FAILURES
         };
         LearnedState {
             averages,
@@ -49,8 +51,9 @@
         }
     }
 
-    /// Takes over what an earlier process had learned, with a confidence from 0 to 1, after the first endpoint list.
-    /// An engine's failures count only for the process that had them.
+    /// Restores what an earlier process had learned, weighted by a confidence from 0 to 1. Call it after the
+    /// first endpoint list. An engine's failures are restored only if its process is still the same. State
+    /// with invalid averages is ignored.
     pub fn restore_learned_state(&mut self, now: f64, state: &LearnedState, confidence: f64) {
         if !are_averages_valid(&state.averages) {
             return;
@@ -63,7 +66,7 @@
         }
     }
 
-    /// In the order in which [`Router::learned_state`] hands them out.
+    /// Returns the averages in the order of those in [`Router::learned_state`].
     fn learned_averages_mut(&mut self) -> Vec<&mut f64> {
         let averages = &mut self.averages;
         let mut learned = vec![
@@ -71,8 +74,8 @@
             &mut averages.mean_prompt_tokens,
             &mut averages.batch_cost_per_request_s,
             &mut self.slow_start.mean_start_gap_s,
-            &mut averages.prefill.load,
-            &mut averages.decode.load,
+            &mut averages.prefill.congestion,
+            &mut averages.decode.congestion,
         ];
         learned.extend(self.prefill_cost.sums.iter_mut().flatten());
         learned.extend(&mut self.prefill_cost.coefficients);
@@ -93,7 +96,7 @@
         }
     }
 
-    /// When the engines in service last responded or could not be reached.
+    /// Returns, for each active engine, when it last responded and when it last could not be reached.
     pub fn engine_observations(&self) -> impl Iterator<Item = EngineObservation<'_>> {
         let in_service = self.engines.iter().filter(|engine| engine.lifecycle == Lifecycle::Active);
         in_service.map(|engine| EngineObservation {
--- a/src/decide/load.rs
+++ b/src/decide/load.rs
@@ -1,17 +1,20 @@
-//! Estimates of an engine's load, from its reports, their age and this node's attempts since.
+//! Estimates of an engine's load from its reports, their age and this node's attempts since then.
 
 use super::engine_table::Phase;
 use super::Router;
 use crate::interface::EngineLoad;
 
 impl Router {
-    /// Load of an engine of which nothing is known: as the others; one in slow start is kept free by that.
-    pub(super) fn default_load(&self, engine: usize) -> f64 {
-        let average = self.averages.of(self.engines[engine].phase()).load;
+    /// Returns the assumed congestion of an engine of which nothing is known: the average of its phase, or 0
+    /// for an engine in slow start, whose load slow start keeps low.
+    pub(super) fn default_congestion(&self, engine: usize) -> f64 {
+        let average = self.averages.for_phase(self.engines[engine].phase()).congestion;
         average * (self.warmup_fraction(self.averages.as_of, engine) >= 1.0) as u32 as f64
     }
 
-    /// How far the last report still describes the engine: it ages as fast as the work there ends.
+    /// Returns, from 0 to 1, how well the last report still describes the engine. It decays with the time
+    /// that work takes there: the tightest TTFT objective at a prefill engine, a mean stream at a decode
+    /// engine.
     pub(super) fn report_confidence(&self, engine: usize) -> f64 {
         let engine = &self.engines[engine];
         let decay_s = match engine.phase() {
@@ -21,26 +24,27 @@
         (-(self.averages.as_of - engine.reported_at) / decay_s).exp()
     }
 
-    /// Takes in an engine's report.
+    /// Records an engine's load report.
     pub(super) fn record_load(&mut self, now: f64, engine: usize, load: EngineLoad) {
         let engine = &mut self.engines[engine];
         engine.reported_load = load;
         engine.reported_at = now;
         engine.tokens_at_report = engine.tokens_in_flight;
         if engine.phase() == Phase::Prefill {
-            // What all nodes have waiting there is prefilled first; with nothing of this node's own there, the
-            // report is all.
+            // The requests of all nodes that wait there are prefilled first. If this node has no attempt
+            // there and the engine is not held off, the report alone determines the availability.
             let requests = engine.reported_requests(self.averages.mean_prompt_tokens);
             engine.reported_wait_s = requests * self.averages.batch_cost_per_request_s;
             let available_at = now + engine.reported_wait_s;
-            let has_nothing_of_ours = engine.attempts_in_flight == 0 && engine.consecutive_unreachable == 0.0;
+            let report_decides = engine.attempts_in_flight == 0 && engine.consecutive_unreachable == 0.0;
             engine.available_at =
-                if has_nothing_of_ours { available_at } else { engine.available_at.max(available_at) };
+                if report_decides { available_at } else { engine.available_at.max(available_at) };
         }
     }
 
-    /// Share of a decode engine that is in use or waited for (may pass 1), as reported: memory or slots, whichever
-    /// is fuller, and what waits there.
+    /// Returns the share of a decode engine that is in use or that waiting requests will need, as reported:
+    /// the larger of the memory and slot shares, plus the share needed by what waits. It may exceed 1. `None`
+    /// if neither share was reported.
     pub(super) fn reported_load(&self, engine: usize) -> Option<f64> {
         let engine = &self.engines[engine];
         let load = &engine.reported_load;
@@ -56,17 +60,18 @@
         Some(in_use + queued.or(pending).or(in_flight).unwrap_or(0.0).max(0.0))
     }
 
-    /// Load of a decode engine now: as reported, and this node's attempts since, the more like the average the
-    /// older the report (an old report of an over-full one drains with it); without a report, this node's own
-    /// attempts, as they are.
+    /// Returns the estimated current load of a decode engine: the reported load, corrected by this node's
+    /// attempts since the report. The older the report, the closer the estimate is to the average load, so
+    /// that an old report of an overfull engine loses its effect. The estimate is never below the load of
+    /// this node's own attempts.
     pub(super) fn estimated_load(&self, engine: usize) -> f64 {
-        let default_load = self.default_load(engine);
+        let default_congestion = self.default_congestion(engine);
         let own_load = self.engines[engine].tokens_in_flight / self.engines[engine].memory_tokens;
         let own_load_at_report = self.engines[engine].tokens_at_report / self.engines[engine].memory_tokens;
         let correction = self.reported_load(engine).map_or(0.0, |reported| {
             let current = reported + own_load - own_load_at_report;
-            self.report_confidence(engine) * (current - default_load)
+            self.report_confidence(engine) * (current - default_congestion)
         });
-        own_load.max(default_load + correction)
+        own_load.max(default_congestion + correction)
     }
 }
--- a/src/decide/migrator.rs
+++ b/src/decide/migrator.rs
@@ -1,11 +1,13 @@
-//! The paper's Migrator (section 5, "PD-Disaggregated Architecture"): prefilled requests go to decode engines.
+//! The paper's Migrator (section 5, "PD-Disaggregated Architecture"): dispatches prefilled requests to decode
+//! engines.
 
 use super::request_table::{Attempt, Stage};
 use super::Router;
 use crate::interface::RejectionReason;
 
 impl Router {
-    /// Sends each request whose prefill has ended to the decode engine that is available first, at once.
+    /// Dispatches each request whose prefill has ended, immediately, to the decode engine where it can start
+    /// first.
     pub(super) fn dispatch_reserved(&mut self, now: f64, open_requests: &[usize]) {
         for &request in open_requests {
             if self.requests[request].stage == Stage::Reserved {
@@ -14,7 +16,8 @@
         }
     }
 
-    /// A reservation that can't be used in its time is not kept; with no attempt left it never will be.
+    /// Dispatches one reserved request. It is rejected, and its reservation released, if the reservation
+    /// can't be used in time or no attempt is left.
     fn dispatch_one_reserved(&mut self, now: f64, request: usize) {
         let is_unusable = self.is_reservation_stale(now, request) || !self.may_retry(now, request, None);
         let is_too_late = self.is_too_late_after_failed_connection(now, request);
@@ -25,7 +28,8 @@
         }
     }
 
-    /// Whether an attempt under this reservation was not delivered and there is no time for a second failure.
+    /// Returns whether an attempt under this reservation was not delivered and there is no time left for a
+    /// second failure.
     fn is_too_late_after_failed_connection(&self, now: f64, request: usize) -> bool {
         let reserved_since = self.requests[request].reserved_since;
         let failed =
--- a/src/decide/prefill_cost.rs
+++ b/src/decide/prefill_cost.rs
@@ -1,22 +1,25 @@
-//! The latency model of a prefill.
+//! Latency model of a prefill.
 
-/// Weight that an observation keeps with each later one.
+/// Factor by which each new observation reduces the weights of earlier ones.
 const DECAY: f64 = 0.99;
-/// Weight of an observation above the fit: other nodes' prefills only ever add to a timing.
+/// Weight of an observation that is slower than the fit. It is low because other nodes' prefills can only add
+/// to a measured time.
 const SLOW_WEIGHT: f64 = 0.1;
-/// Steps of the coordinate descent after each observation.
+/// Number of coordinate descent steps after each observation.
 const DESCENT_STEPS: usize = 12;
-/// Least value of the first two coefficients.
+/// Lower bound of the first two coefficients.
 const MIN_COEFFICIENT: f64 = 1e-4;
-/// Prompts, in thousands of tokens, that the fit begins with.
+/// Prompt lengths, in thousands of tokens, of the synthetic observations that initialize the fit.
 const INITIAL_PROMPTS: [f64; 4] = [0.0, 1.0, 2.0, 4.0];
 
-/// Cost a + b·t + c·t² of prefilling t thousand uncached tokens (E_p of the paper): least squares, older prefills
-/// decayed, from the starting values; no coefficient falls below zero.
+/// Cost a + b·t + c·t² in seconds of prefilling t thousand uncached tokens (E_p of the paper). The
+/// coefficients are fitted by least squares, start from given values and never become negative; older
+/// prefills weigh less.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PrefillCost {
-    /// The normal equations: for each coefficient its row, and the right-hand side.
+    /// Normal equations: for each coefficient its row of the matrix, followed by the right-hand side.
     pub(super) sums: [[f64; 4]; 3],
+    /// Coefficients a, b and c.
     pub(super) coefficients: [f64; 3],
 }
 
@@ -25,15 +28,15 @@
         let coefficients = [base_s, s_per_1000_tokens, 0.0];
         let mut fit = PrefillCost { coefficients, ..PrefillCost::default() };
         for thousands in INITIAL_PROMPTS {
-            fit.add(1000.0 * thousands, base_s + s_per_1000_tokens * thousands);
+            fit.observe(1000.0 * thousands, base_s + s_per_1000_tokens * thousands);
         }
         fit
     }
 
-    /// Takes in a prefill that met an idle engine.
-    pub(super) fn add(&mut self, tokens: f64, seconds: f64) {
+    /// Adds an observation: a prefill at an idle engine.
+    pub(super) fn observe(&mut self, tokens: f64, seconds: f64) {
         let thousands = tokens / 1000.0;
-        let weight = if seconds > self.of(tokens) { SLOW_WEIGHT } else { 1.0 };
+        let weight = if seconds > self.predict_s(tokens) { SLOW_WEIGHT } else { 1.0 };
         let x = [1.0, thousands, thousands * thousands, seconds];
         for (i, row) in self.sums.iter_mut().enumerate() {
             for (sum, y) in row.iter_mut().zip(x) {
@@ -54,8 +57,8 @@
         self.coefficients[i] = ((row[3] - others) / row[i].max(1e-9)).max(minimum);
     }
 
-    /// Seconds that a prefill of so many uncached tokens takes.
-    pub(super) fn of(&self, tokens: f64) -> f64 {
+    /// Returns the predicted duration, in seconds, of prefilling this many uncached tokens.
+    pub(super) fn predict_s(&self, tokens: f64) -> f64 {
         let thousands = tokens / 1000.0;
         self.coefficients[0] + self.coefficients[1] * thousands + self.coefficients[2] * thousands * thousands
     }
--- a/src/decide/prefix_affinity.rs
+++ b/src/decide/prefix_affinity.rs
@@ -1,4 +1,4 @@
-//! Prefix affinity: requests that share text go to the same prefill engines, which have it cached.
+//! Prefix affinity: requests that share text go to the same prefill engines, which have that text cached.
 
 use super::engine_table::Phase;
 use super::hash::hash;
@@ -7,24 +7,27 @@
 use std::cmp::Reverse;
 use std::collections::VecDeque;
 
-/// Share of a session's own text that its first affinity engine is expected to have cached.
+/// Share of a session's own text (its prompt after the shared prefix) that its first affinity engine is
+/// expected to have cached.
 const AFFINITY_CACHE_SHARE: f64 = 0.5;
-/// Weight of the latest prefill in an engine's cache hit rate, and the highest rate that one counts as.
+/// Weight of the latest prefill in an engine's cache hit rate.
 const CACHE_HIT_WEIGHT: f64 = 0.04;
+/// Highest hit rate, relative to the expected one, that a single prefill counts as.
 const MAX_CACHE_HIT_RATE: f64 = 2.0;
-/// Arrivals by which a node judges how popular a text is.
+/// Number of latest arrivals from which a node estimates how popular a text is.
 pub(super) const RECENT_ARRIVALS: usize = 64;
-/// How many times its part of the arrivals a popular text gets of the engines.
-const SPREAD: f64 = 5.0;
-/// Engines that a text has at least.
+/// Share of the engines that a popular text gets, as a multiple of its share of recent arrivals.
+const ENGINE_SHARE_MULTIPLE: f64 = 5.0;
+/// Smallest number of affinity engines of a text, in zones that are large enough.
 const MIN_ENGINES: f64 = 2.0;
 
-/// What this node knows of the popularity of texts.
+/// Popularity of texts as observed by this node.
 #[derive(Default)]
 pub(super) struct PrefixAffinity {
-    /// Hashes of the prefixes of the latest arrivals.
+    /// Prefix hashes of the latest arrivals, oldest first.
     recent_prefixes: VecDeque<u64>,
-    /// The part of the traffic with affinity to an engine of this zone that is an even part of all traffic.
+    /// Share of the requests with affinity to an engine of this node's zone that equals the engine's even
+    /// share of all traffic.
     pub(super) local_share: f64,
 }
 
@@ -35,12 +38,13 @@
         self.recent_prefixes.drain(..surplus);
     }
 
-    /// How many of the engines a text gets: by its part of recent arrivals, two at least, so that copies fill
-    /// little memory. Fractions count: one more engine gets a part of the sessions.
+    /// Returns how many engines a text gets: in proportion to its share of recent arrivals, so that copies of
+    /// rare texts use little memory, and at least two, but at most half of the engines. With a fractional
+    /// number the last engine gets only a part of the sessions.
     fn engines_for(&self, text_hash: u64, engine_count: f64) -> f64 {
         let same = self.recent_prefixes.iter().filter(|&&prefix| prefix == text_hash).count() as f64;
         let share = same / (self.recent_prefixes.len() as f64 + RECENT_ARRIVALS as f64 / 4.0);
-        (SPREAD * share * engine_count).max(MIN_ENGINES).min((engine_count / 2.0).max(1.0))
+        (ENGINE_SHARE_MULTIPLE * share * engine_count).max(MIN_ENGINES).min((engine_count / 2.0).max(1.0))
     }
 }
 
@@ -56,15 +60,17 @@
             if local_count > 0.0 { local_count * zone_count / engine_count } else { 1.0 };
     }
 
-    /// The prefill engines of the node's zone for a text, best first, on which all nodes there agree: the shared
-    /// prefix names some of them, the session chooses of these; behind them stands one more to spill to.
+    /// Returns the affinity engines of a request, best first: prefill engines of the node's zone, on which
+    /// all nodes of the zone agree. The hash of the shared prefix selects some engines, the session's hash
+    /// ranks them, and one more engine is added for requests that spill over.
     pub(super) fn affinity_engines(&self, request: &Request) -> Vec<usize> {
         let text = if request.prefix_hash != 0 { request.prefix_hash } else { request.session_hash };
         let mut ranked = self.local_prefill_engines();
         let named = self.affinity.engines_for(text, ranked.len() as f64);
         ranked.sort_by_cached_key(|&engine| Reverse(hash(&self.engines[engine].id, text)));
         ranked.truncate(named.ceil() as usize + 1);
-        // Weighted rendezvous hashing: as the popularity wavers, and differs from node to node, few sessions move.
+        // With weighted rendezvous hashing few sessions move when the popularity changes or differs between
+        // nodes.
         let score = |rank: usize, engine: usize| {
             let session_hash = hash(&self.engines[engine].id, request.session_hash);
             let fraction = (session_hash >> 11) as f64 / (1u64 << 53) as f64;
@@ -76,7 +82,7 @@
         scored.into_iter().map(|(_, engine)| engine).collect()
     }
 
-    /// The prefill engines of the node's zone; where it has none, all.
+    /// Returns the available prefill engines of the node's zone, or all available ones if the zone has none.
     fn local_prefill_engines(&self) -> Vec<usize> {
         let mut engines = self.available_engines(Phase::Prefill);
         let is_local = |engine: &usize| self.engines[*engine].zone == self.locality.zone;
@@ -86,15 +92,16 @@
         engines
     }
 
-    /// Prompt tokens that this engine would have to prefill.
+    /// Returns the number of prompt tokens that an engine is expected to have to prefill.
     pub(super) fn uncached_tokens(&self, engine: usize, request: usize) -> f64 {
         let hit_rate = self.engines[engine].cache_hit_rate.min(1.0);
         let cached_tokens = hit_rate * self.expected_cached_tokens(engine, request);
         (self.requests[request].prompt_tokens - cached_tokens).max(1.0)
     }
 
-    /// Prompt tokens that an engine should have cached by the hash: the first affinity engine the prefix and half of
-    /// the rest, the next one the prefix; others nothing, so that texts stay together.
+    /// Returns the number of prompt tokens that an engine should have cached according to the hash: at the
+    /// first available affinity engine the shared prefix and half of the rest, at the next one the shared
+    /// prefix. For all others it is 0, so that requests with the same text stay together.
     fn expected_cached_tokens(&self, engine: usize, request: usize) -> f64 {
         let request = &self.requests[request];
         let is_available = |&&engine: &&usize| self.is_available(engine, Phase::Prefill);
@@ -106,7 +113,9 @@
         }
     }
 
-    /// An engine that had just started drew all texts of its hash and queued them; one long there is believed.
+    /// Updates an engine's cache hit rate from a finished prefill. Without it a recently started engine
+    /// attracted all texts that its hash selected, though nothing was cached, and they queued there. An
+    /// engine that started long ago is assumed to have cached what the hash says.
     pub(super) fn record_cache_hits(&mut self, request: usize, engine: usize, cached_tokens: f64) {
         let expected_tokens = self.expected_cached_tokens(engine, request);
         let engine = &mut self.engines[engine];
--- a/src/decide/probes.rs
+++ b/src/decide/probes.rs
@@ -1,24 +1,26 @@
-//! Probes: engines are asked for their load where the last report is old.
+//! Probes, which ask engines for their load if the last report is old.
 
 use super::engine_table::Phase;
 use super::Router;
 use crate::interface::{EngineHandle, EngineLoad, Lifecycle, Outcome};
 
-/// Decode engines of which a recent report is wanted: the best of a few by chance, other ones at each node, will do.
+/// Number of decode engines of which a recent report is wanted. The best of a few randomly chosen ones is
+/// good enough, and each node probes different ones.
 const DECODE_ENGINES_PROBED: usize = 3;
-/// Affinity engines that are probed before a request is dispatched.
+/// Number of affinity engines that are probed before a request is dispatched.
 const AFFINITY_ENGINES_PROBED: usize = 2;
-/// Ages from which a report is stale: in tightest first-token objectives at prefill engines, in mean streams at
-/// decode engines.
-const PREFILL_STALE_PART: f64 = 1.0 / 2.0;
+/// Age from which a report of a prefill engine is stale, as a fraction of the tightest TTFT objective.
+const PREFILL_STALE_FRACTION: f64 = 1.0 / 2.0;
+/// Divisor of the mean stream duration that gives the age from which a report of a decode engine is stale.
 const DECODE_STALE_DIVISOR: f64 = 6.0;
-/// How long a request waits for its affinity engines' reports, in tightest first-token objectives.
+/// Divisor of the tightest TTFT objective that gives the time for which a request waits for reports of its
+/// affinity engines.
 const PROBE_WAIT_DIVISOR: f64 = 32.0;
 
 impl Router {
-    /// At arrival, one prefill engine by chance and some decode engines, those near the first affinity engine
-    /// before others, are probed where reports are old. Not left to the round of decisions, which on sockets
-    /// comes later.
+    /// Probes one random prefill engine and some decode engines if their reports are old; decode engines near
+    /// the first affinity engine are preferred. This happens at arrival, since the next round of decisions
+    /// may come later when requests arrive over sockets.
     pub(super) fn probe_on_arrival(&mut self, now: f64, affinity_engine: Option<usize>) {
         if !self.limits.can_probe {
             return;
@@ -33,7 +35,8 @@
         }
     }
 
-    /// Probes a request's first affinity engines where reports are old. True while their answer may come.
+    /// Probes a request's first affinity engines if their reports are old. Returns whether the request should
+    /// still wait for their answers.
     pub(super) fn is_awaiting_probe(&mut self, now: f64, request: usize) -> bool {
         let affinity_engines = &self.requests[request].affinity_engines;
         let probed: Vec<usize> = affinity_engines.iter().copied().take(AFFINITY_ENGINES_PROBED).collect();
@@ -46,7 +49,7 @@
     }
 
     fn prefill_stale_s(&self) -> f64 {
-        self.objectives.ttft_s * PREFILL_STALE_PART
+        self.objectives.ttft_s * PREFILL_STALE_FRACTION
     }
 
     fn probe_decode_engines(&mut self, now: f64, prefill_engine: usize) {
@@ -68,7 +71,8 @@
         }
     }
 
-    /// From 0 in the same cell to 1.5 in another cell of another zone.
+    /// Returns the distance between two engines: from 0 in the same cell to 1.5 in another cell of another
+    /// zone.
     fn distance(&self, engine: usize, other: usize) -> f64 {
         let (engine, other) = (&self.engines[engine], &self.engines[other]);
         let crosses_cell = (engine.cell != other.cell) as u32 as f64;
@@ -76,7 +80,8 @@
         crosses_cell / 2.0 + crosses_zone
     }
 
-    /// An engine in slow start is probed only where that is allowed: probes count in the load that it is spared.
+    /// Probes an active engine whose report is older than `stale_s`. An engine in slow start is probed only
+    /// if `may_probe_warming` is set, since probes count towards the load that slow start limits.
     pub(super) fn probe_if_stale(&mut self, now: f64, engine: usize, stale_s: f64, may_probe_warming: bool) {
         let is_allowed = may_probe_warming || self.warmup_fraction(now, engine) >= 1.0;
         let state = &mut self.engines[engine];
@@ -89,7 +94,7 @@
         }
     }
 
-    /// Probes the engine of a zone whose report is the oldest, also in a zone that gets no traffic.
+    /// Probes the engine with the oldest report in a zone, even if the zone gets no traffic.
     pub fn probe_zone(&mut self, now: f64, zone: u32) {
         let is_candidate = |&index: &usize| {
             let engine = &self.engines[index];
@@ -103,7 +108,7 @@
         }
     }
 
-    /// A probe has ended; `load` is what the engine reported.
+    /// Reports that a probe has ended; `load` is the engine's load report, if it sent one.
     pub fn probe_finished(&mut self, now: f64, id: &str, outcome: Outcome, load: Option<EngineLoad>) {
         let Some(engine) = self.engines.index_of(id) else { return };
         self.engines[engine].awaiting_probe = false;
@@ -117,12 +122,14 @@
         }
     }
 
-    /// An engine that rejects a probe is full, and gets room by a part of the objective. Where probes wait their
-    /// turn like work, a queue explains an unanswered one: the wait is at least so long.
+    /// Records a probe that failed. An engine that rejects a probe is full, and its wait is taken to be at
+    /// least half the tightest TTFT objective. Where probes queue like requests, a known queue explains an
+    /// unanswered probe, and the wait is at least the time since the probe was sent. Otherwise the engine
+    /// counts as unreachable.
     fn record_failed_probe(&mut self, now: f64, engine: usize, is_full: bool) {
         let unanswered_s = now - self.engines[engine].probed_at;
         let waited_s = if is_full { self.objectives.ttft_s / 2.0 } else { unanswered_s };
-        let known_wait_s = self.engines[engine].reported_wait_s.max(self.averages.prefill.load);
+        let known_wait_s = self.engines[engine].reported_wait_s.max(self.averages.prefill.congestion);
         if is_full || known_wait_s > waited_s / 2.0 {
             let state = &mut self.engines[engine];
             state.reported_wait_s = state.reported_wait_s.max(waited_s);
--- a/src/decide/request_table.rs
+++ b/src/decide/request_table.rs
@@ -1,23 +1,23 @@
-//! The requests that the node has admitted, and their attempts.
+//! Table of the requests that the node has admitted, with their attempts.
 
 use super::engine_table::Phase;
 use crate::interface::RequestHandle;
 use std::ops::{Index, IndexMut};
 
-/// Where a request is on its way.
+/// Stage of a request's processing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Waits for a prefill engine.
+    /// Waiting for a prefill engine.
     #[default]
     Queued,
     Prefilling,
-    /// Prefilled; its reservation waits for a decode engine.
+    /// Prefilled, with a reservation, and waiting for a decode engine.
     Reserved,
     Decoding,
     Streaming,
-    /// Over, with an attempt still in flight.
+    /// Finished, with an attempt still in flight.
     Finished,
-    /// Over, and its handle is void.
+    /// Finished, with no attempt in flight; its handle is invalid.
     Closed,
 }
 
@@ -27,13 +27,13 @@
     }
 }
 
-/// Where an attempt is on its way.
+/// State of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptState {
     InFlight,
     /// In flight for longer than expected.
     Overdue,
-    /// Its engine was not reached, or did not respond.
+    /// The attempt did not reach its engine, or got no response from an unreachable one.
     NotDelivered,
     Finished,
 }
@@ -45,9 +45,9 @@
     pub(super) phase: Phase,
     pub(super) state: AttemptState,
     pub(super) dispatched_at: f64,
-    /// Requests at the engine before it, as far as was known.
+    /// Number of requests at the engine ahead of it, as far as was known at dispatch.
     pub(super) requests_ahead: f64,
-    /// Expected time until its end, or its first token.
+    /// Expected time from dispatch to the end of a prefill or to the first token of a decode.
     pub(super) expected_s: f64,
 }
 
@@ -56,7 +56,7 @@
         matches!(self.state, AttemptState::InFlight | AttemptState::Overdue)
     }
 
-    /// Whether it was a decode attempt that never reached its engine.
+    /// Returns whether this is a decode attempt that was not delivered to its engine.
     pub(super) fn is_undelivered_decode(&self) -> bool {
         self.state == AttemptState::NotDelivered && self.phase == Phase::Decode
     }
@@ -69,31 +69,33 @@
     pub(super) at: f64,
 }
 
-/// A request that was admitted.
+/// State of a request that the node has taken in.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Request {
     pub(super) route: usize,
     pub(super) stage: Stage,
     pub(super) arrived_at: f64,
-    /// By when its first token meets the objective.
+    /// Latest time at which its first token meets the TTFT objective.
     pub(super) ttft_deadline: f64,
-    /// By when its client gives up.
+    /// When its client stops waiting for the response.
     pub(super) deadline: f64,
     pub(super) prompt_tokens: f64,
     pub(super) prefix_tokens: f64,
     pub(super) session_hash: u64,
-    /// Hash of the shared prefix; 0: none.
+    /// Hash of the shared prefix; 0 if there is none.
     pub(super) prefix_hash: u64,
     pub(super) over_quota: bool,
-    /// The random number by which it falls among those that engines in slow start and recovering zones get.
+    /// Random draw that decides whether engines in slow start and recovering zones are open to it. `None` if
+    /// this node had no draws left: the request goes to none of them.
     pub(super) slow_start_draw: Option<u64>,
-    /// Prefill engines named by the hash of its text, best first.
+    /// Prefill engines selected by the hash of its text, best first.
     pub(super) affinity_engines: Vec<usize>,
     pub(super) attempts: Vec<Attempt>,
     /// The prefill engine that holds its KV cache.
     pub(super) reservation: Option<usize>,
     pub(super) reserved_since: f64,
-    /// A release of an earlier reservation is not confirmed: prefilled again now, the new one would go with it.
+    /// Whether a release of an earlier reservation is unconfirmed. A new reservation made now would be
+    /// dropped by that release.
     pub(super) release_pending: bool,
     /// The first decode attempt that may have run.
     pub(super) first_decode: Option<DecodeStart>,
@@ -105,7 +107,7 @@
     }
 }
 
-/// The requests by index; the index of a closed one is reused.
+/// Requests by index; the index of a closed request is reused.
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: Vec<Request>,
@@ -125,17 +127,18 @@
         RequestHandle(index as u32)
     }
 
-    /// The requests about which something is left to decide, in the order of their arrival.
+    /// Returns the requests that still need decisions, in the order of their arrival.
     pub(super) fn open(&self) -> &[usize] {
         &self.open
     }
 
-    /// Nothing is left to decide about a request: thousands of streams cost a round of decisions nothing.
+    /// Marks a request as needing no further decisions, so that a round of decisions costs nothing for it
+    /// even with thousands of open streams.
     pub(super) fn remove_from_open(&mut self, request: usize) {
         self.open.retain(|&open| open != request);
     }
 
-    /// Makes the indices of closed requests free for new ones.
+    /// Makes the indices of closed requests available for new requests.
     pub(super) fn release(&mut self, closed: &[RequestHandle]) {
         self.free.extend(closed.iter().map(|handle| handle.0 as usize));
     }
--- a/src/decide/settings.rs
+++ b/src/decide/settings.rs
@@ -1,24 +1,24 @@
-//! What the deployment fixes for the life of the process: limits, objectives, and what distance costs.
+//! Values that the deployment fixes for the life of the process: limits, objectives and costs of distance.
 
 use crate::interface::{Deployment, ModelRoute};
 
-/// Bounds of the tightest first-token objective that decisions are scaled by.
+/// Bounds of the tightest TTFT objective, by which decisions are scaled.
 const TTFT_RANGE_S: (f64, f64) = (0.01, 60.0);
-/// Bounds of the tightest gap between tokens.
+/// Bounds of the tightest TPOT objective.
 const TPOT_RANGE_S: (f64, f64) = (0.001, 1.0);
-/// Bounds of what the tightest route grants for a prompt token.
+/// Bounds of the time that the tightest route adds to its TTFT objective for each prompt token.
 const TTFT_PER_TOKEN_RANGE_S: (f64, f64) = (1e-5, 1e-3);
 
-/// What the deployment allows a node to do.
+/// Limits and capabilities of a node as set by the deployment.
 #[derive(Default)]
 pub(super) struct Limits {
-    /// The shortest time between two rounds of decisions.
+    /// Shortest time between two rounds of decisions.
     pub(super) tick_s: f64,
-    /// Attempts that one request may make at most.
+    /// Largest number of attempts for one request.
     pub(super) max_attempts: usize,
-    /// How long a reservation may be held with no attempt in flight.
+    /// Time for which a reservation may be held with no attempt in flight.
     pub(super) reservation_limit_s: f64,
-    /// How long a connection may take to be established where that counts against the reservation, else 0.
+    /// Time-out for establishing a connection if that time counts against the reservation; 0 otherwise.
     pub(super) connect_timeout_s: f64,
     pub(super) decode_engines_prefill: bool,
     pub(super) can_cancel: bool,
@@ -41,20 +41,20 @@
     }
 }
 
-/// The model routes, and the tightest of their latency objectives.
+/// Model routes, and the tightest of their latency objectives.
 #[derive(Default)]
 pub(super) struct Objectives {
     pub(super) routes: Vec<ModelRoute>,
-    /// Tightest time to first token.
+    /// Tightest TTFT objective of an empty prompt, within bounds.
     pub(super) ttft_s: f64,
-    /// Tightest time per output token.
+    /// Tightest TPOT objective, within bounds.
     pub(super) tpot_s: f64,
 }
 
 impl Objectives {
     pub(super) fn new(routes: &[ModelRoute]) -> Self {
-        let ttft_s = least(routes, |route| route.ttft_objective_s);
-        let tpot_s = least(routes, |route| route.tpot_objective_s);
+        let ttft_s = min_over_routes(routes, |route| route.ttft_objective_s);
+        let tpot_s = min_over_routes(routes, |route| route.tpot_objective_s);
         Objectives {
             routes: routes.to_vec(),
             ttft_s: ttft_s.clamp(TTFT_RANGE_S.0, TTFT_RANGE_S.1),
@@ -62,18 +62,19 @@
         }
     }
 
-    /// What the tightest route grants for a thousand prompt tokens: the estimate of a prefill before any was seen.
+    /// Returns the time that the tightest route adds to its TTFT objective for a thousand prompt tokens: the
+    /// estimate of a prefill's cost before any was observed.
     pub(super) fn prefill_s_per_1000_tokens(&self) -> f64 {
-        let per_token_s = least(&self.routes, |route| route.ttft_objective_per_token_s);
+        let per_token_s = min_over_routes(&self.routes, |route| route.ttft_objective_per_token_s);
         per_token_s.clamp(TTFT_PER_TOKEN_RANGE_S.0, TTFT_PER_TOKEN_RANGE_S.1) * 1000.0
     }
 }
 
-fn least(routes: &[ModelRoute], objective: fn(&ModelRoute) -> f64) -> f64 {
+fn min_over_routes(routes: &[ModelRoute], objective: fn(&ModelRoute) -> f64) -> f64 {
     routes.iter().map(objective).fold(f64::INFINITY, f64::min)
 }
 
-/// Where the node is, and the seconds that a transfer must save to be worth its price.
+/// Zone of the node, and the seconds that a transfer to another cell or zone must save to be worth its cost.
 #[derive(Default)]
 pub(super) struct Locality {
     pub(super) zone: u32,
--- a/src/decide/tenant_quotas.rs
+++ b/src/decide/tenant_quotas.rs
@@ -1,26 +1,26 @@
-//! Fair shares: each tenant has a token bucket at each node; what it sends beyond waits behind the rest.
+//! Tenant quotas: each tenant has a token bucket at each node, and requests beyond it wait behind all others.
 
 use super::token_bucket::TokenBucket;
 use super::Router;
 use crate::interface::Deployment;
 
-/// A bucket holds this many requests, and as many seconds' worth of its rate.
+/// Capacity of a bucket: this many requests, plus the requests that its rate gives in `BURST_S` seconds.
 const BURST_REQUESTS: f64 = 2.0;
 const BURST_S: f64 = 2.0;
 
-/// A tenant's quota, and its bucket at this node.
+/// Quota of a tenant, with its bucket at this node.
 pub(super) struct TenantQuota {
     pub(super) bucket: TokenBucket,
-    /// Requests a second at all nodes together.
+    /// Requests per second at all nodes together.
     pub(super) quota_per_s: f64,
 }
 
-/// The quotas of all tenants, and how many nodes share them.
+/// Quotas of all tenants, and the number of nodes that share them.
 #[derive(Default)]
 pub(super) struct TenantQuotas {
     pub(super) tenants: Vec<TenantQuota>,
     node_count: f64,
-    /// The node does not know its place in the fleet, and may use nothing that the fleet shares.
+    /// Whether the node does not know its position in the fleet. Then it may use nothing that nodes share.
     pub(super) has_no_fleet_position: bool,
 }
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Counts a request of a tenant; true when it is beyond the tenant's quota.
+    /// Counts a request of a tenant and returns whether it is over the tenant's quota.
     pub(super) fn is_over_quota(&mut self, now: f64, tenant: usize) -> bool {
         let bucket = &mut self.tenants[tenant].bucket;
         bucket.refill(now, capacity(bucket.rate_per_s));
@@ -47,7 +47,7 @@
         bucket.tokens < 0.0
     }
 
-    /// What this node may admit of all tenants' quotas.
+    /// Returns this node's share of all tenants' quotas, in requests per second.
     pub(super) fn total_rate_per_s(&self) -> f64 {
         self.tenants.iter().map(|tenant| tenant.bucket.rate_per_s).sum::<f64>()
     }
@@ -69,7 +69,8 @@
 }
 
 impl Router {
-    /// How many nodes share the quotas; `None`: unknown for now, and nothing of what they share may be used.
+    /// Sets the number of nodes that share the quotas. `None` if the node does not know it for now; then it
+    /// may use nothing that nodes share.
     pub fn set_fleet_size(&mut self, now: f64, node_count: Option<u32>) {
         self.tenant_quotas.set_node_count(now, node_count);
     }
--- a/src/decide/tests.rs
+++ b/src/decide/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decision module; here what they share.
+//! Tests of the decision module, with the fixtures that they share.
 
 use super::engine_table::Phase;
 use super::hash::hash;
@@ -9,10 +9,10 @@
 const NOW: f64 = 100.0;
 
 fn deployment(idempotency: Idempotency) -> Deployment {
-    let route = |pace_s| ModelRoute {
+    let route = |tpot_objective_s| ModelRoute {
         ttft_objective_s: 1.0,
         ttft_objective_per_token_s: 1e-5,
-        tpot_objective_s: pace_s,
+        tpot_objective_s,
         idempotency,
     };
     Deployment {
@@ -52,18 +52,19 @@
     }
 }
 
-/// Two prefill engines (0 and 1) and three decode engines: 2 beside prefill engine 0, 3 in its zone, 4 in another.
+/// Creates a router with two prefill engines (0 and 1) and three decode engines: 2 in the cell of prefill
+/// engine 0, 3 in its zone, 4 in another zone.
 fn new_router(idempotency: Idempotency) -> Router {
     let mut router = Router::new(deployment(idempotency));
-    let lines = [
+    let entries = [
         entry("r0", EngineRole::Prefill, 0, 0),
         entry("r1", EngineRole::Prefill, 0, 1),
         entry("w2", EngineRole::Decode, 0, 0),
         entry("w3", EngineRole::Decode, 0, 1),
         entry("w4", EngineRole::Decode, 1, 2),
     ];
-    router.update_endpoints(NOW, &lines, true);
-    // All have just reported that they are idle.
+    router.update_endpoints(NOW, &entries, true);
+    // All engines have just reported that they are idle.
     router.engines.iter_mut().for_each(|engine| engine.reported_at = NOW);
     router
 }
@@ -94,13 +95,13 @@
     }
 }
 
-/// Puts a request into the router's tables.
+/// Inserts a request into the router's table and returns its index.
 fn insert(router: &mut Router, request_state: Request) -> usize {
     let affinity_engines = router.affinity_engines(&request_state);
     router.requests.insert(Request { affinity_engines, ..request_state }).0 as usize
 }
 
-/// An attempt of that phase, in flight at the engine.
+/// Returns an attempt in flight at the engine, and counts it there.
 fn attempt(router: &mut Router, engine: usize, phase: Phase) -> Attempt {
     router.engines[engine].attempts_in_flight += 1;
     Attempt {
@@ -113,7 +114,7 @@
     }
 }
 
-fn ending(outcome: Outcome) -> AttemptEnd {
+fn attempt_end(outcome: Outcome) -> AttemptEnd {
     AttemptEnd {
         outcome,
         elapsed_s: 0.1,
@@ -124,13 +125,13 @@
 }
 
 fn engines_of(decisions: &Decisions) -> Vec<u32> {
-    decisions.dispatches.iter().map(|s| s.engine.0).collect()
+    decisions.dispatches.iter().map(|dispatch| dispatch.engine.0).collect()
 }
 
 const KEYED_BY_ZONE: Idempotency = Idempotency::Keyed { scope: IdempotencyScope::Zone, window_s: 5.0 };
 const KEYED_EVERYWHERE: Idempotency = Idempotency::Keyed { scope: IdempotencyScope::All, window_s: 5.0 };
 
-/// A queued request with a loose objective, and decode engines that are over-full.
+/// Creates a router with a queued request that has a loose objective, and with overfull decode engines.
 fn loose_objective_under_overload() -> Router {
     let mut router = new_router(Idempotency::Idempotent);
     router.averages.mean_prompt_tokens = 2000.0;
--- a/src/decide/tests/completion.rs
+++ b/src/decide/tests/completion.rs
@@ -7,7 +7,10 @@
 #[test_case(KEYED_EVERYWHERE, true)]
 #[test_case(KEYED_BY_ZONE, false)]
 #[test_case(Idempotency::NonIdempotent, false)]
-fn only_what_may_be_repeated_is_rejected(idempotency: Idempotency, rejected: bool) {
+fn a_request_is_rejected_if_a_repeat_is_harmless_and_failed_otherwise(
+    idempotency: Idempotency,
+    rejected: bool,
+) {
     let mut router = new_router(idempotency);
     let attempt = attempt(&mut router, 2, Phase::Decode);
     insert(&mut router, Request { attempts: vec![attempt], ..request(Stage::Decoding) });
--- a/src/decide/tests/deadlines.rs
+++ b/src/decide/tests/deadlines.rs
@@ -14,9 +14,10 @@
     assert_eq!(router.decide(NOW).rejected.len(), 1);
 }
 
-/// Attempts were cancelled and lost their place in the queue because their engine was merely busy.
-#[test_case(NOW + 0.5, 0; "responded since")]
-#[test_case(0.0, 1; "unreachable and silent")]
+/// Guards against cancelling attempts at an engine that is only busy, which lost them their place in its
+/// queue.
+#[test_case(NOW + 0.5, 0; "engine responded since")]
+#[test_case(0.0, 1; "engine unreachable and silent")]
 fn only_an_unreachable_engine_has_its_attempt_cancelled(last_response_at: f64, cancelled: usize) {
     let mut router = new_router(Idempotency::Idempotent);
     let attempt = attempt(&mut router, 0, Phase::Prefill);
@@ -26,7 +27,8 @@
     assert_eq!(router.decisions.cancelled.len(), cancelled);
 }
 
-/// An ageing engine stayed available until it crashed: its attempts only came late.
+/// Guards against an engine that grows slower until it crashes but counts as healthy, since its attempts end
+/// late and do not fail.
 #[test]
 fn an_overdue_attempt_counts_as_one_failure() {
     let mut router = new_router(Idempotency::Idempotent);
--- a/src/decide/tests/endpoints.rs
+++ b/src/decide/tests/endpoints.rs
@@ -1,11 +1,11 @@
-//! The endpoint list.
+//! Updates from the endpoint list.
 
 use super::*;
 use test_case::test_case;
 
 #[test_case(Lifecycle::Draining)]
 #[test_case(Lifecycle::Removed)]
-fn a_draining_or_removed_engine_gets_nothing(lifecycle: Lifecycle) {
+fn a_draining_or_removed_engine_gets_no_request(lifecycle: Lifecycle) {
     let mut router = new_router(Idempotency::Idempotent);
     insert(&mut router, request(Stage::Queued));
     router.engines[..2].iter_mut().for_each(|engine| engine.lifecycle = lifecycle);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_restart_resets_what_was_known() {
+fn an_engine_restart_resets_its_reported_load() {
     let mut router = new_router(Idempotency::Idempotent);
     router.record_load(NOW - 2.0, 0, EngineLoad { queue_len: Some(9.0), ..EngineLoad::default() });
     router.update_endpoints(
@@ -34,16 +34,16 @@
     );
 }
 
-/// Each line of a list was compared with every engine known.
+/// Guards against quadratic time in the size of the list: each entry was compared with every known engine.
 #[test]
-fn a_large_fleet_omits_no_engine_as_engines_are_replaced() {
+fn a_large_fleet_loses_no_engine_while_engines_are_replaced() {
     let mut router = new_router(Idempotency::Idempotent);
     for generation in 0..4 {
         let id = |index: usize| format!("{}-{}", index + 500 * generation, "long".repeat(50));
-        let lines: Vec<_> = (0..2000).map(|index| entry(&id(index), EngineRole::Prefill, 0, 0)).collect();
-        router.update_endpoints(NOW, &lines, true);
+        let entries: Vec<_> = (0..2000).map(|index| entry(&id(index), EngineRole::Prefill, 0, 0)).collect();
+        router.update_endpoints(NOW, &entries, true);
         assert_eq!(router.available_engines(Phase::Prefill).len(), 2000);
     }
-    // Those that are gone make room for new ones.
+    // The records of removed engines are reused for new ones.
     assert!(router.engines.len() <= 2000 + 500 + 5, "{}", router.engines.len());
 }
--- a/src/decide/tests/health.rs
+++ b/src/decide/tests/health.rs
@@ -3,7 +3,8 @@
 use super::*;
 use test_case::test_case;
 
-/// Releases were tried at the first engines listed, all in the zone that was cut off.
+/// Guards against trying release calls at the first engines listed when all of these are in a zone that is
+/// cut off.
 #[test]
 fn engines_are_ordered_by_their_last_response() {
     let mut router = new_router(Idempotency::Idempotent);
@@ -14,7 +15,7 @@
     };
     assert_eq!(order(&router), [4, 1, 2]);
     router.engines[0].last_response_at = NOW + 1.0;
-    assert_eq!(order(&router), [0, 4, 1], "the preferred engine, while it responds");
+    assert_eq!(order(&router), [0, 4, 1], "the preferred engine comes first while it responds");
 }
 
 #[test]
@@ -26,19 +27,20 @@
     assert!(first > NOW && router.engines[0].available_at > first);
 }
 
-/// Lost answers at most of a fleet held it all off, and everything was rejected.
-#[test_case(&[2], 3; "a failing decode engine is passed over")]
-#[test_case(&[2, 3, 4], 2; "all failing alike are used as before")]
-fn failures_make_a_worse_choice_but_exclude_no_engine(failing: &[usize], engine: u32) {
+/// Guards against excluding engines for failures: when most of a fleet lost responses, all engines were held
+/// off and every request was rejected.
+#[test_case(&[2], 3; "a failing decode engine is avoided")]
+#[test_case(&[2, 3, 4], 2; "if all fail alike the choice is as before")]
+fn failures_make_an_engine_less_preferred_but_exclude_none(failing: &[usize], engine: u32) {
     let mut router = new_router(Idempotency::Idempotent);
     insert(&mut router, Request { reservation: Some(0), ..request(Stage::Reserved) });
     failing.iter().for_each(|&engine| router.record_failure(NOW, engine));
     assert_eq!(engines_of(&router.decide(NOW)), [engine]);
 }
 
-/// After a cut zone healed, its engines stayed held off for seconds.
-#[test_case(NOW - 1.0, NOW; "silence has ended")]
-#[test_case(NOW - 9.0, NOW + 5.0; "errors go on")]
+/// Guards against engines staying held off for seconds after the partition of their zone has healed.
+#[test_case(NOW - 1.0, NOW; "was unreachable")]
+#[test_case(NOW - 9.0, NOW + 5.0; "held off for another reason")]
 fn a_response_ends_only_the_hold_off_of_an_unreachable_engine(unreachable_at: f64, available_at: f64) {
     let mut router = new_router(Idempotency::Idempotent);
     (router.engines[0].unreachable_at, router.engines[0].last_response_at, router.engines[0].available_at) =
--- a/src/decide/tests/load.rs
+++ b/src/decide/tests/load.rs
@@ -1,9 +1,9 @@
-//! Estimates of load.
+//! Load estimates.
 
 use super::*;
 use test_case::test_case;
 
-/// Prefill engines with long queues of other nodes' prefills looked available.
+/// Guards against treating a prefill engine as available while prefills of other nodes queue there.
 #[test]
 fn a_reported_backlog_delays_a_prefill_engine() {
     let mut router = new_router(Idempotency::Idempotent);
@@ -11,32 +11,34 @@
     assert!(router.engines[0].available_at > NOW + 0.1);
 }
 
-/// Queued requests at a decode engine were not counted: it looked free.
+/// Guards against ignoring the queue of a decode engine, which made it look free.
 #[test_case(EngineLoad { memory_share: Some(0.5), ..EngineLoad::default() }, 0.5)]
 #[test_case(EngineLoad { memory_share: Some(0.5), queue_len: Some(25.0), ..EngineLoad::default() }, 1.0)]
 #[test_case(EngineLoad { memory_share: Some(0.5), pending_prompt_tokens: Some(20_000.0), ..EngineLoad::default() }, 0.7)]
 #[test_case(EngineLoad { memory_share: Some(0.5), inflight: Some(40.0), ..EngineLoad::default() }, 0.8)]
 #[test_case(EngineLoad { slot_share: Some(0.6), ..EngineLoad::default() }, 0.6)]
-fn the_load_of_a_decode_engine_counts_what_waits(load: EngineLoad, share: f64) {
+fn the_load_of_a_decode_engine_includes_waiting_requests(load: EngineLoad, share: f64) {
     let mut router = new_router(Idempotency::Idempotent);
     router.averages.mean_prompt_tokens = 2000.0;
     (router.engines[2].reported_load, router.engines[2].reported_at) = (load, router.averages.as_of);
     assert!((router.estimated_load(2) - share).abs() < 1e-9);
 }
 
-/// A decode engine that last reported when it was over-full was avoided for seconds, and requests rejected meanwhile.
-#[test_case(0.0, 1.3; "fresh")]
-#[test_case(60.0, 0.5; "old")]
-fn an_old_report_fades_to_the_average(age: f64, share: f64) {
+/// Guards against trusting an old report: a decode engine that was overfull at its last report was avoided
+/// for seconds, and requests were rejected meanwhile.
+#[test_case(0.0, 1.3; "recent report")]
+#[test_case(60.0, 0.5; "old report")]
+fn the_estimate_from_an_old_report_approaches_the_average(age_s: f64, share: f64) {
     let mut router = new_router(Idempotency::Idempotent);
-    (router.averages.as_of, router.averages.mean_stream_s, router.averages.decode.load) =
-        (NOW + age, 5.0, 0.5);
+    (router.averages.as_of, router.averages.mean_stream_s, router.averages.decode.congestion) =
+        (NOW + age_s, 5.0, 0.5);
     (router.engines[2].reported_load.memory_share, router.engines[2].reported_at) = (Some(1.3), NOW);
     assert!((router.estimated_load(2) - share).abs() < 1e-4);
 }
 
-/// A deployment without reports or probes, 300 nodes: each held what came for a quarter of a second and more, on a calm
-/// day, since its one stream times the nodes filled every decode engine.
+/// Guards against multiplying a node's own load by the number of nodes where there are neither reports nor
+/// probes: with 300 nodes and low load, one stream at a node made every decode engine look full, and the node
+/// held its requests for a quarter of a second or more.
 #[test]
 fn without_reports_one_stream_fills_no_decode_engine() {
     let mut router =
--- a/src/decide/tests/prefill.rs
+++ b/src/decide/tests/prefill.rs
@@ -1,4 +1,4 @@
-//! The choice of a prefill engine.
+//! Choice of a prefill engine.
 
 use super::*;
 
@@ -12,8 +12,9 @@
     assert_eq!(router.choose_prefill_engine(NOW, i, &[0, 1]), Some(preferred));
 }
 
-/// A rolling restart on sockets found a prefill engine that failed at once tried five times within 2 ms, for the text that it
-/// was expected to have cached, until no attempt was left.
+/// Guards against retrying at an engine that fails at once because it is expected to have the text cached: in
+/// a rolling restart over real sockets one prefill engine was tried five times within 2 ms, until no attempt
+/// was left.
 #[test]
 fn a_retry_prefers_an_engine_that_has_not_failed_the_request() {
     let mut router = new_router(Idempotency::Idempotent);
@@ -22,9 +23,13 @@
     request_state.affinity_engines = vec![0, 1];
     let i = insert(&mut router, request_state);
     router.requests[i].affinity_engines = vec![0, 1];
-    assert_eq!(router.choose_prefill_engine(NOW, i, &[0, 1]), Some(0), "its text is cached there");
+    assert_eq!(
+        router.choose_prefill_engine(NOW, i, &[0, 1]),
+        Some(0),
+        "the engine expected to have the text cached is chosen first"
+    );
     let attempt = attempt(&mut router, 0, Phase::Prefill);
     router.requests[i].attempts.push(attempt);
-    router.attempt_finished(NOW, RequestHandle(0), 0, ending(Outcome::EngineError), None);
+    router.attempt_finished(NOW, RequestHandle(0), 0, attempt_end(Outcome::EngineError), None);
     assert_eq!(router.choose_prefill_engine(NOW, i, &[0, 1]), Some(1));
 }
--- a/src/decide/tests/prefix_affinity.rs
+++ b/src/decide/tests/prefix_affinity.rs
@@ -1,4 +1,4 @@
-//! Which prefill engines have a text cached.
+//! Affinity of texts to prefill engines.
 
 use super::*;
 use test_case::test_case;
@@ -12,12 +12,13 @@
     assert_eq!(first_router.affinity_engines(&request_state), second_router.affinity_engines(&request_state));
 }
 
-/// In zones of two or three prefill engines, two for a prefix scattered it over the zone, and little was kept.
-#[test_case(2, 0.9, 1; "a small zone keeps even a popular one at one prefill engine")]
-#[test_case(6, 0.9, 3; "a larger one at half its prefill engines")]
-#[test_case(6, 0.07, 2; "by its part of the arrivals")]
-#[test_case(6, 0.0, 2; "a rare one at two")]
-fn a_prefix_gets_engines_by_its_popularity(prefill_engines: usize, share: f64, named: usize) {
+/// Guards against spreading a prefix over two engines in zones of only two or three prefill engines, where
+/// little of it stayed cached.
+#[test_case(2, 0.9, 1; "popular prefix in a small zone gets one engine")]
+#[test_case(6, 0.9, 3; "popular prefix in a larger zone gets half of the engines")]
+#[test_case(6, 0.07, 2; "number follows the share of the arrivals")]
+#[test_case(6, 0.0, 2; "rare prefix gets two engines")]
+fn a_prefix_gets_engines_by_its_popularity(prefill_engines: usize, share: f64, engine_count: usize) {
     let mut router = new_router(Idempotency::Idempotent);
     for index in 2..prefill_engines {
         router.update_endpoints(NOW, &[entry(&format!("more{index}"), EngineRole::Prefill, 0, 0)], false);
@@ -39,13 +40,14 @@
     }
     seen.sort();
     seen.dedup();
-    assert_eq!(seen.len(), named);
+    assert_eq!(seen.len(), engine_count);
 }
 
-/// One prefill engine for each of a few texts left some prefill engines idle and others overrun.
-#[test_case(3, 2; "few texts have two")]
-#[test_case(60, 2; "as do many")]
-fn a_text_has_two_affinity_engines(texts: u64, named: usize) {
+/// Guards against one prefill engine per text: with few texts some prefill engines were idle and others
+/// overloaded.
+#[test_case(3, 2; "few texts")]
+#[test_case(60, 2; "many texts")]
+fn a_text_has_two_affinity_engines(texts: u64, engine_count: usize) {
     let mut router = new_router(Idempotency::Idempotent);
     (2..6).for_each(|index| {
         router.update_endpoints(NOW, &[entry(&format!("more{index}"), EngineRole::Prefill, 0, 0)], false)
@@ -59,14 +61,19 @@
     let mut seen: Vec<usize> = (1..60).map(|index| first(hash("s", index))).collect();
     seen.sort();
     seen.dedup();
-    assert_eq!(seen.len(), named);
+    assert_eq!(seen.len(), engine_count);
 }
 
-/// The churn day on sockets found a prefill engine 15 s old, with five waiting at it, drawing the texts that its hash named.
-#[test_case(None, 0.0, 1000.0; "long there: as its hash says")]
-#[test_case(Some(NOW - 5.0), 0.0, 2000.0; "fresh: nothing")]
-#[test_case(Some(NOW - 5.0), 800.0, 1968.0; "fresh, and found to keep it once")]
-fn the_cache_hit_rate_is_learned_from_prefills(started_at: Option<f64>, found: f64, uncached_tokens: f64) {
+/// Guards against sending a recently started engine all texts that its hash selects: with frequent engine
+/// restarts over real sockets, an engine 15 s old attracted them while five requests waited there.
+#[test_case(None, 0.0, 1000.0; "long running engine as its hash says")]
+#[test_case(Some(NOW - 5.0), 0.0, 2000.0; "recently started engine has nothing cached")]
+#[test_case(Some(NOW - 5.0), 800.0, 1968.0; "recently started engine after one cache hit")]
+fn the_cache_hit_rate_is_learned_from_prefills(
+    started_at: Option<f64>,
+    cached_tokens: f64,
+    uncached_tokens: f64,
+) {
     let mut router = new_router(Idempotency::Idempotent);
     router.update_endpoints(
         NOW,
@@ -77,12 +84,12 @@
     let attempt = attempt(&mut router, engine, Phase::Prefill);
     let i = insert(&mut router, Request { attempts: vec![attempt], ..request(Stage::Prefilling) });
     router.requests[i].affinity_engines = vec![engine, 0];
-    if found > 0.0 {
+    if cached_tokens > 0.0 {
         router.attempt_finished(
             NOW,
             RequestHandle(i as u32),
             0,
-            AttemptEnd { cached_tokens: found, ..ending(Outcome::Prefilled) },
+            AttemptEnd { cached_tokens, ..attempt_end(Outcome::Prefilled) },
             None,
         );
     }
--- a/src/decide/tests/probes.rs
+++ b/src/decide/tests/probes.rs
@@ -1,24 +1,26 @@
-//! Probes.
+//! Probes and their results.
 
 use super::*;
 use test_case::test_case;
 
-/// Where probes queue like work, busy prefill engines were taken for dead, and what they held was cancelled.
-#[test_case(1.0, Outcome::TimedOut, false; "a queue explains it")]
-#[test_case(0.0, Outcome::TimedOut, true; "nothing explains it")]
-#[test_case(0.0, Outcome::Rejected, false; "full is not silent")]
+/// Guards against taking busy prefill engines for dead where probes queue like requests, which cancelled the
+/// attempts there.
+#[test_case(1.0, Outcome::TimedOut, false; "a queue explains the missing answer")]
+#[test_case(0.0, Outcome::TimedOut, true; "nothing explains the missing answer")]
+#[test_case(0.0, Outcome::Rejected, false; "a full engine is reachable")]
 fn an_unanswered_probe_is_unreachable_only_without_a_queue(
-    wait: f64,
+    reported_wait_s: f64,
     outcome: Outcome,
     is_unreachable: bool,
 ) {
     let mut router = new_router(Idempotency::Idempotent);
-    (router.engines[0].reported_wait_s, router.engines[0].probed_at) = (wait, NOW - 0.25);
+    (router.engines[0].reported_wait_s, router.engines[0].probed_at) = (reported_wait_s, NOW - 0.25);
     router.probe_finished(NOW, "r0", outcome, None);
     assert_eq!(router.engines[0].unreachable_at == NOW, is_unreachable);
 }
 
-/// Requests were rejected on old news of full decode engines long after these had room, since nobody probed them.
+/// Guards against rejecting requests because of old reports of full decode engines: without probes this went
+/// on long after the engines had room.
 #[test]
 fn stale_engines_are_probed_before_anything_is_rejected() {
     let mut router = loose_objective_under_overload();
@@ -30,8 +32,9 @@
     assert!(decisions.rejected.is_empty() && decisions.probes.iter().any(|engine| engine.0 < 2));
 }
 
-/// On sockets a round of decisions comes moments after the arrival: no decode engine was ever probed, and an idle
-/// node of 300 took its own stream for a full fleet and held what came next for seconds.
+/// Guards against never probing decode engines when the round of decisions comes a moment after the arrival,
+/// as it does with sockets: an idle node of 300 took its own stream for a full fleet and held the next
+/// requests for seconds.
 #[test]
 fn an_arrival_probes_decode_engines_however_late_the_decisions() {
     let mut router = new_router(Idempotency::Idempotent);
--- a/src/decide/tests/retry.rs
+++ b/src/decide/tests/retry.rs
@@ -1,9 +1,9 @@
-//! Retries by idempotency.
+//! Retries as allowed by idempotency.
 
 use super::*;
 use test_case::test_case;
 
-#[test_case(Idempotency::Idempotent, Outcome::ConnectionLost, true; "idempotent may always")]
+#[test_case(Idempotency::Idempotent, Outcome::ConnectionLost, true; "idempotent")]
 #[test_case(Idempotency::NonIdempotent, Outcome::ConnectionLost, false; "non-idempotent that may have run")]
 #[test_case(Idempotency::NonIdempotent, Outcome::ConnectFailed, true; "non-idempotent that never ran")]
 #[test_case(Idempotency::NonIdempotent, Outcome::Rejected, true; "non-idempotent rejected")]
@@ -15,19 +15,24 @@
         &mut router,
         Request { reservation: Some(0), attempts: vec![attempt], ..request(Stage::Decoding) },
     );
-    router.attempt_finished(NOW, RequestHandle(0), 0, ending(outcome), None);
+    router.attempt_finished(NOW, RequestHandle(0), 0, attempt_end(outcome), None);
     assert_eq!(router.requests[0].stage == Stage::Reserved, may_retry);
     assert_eq!(router.decisions.failed.len(), usize::from(!may_retry));
 }
 
 #[test_case(NOW, 3, 0.0, true; "inside the scope")]
 #[test_case(NOW, 4, 0.0, false; "outside the scope")]
-#[test_case(NOW + 4.5, 3, 0.0, false; "after it forgets")]
+#[test_case(NOW + 4.5, 3, 0.0, false; "after the key is forgotten")]
 #[test_case(NOW + 3.9, 3, 0.0, true; "well within the window")]
-#[test_case(NOW + 3.9, 3, 0.5, false; "a connection may come up after it")]
-fn a_keyed_request_is_retried_in_its_scope_and_window(now: f64, engine: usize, connect: f64, allowed: bool) {
+#[test_case(NOW + 3.9, 3, 0.5, false; "connection may be established too late")]
+fn a_keyed_request_is_retried_in_its_scope_and_window(
+    now: f64,
+    engine: usize,
+    connect_timeout_s: f64,
+    allowed: bool,
+) {
     let mut router = new_router(KEYED_BY_ZONE);
-    router.limits.connect_timeout_s = connect;
+    router.limits.connect_timeout_s = connect_timeout_s;
     insert(
         &mut router,
         Request {
@@ -39,7 +44,8 @@
     assert_eq!(router.may_retry(now, 0, Some(engine)), allowed);
 }
 
-/// A hunt found a keyed request prefilled again in another cell after its reservation was lost.
+/// Guards against prefilling a keyed request again in another cell after its reservation was lost, found by a
+/// search with random faults.
 #[test_case(KEYED_BY_ZONE, false; "prefill engines may lie outside the scope")]
 #[test_case(KEYED_EVERYWHERE, true; "every engine is in the scope")]
 fn a_keyed_prompt_is_prefilled_again_only_in_its_scope(idempotency: Idempotency, allowed: bool) {
--- a/src/decide/tests/zone_weights.rs
+++ b/src/decide/tests/zone_weights.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn an_evacuated_zone_gets_nothing_and_a_recovering_one_its_weight() {
+fn an_evacuated_zone_gets_no_request_and_a_recovering_one_its_weight() {
     let mut router = new_router(Idempotency::Idempotent);
     router.engines[1].zone = 1;
     router.set_zone_weight(1, 0.0);
@@ -18,9 +18,9 @@
         requests.iter().filter(|&&i| router.slow_start_admits(NOW, i, engine)).count() as f64 / 4000.0
     };
     assert!((share(1) - 0.25).abs() < 0.03, "{}", share(1));
-    assert_eq!((share(1), share(0)), (share(4), 1.0), "the same ones for all of a zone");
-    let beyond = insert(&mut router, request(Stage::Queued));
-    assert!(!router.slow_start_admits(NOW, beyond, 1), "without a draw it is not admitted");
+    assert_eq!((share(1), share(0)), (share(4), 1.0), "all engines of a zone admit the same requests");
+    let without_draw = insert(&mut router, request(Stage::Queued));
+    assert!(!router.slow_start_admits(NOW, without_draw, 1), "a request without a draw is not admitted");
 }
 
 #[test]
--- a/src/decide/token_bucket.rs
+++ b/src/decide/token_bucket.rs
@@ -1,6 +1,6 @@
-//! A token bucket.
+//! Token bucket.
 
-/// An allowance that fills with time.
+/// Token bucket that refills at a fixed rate.
 #[derive(Default)]
 pub(super) struct TokenBucket {
     pub(super) tokens: f64,
