--- a/crates/nickelgw-simulator-adapter/src/main.rs
+++ b/crates/nickelgw-simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Speaks the simulator's wire on standard input and output: lines of JSON become events of the decision module, and
-//! its decisions become lines of JSON.
+//! Connects the decision module to the simulator over standard input and output: lines of JSON become events
+//! of the decision module, and its decisions become lines of JSON.
 
 mod actions;
 mod node;
--- a/crates/nickelgw-simulator-adapter/src/node.rs
+++ b/crates/nickelgw-simulator-adapter/src/node.rs
@@ -1,4 +1,5 @@
-//! One node of the simulated fleet: its decision module, and which request each handle stands for.
+//! One node of the simulated fleet: its decision module, and the mapping of request handles to the
+//! simulator's request numbers.
 
 use crate::actions::ActionWriter;
 use nickelgw::decide::Router;
@@ -8,7 +9,7 @@
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// The `remark` of an attempt that a decode engine rejected for want of a reservation.
+/// Value of `remark` for an attempt that a decode engine rejected because it held no reservation.
 const REMARK_RESERVATION_MISSING: f64 = 1.0;
 
 /// One simulated node.
@@ -16,11 +17,11 @@
     router: Router,
     config: NodeConfig,
     requests: RequestNumbers,
-    /// The wake-up that the simulator has been asked for.
+    /// Time of the wake-up that was requested from the simulator; infinite if there is none.
     wake_at: f64,
 }
 
-/// The names that events use.
+/// Names that events use for the items of the deployment, by index.
 struct NodeConfig {
     routes: Vec<String>,
     tenants: Vec<String>,
@@ -28,17 +29,18 @@
     machine_kinds: Vec<MachineKind>,
 }
 
-/// The simulator's numbers of requests, and the module's handles.
+/// Mapping between the simulator's request numbers and the decision module's handles.
 #[derive(Default)]
 pub struct RequestNumbers {
     handle_by_number: HashMap<u64, RequestHandle>,
-    /// By handle.
+    /// Simulated requests by handle.
     requests: Vec<SimulatedRequest>,
 }
 
 #[derive(Clone, Default)]
 struct SimulatedRequest {
     number: u64,
+    /// Number of attempts so far.
     attempts: u64,
 }
 
@@ -55,7 +57,7 @@
         self.handle_by_number.get(&number).copied()
     }
 
-    /// The simulator's number of a request.
+    /// Returns the simulator's number of a request.
     pub fn number_of(&self, request: RequestHandle) -> u64 {
         self.requests[request.0 as usize].number
     }
@@ -111,7 +113,7 @@
     let outcome = outcome(event)?;
     let elapsed_s = number_or(event, "delay_seen_s", 0.0)?;
     let request_finished = flag(event, "over")?;
-    // Its meaning depends on the outcome.
+    // The meaning of `remark` depends on the outcome.
     let remark = number_or(event, "remark", 0.0)?;
     Ok(AttemptEnd {
         outcome,
@@ -159,7 +161,7 @@
 }
 
 impl Node {
-    /// A node as its PROVISION event describes it.
+    /// Creates a node from its PROVISION event.
     pub fn new(event: &Value) -> Result<Node, ConfigError> {
         let config = PlatformConfig::parse(object(event, "options")?, integer(event, "prng")?)?;
         Ok(Node {
@@ -175,7 +177,7 @@
         })
     }
 
-    /// Takes in a MEMBERSHIP event with the page that it names.
+    /// Applies a MEMBERSHIP event with the page that it refers to.
     pub fn update_endpoints(&mut self, now: f64, event: &Value, page: &[Value]) -> Result<(), ConfigError> {
         let is_full = match text(event, "how")? {
             "full" | "cached" => true,
@@ -188,7 +190,8 @@
         Ok(())
     }
 
-    /// Takes in any other event; kinds that are not known are skipped.
+    /// Handles any other event for a node, including a MEMBERSHIP event that reports a failed fetch. Events
+    /// of unknown kinds are skipped.
     pub fn handle(&mut self, now: f64, kind: &str, event: &Value) -> Result<(), ConfigError> {
         match kind {
             "MEMBERSHIP" => self.router.endpoint_poll_failed(now),
@@ -224,17 +227,17 @@
         Ok(())
     }
 
-    /// The attempt that an event is about; `None` where the request is closed.
+    /// Returns the attempt that an event refers to; `None` if the request is closed.
     fn attempt_of(&self, event: &Value) -> Result<Option<(RequestHandle, u32)>, ConfigError> {
         let (number, attempt) = (integer(event, "req")?, integer(event, "n")?);
         let Some(request) = self.requests.handle_of(number) else { return Ok(None) };
         if attempt >= self.requests.attempts_of(request) {
-            return Err(ConfigError::field(event, "n", "the number of a send"));
+            return Err(ConfigError::field(event, "n", "the number of an attempt of this request"));
         }
         Ok(Some((request, attempt as u32)))
     }
 
-    /// Writes the actions that the events of this batch have led to.
+    /// Writes the actions for the events of this batch.
     pub fn write_actions(&mut self, now: f64, node: u64, reply: &mut String) {
         let decisions = self.router.decide(now);
         for dispatch in &decisions.dispatches {
--- a/crates/nickelgw-simulator-adapter/src/session.rs
+++ b/crates/nickelgw-simulator-adapter/src/session.rs
@@ -1,4 +1,5 @@
-//! One run of the simulator: batches of events for any number of nodes, each batch answered with their actions.
+//! One run of the simulator: batches of events for any number of nodes, each answered with the nodes'
+//! actions.
 
 use crate::node::Node;
 use nickelgw_platform_config::fields::{integer, number, text, ConfigError};
@@ -6,24 +7,25 @@
 use std::collections::{BTreeMap, HashMap};
 use std::io::{BufRead, Write};
 
-/// The line that ends a reply.
+/// Last line of each reply.
 const REPLY_END: &str = "{\"kind\":\"DONE\"}\n";
 
-/// Reads lines until the input ends, and answers each batch.
+/// Reads lines until the end of the input, and answers each batch of events.
 pub fn run(input: impl BufRead, mut output: impl Write) -> Result<(), ConfigError> {
     let mut session = Session::default();
     for line in input.lines() {
-        let line = line.map_err(|error| ConfigError(format!("input: cannot be read: {error}")))?;
+        let line = line.map_err(|error| ConfigError(format!("cannot read input: {error}")))?;
         if line.trim().is_empty() {
             continue;
         }
         let event: Value =
-            serde_json::from_str(&line).map_err(|_| ConfigError("a line is not JSON".into()))?;
+            serde_json::from_str(&line).map_err(|_| ConfigError("an input line is not JSON".into()))?;
         let kind = event.get("kind").and_then(Value::as_str);
-        let kind = kind.ok_or_else(|| ConfigError("a line has no field kind that is text".into()))?;
+        let kind =
+            kind.ok_or_else(|| ConfigError("an input line has no field kind with a text value".into()))?;
         if kind == "OVER_TO_YOU" {
             let written = output.write_all(session.reply().as_bytes()).and_then(|()| output.flush());
-            written.map_err(|error| ConfigError(format!("output: cannot be written: {error}")))?;
+            written.map_err(|error| ConfigError(format!("cannot write output: {error}")))?;
         } else {
             session.handle(kind, &event)?;
         }
@@ -31,23 +33,23 @@
     Ok(())
 }
 
-/// The state between lines.
+/// State kept between input lines.
 #[derive(Default)]
 struct Session {
     now: f64,
     nodes: BTreeMap<u64, Node>,
-    /// Endpoint lists by their number.
+    /// Endpoint lists by the number of the list.
     pages: HashMap<u64, Vec<Value>>,
-    /// The nodes that got an event in this batch, in the order of their first ones.
-    touched: Vec<u64>,
+    /// Nodes with an event in this batch, in the order of each node's first event.
+    nodes_with_events: Vec<u64>,
     reply: String,
 }
 
 impl Session {
-    /// The actions of all nodes that got an event since the last reply.
+    /// Returns the actions of all nodes with an event since the last reply.
     fn reply(&mut self) -> &str {
         self.reply.clear();
-        for number in self.touched.drain(..) {
+        for number in self.nodes_with_events.drain(..) {
             if let Some(node) = self.nodes.get_mut(&number) {
                 node.write_actions(self.now, number, &mut self.reply);
             }
@@ -91,8 +93,8 @@
                 }
             }
         }
-        if !self.touched.contains(&number) {
-            self.touched.push(number);
+        if !self.nodes_with_events.contains(&number) {
+            self.nodes_with_events.push(number);
         }
         Ok(())
     }
--- a/crates/nickelgw-simulator-adapter/src/tests.rs
+++ b/crates/nickelgw-simulator-adapter/src/tests.rs
@@ -20,7 +20,7 @@
     )
 }
 
-/// Runs batches, each after a clock of its own; returns what was written.
+/// Runs batches, each 0.1 s later than the one before, and returns the output.
 fn run_batches(batches: &[&[&str]]) -> Result<String, ConfigError> {
     let mut input = String::new();
     for (index, batch) in batches.iter().enumerate() {
@@ -35,7 +35,7 @@
 }
 
 const START: &[&str] = &[PROVISION, PAGE, MEMBERSHIP];
-/// The prefill engine's answer to the probe that an arrival brings.
+/// Answer of the prefill engine to the probe that an arrival causes.
 const PROBE_ANSWER: &[&str] =
     &[r#"{"kind":"PROBED","i":1,"engine":"a:1","how":"served","delay_seen_s":0.001}"#];
 
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_node_killed_and_provisioned_in_one_batch_starts_empty() {
+fn a_node_killed_and_provisioned_in_one_batch_starts_without_requests() {
     let killed = r#"{"kind":"KILLED","i":1}"#;
     let prefilled = settled(0, "a:1", "prefilled", false);
     let out = run_batches(&[
@@ -73,12 +73,12 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply() {
+fn an_empty_batch_gets_a_reply_without_actions() {
     assert_eq!(run_batches(&[&[]]).unwrap(), "{\"kind\":\"DONE\"}\n");
 }
 
 #[test]
-fn unknown_kinds_are_skipped() {
+fn events_of_unknown_kinds_are_skipped() {
     assert!(run_batches(&[&[r#"{"kind":"WEATHER","i":1}"#, r#"{"kind":"TIDE"}"#]]).is_ok());
 }
 
@@ -97,15 +97,15 @@
     assert!(message.contains("SETTLED: field n"), "{message}");
 }
 
-#[test_case("nonsense", "not JSON"; "no json")]
+#[test_case("nonsense", "not JSON"; "not json")]
 #[test_case("{}", "kind"; "no kind")]
-#[test_case(r#"{"kind":"CLOCK"}"#, "CLOCK: field time_s"; "no clock")]
-#[test_case(r#"{"kind":"PAGE","list":0,"items":3}"#, "PAGE: field items"; "page without entries")]
-#[test_case(r#"{"kind":"PROVISION","i":2}"#, "PROVISION: field options"; "no settings")]
-#[test_case(r#"{"kind":"PROVISION","i":"x"}"#, "PROVISION: field i"; "instance of the wrong type")]
+#[test_case(r#"{"kind":"CLOCK"}"#, "CLOCK: field time_s"; "clock without time")]
+#[test_case(r#"{"kind":"PAGE","list":0,"items":3}"#, "PAGE: field items"; "page without a list of items")]
+#[test_case(r#"{"kind":"PROVISION","i":2}"#, "PROVISION: field options"; "provision without options")]
+#[test_case(r#"{"kind":"PROVISION","i":"x"}"#, "PROVISION: field i"; "node number of the wrong type")]
 #[test_case(r#"{"kind":"MEMBERSHIP","i":1,"list":9,"how":"full"}"#, "MEMBERSHIP: field list"; "unknown list")]
-#[test_case(r#"{"kind":"REQUEST","i":1,"req":5,"cls":"other","due_s":3}"#, "REQUEST: field cls"; "unknown class")]
-#[test_case(r#"{"kind":"REQUEST","i":1,"req":5,"cls":"ask"}"#, "REQUEST: field due_s"; "no due time")]
+#[test_case(r#"{"kind":"REQUEST","i":1,"req":5,"cls":"other","due_s":3}"#, "REQUEST: field cls"; "unknown route")]
+#[test_case(r#"{"kind":"REQUEST","i":1,"req":5,"cls":"ask"}"#, "REQUEST: field due_s"; "no deadline")]
 #[test_case(r#"{"kind":"SETTLED","i":1,"req":5,"n":0,"how":"vanished"}"#, "SETTLED: field how"; "unknown outcome")]
 fn invalid_input_is_an_error_that_names_the_field(line: &str, expected: &str) {
     let ConfigError(message) = run_batches(&[START, &[line]]).unwrap_err();
--- a/tests/cold_ramp.rs
+++ b/tests/cold_ramp.rs
@@ -1,5 +1,5 @@
-//! What all nodes together send to an engine in slow start: the routers of a whole fleet in one process, on a clock of
-//! their own. Prefills, decodes, probes and retries all count.
+//! Load that all nodes together put on an engine in slow start, measured with the routers of a whole fleet in
+//! one process on a simulated clock. Prefills, decodes, probes and retries all count.
 
 mod common;
 #[path = "cold_ramp/fleet.rs"]
@@ -11,7 +11,8 @@
 use scenario::{Scenario, PLAIN};
 use test_case::test_case;
 
-/// The budget of N calls, and 2 x root of N + 2 for chance.
+/// No engine in slow start gets more than its budget of N calls per window, plus 2 x root of N + 2 for random
+/// variation.
 #[test_case(PLAIN; "plain")]
 #[test_case(Scenario { uneven: true, ..PLAIN }; "uneven traffic")]
 #[test_case(Scenario { restarts: true, ..PLAIN }; "nodes restart")]
@@ -19,16 +20,18 @@
 #[test_case(Scenario { retry_storm: true, ..PLAIN }; "retry storm")]
 #[test_case(Scenario { retry_storm: true, quotas: false, ..PLAIN }; "retry storm without quotas")]
 #[test_case(Scenario { probes: false, quotas: false, ..PLAIN }; "no probes")]
-#[test_case(Scenario { uneven: true, restarts: true, delayed_lists: true, retry_storm: true, errors: true, ..PLAIN }; "all at once")]
+#[test_case(Scenario { uneven: true, restarts: true, delayed_lists: true, retry_storm: true, errors: true, ..PLAIN }; "everything at once")]
 fn all_nodes_together_respect_slow_start(scenario: Scenario) {
-    let mut over = Vec::new();
+    let mut violations = Vec::new();
     for nodes in [2, 20, 30, 300] {
         for seed in 1..=3 {
             let (share, served) = Fleet::new(nodes, scenario, seed).run();
-            println!("{nodes} nodes, seed {seed}: {share:.2} of the bound, {served} served");
-            assert!(served > 200, "{served}");
-            over.extend((share > 1.0).then_some((nodes, seed, share)));
+            println!(
+                "{nodes} nodes, seed {seed}: largest load {share:.2} of the limit, {served} requests served"
+            );
+            assert!(served > 200, "only {served} requests served");
+            violations.extend((share > 1.0).then_some((nodes, seed, share)));
         }
     }
-    assert!(over.is_empty(), "{over:?}");
+    assert!(violations.is_empty(), "nodes, seed and share of the limit: {violations:?}");
 }
--- a/tests/cold_ramp/fleet.rs
+++ b/tests/cold_ramp/fleet.rs
@@ -7,24 +7,31 @@
 use nickelgw::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Engines of each role, and requests a second that a warm one can serve.
+/// Number of engines of each role.
 const ENGINES_PER_ROLE: usize = 20;
+/// Requests per second that a warm engine can serve.
 const CAPACITY_PER_S: f64 = 5.0;
-/// Of each role so many restart, one after another.
+/// Number of engines of each role that restart, one after another.
 const RESTARTED_ENGINES: usize = 12;
-/// Duration of a stream, and how many streams a decode engine holds: they make up its capacity.
+/// Duration of a stream.
 const STREAM_S: f64 = 1.5;
+/// Number of concurrent streams of a decode engine, which gives it the capacity above.
 const SLOTS: f64 = CAPACITY_PER_S * STREAM_S;
+/// When the first engine restarts.
 const FIRST_START_S: f64 = 4.0;
+/// Time between the restarts of two engines of a role.
 const START_INTERVAL_S: f64 = 0.25;
+/// End of the simulation.
 const END_S: f64 = 16.0;
 
 #[derive(Clone, Copy)]
 struct DispatchedAttempt {
     request: RequestHandle,
-    attempt: u32,
+    /// Number of the attempt within its request.
+    number: u32,
     engine: usize,
     dispatched_at: f64,
+    /// Number of the attempt within the run.
     serial: u64,
 }
 
@@ -34,7 +41,7 @@
         retries: u32,
     },
     Wake,
-    /// The node learns that this engine has started.
+    /// The node is told that this engine has restarted.
     StartObserved(usize),
     NodeRestart,
     Probed(usize),
@@ -49,10 +56,11 @@
 struct Node {
     router: Router,
     process: u32,
-    /// The engines whose starts it knows of.
+    /// For each engine, whether the node knows of its restart.
     observed_starts: Vec<bool>,
-    /// The attempts of each request.
+    /// Attempts of each open request, by its handle.
     attempts: BTreeMap<u32, Vec<DispatchedAttempt>>,
+    /// Number of retries by the client before each request, by the request's handle.
     retries: BTreeMap<u32, u32>,
     wake_at: f64,
 }
@@ -60,7 +68,7 @@
 struct Engine {
     started_at: f64,
     in_flight: u32,
-    /// When it was called by a node that knew of its start.
+    /// Times of the calls from nodes that knew of its restart.
     calls: Vec<f64>,
 }
 
@@ -68,11 +76,11 @@
     scenario: Scenario,
     nodes: Vec<Node>,
     engines: Vec<Engine>,
-    /// For which node, and which of its processes.
+    /// Events with the node and the process of the node that they are for.
     events: EventQueue<(usize, u32, Event)>,
-    /// Attempts so far.
+    /// Number of attempts so far.
     attempt_count: u64,
-    /// Attempts without an ending.
+    /// Serial numbers of the attempts that have not ended.
     open_attempts: BTreeSet<u64>,
     random: WyRand,
     served: u32,
@@ -90,7 +98,7 @@
     }
 }
 
-/// An engine that starts replaces one that was there before.
+/// Returns an engine's id. A restarted engine replaces one with another id.
 fn id(engine: usize, is_new_process: bool) -> String {
     format!("{engine}{}", if is_new_process { "+" } else { "" })
 }
@@ -124,13 +132,13 @@
             random: WyRand::new_seed(seed),
             served: 0,
         };
-        for n in 0..nodes {
-            fleet.start_process(0.0, n);
-            let at = fleet.mean_arrival_gap_s(n) * fleet.random_fraction();
-            fleet.schedule(at, n, Event::Arrival { retries: 0 });
-            if scenario.restarts && n % 10 < 7 {
+        for node_index in 0..nodes {
+            fleet.start_process(0.0, node_index);
+            let at = fleet.mean_arrival_gap_s(node_index) * fleet.random_fraction();
+            fleet.schedule(at, node_index, Event::Arrival { retries: 0 });
+            if scenario.restarts && node_index % 10 < 7 {
                 let at = FIRST_START_S + 1.0 + 2.0 * fleet.random_fraction();
-                fleet.schedule(at, n, Event::NodeRestart);
+                fleet.schedule(at, node_index, Event::NodeRestart);
             }
         }
         fleet
@@ -140,12 +148,13 @@
         f64::from(self.random.generate::<u32>()) / f64::from(u32::MAX)
     }
 
-    /// Mean time between a node's arrivals.
-    fn mean_arrival_gap_s(&self, n: usize) -> f64 {
-        let weight = |n: usize| if self.scenario.uneven && n.is_multiple_of(10) { 6.0 } else { 1.0 };
+    /// Returns the mean time between arrivals at a node, in seconds.
+    fn mean_arrival_gap_s(&self, node_index: usize) -> f64 {
+        let weight =
+            |node_index: usize| if self.scenario.uneven && node_index.is_multiple_of(10) { 6.0 } else { 1.0 };
         let all: f64 = (0..self.nodes.len()).map(weight).sum();
         let load = if self.scenario.retry_storm { 2.0 } else { 0.6 };
-        all / weight(n) / (load * CAPACITY_PER_S * ENGINES_PER_ROLE as f64)
+        all / weight(node_index) / (load * CAPACITY_PER_S * ENGINES_PER_ROLE as f64)
     }
 
     fn schedule(&mut self, at: f64, node: usize, event: Event) {
@@ -153,8 +162,8 @@
         self.events.schedule(at, (node, process, event));
     }
 
-    /// A process of this node begins; it knows what has started so far.
-    fn start_process(&mut self, now: f64, n: usize) {
+    /// Starts a process of this node, which knows of all restarts so far.
+    fn start_process(&mut self, now: f64, node_index: usize) {
         let route = ModelRoute {
             ttft_objective_s: 1.0,
             ttft_objective_per_token_s: 1e-5,
@@ -168,25 +177,29 @@
             } else {
                 Vec::new()
             },
-            ..deployment(n, self.nodes.len(), seed, vec![route], self.scenario.probes)
+            ..deployment(node_index, self.nodes.len(), seed, vec![route], self.scenario.probes)
         };
         let observed_starts = self.engines.iter().map(|engine| engine.started_at <= now).collect();
-        let node = &mut self.nodes[n];
+        let node = &mut self.nodes[node_index];
         (node.router, node.observed_starts, node.wake_at) =
             (Router::new(deployment_settings), observed_starts, f64::INFINITY);
         (node.attempts, node.retries) = (BTreeMap::new(), BTreeMap::new());
-        self.update_endpoints(now, n);
+        self.update_endpoints(now, node_index);
         let upcoming: Vec<usize> =
             (0..2 * ENGINES_PER_ROLE).filter(|&engine| self.engines[engine].started_at > now).collect();
         for engine in upcoming {
             let delay_s = if self.scenario.delayed_lists { 2.0 * self.random_fraction() } else { 0.01 };
-            self.schedule(self.engines[engine].started_at + delay_s, n, Event::StartObserved(engine));
+            self.schedule(
+                self.engines[engine].started_at + delay_s,
+                node_index,
+                Event::StartObserved(engine),
+            );
         }
     }
 
-    fn update_endpoints(&mut self, now: f64, n: usize) {
-        let node = &mut self.nodes[n];
-        let line = |engine: usize| EngineEntry {
+    fn update_endpoints(&mut self, now: f64, node_index: usize) {
+        let node = &mut self.nodes[node_index];
+        let entry = |engine: usize| EngineEntry {
             id: id(engine, is_restarted(engine) && node.observed_starts[engine]),
             zone: 0,
             cell: (engine % 4) as u32,
@@ -194,15 +207,15 @@
             memory_tokens: 300_000.0,
             lifecycle: Lifecycle::Active,
             started_at: Some(self.engines[engine].started_at)
-                .filter(|s| s.is_finite() && node.observed_starts[engine]),
+                .filter(|started_at| started_at.is_finite() && node.observed_starts[engine]),
         };
-        let lines: Vec<EngineEntry> = (0..2 * ENGINES_PER_ROLE).map(line).collect();
-        node.router.update_endpoints(now, &lines, true);
+        let entries: Vec<EngineEntry> = (0..2 * ENGINES_PER_ROLE).map(entry).collect();
+        node.router.update_endpoints(now, &entries, true);
     }
 
-    /// A call reaches an engine. It counts where the node knows of the start.
-    fn call(&mut self, now: f64, n: usize, engine: EngineHandle) -> usize {
-        let name = self.nodes[n].router.engine_id(engine).to_string();
+    /// Returns the engine that a call reaches, and counts the call if the node knows of the engine's restart.
+    fn call(&mut self, now: f64, node_index: usize, engine: EngineHandle) -> usize {
+        let name = self.nodes[node_index].router.engine_id(engine).to_string();
         let engine: usize = name.trim_end_matches('+').parse().unwrap();
         if name.ends_with('+') {
             self.engines[engine].calls.push(now);
@@ -220,46 +233,46 @@
         })
     }
 
-    fn carry_out_decisions(&mut self, now: f64, n: usize) {
-        let decisions = self.nodes[n].router.decide(now);
+    fn carry_out_decisions(&mut self, now: f64, node_index: usize) {
+        let decisions = self.nodes[node_index].router.decide(now);
         for &(request, attempt) in &decisions.cancelled {
-            let dispatched = self.nodes[n].attempts[&request.0][attempt as usize];
-            self.schedule(now, n, Event::Cancelled(dispatched));
+            let dispatched = self.nodes[node_index].attempts[&request.0][attempt as usize];
+            self.schedule(now, node_index, Event::Cancelled(dispatched));
         }
         for dispatch in &decisions.dispatches {
-            self.dispatch(now, n, dispatch);
+            self.dispatch(now, node_index, dispatch);
         }
         for engine in &decisions.probes {
-            let engine = self.call(now, n, *engine);
-            self.schedule(now + 0.004, n, Event::Probed(engine));
+            let engine = self.call(now, node_index, *engine);
+            self.schedule(now + 0.004, node_index, Event::Probed(engine));
         }
         for &(request, _) in &decisions.rejected {
-            let retries = self.nodes[n].retries.get(&request.0).copied().unwrap_or(0);
+            let retries = self.nodes[node_index].retries.get(&request.0).copied().unwrap_or(0);
             if self.scenario.retry_storm && retries < 3 {
-                self.schedule(now + 0.01, n, Event::Arrival { retries: retries + 1 });
+                self.schedule(now + 0.01, node_index, Event::Arrival { retries: retries + 1 });
             }
         }
         for request in &decisions.closed {
-            self.nodes[n].attempts.remove(&request.0);
+            self.nodes[node_index].attempts.remove(&request.0);
         }
         if let Some(at) = decisions.wake_at {
             let at = at.max(now + 0.004);
-            if at < self.nodes[n].wake_at {
-                self.nodes[n].wake_at = at;
-                self.schedule(at, n, Event::Wake);
+            if at < self.nodes[node_index].wake_at {
+                self.nodes[node_index].wake_at = at;
+                self.schedule(at, node_index, Event::Wake);
             }
         }
     }
 
-    fn dispatch(&mut self, now: f64, n: usize, dispatch: &Dispatch) {
-        let engine = self.call(now, n, dispatch.engine);
+    fn dispatch(&mut self, now: f64, node_index: usize, dispatch: &Dispatch) {
+        let engine = self.call(now, node_index, dispatch.engine);
         self.attempt_count += 1;
         let serial = self.attempt_count;
         self.open_attempts.insert(serial);
-        let attempts = self.nodes[n].attempts.entry(dispatch.request.0).or_default();
+        let attempts = self.nodes[node_index].attempts.entry(dispatch.request.0).or_default();
         let dispatched = DispatchedAttempt {
             request: dispatch.request,
-            attempt: attempts.len() as u32,
+            number: attempts.len() as u32,
             engine,
             dispatched_at: now,
             serial,
@@ -268,36 +281,49 @@
         let ahead = f64::from(self.engines[engine].in_flight);
         self.engines[engine].in_flight += 1;
         if self.scenario.errors && self.random_fraction() < 0.2 {
-            self.schedule(now + 0.02, n, Event::Failed(dispatched));
+            self.schedule(now + 0.02, node_index, Event::Failed(dispatched));
         } else if role(engine) == EngineRole::Decode && ahead >= SLOTS {
-            self.schedule(now + 0.01, n, Event::Rejected(dispatched));
+            self.schedule(now + 0.01, node_index, Event::Rejected(dispatched));
         } else if role(engine) == EngineRole::Prefill {
-            self.schedule(now + (1.0 + ahead) / CAPACITY_PER_S, n, Event::Prefilled(dispatched));
+            self.schedule(now + (1.0 + ahead) / CAPACITY_PER_S, node_index, Event::Prefilled(dispatched));
         } else {
-            self.schedule(now + 0.05, n, Event::FirstToken(dispatched));
+            self.schedule(now + 0.05, node_index, Event::FirstToken(dispatched));
         }
     }
 
-    fn finish_attempt(&mut self, now: f64, n: usize, s: DispatchedAttempt, outcome: Outcome) {
-        if !self.open_attempts.remove(&s.serial) {
+    fn finish_attempt(
+        &mut self,
+        now: f64,
+        node_index: usize,
+        dispatched: DispatchedAttempt,
+        outcome: Outcome,
+    ) {
+        if !self.open_attempts.remove(&dispatched.serial) {
             return;
         }
-        self.engines[s.engine].in_flight -= 1;
+        self.engines[dispatched.engine].in_flight -= 1;
         let attempt_end = AttemptEnd {
             outcome,
-            elapsed_s: now - s.dispatched_at,
+            elapsed_s: now - dispatched.dispatched_at,
             request_finished: false,
             cached_tokens: 0.0,
             reservation_missing: false,
         };
-        let load = self.load(s.engine);
-        self.nodes[n].router.attempt_finished(now, s.request, s.attempt, attempt_end, load);
+        let load = self.load(dispatched.engine);
+        self.nodes[node_index].router.attempt_finished(
+            now,
+            dispatched.request,
+            dispatched.number,
+            attempt_end,
+            load,
+        );
     }
 
-    fn arrive(&mut self, now: f64, n: usize, retries: u32) {
+    fn arrive(&mut self, now: f64, node_index: usize, retries: u32) {
         if retries == 0 {
-            let next = now - self.mean_arrival_gap_s(n) * (1.0 - self.random_fraction()).max(1e-9).ln();
-            self.schedule(next, n, Event::Arrival { retries: 0 });
+            let next =
+                now - self.mean_arrival_gap_s(node_index) * (1.0 - self.random_fraction()).max(1e-9).ln();
+            self.schedule(next, node_index, Event::Arrival { retries: 0 });
         }
         let (text, session) = (self.random.generate_range(0..40u32), self.random.generate::<u64>());
         let incoming = IncomingRequest {
@@ -311,74 +337,86 @@
             prefix: Some(format!("text {text}")),
             is_background: false,
         };
-        let request = self.nodes[n].router.admit_request(now, &incoming);
-        self.nodes[n].retries.insert(request.0, retries);
+        let request = self.nodes[node_index].router.admit_request(now, &incoming);
+        self.nodes[node_index].retries.insert(request.0, retries);
     }
 
-    /// Runs the scenario, and returns the largest share of what an engine may get that any got, and what was served.
+    /// Runs the scenario. Returns the largest load of a warming engine as a share of its limit, and the
+    /// number of requests served.
     pub fn run(mut self) -> (f64, u32) {
-        while let Some((now, (n, process, event))) = self.events.next() {
+        while let Some((now, (node_index, process, event))) = self.events.next() {
             if now > END_S {
                 break;
             }
-            if process == self.nodes[n].process {
-                self.handle(now, n, event);
-                self.carry_out_decisions(now, n);
+            if process == self.nodes[node_index].process {
+                self.handle(now, node_index, event);
+                self.carry_out_decisions(now, node_index);
             } else {
-                self.handle_after_process_end(now, n, event);
+                self.handle_after_process_end(now, node_index, event);
             }
         }
         (self.largest_share(), self.served)
     }
 
-    /// Of a process that has ended only the engines' work goes on, and its clients' arrivals.
-    fn handle_after_process_end(&mut self, now: f64, n: usize, event: Event) {
+    /// Handles an event of a process that has ended: its attempts still end at the engines, and its clients'
+    /// arrivals continue at the next process.
+    fn handle_after_process_end(&mut self, now: f64, node_index: usize, event: Event) {
         match event {
-            Event::Prefilled(s)
-            | Event::FirstToken(s)
-            | Event::Completed(s)
-            | Event::Failed(s)
-            | Event::Rejected(s) => {
-                self.engines[s.engine].in_flight -= u32::from(self.open_attempts.remove(&s.serial));
+            Event::Prefilled(dispatched)
+            | Event::FirstToken(dispatched)
+            | Event::Completed(dispatched)
+            | Event::Failed(dispatched)
+            | Event::Rejected(dispatched) => {
+                self.engines[dispatched.engine].in_flight -=
+                    u32::from(self.open_attempts.remove(&dispatched.serial));
             }
-            Event::Arrival { retries: 0 } => self.schedule(now, n, Event::Arrival { retries: 0 }),
+            Event::Arrival { retries: 0 } => self.schedule(now, node_index, Event::Arrival { retries: 0 }),
             _ => {}
         }
     }
 
-    fn handle(&mut self, now: f64, n: usize, event: Event) {
+    fn handle(&mut self, now: f64, node_index: usize, event: Event) {
         match event {
-            Event::Arrival { retries } => self.arrive(now, n, retries),
-            Event::Wake => self.nodes[n].wake_at = f64::INFINITY,
+            Event::Arrival { retries } => self.arrive(now, node_index, retries),
+            Event::Wake => self.nodes[node_index].wake_at = f64::INFINITY,
             Event::StartObserved(engine) => {
-                self.nodes[n].observed_starts[engine] = true;
-                self.update_endpoints(now, n);
+                self.nodes[node_index].observed_starts[engine] = true;
+                self.update_endpoints(now, node_index);
             }
             Event::NodeRestart => {
-                self.nodes[n].process += 1;
-                self.start_process(now, n);
+                self.nodes[node_index].process += 1;
+                self.start_process(now, node_index);
             }
             Event::Probed(engine) => {
-                let name = id(engine, is_restarted(engine) && self.nodes[n].observed_starts[engine]);
+                let name = id(engine, is_restarted(engine) && self.nodes[node_index].observed_starts[engine]);
                 let load = self.load(engine);
-                self.nodes[n].router.probe_finished(now, &name, Outcome::Completed, load);
+                self.nodes[node_index].router.probe_finished(now, &name, Outcome::Completed, load);
             }
-            Event::Prefilled(s) => self.finish_attempt(now, n, s, Outcome::Prefilled),
-            Event::FirstToken(s) if self.open_attempts.contains(&s.serial) => {
-                self.nodes[n].router.first_token(now, s.request, s.attempt);
-                self.schedule(now + STREAM_S, n, Event::Completed(s));
+            Event::Prefilled(dispatched) => {
+                self.finish_attempt(now, node_index, dispatched, Outcome::Prefilled)
             }
-            Event::Completed(s) => {
-                self.served += u32::from(self.open_attempts.contains(&s.serial));
-                self.finish_attempt(now, n, s, Outcome::Completed);
+            Event::FirstToken(dispatched) if self.open_attempts.contains(&dispatched.serial) => {
+                self.nodes[node_index].router.first_token(now, dispatched.request, dispatched.number);
+                self.schedule(now + STREAM_S, node_index, Event::Completed(dispatched));
+            }
+            Event::Completed(dispatched) => {
+                self.served += u32::from(self.open_attempts.contains(&dispatched.serial));
+                self.finish_attempt(now, node_index, dispatched, Outcome::Completed);
+            }
+            Event::Failed(dispatched) => {
+                self.finish_attempt(now, node_index, dispatched, Outcome::EngineError)
+            }
+            Event::Rejected(dispatched) => {
+                self.finish_attempt(now, node_index, dispatched, Outcome::Rejected)
+            }
+            Event::Cancelled(dispatched) => {
+                self.finish_attempt(now, node_index, dispatched, Outcome::Cancelled)
             }
-            Event::Failed(s) => self.finish_attempt(now, n, s, Outcome::EngineError),
-            Event::Rejected(s) => self.finish_attempt(now, n, s, Outcome::Rejected),
-            Event::Cancelled(s) => self.finish_attempt(now, n, s, Outcome::Cancelled),
             Event::FirstToken(_) => {}
         }
     }
 
+    /// Returns the largest load of a warming engine in any window, as a share of its limit.
     fn largest_share(&self) -> f64 {
         let mut largest: f64 = 0.0;
         for engine in self.engines.iter().filter(|engine| engine.started_at.is_finite()) {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! For tests that run the routers of a whole fleet in one process: an event queue with its own clock, and the
-//! deployment of a node.
+//! Helpers for tests that run the routers of a whole fleet in one process: an event queue with a simulated
+//! clock, and the deployment of a node.
 
 use nickelgw::interface::{Deployment, ModelRoute};
 use std::cmp::Reverse;
@@ -33,7 +33,7 @@
     }
 }
 
-/// Events by their time and, at one time, in the order in which they were scheduled.
+/// Queue of events, ordered by time and then by the order in which they were scheduled.
 pub struct EventQueue<Event> {
     events: BinaryHeap<Reverse<ScheduledEvent<Event>>>,
     scheduled_count: u64,
@@ -54,7 +54,7 @@
     }
 }
 
-/// The deployment of a node of a fleet in one zone; no tenant has a quota.
+/// Returns the deployment of a node in a fleet of one zone, without tenant quotas.
 pub fn deployment(node: usize, nodes: usize, seed: u64, routes: Vec<ModelRoute>, probes: bool) -> Deployment {
     Deployment {
         node: node as u32,
