--- a/src/decide/averages.rs
+++ b/src/decide/averages.rs
@@ -10,7 +10,7 @@
 const STREAM_WEIGHT: f64 = 0.02;
 /// Weight of the latest prompt in the mean prompt length.
 const PROMPT_WEIGHT: f64 = 0.02;
-/// Weight of the latest prefill in the cost that each request ahead adds.
+/// Weight of the latest prefill in the mean prefill time per request.
 const PREFILL_WEIGHT: f64 = 0.05;
 
 /// Averages over the available engines of one phase.
@@ -30,17 +30,17 @@
     pub(super) as_of: f64,
     pub(super) mean_stream_s: f64,
     pub(super) mean_prompt_tokens: f64,
-    /// Time that each request already at a prefill engine adds to a prefill.
-    pub(super) batch_cost_per_request_s: f64,
+    /// Mean prefill time per request at a prefill engine: the time that each request ahead adds to the wait.
+    pub(super) prefill_s_per_request: f64,
     pub(super) prefill: PhaseAverages,
     pub(super) decode: PhaseAverages,
 }
 
 impl Averages {
-    pub(super) fn new(tpot_s: f64, batch_cost_per_request_s: f64) -> Self {
+    pub(super) fn new(tpot_s: f64, prefill_s_per_request: f64) -> Self {
         Averages {
             mean_stream_s: INITIAL_STREAM_TOKENS * tpot_s,
-            batch_cost_per_request_s,
+            prefill_s_per_request,
             ..Averages::default()
         }
     }
@@ -63,7 +63,7 @@
 
     pub(super) fn record_prefill(&mut self, elapsed_s: f64, requests_ahead: f64) {
         let per_request_s = elapsed_s / (requests_ahead + 1.0);
-        self.batch_cost_per_request_s += PREFILL_WEIGHT * (per_request_s - self.batch_cost_per_request_s);
+        self.prefill_s_per_request += PREFILL_WEIGHT * (per_request_s - self.prefill_s_per_request);
     }
 }
 
--- a/src/decide/completion.rs
+++ b/src/decide/completion.rs
@@ -17,8 +17,8 @@
         let handle = RequestHandle(request as u32);
         self.decisions.reasons.push((handle, reason));
         if self.is_repeat_harmless(&self.requests[request]) {
-            let by_load_s = self.averages.mean_stream_s * RETRY_AFTER_FRACTION;
-            let retry_after_s = self.limits.max_retry_after_s.map(|longest_s| longest_s.min(by_load_s));
+            let default_s = self.averages.mean_stream_s * RETRY_AFTER_FRACTION;
+            let retry_after_s = self.limits.max_retry_after_s.map(|longest_s| longest_s.min(default_s));
             self.decisions.rejected.push((handle, retry_after_s));
         } else {
             self.decisions.failed.push(handle);
--- a/src/decide/decode_engines.rs
+++ b/src/decide/decode_engines.rs
@@ -55,12 +55,13 @@
         let waits_s: Vec<f64> =
             engines.iter().map(|&engine| self.expected_decode_wait_s(now, engine)).collect();
         let count = waits_s.len() as f64;
-        let least_s = waits_s.iter().copied().fold(f64::INFINITY, f64::min);
+        let shortest_s = waits_s.iter().copied().fold(f64::INFINITY, f64::min);
         let mean_s = waits_s.iter().sum::<f64>() / count;
         let total_load = engines.iter().map(|&engine| self.estimated_load(engine)).sum::<f64>();
-        DecodeOutlook { wait_s: (mean_s + least_s) / 2.0, load: (total_load / count).min(1.0) }
+        DecodeOutlook { wait_s: (mean_s + shortest_s) / 2.0, load: (total_load / count).min(1.0) }
     }
 
+    /// Returns the wait for a prompt of mean length at a decode engine, including its hold-off.
     fn expected_decode_wait_s(&self, now: f64, engine: usize) -> f64 {
         let held_off_s = (self.engines[engine].available_at - now).max(0.0);
         let wait_s = self.decode_wait_s(engine, self.averages.mean_prompt_tokens);
@@ -83,6 +84,7 @@
         best
     }
 
+    /// Returns whether a request may be dispatched to a decode engine now.
     fn may_decode_at(&self, now: f64, request: usize, engine: usize) -> bool {
         let needs_no_prefill_engine = self.requests[request].reservation.is_some()
             || self.limits.decode_engines_prefill
@@ -120,11 +122,11 @@
     /// time of the reservation would run out.
     fn decode_retry_cost_s(&self, request: usize, engine: usize) -> f64 {
         let zone = self.engines[engine].zone;
-        let counts = |attempt: &&Attempt| {
+        let is_counted = |attempt: &&Attempt| {
             attempt.engine == engine
                 || attempt.is_undelivered_decode() && self.engines[attempt.engine].zone == zone
         };
-        let earlier_attempts = self.requests[request].attempts.iter().filter(counts).count();
+        let earlier_attempts = self.requests[request].attempts.iter().filter(is_counted).count();
         earlier_attempts as f64 * self.objectives.ttft_s
     }
 }
--- a/src/decide/dispatcher.rs
+++ b/src/decide/dispatcher.rs
@@ -156,11 +156,11 @@
     /// Returns whether a request can't be started before its deadline or has no attempt left. Such a request
     /// is rejected before any prefill.
     fn is_too_late(&self, context: &DispatchContext, request: usize, candidates: &Candidates) -> bool {
-        let least_s = candidates.wait_s + self.prefill_cost.predict_s(0.0) + context.decode.wait_s;
+        let shortest_s = candidates.wait_s + self.prefill_cost.predict_s(0.0) + context.decode.wait_s;
         let state = &self.requests[request];
         let deadline =
             if context.is_overloaded { state.ttft_deadline.min(state.deadline) } else { state.deadline };
-        context.now + least_s > deadline || !self.may_retry(context.now, request, None)
+        context.now + shortest_s > deadline || !self.may_retry(context.now, request, None)
     }
 
     /// Dispatches a request that no prefill engine may take to a decode engine that can also prefill, if
--- a/src/decide/endpoints.rs
+++ b/src/decide/endpoints.rs
@@ -7,18 +7,19 @@
 /// Schedule of polls for the endpoint list.
 #[derive(Default)]
 pub(super) struct EndpointPoll {
-    is_wanted: bool,
+    is_requested: bool,
+    /// Earliest time of the next poll.
     not_before: f64,
 }
 
 impl EndpointPoll {
-    pub(super) fn new(is_wanted: bool) -> Self {
-        EndpointPoll { is_wanted, not_before: 0.0 }
+    pub(super) fn new(is_requested: bool) -> Self {
+        EndpointPoll { is_requested, not_before: 0.0 }
     }
 
     /// Returns when the next poll is due; `None` if no poll is requested.
     pub(super) fn next_at(&self) -> Option<f64> {
-        self.is_wanted.then_some(self.not_before)
+        self.is_requested.then_some(self.not_before)
     }
 }
 
@@ -52,13 +53,13 @@
     /// Reports that fetching the endpoint list failed. The list is polled again after a random delay, so that
     /// nodes do not poll at the same time.
     pub fn endpoint_poll_failed(&mut self, now: f64) {
-        self.endpoint_poll.is_wanted = true;
+        self.endpoint_poll.is_requested = true;
         self.endpoint_poll.not_before = now + self.objectives.ttft_s * (0.5 + self.random_fraction());
     }
 
     pub(super) fn poll_endpoints_if_due(&mut self, now: f64) {
-        let is_due = self.endpoint_poll.is_wanted && now >= self.endpoint_poll.not_before;
+        let is_due = self.endpoint_poll.is_requested && now >= self.endpoint_poll.not_before;
         self.decisions.poll_endpoints = is_due;
-        self.endpoint_poll.is_wanted &= !is_due;
+        self.endpoint_poll.is_requested &= !is_due;
     }
 }
--- a/src/decide/engine_table.rs
+++ b/src/decide/engine_table.rs
@@ -25,6 +25,7 @@
     pub(super) role: EngineRole,
     pub(super) memory_tokens: f64,
     pub(super) lifecycle: Lifecycle,
+    /// Start time of its process; negative infinity if it started long ago.
     pub(super) started_at: f64,
     /// When it can accept more work without missing an objective: the paper's maturity time.
     pub(super) available_at: f64,
@@ -46,9 +47,11 @@
     /// Value of `tokens_in_flight` at the last load report.
     pub(super) tokens_at_report: f64,
     pub(super) reported_load: EngineLoad,
+    /// When it last reported its load; negative infinity if its process never did.
     pub(super) reported_at: f64,
     /// Wait for a new request according to the last report.
     pub(super) reported_wait_s: f64,
+    /// When it was last probed; negative infinity if never.
     pub(super) probed_at: f64,
     pub(super) awaiting_probe: bool,
     /// When it last responded to any probe or attempt.
--- a/src/decide/learned_state.rs
+++ b/src/decide/learned_state.rs
@@ -30,7 +30,7 @@
         let mut averages = vec![
             self.averages.mean_stream_s,
             self.averages.mean_prompt_tokens,
-            self.averages.batch_cost_per_request_s,
+            self.averages.prefill_s_per_request,
             self.slow_start.mean_start_gap_s,
             self.averages.prefill.congestion,
             self.averages.decode.congestion,
@@ -72,7 +72,7 @@
         let mut learned = vec![
             &mut averages.mean_stream_s,
             &mut averages.mean_prompt_tokens,
-            &mut averages.batch_cost_per_request_s,
+            &mut averages.prefill_s_per_request,
             &mut self.slow_start.mean_start_gap_s,
             &mut averages.prefill.congestion,
             &mut averages.decode.congestion,
--- a/src/decide/load.rs
+++ b/src/decide/load.rs
@@ -34,7 +34,7 @@
             // The requests of all nodes that wait there are prefilled first. If this node has no attempt
             // there and the engine is not held off, the report alone determines the availability.
             let requests = engine.reported_requests(self.averages.mean_prompt_tokens);
-            engine.reported_wait_s = requests * self.averages.batch_cost_per_request_s;
+            engine.reported_wait_s = requests * self.averages.prefill_s_per_request;
             let available_at = now + engine.reported_wait_s;
             let report_decides = engine.attempts_in_flight == 0 && engine.consecutive_unreachable == 0.0;
             engine.available_at =
--- a/src/decide/prefix_affinity.rs
+++ b/src/decide/prefix_affinity.rs
@@ -42,8 +42,9 @@
     /// rare texts use little memory, and at least two, but at most half of the engines. With a fractional
     /// number the last engine gets only a part of the sessions.
     fn engines_for(&self, text_hash: u64, engine_count: f64) -> f64 {
-        let same = self.recent_prefixes.iter().filter(|&&prefix| prefix == text_hash).count() as f64;
-        let share = same / (self.recent_prefixes.len() as f64 + RECENT_ARRIVALS as f64 / 4.0);
+        let matching_count =
+            self.recent_prefixes.iter().filter(|&&prefix| prefix == text_hash).count() as f64;
+        let share = matching_count / (self.recent_prefixes.len() as f64 + RECENT_ARRIVALS as f64 / 4.0);
         (ENGINE_SHARE_MULTIPLE * share * engine_count).max(MIN_ENGINES).min((engine_count / 2.0).max(1.0))
     }
 }
@@ -66,15 +67,15 @@
     pub(super) fn affinity_engines(&self, request: &Request) -> Vec<usize> {
         let text = if request.prefix_hash != 0 { request.prefix_hash } else { request.session_hash };
         let mut ranked = self.local_prefill_engines();
-        let named = self.affinity.engines_for(text, ranked.len() as f64);
+        let selected_count = self.affinity.engines_for(text, ranked.len() as f64);
         ranked.sort_by_cached_key(|&engine| Reverse(hash(&self.engines[engine].id, text)));
-        ranked.truncate(named.ceil() as usize + 1);
+        ranked.truncate(selected_count.ceil() as usize + 1);
         // With weighted rendezvous hashing few sessions move when the popularity changes or differs between
         // nodes.
         let score = |rank: usize, engine: usize| {
             let session_hash = hash(&self.engines[engine].id, request.session_hash);
             let fraction = (session_hash >> 11) as f64 / (1u64 << 53) as f64;
-            fraction.ln() / (named - rank as f64).clamp(1e-9, 1.0)
+            fraction.ln() / (selected_count - rank as f64).clamp(1e-9, 1.0)
         };
         let mut scored: Vec<_> =
             ranked.iter().enumerate().map(|(rank, &engine)| (score(rank, engine), engine)).collect();
--- a/src/decide/request_table.rs
+++ b/src/decide/request_table.rs
@@ -84,6 +84,7 @@
     pub(super) session_hash: u64,
     /// Hash of the shared prefix; 0 if there is none.
     pub(super) prefix_hash: u64,
+    /// Whether it waits behind other requests, since it is over its tenant's quota or a background request.
     pub(super) over_quota: bool,
     /// Random draw that decides whether engines in slow start and recovering zones are open to it. `None` if
     /// this node had no draws left: the request goes to none of them.
@@ -93,6 +94,7 @@
     pub(super) attempts: Vec<Attempt>,
     /// The prefill engine that holds its KV cache.
     pub(super) reservation: Option<usize>,
+    /// When the time of its reservation last began to run.
     pub(super) reserved_since: f64,
     /// Whether a release of an earlier reservation is unconfirmed. A new reservation made now would be
     /// dropped by that release.
--- a/src/decide/tests.rs
+++ b/src/decide/tests.rs
@@ -124,7 +124,7 @@
     }
 }
 
-fn engines_of(decisions: &Decisions) -> Vec<u32> {
+fn dispatched_engines(decisions: &Decisions) -> Vec<u32> {
     decisions.dispatches.iter().map(|dispatch| dispatch.engine.0).collect()
 }
 
--- a/src/decide/tests/dispatcher.rs
+++ b/src/decide/tests/dispatcher.rs
@@ -7,7 +7,7 @@
 fn an_arrival_is_dispatched_at_once_to_an_available_prefill_engine() {
     let mut router = new_router(Idempotency::Idempotent);
     insert(&mut router, request(Stage::Queued));
-    assert!(engines_of(&router.decide(NOW)).iter().all(|&engine| engine < 2));
+    assert!(dispatched_engines(&router.decide(NOW)).iter().all(|&engine| engine < 2));
 }
 
 #[test]
--- a/src/decide/tests/health.rs
+++ b/src/decide/tests/health.rs
@@ -35,7 +35,7 @@
     let mut router = new_router(Idempotency::Idempotent);
     insert(&mut router, Request { reservation: Some(0), ..request(Stage::Reserved) });
     failing.iter().for_each(|&engine| router.record_failure(NOW, engine));
-    assert_eq!(engines_of(&router.decide(NOW)), [engine]);
+    assert_eq!(dispatched_engines(&router.decide(NOW)), [engine]);
 }
 
 /// Guards against engines staying held off for seconds after the partition of their zone has healed.
--- a/src/decide/tests/load.rs
+++ b/src/decide/tests/load.rs
@@ -51,5 +51,5 @@
     router.engines[1].tokens_in_flight = 2000.0;
     router.engines[1].attempts_in_flight = 1;
     insert(&mut router, request(Stage::Queued));
-    assert_eq!(engines_of(&router.decide(NOW)), [0]);
+    assert_eq!(dispatched_engines(&router.decide(NOW)), [0]);
 }
--- a/src/decide/tests/migrator.rs
+++ b/src/decide/tests/migrator.rs
@@ -10,7 +10,7 @@
     let mut router = new_router(Idempotency::Idempotent);
     insert(&mut router, Request { reservation: Some(0), ..request(Stage::Reserved) });
     full.iter().for_each(|&engine| router.engines[engine].reported_load.memory_share = Some(1.0));
-    assert_eq!(engines_of(&router.decide(NOW)), [engine]);
+    assert_eq!(dispatched_engines(&router.decide(NOW)), [engine]);
 }
 
 #[test]
@@ -67,6 +67,9 @@
     router.engines[2].zone = 0;
     end_decode_attempt(&mut router, 2, Outcome::ConnectFailed);
     let decisions = router.decide(NOW);
-    assert_eq!(engines_of(&decisions), if expected_engine == 9 { vec![] } else { vec![expected_engine] });
+    assert_eq!(
+        dispatched_engines(&decisions),
+        if expected_engine == 9 { vec![] } else { vec![expected_engine] }
+    );
     assert_eq!(decisions.released.len(), (expected_engine == 9) as usize);
 }
--- a/src/decide/tests/slow_start.rs
+++ b/src/decide/tests/slow_start.rs
@@ -41,7 +41,7 @@
     nodes: u32,
     requests_per_node: usize,
     weight: fn(u32) -> usize,
-    full: bool,
+    others_are_full: bool,
 ) {
     let mut attempts = [0; 40];
     for (n, router) in fleet(nodes).iter_mut().enumerate() {
@@ -49,7 +49,7 @@
             // Arrivals are spread over the window, and earlier requests have ended.
             let now = NOW + 0.01 + 2.0 * index as f64 / (requests_per_node * weight(n as u32)) as f64;
             let session = format!("{n} {index}");
-            let wait_s = if full { 5.0 } else { 0.0 };
+            let wait_s = if others_are_full { 5.0 } else { 0.0 };
             for (engine_index, engine) in router.engines.iter_mut().enumerate().take(40) {
                 (engine.available_at, engine.reported_at) =
                     (if engine_index < 16 { now + wait_s } else { now }, now);
