--- a/crates/nickelgw-deferred/src/core/crash_tests.rs
+++ b/crates/nickelgw-deferred/src/core/crash_tests.rs
@@ -1,4 +1,4 @@
-//! Random sequences of steps with a disk that fails and a process that crashes.
+//! Property test of the queue under random sequences of operations, failing writes and process crashes.
 
 use super::tests::{answer, limits, record};
 use super::*;
@@ -15,7 +15,7 @@
     },
     Complete,
     Flush,
-    /// The next write fails and is tried again after all others.
+    /// The next write fails and is retried after all other pending writes.
     DiskFails,
     Crash,
     Wait {
@@ -44,7 +44,7 @@
     })
 }
 
-/// The file, and the writes that are not in it yet, in their order.
+/// Stored records, and the pending writes in order.
 #[derive(Default)]
 struct Disk {
     stored: BTreeMap<Ticket, Vec<u8>>,
@@ -81,23 +81,24 @@
     }
 }
 
-/// A request whose client has its ticket.
+/// A request whose ticket was given to the client.
 struct Accepted {
     ticket: Ticket,
     tenant: &'static str,
     deadline: f64,
 }
 
-/// A queue on a disk, with what its clients were told.
+/// A queue and its disk, with the expected and the reported state of each request.
 struct Harness {
     queue: DeferredQueue,
     disk: Disk,
     now: f64,
     last_ticket: Ticket,
     accepted: Vec<Accepted>,
-    /// Times at which each request may have run.
+    /// Start times of the attempts of each request that may have run.
     runs: BTreeMap<Ticket, Vec<f64>>,
     running: Vec<Ticket>,
+    /// First answer reported for each request.
     reported: BTreeMap<Ticket, DeferredAnswer>,
 }
 
@@ -170,7 +171,7 @@
         self.disk.pending.push_back(self.queue.attempt_failed(self.now, ticket, ran, policy));
     }
 
-    /// All that still runs fails, and time passes until nothing can be waiting.
+    /// Fails all running attempts and advances the time until no request can be waiting.
     fn finish_all(&mut self) {
         self.now += 31.0;
         while !self.running.is_empty() {
@@ -184,7 +185,7 @@
         for Accepted { ticket, tenant, .. } in &self.accepted {
             if let Some(DeferredStatus::Finished(answer)) = self.queue.status(*ticket, tenant) {
                 let before = self.reported.entry(*ticket).or_insert_with(|| answer.clone());
-                prop_assert_eq!(&*before, answer, "another answer");
+                prop_assert_eq!(&*before, answer, "reported answer has changed");
             }
         }
         Ok(())
@@ -195,12 +196,21 @@
             let is_finished = matches!(self.queue.status(*ticket, tenant), Some(DeferredStatus::Finished(_)));
             prop_assert!(
                 is_finished || self.reported.contains_key(ticket),
-                "{ticket} of {tenant} has not finished"
+                "request {ticket} of tenant {tenant:?} has not finished"
             );
             let runs = self.runs.get(ticket).cloned().unwrap_or_default();
-            prop_assert!(*tenant != "never" || runs.len() <= 1, "{runs:?}");
-            prop_assert!(*tenant != "deduped" || runs.iter().all(|at| at - runs[0] < 20.0), "{runs:?}");
-            prop_assert!(runs.iter().all(|at| at < deadline), "run after its deadline");
+            prop_assert!(
+                *tenant != "never" || runs.len() <= 1,
+                "request that may not run twice ran at {runs:?}"
+            );
+            prop_assert!(
+                *tenant != "deduped" || runs.iter().all(|at| at - runs[0] < 20.0),
+                "deduplicated request ran outside its window: {runs:?}"
+            );
+            prop_assert!(
+                runs.iter().all(|at| at < deadline),
+                "attempt began after the deadline of the request"
+            );
         }
         Ok(())
     }
@@ -219,10 +229,11 @@
     harness.check_answers_are_final()
 }
 
-/// Found by the property below: with the write of its being queued again on disk after the one of its end, a crash brought it
-/// back to the queue, and its client was told of a second answer.
+/// Guards against a failure found by the property test below. The write that queued a request again failed
+/// once and its retry reached the disk after the write of the final answer. A crash then put the request back
+/// into the queue, and its client was given a second answer.
 #[test]
-fn reported_answer_stands_where_the_write_before_it_failed_once() {
+fn reported_answer_is_kept_if_an_earlier_write_failed_once() {
     use Op::*;
     let wait = || Wait { tenths_s: 39 };
     let runs = [
@@ -243,11 +254,11 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
-    /// The process may crash between any two steps, and lose all that is not on disk: each accepted request finishes once and
-    /// reports the same answer ever after, one that may not run twice runs once, a deduplicated one runs only inside its
-    /// window, and none runs after its deadline.
+    /// The process may crash between any two operations and lose all pending writes. Each accepted request
+    /// still finishes once and reports the same answer from then on; a request that may not run twice runs at
+    /// most once; a deduplicated request runs only within its window; and no request runs after its deadline.
     #[test]
-    fn accepted_request_finishes_exactly_once_wherever_it_crashes(ops in proptest::collection::vec(op(), 1..120)) {
+    fn accepted_request_finishes_exactly_once_after_crash_at_any_point(ops in proptest::collection::vec(op(), 1..120)) {
         check_exactly_once(&ops)?;
     }
 }
--- a/crates/nickelgw-deferred/src/core/limits.rs
+++ b/crates/nickelgw-deferred/src/core/limits.rs
@@ -1,20 +1,20 @@
-//! Bounds of what is kept for deferred requests.
+//! Limits of the deferred queue.
 
-/// Bounds of the queue and of its records.
+/// Limits of the queue and of its records.
 #[derive(Clone, Copy, Debug)]
 pub struct DeferredLimits {
-    /// Records kept, finished ones included.
+    /// Maximum number of records, including finished ones.
     pub max_records: usize,
-    /// Bytes of all records.
+    /// Maximum total size of all encoded records.
     pub max_bytes: usize,
-    /// Records of one tenant.
+    /// Maximum number of records of one tenant, including finished ones.
     pub max_records_per_tenant: usize,
-    /// How long a client may let its request wait.
+    /// Longest time, in seconds, from queueing to the deadline of a request.
     pub max_wait_s: f64,
-    /// How long an answer is kept.
+    /// Time in seconds for which an answer is kept.
     pub retention_s: f64,
-    /// Bytes of an answer that is kept.
+    /// Maximum size of an answer body; a longer answer is replaced by an error.
     pub max_answer_bytes: usize,
-    /// Failed attempts, where a request may run again.
+    /// Number of failed attempts after which a request that may run again is given no further attempt.
     pub max_attempts: u32,
 }
--- a/crates/nickelgw-deferred/src/core/mod.rs
+++ b/crates/nickelgw-deferred/src/core/mod.rs
@@ -1,5 +1,6 @@
-//! The queue of deferred requests: which one runs next, what must be on disk before it may run, and what becomes of each
-//! after a crash. No I/O; times are Unix seconds, since they outlive a process.
+//! Queue of deferred requests: decides which request runs next, what must be on disk before it may run, and
+//! how each request continues after a crash. Does no I/O. Times are Unix seconds, since they are stored and
+//! read by later processes.
 
 mod limits;
 pub mod record;
@@ -15,70 +16,71 @@
 use std::collections::BTreeMap;
 use tenant_queues::TenantQueues;
 
-/// Identifies a deferred request; its client gets it once the record is on disk.
+/// Identifies a deferred request. The client receives it once the record is on disk.
 pub type Ticket = u128;
 
-/// Why a request is not queued; nothing of it is kept.
+/// Reason why a request was not queued. Nothing of a rejected request is stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DeferredRejection {
-    /// There are [`DeferredLimits::max_records`] records.
-    #[error("too many records")]
+    /// The queue already holds [`DeferredLimits::max_records`] records.
+    #[error("deferred queue already holds its maximum number of records")]
     TooManyRecords,
-    /// It does not fit into [`DeferredLimits::max_bytes`].
-    #[error("too many bytes")]
+    /// The record would take the queue over [`DeferredLimits::max_bytes`].
+    #[error("record would exceed the maximum total size of the deferred queue")]
     TooManyBytes,
-    /// Its tenant has [`DeferredLimits::max_records_per_tenant`] records.
-    #[error("too many records of the tenant")]
+    /// The tenant already has [`DeferredLimits::max_records_per_tenant`] records.
+    #[error("tenant already has its maximum number of deferred records")]
     TenantLimit,
-    /// It would wait longer than [`DeferredLimits::max_wait_s`].
-    #[error("its deadline is too far away")]
+    /// The deadline is more than [`DeferredLimits::max_wait_s`] away.
+    #[error("deadline of the deferred request is further away than the maximum wait")]
     WaitTooLong,
 }
 
-/// What is to be on disk under the ticket.
+/// Write to the stored record of a ticket.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordWrite {
     /// Key of the record.
     pub ticket: Ticket,
-    /// Of two writes under a ticket the one with the higher version is valid.
+    /// Version of the record. Of two writes for the same ticket, the one with the higher version is valid.
     pub version: u64,
-    /// The record; none: it is removed.
+    /// Encoded record; `None` if the record is to be removed.
     pub bytes: Option<Vec<u8>>,
 }
 
 struct Entry {
     record: DeferredRecord,
-    /// Bytes of the record as it was last encoded.
+    /// Size of the record in bytes as it was last encoded.
     encoded_len: usize,
-    /// Of the write that holds the record in its present state.
+    /// Version of the write that holds the record in its present state.
     version: u64,
-    /// The record is on disk in its present state. Before, nothing is reported of the state and nothing follows from it.
+    /// Whether the record is on disk in its present state. Until then, the state is neither reported nor
+    /// acted on.
     on_disk: bool,
 }
 
-/// What the owner of a ticket is told.
+/// Status of a request as it is reported to the owner of its ticket.
 #[derive(Debug, PartialEq)]
 pub enum DeferredStatus<'a> {
-    /// It waits to run.
+    /// The request waits to run.
     Queued,
-    /// It runs, or its answer is not on disk yet.
+    /// The request is running, or its answer is not on disk yet.
     Running,
-    /// It has its answer.
+    /// The request has its final answer.
     Finished(&'a DeferredAnswer),
 }
 
-/// Deferred requests counted since the process started.
+/// Numbers of deferred requests since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DeferredCounters {
-    /// Queued, with their records on disk.
+    /// Requests that were queued and whose records were written to disk.
     pub accepted: u64,
-    /// Rejected by a limit.
+    /// Requests rejected because of a limit.
     pub rejected: u64,
-    /// Finished with an answer.
+    /// Requests that finished with an answer.
     pub completed: u64,
-    /// Finished at their deadline, before they ran.
+    /// Requests whose deadline passed while they were queued.
     pub expired: u64,
-    /// Finished since they may have run and may not run again.
+    /// Requests that finished without an answer because they may have run and must not run again.
     pub failed: u64,
 }
 
@@ -86,19 +88,19 @@
 pub struct DeferredQueue {
     limits: DeferredLimits,
     entries: BTreeMap<Ticket, Entry>,
-    /// Bytes of all records.
+    /// Total size of all encoded records.
     bytes: usize,
     queues: TenantQueues,
-    /// No deadline or end of retention is earlier than this.
+    /// Lower bound of all deadlines and ends of retention, in Unix seconds.
     next_expiry_at: f64,
-    /// Of the last write.
+    /// Version of the last write.
     version: u64,
-    /// Counted since the process started.
+    /// Totals since the process started.
     pub counters: DeferredCounters,
 }
 
 impl DeferredQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(limits: DeferredLimits) -> DeferredQueue {
         DeferredQueue {
             limits,
@@ -111,27 +113,27 @@
         }
     }
 
-    /// Records kept, finished ones included.
+    /// Number of records kept, including finished ones.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no record is kept.
+    /// Returns whether no record is kept.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Tenants that have requests waiting to run, with their number.
+    /// Tenants with requests waiting to run, and the number of these requests.
     pub fn waiting(&self) -> impl Iterator<Item = (&str, usize)> {
         self.queues.waiting()
     }
 
-    /// The record of a ticket.
+    /// Returns the record of a ticket.
     pub fn record(&self, ticket: Ticket) -> Option<&DeferredRecord> {
         self.entries.get(&ticket).map(|entry| &entry.record)
     }
 
-    /// What this tenant is told of a ticket. None: there is no such ticket of the tenant.
+    /// Status of a ticket as it is reported to `tenant`; `None` if the tenant has no such ticket.
     pub fn status(&self, ticket: Ticket, tenant: &str) -> Option<DeferredStatus<'_>> {
         let entry = self.entries.get(&ticket).filter(|entry| entry.record.tenant == tenant)?;
         Some(match &entry.record.state {
@@ -141,7 +143,7 @@
         })
     }
 
-    /// Accepts a request; the record is to be on disk before its client gets the ticket.
+    /// Accepts a request. The returned write must be on disk before the client receives the ticket.
     pub fn enqueue(
         &mut self,
         now: f64,
@@ -181,14 +183,14 @@
         }
     }
 
-    /// Whether this is the latest write of its ticket. A write that failed may be tried again only then, or it would replace
-    /// a newer one.
+    /// Returns whether `version` is the latest write of the ticket. Only the latest write may be retried
+    /// after a failure: an older one would replace a newer record.
     pub fn is_latest(&self, ticket: Ticket, version: u64) -> bool {
         self.entries.get(&ticket).is_some_and(|entry| entry.version == version)
     }
 
-    /// A write has succeeded or failed. A request whose first write fails was never accepted. A write that is not the latest
-    /// changes nothing.
+    /// Records that a write succeeded or failed. A request whose first write fails is dropped, as it was
+    /// never accepted. The result of a write that is not the latest of its ticket has no effect.
     pub fn write_finished(&mut self, ticket: Ticket, version: u64, succeeded: bool) {
         let latest = self.entries.get_mut(&ticket).filter(|entry| entry.version == version);
         let Some(entry) = latest else { return };
@@ -205,8 +207,10 @@
         }
     }
 
-    /// The next request to run: the oldest of the tenant that has been served least for its weight. Where the request may
-    /// not run twice, the write is to be on disk before it is sent. A request that may not run any more finishes instead.
+    /// Takes the next request to run: the oldest one of the tenant that has been served least relative to its
+    /// weight. The returned write must be on disk before a request that may not run twice is sent. A request
+    /// that may not run any more is finished instead. `retry_policy` returns `None` if the tenant or the
+    /// model is no longer served.
     pub fn next_runnable(
         &mut self,
         now: f64,
@@ -230,8 +234,8 @@
         }
     }
 
-    /// An attempt ended without an answer; `ran`: it may have run, and was not rejected before. It is queued again, or
-    /// finishes.
+    /// Records that an attempt ended without an answer. `ran` is false if the attempt was rejected before it
+    /// could run. The request is queued again, or finished if it may not run again.
     pub fn attempt_failed(
         &mut self,
         now: f64,
@@ -252,7 +256,7 @@
         self.requeue(ticket)
     }
 
-    /// A request has its answer, which is to be on disk before its client gets it.
+    /// Finishes a request with its answer, which must be on disk before the client receives it.
     pub fn complete(&mut self, now: f64, ticket: Ticket, answer: DeferredAnswer) -> RecordWrite {
         self.counters.completed += 1;
         let is_too_long = answer.body.len() > self.limits.max_answer_bytes;
@@ -260,7 +264,7 @@
         self.finish(now, ticket, kept)
     }
 
-    /// Finishes requests whose deadline has passed, and removes answers that were kept long enough.
+    /// Finishes queued requests whose deadline has passed, and removes answers whose retention has ended.
     pub fn poll_expired(&mut self, now: f64) -> Vec<RecordWrite> {
         if now < self.next_expiry_at {
             return Vec::new();
@@ -280,7 +284,8 @@
         self.next_expiry_at = f64::INFINITY;
         for (&ticket, entry) in &self.entries {
             let (expires_at, tickets) = match entry.record.state {
-                // One that is not on disk yet is queued, and then seen here, once it is.
+                // A record whose first write is pending joins the queue, and is seen here, once it is on
+                // disk.
                 DeferredState::Queued if entry.on_disk => (entry.record.deadline, &mut expired.requests),
                 DeferredState::Finished { at, .. } => (at + self.limits.retention_s, &mut expired.answers),
                 DeferredState::Queued | DeferredState::Running => continue,
@@ -315,7 +320,8 @@
         }
         let write = self.rewrite(ticket);
         if let Some(entry) = self.entries.get_mut(&ticket) {
-            // The record on disk says that it runs: after a crash that leads to the same.
+            // The record on disk is still in state `Running`, which a restart resolves as well: the request is
+            // then queued again or finished.
             entry.on_disk = true;
         }
         self.push_to_queue(ticket);
@@ -331,7 +337,7 @@
         self.remove_from_queue(ticket);
         let Some(entry) = self.entries.get_mut(&ticket) else { return self.remove(ticket) };
         if entry.record.is_finished() {
-            // Its client may have the first answer already: the same write once more.
+            // The client may already have the first answer, so the same record is written again.
             let bytes = Some(entry.record.encode());
             return RecordWrite { ticket, version: entry.version, bytes };
         }
@@ -365,12 +371,12 @@
     }
 }
 
-/// Tickets whose time has passed.
+/// Tickets that have expired.
 #[derive(Default)]
 struct Expired {
-    /// Past their deadline.
+    /// Queued requests past their deadline.
     requests: Vec<Ticket>,
-    /// Past their retention.
+    /// Answers past their retention.
     answers: Vec<Ticket>,
 }
 
--- a/crates/nickelgw-deferred/src/core/record.rs
+++ b/crates/nickelgw-deferred/src/core/record.rs
@@ -1,19 +1,20 @@
-//! A deferred request as it is stored on disk. The encoding goes by position: fields and variants keep their order.
+//! Stored form of a deferred request. The postcard encoding is positional: the order of fields and variants
+//! must not change.
 
 use nickelgw_protocol::chat::ApiError;
 use serde::{Deserialize, Serialize};
 
-/// What the client gets for its request, always the same.
+/// Final response to a deferred request. The client receives the same one each time that it asks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DeferredAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Body of the response.
+    /// Body of the HTTP response.
     pub body: Vec<u8>,
 }
 
 impl DeferredAnswer {
-    /// An error in the form that the API gives it.
+    /// Creates an answer with an error body in the format of the API.
     pub fn error(status: u16, code: &'static str, message: &str) -> DeferredAnswer {
         DeferredAnswer { status, body: ApiError::new(status, "server_error", code, message).body().to_vec() }
     }
@@ -35,50 +36,51 @@
     }
 }
 
-/// How far a deferred request has come.
+/// State of a deferred request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum DeferredState {
-    /// It waits to run.
+    /// The request waits to run.
     Queued,
-    /// Given out to run: from here on it may have run.
+    /// The request was returned as the next one to run; from then on it may have run.
     Running,
-    /// It has its answer.
+    /// The request has its final answer.
     Finished {
-        /// Unix time at which it finished.
+        /// Unix time in seconds at which the request finished.
         at: f64,
-        /// What its client gets.
+        /// Response that the client receives.
         answer: DeferredAnswer,
     },
 }
 
-/// A deferred request. Times are Unix seconds, since they outlive a process.
+/// A deferred request. Times are Unix seconds, since they are read by later processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DeferredRecord {
-    /// Name of its tenant.
+    /// Name of the tenant.
     pub tenant: String,
     /// Name of the model route.
     pub model: String,
-    /// Body of the request; empty once it is finished.
+    /// Body of the request; empty once the request is finished.
     pub body: Vec<u8>,
-    /// When it was queued.
+    /// Time at which the request was queued.
     pub queued_at: f64,
-    /// Until when its client waits for it to run.
+    /// Time until which the request may wait to run.
     pub deadline: f64,
-    /// When it first may have run: engines drop duplicates for a time from then on.
+    /// Start of the first attempt that may have run; engines drop duplicates for a limited time from then on.
+    /// `None` if no attempt may have run.
     pub first_attempt_at: Option<f64>,
-    /// Attempts that failed.
+    /// Number of attempts that failed after they may have run.
     pub failed_attempts: u32,
-    /// How far it has come.
+    /// State of the request.
     pub state: DeferredState,
 }
 
 impl DeferredRecord {
-    /// The record as it is stored.
+    /// Encodes the record for storage.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// Reads a stored record. None: it is damaged.
+    /// Decodes a stored record; `None` if it is damaged.
     pub fn decode(bytes: &[u8]) -> Option<DeferredRecord> {
         let record: DeferredRecord = postcard::from_bytes(bytes).ok()?;
         record.has_finite_times().then_some(record)
--- a/crates/nickelgw-deferred/src/core/restore.rs
+++ b/crates/nickelgw-deferred/src/core/restore.rs
@@ -1,11 +1,12 @@
-//! What becomes of the records that an earlier process left on disk.
+//! Restores the records that an earlier process left on disk.
 
 use super::record::{DeferredAnswer, DeferredRecord, DeferredState};
 use super::{DeferredQueue, Entry, RecordWrite, RetryPolicy, Ticket};
 
 impl DeferredQueue {
-    /// Takes over the records of an earlier process. A request that may have run and may not run again finishes here, before
-    /// its client can ask. `retry_policy`: none where the tenant or the model is not served any more.
+    /// Restores the records of an earlier process. A request that may have run and may not run again is
+    /// finished here, before its client can ask for the status. `retry_policy` returns `None` if the tenant
+    /// or the model is no longer served.
     pub fn restore(
         &mut self,
         now: f64,
@@ -33,7 +34,7 @@
         retry_policy: Option<RetryPolicy>,
     ) -> Option<RecordWrite> {
         self.bytes += encoded_len;
-        // The first poll looks at all records; from then on the next expiry is known.
+        // Makes the first poll check all records, which determines the next expiry.
         self.next_expiry_at = now;
         let is_finished = record.is_finished();
         let may_have_run = record.state == DeferredState::Running;
--- a/crates/nickelgw-deferred/src/core/retry.rs
+++ b/crates/nickelgw-deferred/src/core/retry.rs
@@ -1,24 +1,26 @@
-//! Whether a deferred request may run again.
+//! Policy for running a deferred request again.
 
 /// Whether a request may run again once it may have run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetryPolicy {
-    /// It is idempotent.
+    /// The request is idempotent and may run any number of times.
     Always,
-    /// All engines drop duplicates of it for a time after the first attempt.
+    /// All engines drop duplicates of the request for a limited time after the first attempt.
     Within {
-        /// That time.
+        /// Length in seconds of the deduplication window.
         window_s: f64,
     },
-    /// It may have had an effect.
+    /// The request may have had an effect, so it must not run twice.
     Never,
 }
 
-/// Share of the deduplication window in which an attempt may begin; the rest is for the attempt itself.
+/// Fraction of the deduplication window in which an attempt may begin; the rest is left for the attempt
+/// itself.
 const ATTEMPT_WINDOW_SHARE: f64 = 0.5;
 
 impl RetryPolicy {
-    /// Whether an attempt may begin now. `first_attempt_at`: when it first may have run.
+    /// Returns whether an attempt may begin now. `first_attempt_at` is the start of the first attempt that
+    /// may have run.
     pub(super) fn allows_attempt(self, now: f64, first_attempt_at: Option<f64>) -> bool {
         match (self, first_attempt_at) {
             (RetryPolicy::Always, _) | (_, None) => true,
--- a/crates/nickelgw-deferred/src/core/tenant_queues.rs
+++ b/crates/nickelgw-deferred/src/core/tenant_queues.rs
@@ -1,15 +1,16 @@
-//! Requests that wait to run, by tenant, served by weighted fair queueing.
+//! Queues of waiting requests, one for each tenant, served by weighted fair queueing.
 
 use super::Ticket;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Smallest weight that counts, so that the cost of a run stays finite.
+/// Lower bound of a weight, which keeps the cost of a run finite.
 const MIN_WEIGHT: f64 = 1e-6;
 
-/// Where a request stands in its tenant's queue: the oldest is first.
+/// Position of a request in its tenant's queue, which is ordered from the oldest to the newest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Position {
-    /// Bits of the time at which it was queued; times are not negative, so these have the order of the times.
+    /// Bit pattern of the time at which the request was queued. As times are not negative, the bits sort like
+    /// the times.
     queued_at_bits: u64,
     ticket: Ticket,
 }
@@ -20,16 +21,17 @@
     }
 }
 
-/// A queue for each tenant, and how much of the service each has had.
+/// Queue of each tenant, and the service that each has received.
 #[derive(Default)]
 pub(super) struct TenantQueues {
     queues: BTreeMap<String, BTreeSet<Position>>,
-    /// Virtual time of each tenant: its runs over its weight. The tenant with the least is next.
+    /// Virtual time of each tenant: its number of runs divided by its weight. The tenant with the lowest is
+    /// served next.
     served: BTreeMap<String, f64>,
 }
 
 impl TenantQueues {
-    /// Tenants that have requests waiting, with their number.
+    /// Tenants with waiting requests, and the number of these requests.
     pub(super) fn waiting(&self) -> impl Iterator<Item = (&str, usize)> {
         self.non_empty().map(|(tenant, queue)| (tenant.as_str(), queue.len()))
     }
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Takes out the oldest request of the tenant that has been served least.
+    /// Removes and returns the oldest request of the tenant with the lowest virtual time.
     pub(super) fn pop(&mut self) -> Option<(String, Ticket)> {
         let served = |tenant: &str| self.served.get(tenant).copied().unwrap_or(0.0);
         let next = self.non_empty().min_by(|first, second| served(first.0).total_cmp(&served(second.0)))?;
@@ -56,12 +58,13 @@
         Some((tenant, position.ticket))
     }
 
-    /// Counts a run to the tenant.
+    /// Charges one run to the tenant.
     pub(super) fn charge(&mut self, tenant: String, weight: f64) {
         *self.served.entry(tenant).or_insert(0.0) += 1.0 / weight.max(MIN_WEIGHT);
     }
 
-    /// A tenant that had nothing waiting starts where the others are: it gets nothing for the time in which it was idle.
+    /// Raises the virtual time of a tenant that had nothing waiting to the lowest of the waiting tenants, so
+    /// that it gains no credit from the time in which it was idle.
     fn catch_up(&mut self, tenant: &str) {
         let least_served =
             self.non_empty().filter_map(|(other, _)| self.served.get(other)).copied().reduce(f64::min);
@@ -75,8 +78,9 @@
     }
 }
 
-/// Weight of a tenant at this node: its weight in the fleet, by the share of its waiting requests that wait here. A tenant
-/// that queues at five nodes gets no more than one that queues at a single node.
+/// Weight of a tenant at this node: its weight in the fleet times the share of its waiting requests that wait
+/// at this node. A tenant that queues at five nodes thus gets no more service than one that queues at a
+/// single node.
 pub fn local_weight(weight: f64, waiting_here: usize, waiting_elsewhere: u64) -> f64 {
     let waiting_here = waiting_here.max(1) as f64;
     weight * waiting_here / (waiting_here + waiting_elsewhere as f64)
--- a/crates/nickelgw-deferred/src/core/tests.rs
+++ b/crates/nickelgw-deferred/src/core/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn nothing_runs_and_nothing_is_reported_before_it_is_on_disk() {
+fn request_runs_and_answer_is_reported_only_once_written_to_disk() {
     let mut queue = DeferredQueue::new(limits());
     let write = queue.enqueue(0.0, 1, record("t", 0.0, 100.0)).unwrap();
     assert_eq!(queue.next_runnable(0.0, |_| 1.0, |_| Some(RetryPolicy::Never)), None);
@@ -47,14 +47,14 @@
     enqueue(&mut queue, 2, "t", 0.0);
     assert_eq!(queue.next_runnable(0.0, |_| 1.0, |_| Some(RetryPolicy::Never)).unwrap().ticket, 2);
     let write = queue.complete(1.0, 2, answer());
-    assert_eq!(queue.status(2, "t"), Some(DeferredStatus::Running), "its answer is not on disk");
+    assert_eq!(queue.status(2, "t"), Some(DeferredStatus::Running), "the answer is not on disk yet");
     queue.write_finished(2, write.version, true);
     assert_eq!(queue.status(2, "t"), Some(DeferredStatus::Finished(&answer())));
     assert_eq!(queue.status(2, "another"), None);
 }
 
 #[test]
-fn tenants_are_served_by_weight_and_oldest_first() {
+fn tenants_are_served_by_weight_and_each_oldest_request_first() {
     let mut queue = DeferredQueue::new(limits());
     for index in 0..50u32 {
         enqueue(&mut queue, 1000 - Ticket::from(index), "many", f64::from(index) / 100.0);
@@ -74,13 +74,14 @@
     let many: Vec<Ticket> = order.iter().filter(|run| run.0 == "many").map(|run| run.1).collect();
     assert!(
         many.is_sorted_by(|earlier, later| earlier > later),
-        "the oldest has the highest number here: {many:?}"
+        "the oldest request has the highest ticket: {many:?}"
     );
 }
 
-/// Five nodes with room for one request each, where a tenant that queues at all five competes with one that queues at one.
+/// Five nodes can each run one request. A tenant that queues at all five competes at one of them with a
+/// tenant that queues only there.
 #[test]
-fn tenant_queued_at_one_node_is_not_overtaken_by_one_queued_at_five() {
+fn tenant_queued_at_five_nodes_gets_no_more_than_one_queued_at_a_single_node() {
     let mut queue = DeferredQueue::new(limits());
     for n in 0..40 {
         enqueue(&mut queue, n, "here", 0.0);
@@ -93,11 +94,11 @@
         tenants.push(queue.record(ticket).unwrap().tenant.clone());
     }
     let here = tenants.iter().filter(|tenant| *tenant == "here").count();
-    assert_eq!(here, 25, "five runs of six: what the other has queued elsewhere counts against it");
+    assert_eq!(here, 25, "5 of 6 runs: requests that the other tenant queued elsewhere lower its weight");
 }
 
 #[test]
-fn full_queue_rejects_and_keeps_nothing() {
+fn full_queue_rejects_request_and_stores_nothing_of_it() {
     let small = DeferredLimits { max_records: 3, max_records_per_tenant: 2, ..limits() };
     let mut queue = DeferredQueue::new(small);
     enqueue(&mut queue, 1, "a", 0.0);
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn request_finishes_at_its_deadline_and_its_answer_is_removed_after_retention() {
+fn queued_request_times_out_at_deadline_and_answer_is_removed_after_retention() {
     let mut queue = DeferredQueue::new(limits());
     enqueue(&mut queue, 1, "t", 0.0);
     assert!(queue.poll_expired(99.9).is_empty());
@@ -132,7 +133,7 @@
 }
 
 #[test]
-fn damaged_or_orphaned_record_does_not_affect_others() {
+fn damaged_or_orphaned_record_does_not_affect_other_records() {
     let mut queue = DeferredQueue::new(limits());
     let valid = record("t", 0.0, 100.0).encode();
     let orphaned = record("gone", 0.0, 100.0).encode();
@@ -148,7 +149,7 @@
 }
 
 #[test]
-fn reported_answer_is_not_replaced_by_a_second_one() {
+fn reported_answer_is_not_replaced_by_a_later_answer() {
     let mut queue = DeferredQueue::new(limits());
     enqueue(&mut queue, 1, "t", 0.0);
     queue.next_runnable(1.0, |_| 1.0, |_| Some(RetryPolicy::Always)).unwrap();
@@ -159,9 +160,10 @@
     assert_eq!(second, first);
 }
 
-/// On a failing disk the write of the request being queued again is overtaken by the one of its end.
+/// On a failing disk, the write of the final answer reaches the disk before the older write that queued the
+/// request again.
 #[test]
-fn superseded_write_neither_confirms_nor_replaces_the_newer_one() {
+fn superseded_write_neither_confirms_nor_replaces_newer_write() {
     let mut queue = DeferredQueue::new(limits());
     enqueue(&mut queue, 1, "t", 0.0);
     queue.next_runnable(50.0, |_| 1.0, |_| Some(RetryPolicy::Always)).unwrap();
@@ -172,26 +174,26 @@
     assert_eq!(
         queue.status(1, "t"),
         Some(DeferredStatus::Running),
-        "its end is not on disk: a crash would undo what was reported"
+        "the answer is not on disk: a crash would revoke a reported answer"
     );
-    assert!(!queue.is_latest(1, requeued.version), "tried again, it would undo the end");
+    assert!(!queue.is_latest(1, requeued.version), "a retry would replace the final answer");
     queue.write_finished(1, finished.version, true);
     assert!(matches!(queue.status(1, "t"), Some(DeferredStatus::Finished(answer)) if answer.status == 504));
     assert!(
         queue.poll_expired(150.0)[0].bytes.is_none() && !queue.is_latest(1, finished.version),
-        "nor may it come requeued once it is gone"
+        "a retry must not bring back a removed record"
     );
 }
 
-/// Reads bytes written as hexadecimal digits.
+/// Decodes hexadecimal digits.
 fn from_hex(digits: &str) -> Vec<u8> {
     let byte = |start: usize| u8::from_str_radix(&digits[start..start + 2], 16).unwrap();
     (0..digits.len()).step_by(2).map(byte).collect()
 }
 
-/// Records stay on disk while a node is upgraded.
+/// Records stay on disk while a node is upgraded, so later releases must read them.
 #[test]
-fn records_of_earlier_releases_stay_readable() {
+fn record_encoding_of_earlier_releases_stays_readable() {
     let queued = record("t", 1_700_000_000.25, 1_700_000_600.5);
     let running = DeferredRecord {
         first_attempt_at: Some(1_700_000_100.0),
--- a/crates/nickelgw-deferred/src/lib.rs
+++ b/crates/nickelgw-deferred/src/lib.rs
@@ -1,4 +1,5 @@
-//! Deferred requests: kept on disk until there is room, run in the background, and finished exactly once. Only a [`core`]
-//! without I/O: the node carries out the writes that it gives out, and runs the requests.
+//! Deferred requests: stored on disk until capacity is free, run in the background, and finished exactly
+//! once. Contains only a sans-I/O [`core`]: the node performs the writes that the core returns, and runs the
+//! requests.
 
 pub mod core;
