--- a/crates/nickelgw-background-tasks/src/core/budget.rs
+++ b/crates/nickelgw-background-tasks/src/core/budget.rs
@@ -1,11 +1,13 @@
-//! The budget of time and bytes that all tasks share: a token bucket of each, which overdue tasks may overdraw.
+//! Budget of time and bytes that all tasks share: one token bucket for each, which overdue tasks may
+//! overdraw.
 
 use super::SchedulerConfig;
 
-/// Part of a run's cost that must be available for it to begin; the rest is made up before the next run.
+/// Fraction of a run's estimated cost that must be available before the run may begin. The remainder
+/// overdraws the budget and is refilled before the next run.
 const REQUIRED_SHARE: f64 = 0.5;
 
-/// What a run takes of the budget.
+/// Cost of a run, or balance of the budget.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Cost {
     pub(super) time_s: f64,
@@ -14,13 +16,13 @@
 
 pub(super) struct Budget {
     config: SchedulerConfig,
-    /// Negative when overdrawn.
+    /// Balance; negative if the budget is overdrawn.
     available: Cost,
     refilled_at: f64,
 }
 
 impl Budget {
-    /// A full budget.
+    /// Creates a full budget.
     pub(super) fn new(config: SchedulerConfig) -> Budget {
         let available = Cost { time_s: config.time_burst_s, bytes: config.bytes_burst };
         Budget { config, available, refilled_at: 0.0 }
@@ -36,7 +38,7 @@
         self.refilled_at = now;
     }
 
-    /// Whether a run of this cost may begin; one that is late may overdraw the budget.
+    /// Returns whether a run of this estimated cost may begin. A late run may overdraw the budget.
     pub(super) fn allows(&self, estimate: Cost, is_late: bool) -> bool {
         self.covers(estimate) || (is_late && self.has_credit()) || self.is_full()
     }
@@ -46,29 +48,31 @@
             && self.available.bytes >= REQUIRED_SHARE * estimate.bytes
     }
 
-    /// It is never overdrawn by more than the burst: requests must not wait for overdue tasks.
+    /// Returns whether a late run may overdraw the budget further. Late runs only begin while the budget is
+    /// overdrawn by less than the burst, since requests must not wait for overdue tasks.
     fn has_credit(&self) -> bool {
         self.available.time_s > -self.config.time_burst_s && self.available.bytes > -self.config.bytes_burst
     }
 
-    /// Otherwise a run that costs more than the burst would never begin.
+    /// Returns whether the budget is full. A full budget allows any run: one that costs more than the burst
+    /// could otherwise never begin.
     fn is_full(&self) -> bool {
         self.available.time_s >= self.config.time_burst_s && self.available.bytes >= self.config.bytes_burst
     }
 
-    /// Takes the estimated cost of a run that begins.
+    /// Subtracts the estimated cost of a run that begins.
     pub(super) fn reserve(&mut self, estimate: Cost) {
         self.available.time_s -= estimate.time_s;
         self.available.bytes -= estimate.bytes;
     }
 
-    /// Corrects the estimate by what the run took.
+    /// Replaces the reserved estimate of a run by its actual cost.
     pub(super) fn settle(&mut self, estimate: Cost, actual: Cost) {
         self.available.time_s += estimate.time_s - actual.time_s;
         self.available.bytes += estimate.bytes - actual.bytes;
     }
 
-    /// Takes time beyond the estimate.
+    /// Subtracts time that a run took beyond its estimate.
     pub(super) fn charge_time(&mut self, time_s: f64) {
         self.available.time_s -= time_s;
     }
--- a/crates/nickelgw-background-tasks/src/core/config.rs
+++ b/crates/nickelgw-background-tasks/src/core/config.rs
@@ -1,21 +1,21 @@
 //! Settings of the scheduler.
 
-/// Budgets that all background tasks share, and the backoff after failures.
+/// Budgets that all background tasks share, limit of concurrent runs, and backoff after failures.
 #[derive(Clone, Copy, Debug)]
 pub struct SchedulerConfig {
-    /// Share of the process's time that tasks may take.
+    /// Fraction of the process's time that all tasks together may take on average.
     pub time_share: f64,
-    /// Seconds of it that may be taken at once.
+    /// Burst of the time budget in seconds.
     pub time_burst_s: f64,
-    /// Bytes that tasks may transfer, on average.
+    /// Bytes per second that all tasks together may transfer on average.
     pub bytes_per_s: f64,
-    /// Bytes that may be transferred at once.
+    /// Burst of the byte budget.
     pub bytes_burst: f64,
-    /// Tasks that run at the same time.
+    /// Maximum number of concurrent runs.
     pub max_concurrent: usize,
-    /// Backoff after the first failure; it doubles with each further one.
+    /// Backoff in seconds after the first failure; doubles with each further consecutive failure.
     pub min_backoff_s: f64,
-    /// Longest backoff.
+    /// Longest backoff in seconds.
     pub max_backoff_s: f64,
 }
 
--- a/crates/nickelgw-background-tasks/src/core/mod.rs
+++ b/crates/nickelgw-background-tasks/src/core/mod.rs
@@ -1,7 +1,8 @@
-//! Decides when background tasks run. All tasks share a budget of time and bytes, so that together they take no more than a
-//! set share of the process. Within the budget the most urgent task is next: the weight of its class times its wait in units
-//! of its deadline, so that none starves. A task past its deadline may overdraw the budget. One that fails is tried again
-//! after a doubling, randomized backoff; one that does not end is cancelled.
+//! Decides when background tasks run. All tasks share a budget of time and bytes, so that together they take
+//! no more than a configured share of the process. Within the budget, the most urgent task runs next. Its
+//! urgency is the weight of its class times its wait in units of its deadline, so that no task starves. A
+//! task past its deadline may overdraw the budget. A task that fails is retried after an exponential,
+//! randomized backoff. A run that exceeds its timeout is cancelled.
 
 mod budget;
 mod config;
@@ -14,12 +15,12 @@
 use nanorand::{Rng, WyRand};
 use task::{Task, TaskState};
 
-/// While a task waits for the budget the scheduler is polled again after so long.
+/// Interval at which the scheduler is polled while a task waits for the budget.
 const BUDGET_POLL_S: f64 = 0.01;
-/// Doublings of the backoff, at most.
+/// Maximum number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
-/// The background tasks of a process.
+/// Scheduler of the background tasks of a process.
 pub struct Scheduler {
     config: SchedulerConfig,
     tasks: Vec<Task>,
@@ -29,7 +30,8 @@
 }
 
 impl Scheduler {
-    /// `seed`: of the random choices; it differs from node to node.
+    /// Creates a scheduler without tasks. `seed` initializes the random number generator and should differ
+    /// between nodes.
     pub fn new(config: SchedulerConfig, seed: u64) -> Scheduler {
         Scheduler {
             config,
@@ -40,11 +42,12 @@
         }
     }
 
-    /// Adds a task. A periodic one first runs after a random part of its interval, so that nodes are not in step.
+    /// Adds a task. A periodic task first becomes due after a random part of its interval, so that nodes do
+    /// not run it at the same time.
     pub fn add(&mut self, now: f64, spec: TaskSpec) -> TaskId {
-        let first_wanted_at =
+        let first_due_at =
             spec.interval_s.map_or(f64::INFINITY, |interval_s| now + interval_s * self.random_fraction());
-        self.tasks.push(Task::new(spec, first_wanted_at));
+        self.tasks.push(Task::new(spec, first_due_at));
         TaskId(self.tasks.len() - 1)
     }
 
@@ -52,24 +55,25 @@
         self.rng.generate::<u32>() as f64 / u32::MAX as f64
     }
 
-    /// Runs of a task since the start.
+    /// Returns the totals of a task since it was added.
     pub fn counters(&self, id: TaskId) -> TaskCounters {
         self.tasks[id.0].counters
     }
 
-    /// The task is wanted now. Requested while it runs, it runs once more; a backoff after a failure still holds.
+    /// Makes a task due now. A task that is running then runs once more after its present run. A backoff
+    /// after a failure is not shortened.
     pub fn request(&mut self, now: f64, id: TaskId) {
         let task = &mut self.tasks[id.0];
         match &mut task.state {
             TaskState::Running { .. } => task.run_again = true,
-            TaskState::Waiting { wanted_at } if task.consecutive_failures == 0 => {
-                *wanted_at = wanted_at.min(now);
+            TaskState::Waiting { due_at } if task.consecutive_failures == 0 => {
+                *due_at = due_at.min(now);
             }
             TaskState::Waiting { .. } => {}
         }
     }
 
-    /// A run has ended. One that was cancelled before is ignored.
+    /// Records the result of a run. The result of a run that was cancelled before is ignored.
     pub fn run_ended(&mut self, now: f64, id: TaskId, result: RunResult) {
         let task = &mut self.tasks[id.0];
         if !matches!(task.state, TaskState::Running { .. }) {
@@ -89,7 +93,7 @@
         task.consecutive_failures = if succeeded { 0 } else { task.consecutive_failures + 1 };
         task.counters.failed += u64::from(!succeeded);
         let run_again = std::mem::take(&mut task.run_again);
-        let wanted_at = if !succeeded {
+        let due_at = if !succeeded {
             let backoff_s = backoff_s(&self.config, task.consecutive_failures);
             now + backoff_s * (0.5 + 0.5 * jitter)
         } else if run_again {
@@ -97,10 +101,10 @@
         } else {
             task.spec.interval_s.map_or(f64::INFINITY, |interval_s| now + interval_s)
         };
-        task.state = TaskState::Waiting { wanted_at };
+        task.state = TaskState::Waiting { due_at };
     }
 
-    /// What to do now, and when to poll again.
+    /// Returns the commands to carry out now, and the time of the next poll; `None` if nothing is scheduled.
     pub fn poll_commands(&mut self, now: f64) -> (Vec<TaskCommand>, Option<f64>) {
         self.budget.refill(now);
         let mut commands = Vec::new();
@@ -130,26 +134,27 @@
         while self.running < self.config.max_concurrent {
             let Some(id) = self.most_urgent(now) else { break };
             let task = &mut self.tasks[id.0];
-            let TaskState::Waiting { wanted_at } = task.state else { break };
-            let is_late = now > wanted_at + task.spec.deadline_s;
+            let TaskState::Waiting { due_at } = task.state else { break };
+            let is_late = now > due_at + task.spec.deadline_s;
             if !self.budget.allows(task.estimate(), is_late) {
                 break;
             }
             task.counters.runs += 1;
             task.counters.late += u64::from(is_late);
-            task.counters.max_wait_s = task.counters.max_wait_s.max(now - wanted_at);
-            task.state = TaskState::Running { since: now, wanted_at };
+            task.counters.max_wait_s = task.counters.max_wait_s.max(now - due_at);
+            task.state = TaskState::Running { since: now, due_at };
             self.budget.reserve(task.estimate());
             self.running += 1;
             commands.push(TaskCommand::Run(id));
         }
     }
 
-    /// Of equally urgent tasks the first, so that equal calls give equal commands.
+    /// Returns the due task with the highest urgency, and of equally urgent ones the one that was added
+    /// first, which keeps the choice deterministic.
     fn most_urgent(&self, now: f64) -> Option<TaskId> {
-        let wanted =
+        let due_tasks =
             self.tasks.iter().enumerate().filter_map(|(index, task)| Some((index, task.urgency(now)?)));
-        let most_urgent = wanted.reduce(|best, other| if best.1 >= other.1 { best } else { other })?;
+        let most_urgent = due_tasks.reduce(|best, other| if best.1 >= other.1 { best } else { other })?;
         Some(TaskId(most_urgent.0))
     }
 
@@ -159,14 +164,15 @@
         waits_for_budget.into_iter().chain(timers).min_by(f64::total_cmp)
     }
 
-    /// Tasks that wait past their deadline, or run far longer than usual, with the time since they were wanted.
+    /// Returns the tasks that have waited past their deadline or run far longer than estimated, each with the
+    /// seconds since it became due.
     pub fn overdue(&self, now: f64) -> Vec<(TaskId, f64)> {
         let tasks = self.tasks.iter().enumerate();
         tasks.filter_map(|(index, task)| Some((TaskId(index), task.overdue_s(now)?))).collect()
     }
 }
 
-/// Backoff after so many failures in a row.
+/// Backoff in seconds after a number of consecutive failures, before jitter.
 fn backoff_s(config: &SchedulerConfig, consecutive_failures: u32) -> f64 {
     let doublings = (consecutive_failures - 1).min(MAX_BACKOFF_DOUBLINGS);
     (config.min_backoff_s * f64::from(1u32 << doublings)).min(config.max_backoff_s)
--- a/crates/nickelgw-background-tasks/src/core/tests.rs
+++ b/crates/nickelgw-background-tasks/src/core/tests.rs
@@ -10,7 +10,8 @@
     RunResult { took_s, bytes: 0.0, succeeded }
 }
 
-/// Simulates the scheduler; a run of each task takes what its entry in `takes_s` says. Gives the seconds of work done.
+/// Simulates the scheduler until a time. Each run of a task takes the seconds given by the task's entry in
+/// `takes_s`. Returns the total seconds of work done.
 fn simulate(scheduler: &mut Scheduler, until: f64, takes_s: &[f64]) -> f64 {
     let (mut now, mut work_s) = (0.0f64, 0.0);
     let mut running: Vec<(f64, TaskId)> = Vec::new();
@@ -35,19 +36,19 @@
 }
 
 #[test]
-fn all_classes_run_and_together_keep_the_time_share() {
+fn all_classes_run_and_together_stay_within_time_share() {
     let mut scheduler = Scheduler::new(SchedulerConfig::default(), 1);
-    // Far more is wanted than allowed: 1 s of work a second each.
+    // Demand far exceeds the budget: each task could work all the time.
     let ids = [TaskClass::Required, TaskClass::Maintenance, TaskClass::Idle]
         .map(|class| scheduler.add(0.0, spec(class, Some(0.0), 0.01)));
     let work_s = simulate(&mut scheduler, 100.0, &[0.01; 3]);
-    assert!(work_s < 100.0 * 0.02 + 0.2, "{work_s} s");
+    assert!(work_s < 100.0 * 0.02 + 0.2, "{work_s} s of work in 100 s");
     let runs = ids.map(|id| scheduler.counters(id).runs);
     assert!(runs[0] > runs[1] && runs[1] > runs[2] && runs[2] >= 3, "{runs:?}");
 }
 
 #[test]
-fn run_that_does_not_end_is_cancelled_and_blocks_no_other() {
+fn run_that_does_not_end_is_cancelled_and_does_not_block_other_tasks() {
     let mut scheduler = Scheduler::new(
         SchedulerConfig { max_concurrent: 1, time_share: 0.5, ..SchedulerConfig::default() },
         1,
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn task_requested_too_often_runs_at_the_rate_of_the_budget() {
+fn task_requested_constantly_runs_at_rate_of_budget() {
     let mut scheduler = Scheduler::new(SchedulerConfig::default(), 1);
     let probe = scheduler.add(0.0, spec(TaskClass::Maintenance, None, 0.02));
     let (mut now, mut runs) = (0.0, 0);
@@ -97,15 +98,15 @@
         assert!(scheduler.overdue(now).len() <= 1);
         now += 0.001;
     }
-    // 2% of 50 s, 0.02 s each.
-    assert!((45..=60).contains(&runs), "{runs}");
+    // The budget of 2% of 50 s allows 50 runs of 0.02 s.
+    assert!((45..=60).contains(&runs), "{runs} runs");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, rng_seed: RngSeed::Fixed(61), failure_persistence: None, ..ProptestConfig::default() })]
-    /// Whatever the tasks are: none starves, and the budget is kept.
+    /// For any mix of tasks, no task starves and all tasks together stay within the budget.
     #[test]
-    fn no_task_starves_and_the_budget_is_kept(
+    fn no_task_starves_and_budget_is_kept(
         tasks in prop::collection::vec((0usize..3, 0.0..3.0f64, 0.001..0.04f64), 1..8), seed in any::<u64>(),
     ) {
         let config = SchedulerConfig { time_share: 0.1, ..SchedulerConfig::default() };
@@ -117,12 +118,12 @@
             .collect();
         let takes_s: Vec<f64> = tasks.iter().map(|task| task.2).collect();
         let work_s = simulate(&mut scheduler, 60.0, &takes_s);
-        prop_assert!(work_s <= 60.0 * config.time_share + 2.0 * config.time_burst_s + 0.2, "{work_s}");
+        prop_assert!(work_s <= 60.0 * config.time_share + 2.0 * config.time_burst_s + 0.2, "{work_s} s of work in 60 s");
         let total_s: f64 = takes_s.iter().sum();
         for id in ids {
             let counters = scheduler.counters(id);
-            // In the worst case each of the others runs a few hundred times while it waits.
-            prop_assert!(counters.runs >= 1, "{counters:?} of {total_s}");
+            // In the worst case each of the other tasks runs a few hundred times while this one waits.
+            prop_assert!(counters.runs >= 1, "{counters:?}; one run of each task takes {total_s} s in total");
             prop_assert!(counters.max_wait_s < 30.0, "{counters:?}");
         }
     }
--- a/crates/nickelgw-background-tasks/src/lib.rs
+++ b/crates/nickelgw-background-tasks/src/lib.rs
@@ -1,4 +1,4 @@
-//! Scheduling of background tasks, for which no request waits. Only a [`core`] without I/O: the caller runs the tasks that
-//! [`core::Scheduler`] names.
+//! Scheduling of background tasks, which no request waits for. Contains only a sans-I/O [`core`]: the caller
+//! runs the tasks that [`core::Scheduler`] selects.
 
 pub mod core;
