--- a/crates/nickelgw-store/src/core/mod.rs
+++ b/crates/nickelgw-store/src/core/mod.rs
@@ -1,26 +1,27 @@
-//! What is written when, what is evicted, and which records of an earlier process are still used. No I/O.
+//! Decides what is written when, which records are evicted, and which records of an earlier process are still
+//! used. Does no I/O.
 
 pub mod record;
 mod record_index;
 pub mod retention;
 pub mod write_buffer;
 
-/// What a record is about; the number is on disk, so never reused for another kind.
+/// Kind of a record. The numbers are stored on disk, so a number is never reused for another kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[repr(u8)]
 pub enum RecordKind {
-    /// What the router has learned of engines and costs.
+    /// State that the router has learned about engines and costs.
     LearnedState = 1,
-    /// A non-idempotent request was accepted under a key.
+    /// Idempotency key under which a non-idempotent request was accepted.
     IdempotencyKey = 2,
-    /// The last endpoint list.
+    /// Last endpoint list.
     EndpointList = 3,
-    /// A deferred request, until the retention of its response ends.
+    /// Deferred request, kept until the retention of its response ends.
     DeferredRequest = 4,
 }
 
 impl RecordKind {
-    /// Every kind, in the order of its number.
+    /// All kinds in the order of their numbers.
     pub const ALL: [RecordKind; 4] = [
         RecordKind::LearnedState,
         RecordKind::IdempotencyKey,
@@ -28,7 +29,7 @@
         RecordKind::DeferredRequest,
     ];
 
-    /// The kind of a number as it is on disk.
+    /// Returns the kind with a number as stored on disk; `None` if there is no such kind.
     pub fn from_number(number: u8) -> Option<RecordKind> {
         RecordKind::ALL.into_iter().find(|kind| *kind as u8 == number)
     }
--- a/crates/nickelgw-store/src/core/record.rs
+++ b/crates/nickelgw-store/src/core/record.rs
@@ -1,24 +1,24 @@
-//! The stored form of a record: format version, time of writing, checksum of key, time and value, then the value. What is
-//! not exactly what was written is rejected, even where the file layer reports no error.
+//! Stored form of a record: format version, time of writing, checksum of key, time and value, then the value.
+//! Bytes that differ from what was written are rejected, even if the file layer reports no error.
 
-/// Version of this form, the first byte.
+/// Version of the record format, stored as the first byte.
 const VERSION: u8 = 1;
 const VERSION_BYTES: usize = 1;
 const TIME_BYTES: usize = 8;
 const CHECKSUM_BYTES: usize = 16;
 const HEADER_BYTES: usize = VERSION_BYTES + TIME_BYTES + CHECKSUM_BYTES;
 
-/// Why stored bytes are not a record.
+/// Reason why stored bytes are not a valid record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// Fewer bytes than a header has.
-    #[error("too short to be a record")]
+    /// The bytes are shorter than the header of a record.
+    #[error("stored record is shorter than its header of {HEADER_BYTES} bytes")]
     TooShort,
-    /// Another version of the form.
-    #[error("of a form that this program does not know: {0}")]
+    /// The record has a format version that this release does not support.
+    #[error("stored record has the unsupported format version {0}")]
     UnknownVersion(u8),
     /// The checksum does not match.
-    #[error("not what was written")]
+    #[error("checksum of the stored record does not match its content")]
     ChecksumMismatch,
 }
 
@@ -33,7 +33,8 @@
     checksum
 }
 
-/// The stored form of a value under a key, written at `written_ms` milliseconds since 1970.
+/// Encodes the stored form of a value under a key. `written_ms` is the time of writing in milliseconds since
+/// 1970.
 pub fn seal(key: &[u8], written_ms: u64, value: &[u8]) -> Vec<u8> {
     let mut sealed = Vec::with_capacity(HEADER_BYTES + value.len());
     sealed.push(VERSION);
@@ -43,7 +44,8 @@
     sealed
 }
 
-/// When it was written, in milliseconds since 1970, and the value.
+/// Verifies and decodes a stored record. Returns the time of writing, in milliseconds since 1970, and the
+/// value.
 pub fn unseal<'a>(key: &[u8], sealed: &'a [u8]) -> Result<(u64, &'a [u8]), RecordError> {
     let Some((header, value)) = sealed.split_at_checked(HEADER_BYTES) else {
         return Err(RecordError::TooShort);
--- a/crates/nickelgw-store/src/core/record_tests.rs
+++ b/crates/nickelgw-store/src/core/record_tests.rs
@@ -5,7 +5,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, rng_seed: RngSeed::Fixed(51), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn sealed_record_is_read_back_and_altered_bytes_are_rejected(
+    fn sealed_record_is_decoded_and_altered_bytes_are_rejected(
         key in prop::collection::vec(any::<u8>(), 0..20), value in prop::collection::vec(any::<u8>(), 0..60),
         written_ms in any::<u64>(), flip in any::<prop::sample::Index>(), junk in prop::collection::vec(any::<u8>(), 0..60),
     ) {
--- a/crates/nickelgw-store/src/core/retention_tests.rs
+++ b/crates/nickelgw-store/src/core/retention_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn learned_state_decays_with_age_and_a_clock_set_back_gives_no_age() {
+fn learned_state_decays_with_age_and_age_is_unknown_after_clock_was_set_back() {
     assert_eq!(age_s(10_000, 70.0), Some(60.0));
     assert_eq!(age_s(71_000, 70.0), Some(0.0));
     assert_eq!(age_s(100_000, 70.0), None);
--- a/crates/nickelgw-store/src/core/write_buffer.rs
+++ b/crates/nickelgw-store/src/core/write_buffer.rs
@@ -1,6 +1,6 @@
-//! Changes that are not on disk yet, and when they are committed. Changes gather and are committed together: those that
-//! a request waits for soon, others after a longer delay. One commit is in flight at a time; a failed one is retried
-//! with backoff.
+//! Buffer of changes that are not on disk yet. Changes are collected and committed together: soon if a
+//! request waits for one of them, otherwise after a longer delay. At most one commit is in flight; a failed
+//! commit is retried with backoff.
 
 use super::record::{seal, unseal};
 pub use super::record_index::Key;
@@ -8,24 +8,25 @@
 use super::{retention, RecordKind};
 use std::collections::BTreeMap;
 
-/// Delays and bounds of a [`WriteBuffer`].
+/// Delays and limits of a [`WriteBuffer`].
 #[derive(Clone, Copy, Debug)]
 pub struct WriteBufferConfig {
-    /// How long changes gather before a commit if somebody waits for one of them.
+    /// Time in seconds for which changes are collected before a commit if a waiter waits for one of them.
     pub urgent_delay_s: f64,
-    /// How long changes gather before a commit if nobody waits.
+    /// Time in seconds for which changes are collected before a commit if there is no waiter.
     pub lazy_delay_s: f64,
-    /// Bytes of a commit that nobody waits for.
+    /// Size in bytes at which a commit without a waiter is closed.
     pub max_batch_bytes: usize,
-    /// Records of all kinds; above it the oldest idempotency keys are evicted.
+    /// Maximum number of records of all kinds; above it, the oldest idempotency keys are evicted.
     pub max_records: usize,
-    /// Bytes of all records; above it the oldest idempotency keys are evicted.
+    /// Maximum total size of all records; above it, the oldest idempotency keys are evicted.
     pub max_bytes: usize,
-    /// Backoff after the first failed commit; doubles with each further one.
+    /// Backoff in seconds after the first failed commit; doubles with each further consecutive failure.
     pub initial_backoff_s: f64,
-    /// Longest backoff.
+    /// Longest backoff in seconds.
     pub max_backoff_s: f64,
-    /// A waiter is notified of the failure if the next retry is later than this after its change.
+    /// A waiter is notified of a failed commit if the retry would begin more than this many seconds after its
+    /// change.
     pub max_wait_s: f64,
 }
 
@@ -44,10 +45,10 @@
     }
 }
 
-/// Doublings of the backoff after which it grows no further.
+/// Maximum number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 10;
 
-/// Identifies who waits until its change is on disk.
+/// Identifies a waiter: a caller that waits until its change is on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Waiter(pub u64);
 
@@ -56,14 +57,14 @@
     since: f64,
 }
 
-/// What one commit writes.
+/// Changes that are written by one commit.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Batch {
     /// Identifies the commit in [`WriteBuffer::commit_finished`].
     pub number: u64,
-    /// By key: the sealed value to write, or none to remove the record.
+    /// Keys with the sealed value to write, or `None` if the record is to be removed.
     pub changes: Vec<(Key, Option<Vec<u8>>)>,
-    /// Bytes of all keys and values.
+    /// Total size of all keys and values.
     pub bytes: usize,
 }
 
@@ -76,21 +77,23 @@
     pub failed: u64,
     /// Bytes of the commits that succeeded.
     pub written_bytes: u64,
-    /// Records removed because there were too many.
+    /// Records removed because the maximum number or size was exceeded.
     pub evicted: u64,
-    /// Records removed because of their age.
+    /// Records removed because their age exceeded the retention of their kind, or was unknown.
     pub expired: u64,
-    /// Records found on disk that were not what was written.
+    /// Records found on disk that could not be decoded.
     pub damaged: u64,
 }
 
-/// Changes on their way to disk.
+/// Buffer of changes in front of the store file.
 pub struct WriteBuffer {
     config: WriteBufferConfig,
     index: RecordIndex,
-    /// Changes that no commit has written; the newest one for each key.
+    /// Changes that are not in a commit yet; the newest one for each key.
     dirty: BTreeMap<Key, Option<Vec<u8>>>,
+    /// Time since which there are changes; `None` if there are none.
     dirty_since: Option<f64>,
+    /// Time since which a waiter waits for the next batch; `None` if there is no waiter.
     urgent_since: Option<f64>,
     /// Waiters for the next batch.
     next_waiters: Vec<PendingWaiter>,
@@ -99,26 +102,27 @@
     in_flight: Option<Batch>,
     last_batch_number: u64,
     consecutive_failures: u32,
+    /// Earliest time of the next commit, set by the backoff.
     not_before: f64,
     /// Totals for the metrics.
     pub counters: StoreCounters,
 }
 
-/// A record as an earlier process left it.
+/// A record that an earlier process left.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RestoredRecord {
-    /// What it is about.
+    /// Kind of the record.
     pub kind: RecordKind,
-    /// The kind's own key.
+    /// Key within the kind.
     pub key: Vec<u8>,
-    /// The value that was put.
+    /// Value as passed to [`WriteBuffer::put`].
     pub value: Vec<u8>,
-    /// None: of unknown age, as the clock was set back.
+    /// Age in seconds; `None` if it is unknown because the clock was set back.
     pub age_s: Option<f64>,
 }
 
 impl WriteBuffer {
-    /// An empty buffer in front of an empty file.
+    /// Creates an empty buffer for an empty file.
     pub fn new(config: WriteBufferConfig) -> WriteBuffer {
         WriteBuffer {
             config,
@@ -141,23 +145,23 @@
         self.index.len()
     }
 
-    /// Whether there are no records.
+    /// Returns whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.index.len() == 0
     }
 
-    /// Bytes of all records.
+    /// Total size of all records in bytes.
     pub fn bytes(&self) -> usize {
         self.index.bytes()
     }
 
-    /// Whether all changes are on disk.
+    /// Returns whether all changes are on disk.
     pub fn is_clean(&self) -> bool {
         self.dirty.is_empty() && self.in_flight.is_none()
     }
 
-    /// Takes in what the file held when it was opened, and gives the records that are still used; the others are
-    /// removed from the file.
+    /// Indexes the records that the file contained when it was opened, and returns those that are still used.
+    /// The others are removed from the file.
     pub fn restore(&mut self, now: f64, now_unix_s: f64, stored: Vec<(Key, Vec<u8>)>) -> Vec<RestoredRecord> {
         let mut restored = Vec::new();
         for (key, sealed) in stored {
@@ -174,7 +178,7 @@
                 self.change(now, key, None);
                 continue;
             }
-            // The retention of one of unknown age begins now.
+            // The retention of a record of unknown age begins now.
             let written_ms = if age_s.is_some() { written_ms } else { (now_unix_s * 1e3) as u64 };
             self.index.insert(kind, &key, written_ms, sealed.len());
             restored.push(RestoredRecord { kind, key: key[1..].to_vec(), value: value.to_vec(), age_s });
@@ -188,7 +192,8 @@
         self.dirty_since.get_or_insert(now);
     }
 
-    /// Puts a record. A waiter makes the next commit urgent, and is notified by [`WriteBuffer::commit_finished`].
+    /// Puts a record. A waiter makes the next commit urgent and is among those that
+    /// [`WriteBuffer::commit_finished`] returns.
     pub fn put(
         &mut self,
         now: f64,
@@ -209,7 +214,7 @@
         self.evict(now);
     }
 
-    /// Removes a record, if there is one under the key.
+    /// Removes a record if there is one with this key.
     pub fn remove(&mut self, now: f64, kind: RecordKind, key: &[u8]) {
         self.remove_indexed(now, kind, disk_key(kind, key));
     }
@@ -231,7 +236,8 @@
         }
     }
 
-    /// Removes the oldest idempotency keys while a bound is passed: only these are many.
+    /// Removes the oldest idempotency keys while a limit is exceeded. Records of other kinds are too few to
+    /// matter.
     fn evict(&mut self, now: f64) {
         while self.index.len() > self.config.max_records || self.index.bytes() > self.config.max_bytes {
             let Some(oldest) = self.index.oldest(RecordKind::IdempotencyKey) else { return };
@@ -240,7 +246,8 @@
         }
     }
 
-    /// The next commit if its time has come; else when to poll again, if there is anything to commit.
+    /// Returns the next batch if it is due; otherwise the time of the next poll, or `None` if there is
+    /// nothing to commit or a commit is in flight.
     pub fn poll_batch(&mut self, now: f64) -> (Option<Batch>, Option<f64>) {
         if self.in_flight.is_some() || self.dirty.is_empty() {
             return (None, None);
@@ -267,7 +274,7 @@
     fn next_batch(&mut self) -> Batch {
         self.last_batch_number += 1;
         let mut batch = Batch { number: self.last_batch_number, ..Batch::default() };
-        // A waiter's change must be in this batch, so then it is not bounded.
+        // The change of each waiter must be in this batch, so the size is not limited if there are waiters.
         let is_bounded = self.next_waiters.is_empty();
         while let Some((key, value)) = self.dirty.pop_first() {
             batch.bytes += key.len() + value.as_ref().map_or(0, Vec::len);
@@ -279,7 +286,8 @@
         batch
     }
 
-    /// A commit ended. Gives the waiters to notify, and whether their changes are on disk.
+    /// Records that a commit succeeded or failed. Returns the waiters to notify, and whether their changes
+    /// are on disk.
     pub fn commit_finished(&mut self, now: f64, number: u64, succeeded: bool) -> Vec<(Waiter, bool)> {
         let Some(batch) = self.in_flight.take_if(|batch| batch.number == number) else { return Vec::new() };
         let waiters = std::mem::take(&mut self.in_flight_waiters);
@@ -292,13 +300,13 @@
         waiters.into_iter().map(|pending| (pending.waiter, true)).collect()
     }
 
-    /// Schedules a retry. Waiters that can wait for it do; the others are notified of the failure.
+    /// Schedules a retry. Returns the waiters that cannot wait until the retry; the others stay registered.
     fn commit_failed(&mut self, now: f64, batch: Batch, waiters: Vec<PendingWaiter>) -> Vec<(Waiter, bool)> {
         self.counters.failed += 1;
         self.consecutive_failures += 1;
         self.not_before = now + self.backoff_s();
         for (key, value) in batch.changes {
-            // A change made meanwhile is newer than the one that failed.
+            // A change made in the meantime is newer than the one that failed, and is kept.
             self.dirty.entry(key).or_insert(value);
         }
         self.dirty_since.get_or_insert(now);
--- a/crates/nickelgw-store/src/core/write_buffer_tests.rs
+++ b/crates/nickelgw-store/src/core/write_buffer_tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn changes_are_batched_and_a_waiter_makes_the_commit_urgent() {
+fn changes_are_batched_and_waiter_makes_commit_urgent() {
     let mut buffer = write_buffer();
     put(&mut buffer, 0.0, 1, b"a", None);
     assert_eq!(buffer.poll_batch(0.0), (None, Some(1.0)));
@@ -20,7 +20,7 @@
     assert!(none.is_none() && poll_at.unwrap() < 0.11);
     let batch = buffer.poll_batch(0.11).0.unwrap();
     assert_eq!(batch.changes.len(), 2);
-    // One commit at a time; changes made meanwhile wait for the next.
+    // At most one commit is in flight; changes made in the meantime wait for the next one.
     put(&mut buffer, 0.12, 3, b"c", Some(8));
     assert_eq!(buffer.poll_batch(0.5), (None, None));
     assert_eq!(buffer.commit_finished(0.5, batch.number, true), vec![(Waiter(7), true)]);
@@ -46,7 +46,7 @@
         assert!(now < 3.0);
     }
     assert!(notified == vec![(Waiter(1), false)] && attempts >= 3, "{attempts}");
-    // A change newer than the one that failed is what is written at last.
+    // The retry writes a change that is newer than the one that failed.
     put(&mut buffer, now, 1, b"b", None);
     let batch = buffer.poll_batch(now + 20.0).0.unwrap();
     let value = batch.changes[0].1.as_ref().unwrap();
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn records_over_the_bound_are_evicted_and_old_ones_expire() {
+fn records_over_limit_are_evicted_and_old_records_expire() {
     let mut buffer = write_buffer();
     buffer.put(0.0, 1000.0, (RecordKind::LearnedState, b""), b"figures", None);
     (0..80).for_each(|n| put(&mut buffer, f64::from(n), n, b"x", None));
@@ -84,14 +84,14 @@
     ];
     let restored = buffer.restore(0.0, 1000.0, stored);
     let ages: Vec<_> = restored.iter().map(|record| (record.key[0], record.age_s)).collect();
-    // After the clock was set back an idempotency key still binds; learned state is dropped.
+    // After the clock was set back, idempotency keys are kept and learned state is dropped.
     assert_eq!(ages, vec![(1, Some(10.0)), (3, None)]);
     assert_eq!((buffer.counters.damaged, buffer.counters.expired), (2, 2));
     let changes = buffer.poll_batch(2.0).0.unwrap().changes;
     assert_eq!(changes.iter().filter(|(_, value)| value.is_none()).count(), 4);
 }
 
-/// The records on a disk that applies batches.
+/// Records on a simulated disk.
 type Disk = BTreeMap<Key, Vec<u8>>;
 
 fn apply(disk: &mut Disk, batch: &Batch) {
@@ -113,8 +113,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: RngSeed::Fixed(52), failure_persistence: None, ..ProptestConfig::default() })]
-    /// On a disk where commits fail at times: once the buffer is clean the disk holds exactly what was put; at every
-    /// moment a change whose waiter was notified of success is there unless it was changed since.
+    /// Commits fail at random. Once the buffer is clean, the disk holds exactly what was put. At any time, a
+    /// change whose waiter was notified of success is on disk unless the record was changed again.
     #[test]
     fn acknowledged_changes_are_on_disk(steps in prop::collection::vec((0u8..6, 0u8..8, 0.0..0.4f64, any::<bool>()), 1..150)) {
         let mut buffer = WriteBuffer::new(WriteBufferConfig { max_batch_bytes: 60, ..WriteBufferConfig::default() });
--- a/crates/nickelgw-store/src/error.rs
+++ b/crates/nickelgw-store/src/error.rs
@@ -1,32 +1,32 @@
-//! Errors of the store's file.
+//! Errors of the store file.
 
 use crate::store::FORMAT_VERSION;
 use std::io::ErrorKind;
 
-/// Why the store's file cannot be used.
+/// Error returned when the store file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// Another process holds the file's lock.
-    #[error("another process has it open")]
+    /// Another process holds the lock of the file.
+    #[error("store file is locked by another process")]
     Locked,
-    /// The file was written by a later release, in a format that this one does not know.
-    #[error("of a later form ({0}) than this program knows ({FORMAT_VERSION})")]
+    /// The file was written by a later release, in a format version that this release does not support.
+    #[error("store file has format version {0}; this release supports versions up to {FORMAT_VERSION}")]
     UnsupportedVersion(u64),
-    /// The file's content is inconsistent.
-    #[error("damaged: {0}")]
+    /// The content of the file is inconsistent.
+    #[error("store file is damaged: {0}")]
     Damaged(String),
-    /// The disk or the file system refused: nothing is known of the file's content.
-    #[error("cannot be used: {0}")]
+    /// The disk or the file system returned an error, which says nothing about the content of the file.
+    #[error("store file cannot be accessed: {0}")]
     Unusable(String),
 }
 
 impl StoreError {
-    /// An error that speaks of the file's content.
+    /// Creates an error about the content of the file.
     pub(crate) fn damaged(error: impl std::fmt::Display) -> StoreError {
         StoreError::Damaged(error.to_string())
     }
 
-    /// Tells errors of the disk from errors of the file's content.
+    /// Converts an error of redb, distinguishing errors of the disk from errors in the content of the file.
     pub(crate) fn from_redb(error: impl Into<redb::Error>) -> StoreError {
         match error.into() {
             redb::Error::DatabaseAlreadyOpen => StoreError::Locked,
@@ -38,7 +38,8 @@
     }
 }
 
-/// A truncated file ends before its content does: that is damage, not an error of the disk.
+/// Returns whether an I/O error is caused by the content of the file. An unexpected end of file means that
+/// the file was truncated, which is damage and not an error of the disk.
 fn is_content_error(kind: ErrorKind) -> bool {
     matches!(kind, ErrorKind::InvalidData | ErrorKind::UnexpectedEof)
 }
--- a/crates/nickelgw-store/src/lib.rs
+++ b/crates/nickelgw-store/src/lib.rs
@@ -1,5 +1,6 @@
-//! Persistence of a node over its restarts. [`core`] decides what is written when and which records are still used;
-//! [`Store`] is the file, a redb database. Its calls block: they belong on a thread that may wait.
+//! Store for the state of a node that persists over restarts. [`core`] decides what is written when, and
+//! which records are still used; [`Store`] is the file, a redb database. Calls of [`Store`] block and belong
+//! on a thread that may block.
 
 pub mod core;
 mod error;
--- a/crates/nickelgw-store/src/store.rs
+++ b/crates/nickelgw-store/src/store.rs
@@ -1,4 +1,5 @@
-//! The file: two redb tables, one of records and one of the file's own format version.
+//! Store file: a redb database with two tables, one for the records and one for the format version of the
+//! file.
 
 use crate::core::write_buffer::{Batch, Key};
 use crate::error::StoreError;
@@ -12,26 +13,27 @@
 const RECORDS: TableDefinition<&[u8], &[u8]> = TableDefinition::new("records");
 const METADATA: TableDefinition<&str, u64> = TableDefinition::new("about");
 const FORMAT_VERSION_KEY: &str = "form";
-/// Version of the file's tables. A file of a later version is not touched.
+/// Format version of the tables. A file with a later version is not modified.
 pub(crate) const FORMAT_VERSION: u64 = 1;
-/// What is appended to the name of a damaged file when it is moved aside.
+/// Suffix appended to the name of a damaged file when it is moved aside.
 const DAMAGED_SUFFIX: &str = ".damaged";
 
-/// An open store file. The lock on the file is released when this is dropped.
+/// An open store file. Dropping it releases the lock on the file.
 pub struct Store {
     database: Database,
 }
 
-/// Keys and sealed values as the file holds them.
+/// Keys and sealed values as stored in the file.
 pub type Records = Vec<(Key, Vec<u8>)>;
 
 impl Store {
-    /// Opens or creates the file, and reads all of it.
+    /// Opens or creates the file, and reads all records.
     pub fn open(path: &Path) -> Result<(Store, Records), StoreError> {
         Self::open_guarded(|| Database::create(path))
     }
 
-    /// As [`Store::open`], on another storage than a file: tests inject faults by it.
+    /// Opens a store as [`Store::open`] does, but on the given storage backend. Tests use it to inject
+    /// faults.
     pub fn open_on(backend: impl StorageBackend) -> Result<(Store, Records), StoreError> {
         Self::open_guarded(|| Database::builder().create_with_backend(backend))
     }
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Writes a batch atomically; it is on disk when this returns.
+    /// Writes a batch atomically. The batch is on disk when this returns `Ok`.
     pub fn commit(&self, batch: &Batch) -> Result<(), StoreError> {
         panic_as_damage(|| {
             let transaction = self.database.begin_write().map_err(StoreError::from_redb)?;
@@ -80,19 +82,22 @@
         })
     }
 
-    /// Returns the space of removed records to the file system; false if there was none.
+    /// Returns the space of removed records to the file system. The result is false if there was nothing to
+    /// compact.
     pub fn compact(&mut self) -> Result<bool, StoreError> {
         self.database.compact().map_err(StoreError::from_redb)
     }
 }
 
-/// redb panics on some kinds of damage that it did not foresee: reported as damage, not as a crash of the node.
+/// Runs an operation of redb and reports a panic as damage. redb panics on some kinds of damage to the file,
+/// which must not crash the node.
 fn panic_as_damage<T>(operation: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
-    let inconsistent = || Err(StoreError::Damaged("its inner structure does not hold together".into()));
+    let inconsistent =
+        || Err(StoreError::Damaged("the database library panicked on inconsistent content".into()));
     catch_unwind(AssertUnwindSafe(operation)).unwrap_or_else(|_| inconsistent())
 }
 
-/// None: the file is new, or its writer died before the first commit.
+/// Reads the format version; `None` if the file is new, or if its writer stopped before the first commit.
 fn read_format_version(transaction: &ReadTransaction) -> Result<Option<u64>, StoreError> {
     match transaction.open_table(METADATA) {
         Ok(table) => {
@@ -123,19 +128,20 @@
     Ok(records)
 }
 
-/// What [`open_or_recreate`] came to.
+/// Result of [`open_or_recreate`].
 #[derive(Default)]
 pub struct Opened {
-    /// None: nothing is persisted.
+    /// The open store; `None` if nothing can be persisted.
     pub store: Option<Store>,
-    /// What an earlier process left.
+    /// Records that an earlier process left in the file.
     pub records: Records,
-    /// Why the file, as it was found, was not used.
+    /// Reason why the file was not used as it was found; `None` if it was.
     pub error: Option<StoreError>,
 }
 
-/// Opens a node's file whatever its state, so that a node always starts: a damaged file is moved aside and created
-/// anew; one that another process holds, or of a later format version, is left alone and nothing is persisted.
+/// Opens the store file of a node in a way that lets the node start whatever the state of the file. A damaged
+/// file is moved aside and replaced by a new one. A file that is locked by another process, has a later
+/// format version or cannot be accessed is left as it is, and nothing is persisted.
 pub fn open_or_recreate(path: &Path) -> Opened {
     match Store::open(path) {
         Ok((store, records)) => Opened { store: Some(store), records, error: None },
--- a/crates/nickelgw-store/tests/compatibility.rs
+++ b/crates/nickelgw-store/tests/compatibility.rs
@@ -1,4 +1,5 @@
-//! Stores written by an earlier release are opened and restored. `fixtures/32b5283/README.md` says how the files were made.
+//! Checks that stores written by an earlier release are opened and restored. `fixtures/32b5283/README.md`
+//! describes how the files were made.
 
 use nickelgw_store::core::write_buffer::{RestoredRecord, WriteBuffer, WriteBufferConfig};
 use nickelgw_store::core::RecordKind;
@@ -6,13 +7,14 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// A moment after the last write of the fixtures, in seconds since 1970.
+/// Time shortly after the last write to the fixtures, in seconds since 1970.
 const SHORTLY_AFTER_UNIX_S: f64 = 1_796_219_380.0;
 
-/// A copy of a fixture, as opening a store may write to it.
+/// Temporary copy of a fixture, since opening a store may write to it.
 struct FixtureCopy(PathBuf);
 
-/// Copies made by this process: each test has its own, as a store is locked while it is open.
+/// Number of copies made by this process. Each test uses its own copy, since a store is locked while it is
+/// open.
 static COPIES: AtomicU32 = AtomicU32::new(0);
 
 impl FixtureCopy {
@@ -48,7 +50,7 @@
 fn node_store_of_an_earlier_release_is_restored() {
     let (buffer, records) = restore("node.store", SHORTLY_AFTER_UNIX_S);
     assert_eq!((records.len(), buffer.counters.damaged, buffer.counters.expired), (3, 0, 0));
-    assert!(buffer.is_clean(), "nothing is rewritten");
+    assert!(buffer.is_clean(), "restoring rewrote records");
     assert!(records.iter().all(|record| record.age_s.is_some_and(|age_s| (0.0..60.0).contains(&age_s))));
 
     let learned_state = of_kind(&records, RecordKind::LearnedState);
@@ -62,7 +64,10 @@
     assert_eq!(keys.len(), 2);
     assert!(keys.iter().all(|record| record.key.len() == 32 && record.value.len() == 32), "{keys:?}");
     assert_ne!(keys[0].key, keys[1].key);
-    assert_eq!(keys[0].value, keys[1].value, "both requests had the same body");
+    assert_eq!(
+        keys[0].value, keys[1].value,
+        "the stored values differ although both requests had the same body"
+    );
 }
 
 #[test]
@@ -73,12 +78,12 @@
         .iter()
         .map(|record| u128::from_be_bytes(record.key.clone().try_into().unwrap()))
         .collect();
-    // The tickets that the clients were given.
+    // Tickets that the clients received.
     assert_eq!(tickets, [0x258fb6fc37ce6666124ededc3a0bd1ef, 0xc79fab7a9349e651110ddc9ca724107f]);
 }
 
 #[test]
-fn records_of_an_earlier_release_expire_by_their_kind() {
+fn records_of_an_earlier_release_expire_by_the_retention_of_their_kind() {
     let eleven_minutes_later = SHORTLY_AFTER_UNIX_S + 660.0;
     assert_eq!(restore("node.store", eleven_minutes_later).1, []);
     assert_eq!(restore("deferred.store", eleven_minutes_later).1.len(), 2);
--- a/crates/nickelgw-store/tests/crash.rs
+++ b/crates/nickelgw-store/tests/crash.rs
@@ -1,5 +1,5 @@
-//! Fault injection under the store: power loss, torn and reordered writes, a full disk, damaged files. Acknowledged
-//! commits survive, and nothing else is read.
+//! Fault injection below the store: power loss, torn and reordered writes, a full disk, damaged files. Checks
+//! that acknowledged commits survive and that no other data is read.
 
 use nanorand::{Rng, WyRand};
 use nickelgw_store::core::write_buffer::Batch;
@@ -10,17 +10,18 @@
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
 
-/// A file in memory. A power loss keeps any of the operations since the last sync, in any order, some of them torn.
+/// A file in memory. After a power loss, a random subset of the operations since the last sync is applied, in
+/// random order, and some of the writes are torn.
 #[derive(Debug, Default)]
 struct DiskState {
     synced: Vec<u8>,
     current: Vec<u8>,
     unsynced: Vec<Operation>,
-    /// Calls so far that change anything.
+    /// Number of calls so far that modify or sync the file.
     calls: usize,
-    /// The call at which power is lost.
+    /// Number of the call at which power is lost.
     power_loss_at: usize,
-    /// Largest size of the file; 0: no limit.
+    /// Maximum size of the file in bytes; 0 means no limit.
     max_len: usize,
 }
 
@@ -53,7 +54,7 @@
 }
 
 fn power_lost() -> BackendIoError {
-    std::io::Error::other("the power is gone")
+    std::io::Error::other("simulated power loss")
 }
 
 impl DiskState {
@@ -65,13 +66,13 @@
         Ok(())
     }
 
-    /// What is on disk after the power loss.
+    /// Content of the disk after the power loss.
     fn after_power_loss(&self, random: &mut WyRand) -> Vec<u8> {
         let mut content = self.synced.clone();
         let mut unsynced = self.unsynced.clone();
         random.shuffle(&mut unsynced);
         for operation in unsynced {
-            // Some operations are lost, some writes stop at a sector, others are whole.
+            // Some operations are lost, some writes end after a number of sectors, others are complete.
             let sectors = match random.generate_range(0..3u8) {
                 0 => continue,
                 1 => 1 + random.generate_range(0..8usize),
@@ -133,7 +134,7 @@
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), BackendIoError> {
         let mut state = self.0.lock().unwrap();
         let offset = offset as usize;
-        // The call at which power is lost may still reach the disk in part.
+        // The write at which power is lost may still reach the disk in part.
         let powered = state.count_call();
         state.unsynced.push(Operation::Write { offset, data: data.to_vec() });
         powered?;
@@ -144,7 +145,8 @@
 
 type Model = BTreeMap<Vec<u8>, Vec<u8>>;
 
-/// Commits batches until the disk fails; gives what was acknowledged, and what the next batch would have made of it.
+/// Commits batches until the disk fails. Returns the acknowledged records, and the records as they would be
+/// after the batch that failed.
 fn commit_until_failure(disk: &Disk, random: &mut WyRand) -> (Model, Model) {
     let (mut acknowledged, mut next) = (Model::new(), Model::new());
     let Ok((store, stored)) = Store::open_on(disk.clone()) else { return (acknowledged, next) };
@@ -173,10 +175,10 @@
 #[test]
 fn acknowledged_commits_survive_a_power_loss_at_any_write() {
     let mut random = WyRand::new_seed(5);
-    let unharmed = Disk::new(NEVER);
-    commit_until_failure(&unharmed, &mut WyRand::new_seed(9));
-    let calls = unharmed.0.lock().unwrap().calls;
-    assert!(calls > 60, "{calls}");
+    let intact_disk = Disk::new(NEVER);
+    commit_until_failure(&intact_disk, &mut WyRand::new_seed(9));
+    let calls = intact_disk.0.lock().unwrap().calls;
+    assert!(calls > 60, "only {calls} calls to the disk");
     let (mut before, mut after) = (0, 0);
     for power_loss_at in 1..calls {
         let disk = Disk::new(power_loss_at);
@@ -186,7 +188,7 @@
             match Store::open_on(Disk::holding(content)) {
                 Ok((_, stored)) => {
                     let stored: Model = stored.into_iter().collect();
-                    // The commit in flight may have been applied whole, never in part.
+                    // The commit in flight may have been applied completely, but not in part.
                     assert!(stored == acknowledged || stored == next, "power lost at call {power_loss_at}");
                     if stored == acknowledged {
                         before += 1
@@ -194,18 +196,18 @@
                         after += 1
                     }
                 }
-                // Before anything was acknowledged there may be no file yet.
+                // There may be no valid file before the first commit was acknowledged.
                 Err(error) => {
                     assert!(acknowledged.is_empty(), "power lost at call {power_loss_at}: {error}")
                 }
             }
         }
     }
-    assert!(before > 0 && after > 0, "{before} {after}");
+    assert!(before > 0 && after > 0, "commit in flight was lost in {before} cases and applied in {after}");
 }
 
 #[test]
-fn commit_on_a_full_disk_fails_and_loses_nothing() {
+fn commit_on_full_disk_fails_and_loses_no_record() {
     let disk = Disk::new(NEVER);
     let (store, _) = Store::open_on(disk.clone()).unwrap();
     let put = |n: u8, size: usize| {
@@ -221,7 +223,7 @@
     assert_eq!(stored, vec![(vec![2, 1], vec![1; 100])]);
 }
 
-/// A new folder for a test, and the path of a store in it.
+/// Creates a folder for a test; returns it and the path of a store in it.
 fn new_folder(name: &str) -> (PathBuf, PathBuf) {
     let folder = std::env::temp_dir().join(format!("nickelgw-store{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
@@ -245,17 +247,17 @@
 }
 
 #[test]
-fn damaged_file_is_moved_aside_and_a_locked_one_is_left_alone() {
+fn damaged_file_is_moved_aside_and_locked_file_is_left_intact() {
     let (folder, path) = new_folder("");
     let Opened { store, records, error } = open_or_recreate(&path);
     assert!(records.is_empty() && error.is_none());
     store.as_ref().unwrap().commit(&put_one(1)).unwrap();
-    // Two processes with one file: the second persists nothing, and harms nothing.
+    // If two processes use one file, the second one persists nothing and leaves the file intact.
     let second = open_or_recreate(&path);
     assert!(second.store.is_none() && matches!(second.error, Some(StoreError::Locked)));
     drop(store);
     assert_eq!(open_or_recreate(&path).records.len(), 1);
-    // Damage at each of many places: created anew, or what is read is what was written.
+    // A file that is damaged at a random place is either replaced by a new one or read as it was written.
     let intact = std::fs::read(&path).unwrap();
     let mut random = WyRand::new_seed(3);
     let mut recreated = 0;
@@ -264,18 +266,18 @@
         std::fs::write(&path, &content).unwrap();
         let Opened { store, records, error } = open_or_recreate(&path);
         recreated += usize::from(error.is_some());
-        assert!(error.is_some() || n % 3 > 0 || content.is_empty(), "a truncated file was accepted");
+        assert!(error.is_some() || n % 3 > 0 || content.is_empty(), "truncated file was accepted");
         assert!(records.len() <= 1);
         if let Some(store) = store {
             store.commit(&put_one(2)).unwrap();
         }
     }
-    assert!(recreated > 10, "{recreated}");
+    assert!(recreated > 10, "only {recreated} of 60 damaged files were replaced");
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
-fn file_of_a_later_version_is_not_touched_and_one_without_a_version_is_initialized() {
+fn file_of_later_version_is_not_modified_and_file_without_version_is_initialized() {
     let (folder, path) = new_folder("-form");
     let metadata: redb::TableDefinition<&str, u64> = redb::TableDefinition::new("about");
     let write_version = |version: u64| {
@@ -291,7 +293,7 @@
     assert!(matches!(error, Some(StoreError::UnsupportedVersion(9))));
     assert!(std::fs::read(&path).unwrap().len() == before.len() && path.exists());
     std::fs::remove_file(&path).unwrap();
-    // As a process that died at its first write may leave it.
+    // A process that died at its first write may leave a file without a version.
     drop(redb::Database::create(&path).unwrap());
     let Opened { store, records, error } = open_or_recreate(&path);
     assert!(store.is_some() && records.is_empty() && error.is_none());
