--- a/crates/nickelgw-zones/src/core/capacity.rs
+++ b/crates/nickelgw-zones/src/core/capacity.rs
@@ -1,23 +1,23 @@
-//! Engines of a zone, counted by the phases that they can serve.
+//! Numbers of engines of a zone by the phase that they can serve.
 
 use std::iter::Sum;
 
-/// Engines of a zone, by what they can do.
+/// Numbers of engines of a zone by phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ZoneCapacity {
-    /// Engines that can prefill.
+    /// Number of prefill engines.
     pub prefill_engines: usize,
-    /// Engines that can decode.
+    /// Number of decode engines.
     pub decode_engines: usize,
 }
 
 impl ZoneCapacity {
-    /// Engines of either kind.
+    /// Number of engines of either kind.
     pub(super) fn total(self) -> usize {
         self.prefill_engines + self.decode_engines
     }
 
-    /// Whether each phase that `other` can serve can be served here too.
+    /// Returns whether these engines can serve every phase that those of `other` can serve.
     pub(super) fn covers(self, other: ZoneCapacity) -> bool {
         let covers_prefill = self.prefill_engines > 0 || other.prefill_engines == 0;
         let covers_decode = self.decode_engines > 0 || other.decode_engines == 0;
--- a/crates/nickelgw-zones/src/core/config.rs
+++ b/crates/nickelgw-zones/src/core/config.rs
@@ -3,19 +3,21 @@
 /// Times that govern the transitions between zone states.
 #[derive(Clone, Copy, Debug)]
 pub struct ZoneConfig {
-    /// Longest time until an engine that stopped answering is found unreachable.
+    /// Longest time in seconds until an engine that has stopped responding is detected as unreachable.
     pub detection_s: f64,
-    /// How long a zone stays suspected before it may be evacuated, so that contradicting observations can arrive.
+    /// Time in seconds that a zone stays suspected before it may be evacuated, which lets contradicting
+    /// observations arrive.
     pub confirm_s: f64,
-    /// Unreachable engines reported longer ago than this are no evidence any more.
+    /// Maximum age in seconds of the failure of an engine that counts as evidence.
     pub evidence_window_s: f64,
-    /// Shortest time between two steps of a recovery.
+    /// Shortest duration of a recovery step in seconds.
     pub recovery_step_s: f64,
-    /// Wait between the first response of an evacuated zone and its recovery; it doubles with each evacuation.
+    /// Time in seconds from the first response of an evacuated zone to its recovery; doubles with each
+    /// evacuation.
     pub failback_delay_s: f64,
-    /// Upper bound of the doubled wait.
+    /// Upper bound in seconds of the doubled failback delay.
     pub max_failback_delay_s: f64,
-    /// A zone that was active for so long starts again with the shortest wait.
+    /// Time in seconds that a zone must be active for its failback delay to be reset.
     pub stable_s: f64,
 }
 
--- a/crates/nickelgw-zones/src/core/failover.rs
+++ b/crates/nickelgw-zones/src/core/failover.rs
@@ -1,41 +1,41 @@
-//! State machine of a single zone: active, suspected, evacuated, recovering in steps.
+//! State machine of a single zone: active, suspected, evacuated, and recovering in steps.
 
 use super::evidence::ZoneEvidence;
 use super::ZoneConfig;
 
-/// Share of the usual traffic in each step of a recovery: a few requests first.
+/// Fraction of the usual traffic in each step of a recovery. The first step allows only a few requests.
 pub const RECOVERY_WEIGHTS: [f64; 4] = [0.05, 0.15, 0.4, 1.0];
-/// Doublings of the failback delay, at most.
+/// Maximum number of times that the failback delay doubles.
 const MAX_FAILBACK_DOUBLINGS: u32 = 16;
 
-/// Whether traffic goes to a zone.
+/// State of a zone, which determines its traffic.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ZoneState {
-    /// It gets all its traffic.
+    /// The zone receives all its traffic.
     Active,
-    /// It gets all its traffic, but some engine of it is unreachable.
+    /// The zone receives all its traffic, but at least one of its engines is unreachable.
     Suspected {
-        /// When it became suspected.
+        /// Time at which the zone became suspected.
         since: f64,
     },
-    /// It gets no traffic.
+    /// The zone receives no traffic.
     Evacuated {
-        /// When it was evacuated.
+        /// Time at which the zone was evacuated.
         since: f64,
-        /// When it was found to respond again, if it does.
+        /// Time at which the zone was found to respond again; `None` if it does not respond.
         responding_since: Option<f64>,
     },
-    /// It gets a share of its traffic that grows step by step.
+    /// The zone receives a share of its traffic that grows in steps.
     Recovering {
         /// Index into [`RECOVERY_WEIGHTS`].
         step: usize,
-        /// When this step began.
+        /// Time at which this step began.
         since: f64,
     },
 }
 
 impl ZoneState {
-    /// Share of its usual traffic that a zone in this state gets.
+    /// Fraction of its usual traffic that a zone in this state receives.
     pub(super) fn weight(self) -> f64 {
         match self {
             ZoneState::Evacuated { .. } => 0.0,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether this differs from an earlier state by more than its times.
+    /// Returns whether this state differs from an earlier one by more than its times.
     pub(super) fn is_transition_from(self, earlier: ZoneState) -> bool {
         match (self, earlier) {
             (ZoneState::Recovering { step, .. }, ZoneState::Recovering { step: earlier_step, .. }) => {
@@ -55,13 +55,13 @@
     }
 }
 
-/// State of one zone, with what it remembers of earlier evacuations.
+/// State of one zone and its history of evacuations.
 #[derive(Clone, Debug)]
 pub(super) struct ZoneFailover {
     pub(super) state: ZoneState,
-    /// Evacuations since the zone was last stable.
+    /// Number of evacuations since the zone was last stable.
     evacuations: u32,
-    /// When it was last evacuated, or last became active again.
+    /// Time at which the zone was last evacuated or last became active again.
     changed_at: f64,
 }
 
@@ -70,7 +70,8 @@
         ZoneFailover { state: ZoneState::Active, evacuations: 0, changed_at: f64::NEG_INFINITY }
     }
 
-    /// Moves on by the evidence; `evacuate`: it suffices for an evacuation, and the other zones can do without this one.
+    /// Updates the state by the evidence. `evacuate` is true if the evidence suffices for an evacuation and
+    /// the other zones can serve the traffic without this one.
     pub(super) fn update(&mut self, now: f64, evidence: &ZoneEvidence, evacuate: bool, config: &ZoneConfig) {
         self.state = match self.state {
             ZoneState::Active => self.update_active(now, evidence, config),
@@ -122,13 +123,14 @@
         ZoneState::Evacuated { since: now, responding_since: None }
     }
 
-    /// Evacuated, and no response since.
+    /// Updates an evacuated zone that has not responded since.
     fn update_unresponsive(now: f64, since: f64, evidence: &ZoneEvidence) -> ZoneState {
         let responding = evidence.responded_since(since) && !evidence.is_failing();
         ZoneState::Evacuated { since, responding_since: responding.then_some(now) }
     }
 
-    /// Evacuated, but responding: it recovers once it has done so for the failback delay.
+    /// Updates an evacuated zone that responds: its recovery begins once it has responded for the failback
+    /// delay.
     fn update_responding(
         &self,
         now: f64,
@@ -146,7 +148,8 @@
         }
     }
 
-    /// Doubles with each evacuation, so that a zone that flaps is used ever less often.
+    /// Failback delay in seconds. It doubles with each evacuation, so that a flapping zone is used less and
+    /// less often.
     fn failback_delay_s(&self, config: &ZoneConfig) -> f64 {
         let doublings = self.evacuations.saturating_sub(1).min(MAX_FAILBACK_DOUBLINGS);
         (config.failback_delay_s * 2f64.powi(doublings as i32)).min(config.max_failback_delay_s)
@@ -161,7 +164,8 @@
         config: &ZoneConfig,
     ) -> ZoneState {
         if evidence.is_failing() {
-            // A failure met in this step sets it back at once; while one stands the zone does not advance.
+            // A failure of a request sent in this step returns the zone to the previous step at once. While
+            // an older failure still counts, the zone stays in its step.
             return if evidence.failed_since(since, config) {
                 ZoneState::Recovering { step: step.saturating_sub(1), since: now }
             } else {
--- a/crates/nickelgw-zones/src/core/mod.rs
+++ b/crates/nickelgw-zones/src/core/mod.rs
@@ -1,9 +1,10 @@
-//! States of all zones as this node judges them. A state is a function of what the nodes of this node's own zone observed,
-//! so that nodes which know the same decide the same, without a vote.
+//! States of all zones as judged by this node. A state is a function of the observations of the nodes in this
+//! node's own zone, so that nodes with the same observations decide the same without a vote.
 //!
-//! The evidence against a zone are engines that have been unreachable since any engine of the zone last responded, each
-//! counted once however many requests to it failed. A single dead engine does not make a zone fail, since its others
-//! respond; nor do busy engines, since any answer is a response. What discovery lists is no evidence at all.
+//! The evidence that a zone has failed consists of engines that have been unreachable since any engine of the
+//! zone last responded. Each such engine counts once, however many requests to it failed. A single dead
+//! engine does not make a zone fail, since the other engines of the zone respond; nor do busy engines, since
+//! any answer is a response. The endpoint list of service discovery is not evidence.
 
 mod capacity;
 mod config;
@@ -18,16 +19,16 @@
 use evidence::{count_nodes, ZoneEvidence, MIN_REPORTING_NODES};
 use failover::ZoneFailover;
 
-/// A zone has changed its state, for logs and metrics.
+/// Change of the state of a zone, for logs and metrics.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneTransition {
     /// Index of the zone.
     pub zone: usize,
-    /// The state it has now.
+    /// State after the change.
     pub state: ZoneState,
-    /// Distinct engines of it that are unreachable.
+    /// Number of distinct engines of the zone that are unreachable.
     pub unreachable_engines: usize,
-    /// Distinct nodes that reported any of them.
+    /// Number of distinct nodes that reported any of these engines.
     pub reporting_nodes: usize,
 }
 
@@ -35,40 +36,41 @@
 pub struct ZoneStates {
     config: ZoneConfig,
     zones: Vec<ZoneFailover>,
-    /// Applied to the traffic: the own weight, or a lower one that the peers agree in.
+    /// Weights applied to the traffic: the weight by this node's own judgement, or a lower one that its peers
+    /// agree on.
     weights: Vec<f64>,
 }
 
 impl ZoneStates {
-    /// So many zones, all active.
+    /// Creates the states of `zones` zones, all active.
     pub fn new(zones: usize, config: ZoneConfig) -> ZoneStates {
         ZoneStates { config, zones: vec![ZoneFailover::new(); zones], weights: vec![1.0; zones] }
     }
 
-    /// Share of its usual traffic that the zone is to get.
+    /// Fraction of its usual traffic that the zone is to receive.
     pub fn weight(&self, zone: usize) -> f64 {
         self.weights.get(zone).copied().unwrap_or(1.0)
     }
 
-    /// The weight by this node's own judgement. This is what peers are sent, so that no node is held back by an echo of
-    /// its own report.
+    /// Weight of a zone by this node's own judgement. This is the weight that is reported to peers; reporting
+    /// the applied weight would let a node be held back by an echo of its own report.
     pub fn own_weight(&self, zone: usize) -> f64 {
         self.state(zone).map_or(1.0, ZoneState::weight)
     }
 
-    /// The state of a zone; none where there is no such zone.
+    /// State of a zone; `None` if there is no such zone.
     pub fn state(&self, zone: usize) -> Option<ZoneState> {
         self.zones.get(zone).map(|failover| failover.state)
     }
 
-    /// Zones whose engines are to be probed.
+    /// Indices of the zones whose engines are to be probed.
     pub fn zones_to_probe(&self) -> impl Iterator<Item = usize> + '_ {
         let is_active = |zone: usize| matches!(self.zones[zone].state, ZoneState::Active);
         (0..self.zones.len()).filter(move |&zone| !is_active(zone) || self.weights[zone] < 1.0)
     }
 
-    /// Moves each zone on by what the nodes of this node's zone observed, its own observations first. `capacities`: the
-    /// engines listed, by zone.
+    /// Updates the state of each zone. `observations` are those of all nodes in this node's zone, and begin
+    /// with this node's own. `capacities` has the number of listed engines of each zone.
     pub fn update(
         &mut self,
         now: f64,
@@ -98,7 +100,8 @@
         transitions
     }
 
-    /// The last zone is never evacuated, nor one without which a phase could not be served.
+    /// Returns whether the other zones that are not evacuated can serve every phase without this one. The
+    /// last such zone is never evacuated.
     fn may_evacuate(&self, zone: usize, capacities: &[ZoneCapacity]) -> bool {
         let is_open = |other: usize| !matches!(self.zones[other].state, ZoneState::Evacuated { .. });
         let remaining: ZoneCapacity = (0..self.zones.len())
@@ -109,8 +112,9 @@
         remaining.total() > 0 && remaining.covers(all)
     }
 
-    /// A node that has just started, or was suspended, has observed nothing itself: it follows the median weight of its
-    /// peers, where there are two at least. A single peer moves no other node.
+    /// Lowers the weights of zones to those that peers agree on. A node that has just started or was
+    /// suspended has no observations of its own, so it follows the median weight of its peers if there are at
+    /// least two. A single peer cannot change the weights of another node.
     fn apply_peer_weights(&mut self, observations: &[ZoneObservation]) {
         let own_node = observations.first().map(|observation| observation.node);
         for zone in 0..self.zones.len() {
@@ -130,7 +134,8 @@
         }
     }
 
-    /// Gives a zone its traffic back that gets none on the peers' report alone, if a phase could not be served without it.
+    /// Restores the full weight of zones that have none, if the zones that still receive traffic could not
+    /// serve a phase without them. This happens if the weight was lowered by the reports of peers alone.
     fn keep_needed_zones(&mut self, capacities: &[ZoneCapacity]) {
         for zone in 0..self.weights.len() {
             let others: ZoneCapacity = (0..self.weights.len())
@@ -144,7 +149,7 @@
     }
 }
 
-/// The engines listed for a zone; none where it is not listed.
+/// Capacity of a zone; zero if the zone is not listed.
 fn capacity_of(zone: usize, capacities: &[ZoneCapacity]) -> ZoneCapacity {
     capacities.get(zone).copied().unwrap_or_default()
 }
