--- a/crates/nickelgw-gossip/src/core/batch.rs
+++ b/crates/nickelgw-gossip/src/core/batch.rs
@@ -1,11 +1,11 @@
-//! Records that travel in one datagram.
+//! Batch of records that are sent in one datagram.
 
 use super::record::{AgedRecord, Message, NodeRecord, MAX_DATAGRAM_BYTES};
 
-/// Bytes of a datagram beside its records, at most: version, authentication code, sender, time.
+/// Maximum size of a datagram without its records: version, authentication code, sender and time.
 const DATAGRAM_OVERHEAD_BYTES: usize = 128;
 
-/// Whether the record fits into a datagram of its own.
+/// Returns whether a datagram can hold the record on its own.
 pub(super) fn fits_datagram(record: &NodeRecord) -> bool {
     DATAGRAM_OVERHEAD_BYTES + record.max_encoded_len() <= MAX_DATAGRAM_BYTES
 }
--- a/crates/nickelgw-gossip/src/core/config.rs
+++ b/crates/nickelgw-gossip/src/core/config.rs
@@ -1,21 +1,22 @@
-//! Settings of the gossip.
+//! Settings of the gossip protocol.
 
-/// Intervals and bounds of the gossip.
+/// Intervals and limits of the gossip protocol.
 #[derive(Clone, Copy, Debug)]
 pub struct GossipConfig {
-    /// Time between two rounds, give or take a tenth.
+    /// Time in seconds between two rounds, jittered by a tenth.
     pub round_s: f64,
-    /// Peers that a round's records go to.
+    /// Number of peers to which the records of a round are sent.
     pub fanout: usize,
-    /// Rounds between two digests.
+    /// Number of rounds from one digest to the next.
     pub digest_every_rounds: u32,
-    /// The own record is published again after so long, longer in a large fleet.
+    /// Time in seconds after which the own record is published again; longer in a large fleet.
     pub refresh_interval_s: f64,
-    /// Nodes that a round has room for: the refresh interval grows with the fleet, so that the traffic stays bounded.
+    /// Number of nodes whose records are refreshed in a round. The refresh interval grows with the fleet
+    /// accordingly, so that the traffic stays bounded.
     pub nodes_per_round: f64,
-    /// The clocks of two nodes may differ by so much.
+    /// Maximum difference in seconds between the clocks of two nodes.
     pub max_clock_skew_s: f64,
-    /// Peers known at most. Past it a new one takes the place of one that is not live, or is dropped.
+    /// Maximum number of known peers. Above it, a new peer replaces one that is not live, or is dropped.
     pub max_nodes: usize,
 }
 
--- a/crates/nickelgw-gossip/src/core/datagram.rs
+++ b/crates/nickelgw-gossip/src/core/datagram.rs
@@ -1,50 +1,52 @@
-//! Datagrams: each is complete in itself and authenticated with the fleet's key.
+//! Encoding of datagrams. Each datagram is self-contained and authenticated with the key of the fleet.
 
 use super::record::Message;
 use serde::{Deserialize, Serialize};
 
-/// What fits a datagram on any path; longer ones are rejected.
+/// Maximum size of a datagram, chosen to fit the MTU of any path; longer datagrams are rejected.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// Version of the wire format, the first byte of a datagram.
 const VERSION: u8 = 1;
-/// Bytes of the authentication code that follows the version.
+/// Size of the authentication code that follows the version.
 const CODE_BYTES: usize = blake3::OUT_LEN;
-/// Separates this key from others derived from the same secret; part of the wire format.
+/// Context string of the key derivation, which separates this key from others derived from the same secret.
+/// It is part of the wire format.
 const KEY_CONTEXT: &str = "nickelgw accord: datagrams between nodes";
 
 /// A message and its sender.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Name of the node that sent it.
+    /// Name of the sending node.
     pub from: String,
-    /// Unix time at which it was made: a replayed one is recognized by it.
+    /// Unix time in milliseconds at which the datagram was created; used to detect replays.
     pub at_ms: u64,
-    /// What it says.
+    /// Content of the datagram.
     pub message: Message,
 }
 
-/// Why a datagram is rejected.
+/// Reason why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 pub enum DatagramError {
-    /// Longer than [`MAX_DATAGRAM_BYTES`], or too short to be one.
-    #[error("longer or shorter than any datagram of ours")]
+    /// The datagram is longer than [`MAX_DATAGRAM_BYTES`], or shorter than its version and authentication
+    /// code.
+    #[error("datagram is longer than {MAX_DATAGRAM_BYTES} bytes or shorter than its authentication code")]
     Length,
-    /// Of a wire format that this node does not know.
-    #[error("of another version")]
+    /// The datagram has a version of the wire format that this node does not support.
+    #[error("datagram has an unsupported version of the wire format")]
     Version,
-    /// Altered, or authenticated with another key.
-    #[error("not sealed with this fleet's key")]
+    /// The datagram was altered, or authenticated with another key.
+    #[error("authentication code of the datagram does not match the key of this fleet")]
     Key,
-    /// Authentic, but malformed or beyond the bounds of a record.
-    #[error("sealed, but it cannot be read")]
+    /// The datagram is authentic, but malformed or beyond the limits of a record.
+    #[error("authenticated datagram is malformed or exceeds the limits of a record")]
     Unreadable,
-    /// Older than the clock skew allows, or from the future.
-    #[error("made too long ago, or in the future")]
+    /// The time of the datagram differs from this node's clock by more than the permitted skew.
+    #[error("time of the datagram differs from the local clock by more than the permitted skew")]
     Time,
 }
 
 impl DatagramError {
-    /// All reasons, in the order in which they are counted.
+    /// All reasons, in the order of [`GossipCounters::rejected`](super::GossipCounters::rejected).
     pub const ALL: [DatagramError; 5] = [
         DatagramError::Length,
         DatagramError::Version,
@@ -53,13 +55,13 @@
         DatagramError::Time,
     ];
 
-    /// The reason as a metric label.
+    /// Name of the reason as a metric label.
     pub fn name(self) -> &'static str {
         ["length", "version", "key", "unreadable", "time"][self as usize]
     }
 }
 
-/// The fleet's key. Its value is never printed.
+/// Key shared by the nodes of a fleet. Its value is never printed.
 #[derive(Clone)]
 pub struct SharedKey([u8; 32]);
 
@@ -75,7 +77,7 @@
         SharedKey(blake3::derive_key(KEY_CONTEXT, secret.as_bytes()))
     }
 
-    /// Encodes and authenticates a datagram. None: it is too long.
+    /// Encodes and authenticates a datagram; `None` if it would be longer than [`MAX_DATAGRAM_BYTES`].
     pub fn seal(&self, datagram: &Datagram) -> Option<Vec<u8>> {
         self.seal_raw(&postcard::to_allocvec(datagram).ok()?)
     }
@@ -88,7 +90,8 @@
         (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    /// Verifies and decodes a datagram. `max_skew_ms`: how far its time may be from this node's.
+    /// Verifies and decodes a datagram. `max_skew_ms` is the maximum difference between its time and
+    /// `unix_ms`, the time of this node.
     pub fn open(&self, bytes: &[u8], unix_ms: u64, max_skew_ms: u64) -> Result<Datagram, DatagramError> {
         let body = self.verify(bytes)?;
         let datagram: Datagram = postcard::from_bytes(body).map_err(|_| DatagramError::Unreadable)?;
@@ -101,7 +104,7 @@
         Ok(datagram)
     }
 
-    /// Gives the encoded datagram if the code before it was made with this key.
+    /// Returns the encoded datagram if its authentication code was computed with this key.
     fn verify<'bytes>(&self, bytes: &'bytes [u8]) -> Result<&'bytes [u8], DatagramError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DatagramError::Length);
@@ -111,7 +114,7 @@
             return Err(DatagramError::Version);
         }
         let (code, body) = sealed_body.split_first_chunk::<CODE_BYTES>().ok_or(DatagramError::Length)?;
-        // The comparison of hashes takes constant time.
+        // The comparison of BLAKE3 hashes takes constant time.
         if blake3::keyed_hash(&self.0, body) != *code {
             return Err(DatagramError::Key);
         }
--- a/crates/nickelgw-gossip/src/core/mod.rs
+++ b/crates/nickelgw-gossip/src/core/mod.rs
@@ -1,6 +1,6 @@
-//! The newest record of each node, spread through the fleet by gossip: in each round new records go to a few random peers,
-//! and now and then two nodes compare what they have. There is no leader and no vote; an isolated node has only its own
-//! record.
+//! Spreads the newest record of each node through the fleet by gossip. In each round, new records are sent to
+//! a few random peers; every few rounds, two nodes compare the records that they have. There is no leader and
+//! no vote; an isolated node has only its own record.
 
 mod batch;
 mod config;
@@ -17,25 +17,26 @@
 use peers::PeerTable;
 use record::{Datagram, DatagramError, Message, NodeRecord, SharedKey, ZoneReport, MAX_TENANTS, MAX_ZONES};
 
-/// A peer is live for so many refresh intervals after its last record.
+/// Number of refresh intervals for which a peer counts as live after its last record.
 const LIVE_REFRESHES: f64 = 4.0;
-/// Datagrams that wait to be sent, at most. One that is dropped is requested again.
+/// Maximum number of datagrams that wait to be sent. Further ones are dropped; their records are requested
+/// again.
 const MAX_QUEUED_DATAGRAMS: usize = 256;
-/// Rounds that pass a record on beyond the logarithm of the fleet's size.
+/// Number of rounds, in addition to the logarithm of the fleet's size, in which a node forwards a new record.
 const EXTRA_BROADCASTS: u32 = 2;
 
-/// Datagrams counted since the start.
+/// Numbers of datagrams and records since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GossipCounters {
     /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams received and found valid.
+    /// Valid datagrams received.
     pub received: u64,
-    /// Datagrams rejected, by [`DatagramError::ALL`].
+    /// Datagrams rejected, by reason in the order of [`DatagramError::ALL`].
     pub rejected: [u64; DatagramError::ALL.len()],
-    /// Records dropped since the table of peers was full.
+    /// Records dropped because the table of peers was full.
     pub dropped_table_full: u64,
 }
 
@@ -44,34 +45,35 @@
 pub struct OutgoingDatagram {
     /// Address of the peer, as host:port.
     pub to: String,
-    /// The datagram as it goes over the wire.
+    /// The datagram as encoded on the wire.
     pub bytes: Vec<u8>,
 }
 
-/// The gossip of one node, without I/O.
+/// Gossip state machine of one node, without I/O.
 pub struct Gossip {
     config: GossipConfig,
     key: SharedKey,
     own_record: NodeRecord,
-    /// Rounds that still send the own record.
+    /// Number of rounds in which the own record is still to be sent.
     own_pending_broadcasts: u32,
-    /// When the own record was last published.
+    /// Time at which the own record was last published.
     published_at: f64,
-    /// Addresses of peers named in the settings, as host:port.
+    /// Addresses of the peers named in the settings, as host:port.
     seed_peers: Vec<String>,
     peers: PeerTable,
     rng: WyRand,
     next_round_at: f64,
     rounds: u32,
-    /// Hash at which the next digest begins.
+    /// Name hash at which the next digest begins.
     digest_cursor: u64,
     outbox: Vec<OutgoingDatagram>,
-    /// Datagrams counted since the start.
+    /// Totals since the start.
     pub counters: GossipCounters,
 }
 
 impl Gossip {
-    /// `seed_peers`: addresses of the peers named in the settings, as host:port; `seed`: of the random choices.
+    /// Creates the state of a node that knows no peers. `seed_peers` are the addresses of the peers named in
+    /// the settings, as host:port; `seed` initializes the random number generator.
     pub fn new(
         config: GossipConfig,
         key: SharedKey,
@@ -97,39 +99,39 @@
         }
     }
 
-    /// Time between two rounds.
+    /// Configured time between two rounds in seconds.
     pub fn round_s(&self) -> f64 {
         self.config.round_s
     }
 
-    /// This node's own record.
+    /// Returns this node's own record.
     pub fn own(&self) -> &NodeRecord {
         &self.own_record
     }
 
-    /// Where datagrams reach this node, known once its socket is bound.
+    /// Sets the address at which datagrams reach this node, which is known once its socket is bound.
     pub fn set_own_address(&mut self, address: String) {
         self.seed_peers.retain(|seed_peer| *seed_peer != address);
         self.own_record.address = address;
     }
 
-    /// Records of the live peers in the own zone: their observations are of use to this node.
+    /// Records of the live peers in the own zone, whose observations this node uses.
     pub fn zone_peers(&self, now: f64) -> Vec<PeerRecord> {
         let own_zone = &self.own_record.zone;
         self.live_peers(now).filter(|peer| peer.record.zone == *own_zone).cloned().collect()
     }
 
-    /// Records of the peers that are live.
+    /// Records of all live peers.
     pub fn live_peers(&self, now: f64) -> impl Iterator<Item = &PeerRecord> {
         self.peers.reported_since(self.live_since(now))
     }
 
-    /// Nodes that are live, this one included.
+    /// Number of live nodes, including this node.
     pub fn node_count(&self, now: f64) -> usize {
         1 + self.live_peers(now).count()
     }
 
-    /// Publishes what this node observed. `urgent`: peers receive it at once, not with the next refresh.
+    /// Publishes the observations of this node with the next refresh, or at once if `urgent`.
     pub fn publish(&mut self, now: f64, zone_reports: Vec<ZoneReport>, urgent: bool) {
         let refresh_due = now >= self.published_at + self.refresh_interval_s();
         if urgent || refresh_due {
@@ -144,20 +146,21 @@
         }
     }
 
-    /// The first reports matter most; those that do not fit a datagram are dropped.
+    /// Drops the last reports, which matter least, until the own record fits into a datagram.
     fn truncate_zone_reports(&mut self) {
         self.own_record.zone_reports.truncate(MAX_ZONES);
         while !batch::fits_datagram(&self.own_record) && self.own_record.zone_reports.pop().is_some() {}
     }
 
-    /// Sets the deferred requests that wait at this node; peers receive them with the next refresh.
+    /// Sets the numbers of deferred requests that wait at this node, by the hash of the tenant's name. Peers
+    /// receive them with the next refresh.
     pub fn publish_deferred(&mut self, mut deferred_by_tenant: Vec<(u32, u32)>) {
         deferred_by_tenant.sort_by_key(|(_, waiting)| std::cmp::Reverse(*waiting));
         deferred_by_tenant.truncate(MAX_TENANTS);
         self.own_record.deferred_by_tenant = deferred_by_tenant;
     }
 
-    /// Datagrams to send now, and when to poll again.
+    /// Returns the datagrams to send now, and the time of the next poll.
     pub fn poll_datagrams(&mut self, now: f64, unix_ms: u64) -> (Vec<OutgoingDatagram>, f64) {
         if now >= self.next_round_at {
             self.next_round_at = now + self.config.round_s * (0.9 + 0.2 * self.random_fraction());
@@ -171,17 +174,20 @@
         f64::from(self.rng.generate::<u32>()) / f64::from(u32::MAX)
     }
 
+    /// Time in seconds after which the own record is published again. It grows with the fleet so that the
+    /// traffic stays bounded.
     fn refresh_interval_s(&self) -> f64 {
         let rounds_for_all = self.peers.len() as f64 / self.config.nodes_per_round;
         self.config.refresh_interval_s.max(rounds_for_all * self.config.round_s)
     }
 
-    /// Peers whose record was published before this time are not live.
+    /// Time at or after which the record of a live peer was published.
     fn live_since(&self, now: f64) -> f64 {
         now - LIVE_REFRESHES * self.refresh_interval_s()
     }
 
-    /// Rounds in which a node passes a new record on: with high probability enough for it to reach all nodes.
+    /// Number of rounds in which a node forwards a new record; with high probability enough to reach all
+    /// nodes.
     fn broadcasts_per_record(&self) -> u32 {
         let nodes = (self.peers.len() + 2) as f64;
         nodes.ln().ceil() as u32 + EXTRA_BROADCASTS
--- a/crates/nickelgw-gossip/src/core/peers.rs
+++ b/crates/nickelgw-gossip/src/core/peers.rs
@@ -1,4 +1,4 @@
-//! The newest record of each peer.
+//! Table of the newest record of each peer.
 
 use super::record::{NodeRecord, RecordVersion};
 use std::collections::BTreeMap;
@@ -8,9 +8,9 @@
 pub struct PeerRecord {
     /// The record itself.
     pub record: NodeRecord,
-    /// When it was published, in this node's time.
+    /// Time at which the record was published, by this node's clock.
     pub reported_at: f64,
-    /// Rounds that still pass it on.
+    /// Number of rounds in which this node still forwards the record.
     pub(super) pending_broadcasts: u32,
 }
 
@@ -41,24 +41,24 @@
         self.records.insert(name_hash, peer);
     }
 
-    /// All records, in the order of the hashes.
+    /// All records in the order of their name hashes.
     pub(super) fn iter(&self) -> impl Iterator<Item = (u64, &PeerRecord)> {
         self.records.iter().map(|(name_hash, peer)| (*name_hash, peer))
     }
 
-    /// All records, in the order of the hashes, beginning at this one.
+    /// All records in the order of their name hashes, beginning at `first` and wrapping around.
     pub(super) fn iter_from(&self, first: u64) -> impl Iterator<Item = (u64, &PeerRecord)> {
         let from_first = self.records.range(first..);
         let wrapped_around = self.records.range(..first);
         from_first.chain(wrapped_around).map(|(name_hash, peer)| (*name_hash, peer))
     }
 
-    /// Records published at this time or later.
+    /// Records published at or after a time.
     pub(super) fn reported_since(&self, since: f64) -> impl Iterator<Item = &PeerRecord> {
         self.records.values().filter(move |peer| peer.reported_at >= since)
     }
 
-    /// Removes the oldest record, if it was published before this time. False: there is none.
+    /// Removes the oldest record if it was published before a time. Returns whether a record was removed.
     pub(super) fn evict_older_than(&mut self, since: f64) -> bool {
         let oldest =
             self.records.iter().min_by(|first, second| first.1.reported_at.total_cmp(&second.1.reported_at));
--- a/crates/nickelgw-gossip/src/core/receive.rs
+++ b/crates/nickelgw-gossip/src/core/receive.rs
@@ -1,15 +1,15 @@
-//! What a datagram brings: newer records are learnt, digests and requests for records are answered.
+//! Processing of received datagrams: newer records are stored, digests and requests for records are answered.
 
 use super::batch::RecordBatch;
 use super::record::{name_hash, AgedRecord, DatagramError, DigestEntry, Message, NodeRecord, RecordVersion};
 use super::{to_ms, Gossip, PeerRecord};
 use std::cmp::Ordering;
 
-/// Datagrams of records that one request is answered with, at most.
+/// Maximum number of datagrams of records in the answer to a request.
 const MAX_ANSWER_DATAGRAMS: usize = 8;
 
 impl Gossip {
-    /// Handles a datagram; answers are among the next ones to send. True: some record in it was new.
+    /// Processes a datagram and queues the answers to it. Returns whether any record in it was new.
     pub fn receive(&mut self, now: f64, unix_ms: u64, bytes: &[u8]) -> Result<bool, DatagramError> {
         let max_skew_ms = u64::from(to_ms(self.config.max_clock_skew_s));
         let datagram = self
@@ -25,7 +25,8 @@
                 let is_wanted = |name_hash| wanted.is_empty() || wanted.contains(&name_hash);
                 self.send_records(now, unix_ms, &sender, is_wanted);
             }
-            // The record of a new sender comes with its first round; then its next question is answered.
+            // The address of the sender is not known yet. Its record arrives with its first round; after
+            // that, its next digest or request is answered.
             (Message::Digest(_) | Message::Want(_), None) => {}
         }
         Ok(false)
@@ -61,15 +62,16 @@
         true
     }
 
-    /// A record under the own name that is newer than the own one, from an earlier process whose clock ran ahead, or forged:
-    /// the own one has to be newer still.
+    /// Raises the version of the own record above that of a received record with this node's name. Such a
+    /// record stems from an earlier process whose clock ran ahead, or is forged.
     fn supersede(&mut self, record: &NodeRecord) {
         if record.version() > self.own_record.version() && record.address == self.own_record.address {
             self.own_record.incarnation = record.incarnation + 1;
         }
     }
 
-    /// Sends what is newer here, and asks for what is newer there.
+    /// Sends the records that are newer here than in the digest, and requests those that are newer at the
+    /// sender.
     fn answer_digest(&mut self, now: f64, unix_ms: u64, sender: &str, entries: &[DigestEntry]) {
         let (mut newer_here, mut newer_there) = (Vec::new(), Vec::new());
         for entry in entries {
@@ -85,13 +87,13 @@
         }
     }
 
-    /// Version of the record of a peer or of this node; none where it is not known.
+    /// Version of the record of a peer or of this node; `None` if there is no such record.
     fn version_of(&self, hash: u64) -> Option<RecordVersion> {
         let own_version = || (hash == name_hash(&self.own_record.name)).then(|| self.own_record.version());
         self.peers.version(hash).or_else(own_version)
     }
 
-    /// Sends the records that are wanted, in a bounded number of datagrams.
+    /// Sends the selected records in at most [`MAX_ANSWER_DATAGRAMS`] datagrams.
     fn send_records(&mut self, now: f64, unix_ms: u64, to: &str, is_wanted: impl Fn(u64) -> bool) {
         let mut wanted = self.aged_records(now, is_wanted);
         for _ in 0..MAX_ANSWER_DATAGRAMS {
--- a/crates/nickelgw-gossip/src/core/record.rs
+++ b/crates/nickelgw-gossip/src/core/record.rs
@@ -1,37 +1,39 @@
-//! Records of nodes and the messages that carry them.
+//! Records of nodes, and the messages that contain them. Datagrams are encoded with postcard, which is
+//! positional: the order of fields and variants must not change.
 
 use serde::{Deserialize, Serialize};
 
 pub use super::datagram::{Datagram, DatagramError, SharedKey, MAX_DATAGRAM_BYTES};
 
-/// Zones that a node reports on, at most.
+/// Maximum number of zones that a node reports on.
 pub const MAX_ZONES: usize = 16;
-/// Unreachable engines reported of a zone, at most.
+/// Maximum number of unreachable engines in the report of a zone.
 pub const MAX_UNREACHABLE: usize = 8;
-/// Tenants reported, at most: those with the most deferred requests.
+/// Maximum number of tenants in a record; those with the most deferred requests are reported.
 pub const MAX_TENANTS: usize = 24;
-/// Bytes of a name or an address, at most.
+/// Maximum length of a name or an address in bytes.
 const MAX_NAME_BYTES: usize = 64;
-/// The whole weight of a zone.
+/// Weight of a zone that receives all its traffic, in thousandths.
 const MAX_WEIGHT_PER_MILLE: u16 = 1000;
 
-/// Encoded bytes of a record beside its names and lists, at most.
+/// Maximum encoded size of a record without its names and lists.
 const RECORD_OVERHEAD_BYTES: usize = 32;
-/// Encoded bytes of a zone report beside its name and list, at most.
+/// Maximum encoded size of a zone report without its name and list.
 const ZONE_REPORT_OVERHEAD_BYTES: usize = 12;
-/// Encoded bytes of a pair of `u32`, at most.
+/// Maximum encoded size of a pair of `u32`.
 const PAIR_BYTES: usize = 10;
 
-/// What a node observed of a zone. Times are ages, so that no two clocks have to agree.
+/// Observations of a zone by a node. Times are given as ages, so that the clocks of the nodes need not agree.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZoneReport {
     /// Name of the zone.
     pub zone: String,
-    /// Since any engine of it last responded.
+    /// Time in milliseconds since any engine of the zone last responded; `None` if no engine has responded.
     pub last_response_age_ms: Option<u32>,
-    /// Engines unreachable since their last response: the hash of the id, and the age of the latest failure.
+    /// Engines unreachable since their last response: the hash of the id, and the age of the latest failure
+    /// in milliseconds.
     pub unreachable: Vec<(u32, u32)>,
-    /// Share of its usual traffic that the node sends to the zone, in thousandths.
+    /// Fraction of its usual traffic that the node sends to the zone, in thousandths.
     pub weight_per_mille: u16,
 }
 
@@ -47,41 +49,41 @@
     }
 }
 
-/// Orders the records of one node: a process that started later has the newer record, then the later sequence number.
+/// Version that orders the records of one node: by the start of the process, then by the sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RecordVersion {
-    /// When the node's process started.
+    /// Start time of the node's process.
     pub incarnation: u64,
-    /// Number of the record within the process.
+    /// Sequence number of the record within the process.
     pub seq: u64,
 }
 
-/// What a node publishes of itself.
+/// Information that a node publishes about itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeRecord {
     /// Name of the node, unique in the fleet.
     pub name: String,
-    /// When its process started; see [`RecordVersion`].
+    /// Start time of the node's process; see [`RecordVersion`].
     pub incarnation: u64,
-    /// Number of the record within the process.
+    /// Sequence number of the record within the process.
     pub seq: u64,
-    /// Where datagrams reach it, as host:port.
+    /// Address at which datagrams reach the node, as host:port.
     pub address: String,
-    /// Name of the zone that it is in.
+    /// Name of the node's zone.
     pub zone: String,
-    /// What it observed of the zones, the most important first.
+    /// Observations of the zones, the most important first.
     pub zone_reports: Vec<ZoneReport>,
-    /// Deferred requests that wait at the node, by the hash of the tenant's name.
+    /// Hash of each tenant's name, and the number of its deferred requests that wait at the node.
     pub deferred_by_tenant: Vec<(u32, u32)>,
 }
 
 impl NodeRecord {
-    /// Which of two records of the node is newer.
+    /// Version of the record, which orders the records of the node.
     pub fn version(&self) -> RecordVersion {
         RecordVersion { incarnation: self.incarnation, seq: self.seq }
     }
 
-    /// Whether it keeps to the bounds that every sender keeps to.
+    /// Returns whether the record is within the limits that every sender keeps.
     pub(super) fn is_valid(&self) -> bool {
         is_valid_name(&self.name)
             && is_valid_name(&self.address)
@@ -91,7 +93,7 @@
             && self.zone_reports.iter().all(ZoneReport::is_valid)
     }
 
-    /// Bytes that it takes in a datagram, at most.
+    /// Upper bound of the encoded size of the record in bytes.
     pub(super) fn max_encoded_len(&self) -> usize {
         self.name.len()
             + self.address.len()
@@ -106,37 +108,38 @@
     !name.is_empty() && name.len() <= MAX_NAME_BYTES
 }
 
-/// A record on its way, with its age.
+/// A record in transit, with its age.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AgedRecord {
-    /// Time since it was published, as far as it was spent at nodes that passed it on.
+    /// Time in milliseconds since the record was published. Only the time spent at nodes counts, not the time
+    /// on the network.
     pub age_ms: u32,
     /// The record itself.
     pub record: NodeRecord,
 }
 
-/// A record that the sender of a digest has.
+/// Entry of a digest: a record that the sender has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestEntry {
     /// Hash of the node's name.
     pub name_hash: u64,
-    /// Version of its record.
+    /// Version of the node's record.
     pub version: RecordVersion,
 }
 
-/// What a datagram says.
+/// Content of a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Records, as an update or as an answer.
+    /// Records, as an update or as an answer to a digest or a request.
     Records(Vec<AgedRecord>),
-    /// Which records the sender has.
+    /// Names and versions of records that the sender has.
     Digest(Vec<DigestEntry>),
-    /// Which records the sender wants, by the hash of names; none: all there are.
+    /// Request for records by the hash of the nodes' names; an empty list requests all records.
     Want(Vec<u64>),
 }
 
 impl Message {
-    /// Whether all records in it keep to their bounds.
+    /// Returns whether all records in the message are within their limits.
     pub(super) fn is_valid(&self) -> bool {
         match self {
             Message::Records(records) => records.iter().all(|aged| aged.record.is_valid()),
@@ -145,7 +148,7 @@
     }
 }
 
-/// Stands for a name, or an engine's id, where the whole would be too long.
+/// Hash that is sent in place of a name or an engine's id, which would be too long.
 pub fn name_hash(name: &str) -> u64 {
     let hash = blake3::hash(name.as_bytes());
     let first = hash.as_bytes().first_chunk::<8>().copied().unwrap_or_default();
--- a/crates/nickelgw-gossip/src/core/round.rs
+++ b/crates/nickelgw-gossip/src/core/round.rs
@@ -1,4 +1,5 @@
-//! A round: what is new goes to a few random peers, and now and then a digest of what is known to one of them.
+//! Gossip rounds: each sends new records to a few random peers, and every few rounds also a digest of the
+//! known records to one of them.
 
 use super::batch::RecordBatch;
 use super::record::{name_hash, AgedRecord, DigestEntry, Message, NodeRecord};
@@ -6,12 +7,12 @@
 use nanorand::Rng;
 use std::cmp::Reverse;
 
-/// Entries of a digest, the own one aside.
+/// Maximum number of entries of a digest besides the one of the own record.
 const MAX_DIGEST_ENTRIES: usize = 40;
-/// Seed peers that an isolated node tries in a round.
+/// Number of seed peers that an isolated node contacts in a round.
 const SEED_TARGETS_WHEN_ISOLATED: usize = 3;
-/// A node that has live peers tries a seed peer that is not among them once in so many rounds: a partition heals, or the
-/// peer has been restarted.
+/// Number of rounds after which a node with live peers contacts a seed peer that is not live, since a
+/// partition may have healed or the peer may have been restarted.
 const SEED_EVERY_ROUNDS: u32 = 5;
 
 impl Gossip {
@@ -24,19 +25,20 @@
         }
         let is_isolated = self.live_peers(now).next().is_none();
         let digest_due = self.rounds.is_multiple_of(self.config.digest_every_rounds);
-        // The last target is in another zone, if there is any: those of the own zone exchange enough anyway.
+        // The last target is in another zone if there is one, since the nodes of a zone exchange enough
+        // records anyway.
         if let Some(target) = targets.last().filter(|_| is_isolated || digest_due) {
             let message = if is_isolated { Message::Want(Vec::new()) } else { self.next_digest() };
             self.send(unix_ms, target, message);
         }
     }
 
-    /// Records that are still to be passed on, as many as fit a datagram.
+    /// Collects records that are still to be sent, as many as fit into a datagram.
     fn collect_updates(&mut self, now: f64) -> RecordBatch {
         let mut batch = RecordBatch::new();
         if self.own_pending_broadcasts > 0 {
             self.own_pending_broadcasts -= 1;
-            // Its observations have aged since it was published.
+            // The observations in the record have aged since it was published.
             batch
                 .push(AgedRecord { age_ms: to_ms(now - self.published_at), record: self.own_record.clone() });
         }
@@ -51,7 +53,8 @@
         batch
     }
 
-    /// Peers whose records are to be passed on: those of the own zone first, then what was passed on least.
+    /// Name hashes of the peers whose records are to be forwarded: first those of the own zone, and within a
+    /// zone those that were forwarded the least.
     fn peers_to_broadcast(&self) -> Vec<u64> {
         let own_zone = &self.own_record.zone;
         let mut updates: Vec<_> = self
@@ -66,8 +69,8 @@
         updates.into_iter().map(|(_, _, name_hash)| name_hash).collect()
     }
 
-    /// Random live peers, all but one of the own zone, whose observations this node shares; and, where it is due, seed peers
-    /// that are not live.
+    /// Selects random live peers, all but one of them from the own zone, whose nodes share their
+    /// observations. Adds seed peers that are not live if they are due.
     fn select_targets(&mut self, now: f64, max_live: usize) -> Vec<String> {
         let (mut near, mut far) = self.live_addresses(now);
         let is_unknown = |address: &&String| !near.contains(address) && !far.contains(address);
@@ -91,7 +94,7 @@
         targets
     }
 
-    /// Addresses of live peers in the own zone, and in other zones.
+    /// Addresses of the live peers in the own zone, and of those in other zones.
     fn live_addresses(&self, now: f64) -> (Vec<String>, Vec<String>) {
         let own_zone = &self.own_record.zone;
         let (near, far): (Vec<&NodeRecord>, Vec<&NodeRecord>) =
@@ -101,7 +104,7 @@
         (addresses(near), addresses(far))
     }
 
-    /// A digest of some of the known records, others each time.
+    /// Creates a digest of the next part of the known records, so that successive digests cover all of them.
     fn next_digest(&mut self) -> Message {
         let own =
             DigestEntry { name_hash: name_hash(&self.own_record.name), version: self.own_record.version() };
--- a/crates/nickelgw-gossip/src/core/tests.rs
+++ b/crates/nickelgw-gossip/src/core/tests.rs
@@ -45,7 +45,8 @@
     Message::Records(vec![AgedRecord { age_ms: 0, record }])
 }
 
-/// Runs so many rounds of all nodes. `is_lost`: whether a datagram of a node to another is lost in this round.
+/// Runs a number of rounds of all nodes. `is_lost` returns whether a datagram from a node to another is lost
+/// in a round.
 fn run_rounds(fleet: &mut [Gossip], from: f64, rounds: u32, is_lost: impl Fn(usize, usize, u32) -> bool) {
     for round in 0..rounds {
         let now = from + 0.1 * f64::from(round);
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn datagram_not_sealed_by_the_fleet_is_rejected_and_counted() {
+fn invalid_datagram_is_rejected_and_counted_by_reason() {
     let valid = sealed(SECRET, UNIX_MS, records(2));
     let mut other_version = valid.clone();
     other_version[0] = 9;
@@ -96,7 +97,7 @@
 }
 
 #[test]
-fn record_beyond_its_bounds_is_rejected() {
+fn record_beyond_its_limits_is_rejected() {
     let mut oversized = record("b", 2);
     let report = ZoneReport { unreachable: vec![], ..oversized.zone_reports[0].clone() };
     oversized.zone_reports = vec![report; MAX_ZONES + 1];
@@ -105,14 +106,14 @@
 }
 
 #[test]
-fn newest_record_wins_and_a_replayed_one_changes_nothing() {
+fn newest_record_wins_and_replayed_record_has_no_effect() {
     let mut gossip = node("a", &[]);
     let older = sealed(SECRET, UNIX_MS, records(2));
     assert_eq!(gossip.receive(1.0, UNIX_MS, &older), Ok(true));
     assert_eq!(gossip.receive(1.1, UNIX_MS, &sealed(SECRET, UNIX_MS, records(3))), Ok(true));
     assert_eq!(gossip.receive(1.2, UNIX_MS, &older), Ok(false));
     assert_eq!(gossip.live_peers(1.2).next().unwrap().record.seq, 3);
-    // Nor does it make a peer live again that has gone.
+    // A replayed record does not make a departed peer live again.
     assert_eq!(gossip.receive(20.0, UNIX_MS, &sealed(SECRET, UNIX_MS, records(3))), Ok(false));
     assert_eq!(gossip.node_count(20.0), 1);
 }
@@ -130,7 +131,8 @@
     assert_eq!(gossip.live_peers(30.0).map(|peer| peer.record.name.as_str()).collect::<Vec<_>>(), ["e"]);
 }
 
-/// After a restart with a clock set back its records would be older than those of the earlier process.
+/// Guards against a node whose clock was set back before a restart: its new records would count as older than
+/// those of the earlier process.
 #[test]
 fn restarted_node_publishes_newer_records_than_its_earlier_process() {
     let mut gossip = node("a", &[]);
@@ -140,7 +142,7 @@
 }
 
 #[test]
-fn all_nodes_know_each_other_from_one_seed_peer_with_a_third_of_datagrams_lost() {
+fn all_nodes_learn_of_each_other_from_one_seed_peer_with_a_third_of_datagrams_lost() {
     let names: Vec<String> = (0..40).map(|n| format!("n{n}")).collect();
     let mut fleet: Vec<Gossip> = names.iter().map(|name| node(name, &["n0"])).collect();
     run_rounds(&mut fleet, 0.0, 40, |from, to, round| (from * 7 + to * 3 + round as usize).is_multiple_of(3));
@@ -149,12 +151,15 @@
 }
 
 #[test]
-fn partitioned_halves_forget_each_other_and_rejoin() {
+fn halves_of_partitioned_fleet_forget_each_other_and_rejoin() {
     let names: Vec<String> = (0..12).map(|n| format!("n{n}")).collect();
     let mut fleet: Vec<Gossip> = names.iter().map(|name| node(name, &["n0", "n6"])).collect();
     run_rounds(&mut fleet, 0.0, 20, |_, _, _| false);
     run_rounds(&mut fleet, 2.0, 60, |from, to, _| (from < 6) != (to < 6));
-    assert!(fleet.iter().all(|gossip| gossip.node_count(8.0) == 6), "each half knows only its own");
+    assert!(
+        fleet.iter().all(|gossip| gossip.node_count(8.0) == 6),
+        "each half has only its own nodes as live"
+    );
     run_rounds(&mut fleet, 8.0, 20, |_, _, _| false);
     assert!(fleet.iter().all(|gossip| gossip.node_count(10.0) == 12));
 }
@@ -164,7 +169,7 @@
     fn arbitrary_bytes_are_rejected_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..1300)) {
         let mut gossip = node("a", &[]);
         prop_assert!(gossip.receive(1.0, UNIX_MS, &bytes).is_err());
-        // Nor do bytes that are sealed with the key bring it down.
+        // Arbitrary bytes that are authenticated with the key do not cause a panic either.
         let key = SharedKey::from_secret(SECRET);
         let received = key.seal_raw(&bytes).map(|sealed| gossip.receive(1.0, UNIX_MS, &sealed));
         prop_assert!(received.is_none_or(|result| result.is_err() || gossip.node_count(1.0) <= 2));
@@ -175,7 +180,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Nodes of two releases gossip with each other while a fleet is upgraded.
+/// Nodes of two releases exchange datagrams while a fleet is upgraded.
 #[test]
 fn datagrams_are_encoded_as_by_earlier_releases() {
     let digest_entry =
--- a/crates/nickelgw-gossip/src/lib.rs
+++ b/crates/nickelgw-gossip/src/lib.rs
@@ -1,5 +1,5 @@
-//! Gossip between the nodes of a fleet. [`core`] decides which datagrams go to which peer, without I/O; [`run`] is the
-//! UDP socket and the clock around it.
+//! Gossip protocol between the nodes of a fleet. The sans-I/O [`core`] decides which datagrams are sent to
+//! which peers; [`run`] connects it to a UDP socket and the clock.
 
 pub mod core;
 mod transport;
--- a/crates/nickelgw-gossip/src/transport.rs
+++ b/crates/nickelgw-gossip/src/transport.rs
@@ -1,4 +1,4 @@
-//! The UDP socket and the timers around [`Gossip`].
+//! UDP transport: connects [`Gossip`] to a socket and timers.
 
 use crate::core::record::{DatagramError, MAX_DATAGRAM_BYTES};
 use crate::core::{Gossip, OutgoingDatagram};
@@ -12,25 +12,27 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Rejected datagrams are logged once in so long.
+/// Minimum interval in seconds between log lines about rejected datagrams.
 const LOG_INTERVAL_S: f64 = 60.0;
-/// Resolved addresses that are cached, at most.
+/// Maximum number of resolved addresses in the cache.
 const MAX_CACHED_ADDRESSES: usize = 8192;
-/// The socket is polled at least this often, whatever the core asks for.
+/// Upper bound in seconds of the time between two polls of the core.
 const MAX_SLEEP_S: f64 = 10.0;
-/// Pause after an error of the socket, so that a persistent one does not spin.
+/// Pause after an error of the socket, so that the loop does not spin on a persistent error.
 const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(1);
 
-/// What ended a wait of the loop.
+/// Event that ended a wait of the loop.
 enum Wakeup {
-    /// A datagram, or an error that an earlier one to a peer that is down has caused.
+    /// A datagram was received, or the socket reported an error, such as one caused by an earlier datagram to
+    /// a peer that is down.
     Datagram(io::Result<(usize, SocketAddr)>),
-    /// There may be something to send.
+    /// There may be datagrams to send.
     Send,
 }
 
-/// Exchanges datagrams with the peers until dropped. `started_at`: the node's time zero; `published`: there may be
-/// something to send at once; `received`: signalled when a peer has sent something new.
+/// Exchanges datagrams with the peers until the future is dropped. `started_at` is the origin of the node's
+/// time. A message on `published` means that there may be datagrams to send at once. `received` is signalled
+/// when a peer has sent a new record.
 pub async fn run(
     socket: UdpSocket,
     gossip: Rc<RefCell<Gossip>>,
@@ -62,9 +64,10 @@
     gossip: Rc<RefCell<Gossip>>,
     started_at: Instant,
     received: Sender<()>,
-    /// Addresses of peers by host:port. Each is resolved once; one that fails is tried again with the next datagram.
+    /// Addresses of peers by host:port. Each name is resolved once; if that fails, it is resolved again for
+    /// the next datagram.
     addresses: HashMap<String, SocketAddr>,
-    /// When a rejected datagram was last logged.
+    /// Time at which a rejected datagram was last logged.
     logged_at: f64,
 }
 
@@ -73,12 +76,12 @@
         self.started_at.elapsed().as_secs_f64()
     }
 
-    /// Sends what is due; gives the time of the next poll.
+    /// Sends the datagrams that are due, and returns the time of the next poll.
     async fn send_pending(&mut self) -> f64 {
         let (datagrams, next_poll_at) = self.gossip.borrow_mut().poll_datagrams(self.now(), unix_ms());
         for OutgoingDatagram { to, bytes } in datagrams {
             let Some(address) = self.resolve(to).await else { continue };
-            // A datagram that is lost is made good by other peers.
+            // Loss of a datagram is compensated by other peers.
             let _ = self.socket.send_to(&bytes, address).await;
         }
         next_poll_at
