--- a/crates/nickelgw-registry/src/core/endpoint_view.rs
+++ b/crates/nickelgw-registry/src/core/endpoint_view.rs
@@ -1,24 +1,25 @@
-//! The view of the fleet: what the registry reports of the endpoints, and which of them are used.
+//! View of the endpoints: which endpoints the registry reports, and which of them are used.
 //!
-//! Drains act at once, whatever else is suspected. A report that would remove more than a share of the endpoints at once
-//! is a suspected removal: each endpoint is probed, and removed when it does not answer, or when the report has stood
-//! for long enough. An endpoint that leaves and returns often is held out by flap damping. A process under an old id is a
-//! new one when it started later, or has another address, role, zone or cell.
+//! Drains take effect at once, even while removals are suspected. A report that would remove more than a
+//! fraction of the endpoints at once is a suspected removal: each of these endpoints is probed, and removed
+//! if it does not answer the probe or if the suspicion times out. An endpoint that repeatedly leaves and
+//! returns is suppressed by flap damping. An entry with a known id stands for a new process if it has a later
+//! start time, or another address, role, zone or cell.
 
 pub use super::endpoint_view_config::EndpointViewConfig;
 use super::flap_damping::FlapPenalty;
 use nickelgw_protocol::list::{EndpointEntry, EngineState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Penalties at or below this are forgotten.
+/// Penalty at or below which the penalty of a removed endpoint is dropped.
 const NEGLIGIBLE_PENALTY: f64 = 0.1;
-/// How often an endpoint that is held out is looked at.
+/// Interval in seconds at which a suppressed endpoint is checked.
 const DAMPING_POLL_S: f64 = 1.0;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Presence {
     Listed,
-    /// The registry no longer has it; used until a probe fails or the suspicion times out.
+    /// The registry no longer lists the endpoint. It is used until a probe fails or the suspicion times out.
     SuspectedRemoval {
         since: f64,
     },
@@ -28,7 +29,7 @@
     entry: EndpointEntry,
     presence: Presence,
     penalty: FlapPenalty,
-    held_out: bool,
+    suppressed: bool,
 }
 
 impl KnownEndpoint {
@@ -40,10 +41,11 @@
         self.presence != Presence::Listed
     }
 
-    /// The entry as it is used: an endpoint held out drains, so that its open requests end and no new ones begin.
+    /// Entry as it is used. A suppressed endpoint is draining, so that its open requests finish and no new
+    /// ones begin.
     fn effective_entry(&self) -> EndpointEntry {
         let mut entry = self.entry.clone();
-        if self.held_out && self.is_active() {
+        if self.suppressed && self.is_active() {
             entry.state = EngineState::Draining;
         }
         entry
@@ -53,25 +55,25 @@
 /// Totals for the log and the metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ViewCounters {
-    /// Puts and removals that were applied.
+    /// Puts and removals that were processed.
     pub changes: u64,
     /// Removals that were suspected.
     pub suspected: u64,
     /// Suspected removals whose endpoint was listed again.
     pub cleared: u64,
-    /// Suspected removals confirmed by a probe or by time.
+    /// Suspected removals confirmed by a failed probe or a timeout.
     pub confirmed: u64,
-    /// Times that the registry itself went back to an older revision.
+    /// Rollbacks of the registry to an older revision.
     pub rolled_back: u64,
-    /// Times that an endpoint was held out.
+    /// Suppressions of an endpoint by flap damping.
     pub flapping: u64,
-    /// Entries replaced as another entry has their address.
+    /// Entries removed because another entry has the same address.
     pub duplicate_addresses: u64,
-    /// Entries refused as the view is full.
+    /// Entries refused because the view is full.
     pub refused: u64,
 }
 
-/// One event of the registry.
+/// Event of the registry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RegistryEvent {
     /// An entry was written.
@@ -89,24 +91,26 @@
     }
 }
 
-/// The endpoints of the fleet as they are used.
+/// View of the endpoints of the fleet.
 pub struct EndpointView {
     config: EndpointViewConfig,
     endpoints: BTreeMap<String, KnownEndpoint>,
-    /// The id of the endpoint at an address.
+    /// Id of the endpoint at each address.
     id_by_address: BTreeMap<String, String>,
-    /// Penalties of removed endpoints, for when they return.
+    /// Penalties of removed endpoints, kept in case they return.
     removed_penalties: BTreeMap<String, FlapPenalty>,
     revision: u64,
     changed: bool,
+    /// Ids of endpoints that are to be probed.
     probes: BTreeSet<String>,
+    /// Ids whose process was replaced.
     replaced: BTreeSet<String>,
     /// Totals for the metrics.
     pub counters: ViewCounters,
 }
 
 impl EndpointView {
-    /// An empty view.
+    /// Creates an empty view.
     pub fn new(config: EndpointViewConfig) -> EndpointView {
         EndpointView {
             config,
@@ -121,17 +125,17 @@
         }
     }
 
-    /// The newest revision applied.
+    /// Returns the newest applied revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Number of endpoints, suspected ones included.
+    /// Number of endpoints, including those whose removal is suspected.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Whether there are no endpoints.
+    /// Returns whether there are no endpoints.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
@@ -141,8 +145,9 @@
         self.endpoints.values().filter(|endpoint| endpoint.is_suspected()).count()
     }
 
-    /// Reconciles the view with all that the registry holds at a revision. `rolled_back`: the registry itself has gone
-    /// back, which [`super::registry_watch::RegistryWatch`] has confirmed.
+    /// Reconciles the view with all entries of the registry at a revision. An older revision is ignored
+    /// unless `rolled_back`, which means that [`super::registry_watch::RegistryWatch`] has confirmed a
+    /// rollback of the registry.
     pub fn replace_all(&mut self, now: f64, revision: u64, entries: Vec<EndpointEntry>, rolled_back: bool) {
         if revision < self.revision && !rolled_back {
             return;
@@ -157,10 +162,10 @@
         self.remove_or_suspect(now, removed);
     }
 
-    /// Applies the events of one revision, in their order: of several for one id the last counts.
+    /// Applies the events of one revision. Of several events for the same id, the last one counts.
     pub fn apply_events(&mut self, now: f64, revision: u64, events: Vec<RegistryEvent>) {
         if revision <= self.revision {
-            // Received before, over another connection.
+            // The events were received before, over another connection.
             return;
         }
         self.revision = revision;
@@ -177,7 +182,8 @@
         for (id, event) in last_events {
             match event {
                 RegistryEvent::Put(entry) => {
-                    // Deleted and put in one batch: another process, even if its entry is the same.
+                    // An id that is deleted and put in one batch stands for a new process, even if its entry
+                    // is the same.
                     if deleted.contains(&id) && self.endpoints.contains_key(&id) {
                         self.replaced.insert(id);
                         self.changed = true;
@@ -190,13 +196,13 @@
         self.remove_or_suspect(now, removed);
     }
 
-    /// Nothing has changed up to this revision.
+    /// Records that nothing has changed up to a revision.
     pub fn advance_revision(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
     fn put(&mut self, now: f64, entry: EndpointEntry) {
-        // Of two entries with one address the newer is the process that listens there.
+        // Of two entries with the same address, the newer one is that of the process that listens there.
         let duplicate = self.id_by_address.get(&entry.address).filter(|id| **id != entry.id).cloned();
         if let Some(older) = duplicate {
             self.counters.duplicate_addresses += 1;
@@ -216,15 +222,16 @@
         let damping = self.config.damping();
         self.id_by_address.insert(entry.address.clone(), entry.id.clone());
         let removed_penalty = self.removed_penalties.remove(&entry.id);
-        // One that was removed and is back is another process; of one never seen nothing is known.
+        // An endpoint that returns after a removal is a new process. An endpoint that was never seen replaces
+        // no process.
         if removed_penalty.is_some() {
             self.replaced.insert(entry.id.clone());
         }
         let penalty = removed_penalty.unwrap_or(FlapPenalty::none(now)).decayed(now, &damping);
-        let held_out = penalty.last_value() > damping.suppress;
-        self.counters.flapping += u64::from(held_out);
+        let suppressed = penalty.last_value() > damping.suppress;
+        self.counters.flapping += u64::from(suppressed);
         let id = entry.id.clone();
-        self.endpoints.insert(id, KnownEndpoint { entry, presence: Presence::Listed, penalty, held_out });
+        self.endpoints.insert(id, KnownEndpoint { entry, presence: Presence::Listed, penalty, suppressed });
         self.changed = true;
     }
 
@@ -237,8 +244,8 @@
         }
         if returns {
             known.penalty = known.penalty.increased(now, &damping);
-            if known.penalty.last_value() > damping.suppress && !known.held_out {
-                known.held_out = true;
+            if known.penalty.last_value() > damping.suppress && !known.suppressed {
+                known.suppressed = true;
                 self.counters.flapping += 1;
             }
         }
@@ -278,17 +285,17 @@
         }
     }
 
-    /// The registry no longer has these: they are removed, or suspected if they are too many.
+    /// Handles ids that the registry no longer lists: they are removed, or suspected if there are too many.
     fn remove_or_suspect(&mut self, now: f64, ids: Vec<String>) {
         let is_suspicious = self.is_suspicious_removal(&ids);
         for id in ids {
             let Some(known) = self.endpoints.get_mut(&id) else { continue };
             self.counters.changes += 1;
-            // A draining one was about to leave.
-            let must_leave = !known.is_active();
+            // An endpoint that is draining or removed is expected to disappear from the registry.
+            let is_leaving = !known.is_active();
             match known.presence {
-                Presence::SuspectedRemoval { .. } if !must_leave => {}
-                Presence::Listed if !must_leave && is_suspicious => {
+                Presence::SuspectedRemoval { .. } if !is_leaving => {}
+                Presence::Listed if !is_leaving && is_suspicious => {
                     known.presence = Presence::SuspectedRemoval { since: now };
                     self.counters.suspected += 1;
                     self.probes.insert(id);
@@ -302,13 +309,14 @@
         let active = self.endpoints.values().filter(|known| known.is_active()).count();
         let is_newly_removed = |known: &KnownEndpoint| known.is_active() && !known.is_suspected();
         let newly_removed = ids.iter().filter(|id| self.endpoints.get(*id).is_some_and(is_newly_removed));
-        // Those suspected already count too: a list emptied piece by piece is emptied all the same.
+        // Endpoints that are already suspected count too, since a list may also become empty in several
+        // parts.
         let removals = newly_removed.count() + self.suspected();
         removals > self.config.max_unsuspected_removals
             && removals as f64 > self.config.max_removal_share * active as f64
     }
 
-    /// A probe of a suspected endpoint ended. One that answers stays until the suspicion times out.
+    /// Records the result of a probe. A suspected endpoint that answered stays until the suspicion times out.
     pub fn probe_finished(&mut self, now: f64, id: &str, answered: bool) {
         let is_suspected = self.endpoints.get(id).is_some_and(KnownEndpoint::is_suspected);
         if is_suspected && !answered {
@@ -317,13 +325,13 @@
         }
     }
 
-    /// Endpoints to probe, each given once.
+    /// Takes the endpoints to probe; each one is returned once.
     pub fn take_probes(&mut self) -> Vec<EndpointEntry> {
         let ids = std::mem::take(&mut self.probes);
         ids.iter().filter_map(|id| Some(self.endpoints.get(id)?.entry.clone())).collect()
     }
 
-    /// Applies the timeouts; gives when to call again, if any is running.
+    /// Applies the timeouts. Returns the time of the next call; `None` if no timeout is pending.
     pub fn tick(&mut self, now: f64) -> Option<f64> {
         self.confirm_timed_out(now);
         let (config, damping) = (self.config, self.config.damping());
@@ -331,9 +339,9 @@
         for known in self.endpoints.values_mut() {
             if let Presence::SuspectedRemoval { since } = known.presence {
                 next_tick = earliest(next_tick, since + config.suspicion_timeout_s);
-            } else if known.held_out {
+            } else if known.suppressed {
                 if known.penalty.at(now, &damping) <= damping.reuse {
-                    known.held_out = false;
+                    known.suppressed = false;
                     self.changed = true;
                 } else {
                     next_tick = earliest(next_tick, now + DAMPING_POLL_S);
@@ -362,17 +370,18 @@
         }
     }
 
-    /// Ids whose process was replaced since the last call: what was learned of the old one is void.
+    /// Takes the ids whose process was replaced since the last call. State learned about the old process is
+    /// invalid.
     pub fn take_replaced(&mut self) -> Vec<String> {
         std::mem::take(&mut self.replaced).into_iter().collect()
     }
 
-    /// The endpoints as they are used, if that has changed since the last call.
+    /// Returns the endpoints as they are used if they may have changed since the last call; otherwise `None`.
     pub fn take_changes(&mut self) -> Option<Vec<EndpointEntry>> {
         std::mem::take(&mut self.changed).then(|| self.entries())
     }
 
-    /// The endpoints as they are used.
+    /// Returns the endpoints as they are used.
     pub fn entries(&self) -> Vec<EndpointEntry> {
         self.endpoints.values().map(KnownEndpoint::effective_entry).collect()
     }
--- a/crates/nickelgw-registry/src/core/endpoint_view_config.rs
+++ b/crates/nickelgw-registry/src/core/endpoint_view_config.rs
@@ -1,23 +1,24 @@
-//! Bounds of the view: when a removal is suspected, and when a flapping endpoint is held out.
+//! Settings of the endpoint view: thresholds for suspected removals and for flap damping.
 
 use super::flap_damping::DampingThresholds;
 
-/// Bounds of an [`super::endpoint_view::EndpointView`].
+/// Thresholds and limits of an [`super::endpoint_view::EndpointView`].
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointViewConfig {
-    /// Share of the active endpoints that may be removed at once without suspicion.
+    /// Fraction of the active endpoints that may be removed at once without suspicion.
     pub max_removal_share: f64,
-    /// Number of endpoints that may always be removed at once.
+    /// Number of endpoints that may always be removed at once without suspicion.
     pub max_unsuspected_removals: usize,
-    /// How long a suspected removal must stand to count without probes.
+    /// Time in seconds after which a suspected removal counts as confirmed without a failed probe.
     pub suspicion_timeout_s: f64,
-    /// Half-life of the flap penalty, which grows by one with each leaving and returning.
+    /// Half-life in seconds of the flap penalty, which grows by one each time that an endpoint leaves and
+    /// returns.
     pub flap_half_life_s: f64,
-    /// An endpoint is held out above this penalty.
+    /// Flap penalty above which an endpoint is suppressed.
     pub flap_suppress_threshold: f64,
-    /// An endpoint held out is used again at or below this penalty.
+    /// Flap penalty at or below which a suppressed endpoint is used again.
     pub flap_reuse_threshold: f64,
-    /// Endpoints in the view; further ones are refused.
+    /// Maximum number of endpoints in the view; further ones are refused.
     pub max_endpoints: usize,
 }
 
--- a/crates/nickelgw-registry/src/core/endpoint_view_tests.rs
+++ b/crates/nickelgw-registry/src/core/endpoint_view_tests.rs
@@ -28,16 +28,16 @@
 }
 
 #[test]
-fn empty_list_is_suspected_and_drains_act_at_once() {
+fn empty_list_is_suspected_and_drain_takes_effect_at_once() {
     let mut view = view_of(10);
     let mut entries = vec![entry(3, EngineState::Draining)];
     view.replace_all(1.0, 11, entries.clone(), false);
     assert_eq!((active(&view), view.suspected(), view.take_probes().len()), (9, 9, 9));
     assert_eq!(view.entries().iter().find(|entry| entry.id == "e3").unwrap().state, EngineState::Draining);
-    // Those that do not answer a probe are removed; the others stay while the suspicion lasts.
+    // Endpoints that do not answer a probe are removed; the others stay until the suspicion times out.
     (0..3).for_each(|n| view.probe_finished(1.2, &format!("e{n}"), n == 2));
     assert_eq!(active(&view), 7);
-    // The list is complete again: the suspicion is cleared.
+    // A complete list clears the suspicion.
     entries = (0..10).map(|number| entry(number, EngineState::Active)).collect();
     view.replace_all(5.0, 12, entries, false);
     assert_eq!((active(&view), view.suspected()), (10, 0));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn large_removal_is_suspected_and_a_few_removals_are_not() {
+fn large_removal_is_suspected_and_few_removals_are_not() {
     let mut view = view_of(10);
     view.apply_events(1.0, 11, vec![RegistryEvent::Delete("e0".into()), RegistryEvent::Delete("e1".into())]);
     assert_eq!((active(&view), view.suspected()), (8, 0));
@@ -61,7 +61,7 @@
             vec![RegistryEvent::Delete(format!("e{n}"))],
         );
     }
-    // A rolling deploy: each removal alone is under the share. In one batch they are not.
+    // In a rolling deployment, each removal alone is below the threshold; in one batch, they exceed it.
     assert_eq!((active(&view), view.suspected()), (0, 0));
     let mut view = view_of(10);
     view.apply_events(1.0, 11, (0..6).map(|n| RegistryEvent::Delete(format!("e{n}"))).collect());
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn flapping_endpoint_is_held_out_until_its_penalty_decays() {
+fn flapping_endpoint_is_suppressed_until_its_penalty_decays() {
     let mut view = view_of(10);
     let mut now = 1.0;
     for number in 0..5u64 {
@@ -91,12 +91,12 @@
 }
 
 #[test]
-fn replaced_process_is_reported_and_an_address_has_one_endpoint() {
+fn replaced_process_is_reported_and_address_belongs_to_one_endpoint() {
     let mut view = view_of(4);
     let moved = EndpointEntry { address: "10.0.0.99:80".into(), ..entry(1, EngineState::Active) };
     view.apply_events(5.0, 11, vec![RegistryEvent::Put(moved)]);
     assert_eq!(view.take_replaced(), ["e1"]);
-    // Deleted and put in one batch; another role.
+    // The process is replaced if its entry is deleted and put in one batch, or changes its role.
     view.apply_events(
         6.0,
         12,
@@ -108,7 +108,7 @@
         vec![RegistryEvent::Put(EndpointEntry { role: EngineRole::Decode, ..entry(0, EngineState::Active) })],
     );
     assert_eq!(view.take_replaced(), ["e0", "e2"]);
-    // An entry with the address of another: the newer one listens there.
+    // Of two entries with the same address, the newer one is that of the process that listens there.
     view.apply_events(
         8.0,
         14,
@@ -124,14 +124,14 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1000, rng_seed: RngSeed::Fixed(81), failure_persistence: None, ..ProptestConfig::default() })]
-    /// A model registry, and a watch that breaks at random: events are repeated, cut off, or lost with a compaction and
-    /// followed by a full read. Once all events are received and suspicions have timed out, the view equals the registry;
-    /// a draining engine is never active in it.
+    /// The watch of a model registry fails at random: events are repeated, delayed, or lost by a compaction,
+    /// which causes a full read. Once all events are received and suspicions have timed out, the view equals
+    /// the registry. A draining engine is never active in an up-to-date view.
     #[test]
-    fn view_converges_to_the_registry_after_any_broken_watches(
+    fn view_converges_to_registry_after_failed_watches(
         steps in prop::collection::vec((0u8..10, 0u32..8, 0.0..3.0f64), 1..120),
     ) {
-        // No damping here: it is meant to differ from the registry for a while.
+        // Flap damping is disabled, since it makes the view differ from the registry for a while.
         let mut view = EndpointView::new(EndpointViewConfig { flap_suppress_threshold: 1e9, suspicion_timeout_s: 5.0, ..EndpointViewConfig::default() });
         let mut registry: BTreeMap<String, EndpointEntry> = BTreeMap::new();
         let (mut revision, mut log, mut received, mut now) = (1u64, Vec::<(u64, RegistryEvent)>::new(), 1u64, 0.0);
@@ -149,7 +149,7 @@
                     revision += 1;
                     log.push((revision, RegistryEvent::Delete(format!("e{n}"))));
                 }
-                // The watch delivers up to somewhere, some of it twice.
+                // The watch delivers events up to a random revision, some of them twice.
                 5..=7 => {
                     let upto = received + u64::from(n);
                     let from = received.saturating_sub(u64::from(action) - 5);
@@ -158,13 +158,13 @@
                         received = received.max(*at);
                     }
                 }
-                // Compacted: a full read.
+                // A compaction causes a full read.
                 8 => { view.replace_all(now, revision, registry.values().cloned().collect(), false); received = revision; }
                 _ => { view.tick(now); }
             }
             for listed in view.entries() {
                 if received == revision && registry.get(&listed.id).is_some_and(|registered| registered.state == EngineState::Draining) {
-                    prop_assert!(listed.state != EngineState::Active, "{} drains", listed.id);
+                    prop_assert!(listed.state != EngineState::Active, "draining endpoint {} is active in the view", listed.id);
                 }
             }
         }
--- a/crates/nickelgw-registry/src/core/membership.rs
+++ b/crates/nickelgw-registry/src/core/membership.rs
@@ -1,23 +1,27 @@
-//! This node's number among the nodes, and the share of fleet-wide limits that it may use, so that the sum of all shares
-//! stays under the whole at every moment while nodes join, leave, pause and come back.
+//! Membership of this node in the fleet: its number, and its share of fleet-wide limits. The sum of the
+//! shares of all nodes never exceeds the whole, even while nodes join, leave, pause and resume.
 //!
-//! A node holds its number by a lease. It relies on the lease only until its own clock says that it may have expired,
-//! with a safety margin, whatever the registry would say. When it sees more nodes it uses less at once. When it sees fewer
-//! it uses more only once every node that it counted must have lost its lease. A node that joins uses nothing until all
-//! others must have seen it: they refresh at least every `max_staleness_s`, or use nothing themselves.
+//! A node holds its number by a lease. It relies on the lease only until the lease may have expired by the
+//! node's own clock, less a safety margin, whatever the state at the registry. When a node sees more nodes,
+//! it lowers its share at once. When it sees fewer nodes, it raises its share only after the lease of every
+//! node that it counted must have expired. A node that joins uses no share until all other nodes must have
+//! seen it: they refresh their lists at least every `max_staleness_s`, or use no share themselves.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Timeouts and bounds of a [`Membership`].
+/// Timeouts and limits of a [`Membership`].
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipConfig {
-    /// Lifetime of the lease.
+    /// Lifetime of the lease in seconds.
     pub lease_s: f64,
-    /// Safety margin for clocks and latency: a lease is relied on for this much less, waited for this much longer.
+    /// Safety margin in seconds for clock differences and latency. This node relies on its own lease for this
+    /// much less than its lifetime, and waits for this much longer until the lease of another node counts as
+    /// expired.
     pub margin_s: f64,
-    /// With a list of nodes older than this the node uses nothing of fleet-wide limits.
+    /// Maximum age in seconds of the list of nodes; with an older list, the node uses no share of fleet-wide
+    /// limits.
     pub max_staleness_s: f64,
-    /// Numbers are below this.
+    /// Exclusive upper bound of the numbers of nodes.
     pub max_nodes: u32,
 }
 
@@ -27,46 +31,46 @@
     }
 }
 
-/// Node counts remembered at most; beyond it the oldest ones are merged.
+/// Maximum number of recent node counts that are kept; above it, the oldest ones are merged.
 const MAX_COUNTS: usize = 4096;
-/// Keep-alives in a lease's lifetime.
+/// Number of keep-alives in the lifetime of a lease.
 const KEEP_ALIVES_PER_LEASE: f64 = 3.0;
-/// Polls in a lease's lifetime.
+/// Number of polls in the lifetime of a lease.
 const POLLS_PER_LEASE: f64 = 10.0;
 
-/// Where a node stands among the nodes.
+/// Position of a node in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetPosition {
-    /// Its number, for taking turns; none: it takes no turn.
+    /// Number of the node, by which nodes take turns; `None` if the node takes no turn.
     pub number: Option<u32>,
-    /// It may use one share in so many; none: nothing.
+    /// Number of nodes among which fleet-wide limits are divided; `None` if the node may use no share.
     pub node_count: Option<u32>,
 }
 
 impl FleetPosition {
-    /// No number, and no share.
+    /// Position without a number and without a share.
     pub const NONE: FleetPosition = FleetPosition { number: None, node_count: None };
 }
 
-/// A node's number as the registry has it.
+/// Registration of a node at the registry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeRegistration {
-    /// The number, unique among the nodes.
+    /// Number of the node, unique in the fleet.
     pub number: u32,
-    /// The node's name.
+    /// Name of the node.
     pub name: String,
-    /// The revision at which it was registered.
+    /// Revision at which the registration was created.
     pub created_revision: u64,
 }
 
-/// What the caller does at the registry.
+/// Command to the caller for the registry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipCommand {
-    /// Register this number under the lease, if nobody has it.
+    /// Register this number under the lease if it is free.
     Claim(u32),
-    /// Another node has registered the number before: this node no longer uses it.
+    /// Stop using this number, since another node registered it earlier.
     Release(u32),
-    /// Grant the lease, or renew it.
+    /// Request the lease, or renew it.
     KeepAlive,
 }
 
@@ -82,7 +86,7 @@
     since: f64,
 }
 
-/// A number of nodes that may still be in use.
+/// Count of nodes that may still hold leases.
 #[derive(Clone, Copy, Debug)]
 struct CountedNodes {
     expires_at: f64,
@@ -97,15 +101,15 @@
     pending_claim: Option<PendingClaim>,
     lease_valid_until: f64,
     last_keep_alive_at: f64,
-    /// When the list of nodes was last requested successfully.
+    /// Time at which the latest list of nodes was requested; `None` before the first list.
     refreshed_at: Option<f64>,
     registrations: BTreeMap<u32, NodeRegistration>,
-    /// Oldest first; counts fall from front to back.
+    /// Recent node counts, the oldest first. The counts decrease from front to back.
     recent_counts: VecDeque<CountedNodes>,
 }
 
 impl Membership {
-    /// A node that holds no number yet.
+    /// Creates the membership of a node that holds no number yet.
     pub fn new(config: MembershipConfig, name: &str) -> Membership {
         Membership {
             config,
@@ -120,20 +124,20 @@
         }
     }
 
-    /// The lease was granted or renewed; its lifetime counts from when that was requested.
+    /// Records that the lease was granted or renewed. Its lifetime counts from the time of the request.
     pub fn lease_renewed(&mut self, requested_at: f64, ttl_s: f64) {
         let valid_until = requested_at + ttl_s - self.config.margin_s;
         self.lease_valid_until = self.lease_valid_until.max(valid_until);
     }
 
-    /// The registry says that the lease has expired, or does not know it.
+    /// Records that the lease has expired at the registry or is unknown there.
     pub fn lease_lost(&mut self) {
         self.held = None;
         self.pending_claim = None;
         self.lease_valid_until = 0.0;
     }
 
-    /// A claim ended.
+    /// Records the result of a claim.
     pub fn claim_finished(&mut self, now: f64, number: u32, succeeded: bool) {
         let was_pending = self.pending_claim.take().is_some_and(|claim| claim.number == number);
         if was_pending && succeeded {
@@ -141,12 +145,12 @@
         }
     }
 
-    /// All registrations, as read at the registry. `requested_at` tells how old the answer may be.
+    /// Replaces the list of registrations by one read from the registry. Its age counts from `requested_at`.
     pub fn update_registrations(&mut self, requested_at: f64, registrations: Vec<NodeRegistration>) {
         self.refreshed_at = Some(self.refreshed_at.map_or(requested_at, |at| at.max(requested_at)));
         self.registrations.clear();
         for new in registrations {
-            // Of two with one number the earlier has it.
+            // Of two registrations with the same number, the earlier one is valid.
             let known = self.registrations.get(&new.number);
             if known.is_none_or(|known| known.created_revision > new.created_revision) {
                 self.registrations.insert(new.number, new);
@@ -155,7 +159,8 @@
         self.remember_count(requested_at);
     }
 
-    /// A node that was counted may use its share until its lease must have expired.
+    /// Keeps the present node count until the leases of all counted nodes must have expired, since each of
+    /// these nodes may use its share until then.
     fn remember_count(&mut self, requested_at: f64) {
         let count = self.registrations.len() as u32;
         let expires_at = requested_at + self.config.lease_s + self.config.margin_s;
@@ -168,7 +173,7 @@
         }
     }
 
-    /// Keeps the list bounded: the larger of the two oldest counts stands until the later of their ends.
+    /// Merges the two oldest counts into the larger count with the later expiry.
     fn merge_oldest_counts(&mut self) {
         let Some(oldest) = self.recent_counts.pop_front() else { return };
         if let Some(next) = self.recent_counts.front_mut() {
@@ -183,7 +188,7 @@
         (now < self.lease_valid_until && is_own).then_some(held)
     }
 
-    /// What this node may use now.
+    /// Returns the position that this node may use now.
     pub fn position(&mut self, now: f64) -> FleetPosition {
         let Some(held) = self.held_number(now) else { return FleetPosition::NONE };
         let max_staleness_s = self.config.max_staleness_s;
@@ -202,7 +207,7 @@
         FleetPosition { number: Some(held.number), node_count: Some(node_count) }
     }
 
-    /// What to do at the registry, and when to poll again.
+    /// Returns the commands for the registry, and the time of the next poll.
     pub fn poll_commands(&mut self, now: f64) -> (Vec<MembershipCommand>, f64) {
         let lease_s = self.config.lease_s;
         let mut commands = Vec::new();
@@ -222,7 +227,8 @@
             self.held = None;
             return Some(MembershipCommand::Release(number));
         }
-        // A registry that went back to an older state does not have it any more: it is claimed again.
+        // A registry that was rolled back to an older state has lost the registration, so the number is
+        // claimed again.
         if registration.is_none() && self.refreshed_at.is_some_and(|at| at > since) {
             self.held = None;
         }
@@ -240,7 +246,7 @@
         Some(MembershipCommand::Claim(number))
     }
 
-    /// A node that paused resumes the number that it held before.
+    /// Returns the number that is registered for this node, so that a node resumes its number after a pause.
     fn own_registered_number(&self) -> Option<u32> {
         let own = self.registrations.values().find(|registration| registration.name == self.name);
         own.map(|registration| registration.number)
--- a/crates/nickelgw-registry/src/core/membership_tests.rs
+++ b/crates/nickelgw-registry/src/core/membership_tests.rs
@@ -6,15 +6,15 @@
 const CONFIG: MembershipConfig =
     MembershipConfig { lease_s: 6.0, margin_s: 1.0, max_staleness_s: 2.0, max_nodes: 64 };
 
-/// A registration in the model registry.
+/// Registration in the model registry.
 struct ModelRegistration {
     name: String,
     created_revision: u64,
-    /// By the registry's clock.
+    /// Expiry of the lease by the registry's clock.
     lease_expires_at: f64,
 }
 
-/// The registry.
+/// Model of the registry.
 #[derive(Default)]
 struct ModelRegistry {
     registrations: BTreeMap<u32, ModelRegistration>,
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Whether the number is the node's afterwards. `lease_expires_at`: none without a valid lease.
+    /// Claims a number; returns whether the node has it afterwards. `lease_expires_at` is `None` without a
+    /// valid lease.
     fn claim(&mut self, number: u32, name: &str, lease_expires_at: Option<f64>) -> bool {
         if let Some(registration) = self.registrations.get(&number) {
             return registration.name == name;
@@ -52,7 +53,7 @@
     }
 }
 
-/// A node of the simulation.
+/// A simulated node.
 struct SimulatedNode {
     membership: Membership,
     name: String,
@@ -68,7 +69,8 @@
         SimulatedNode { membership, name, paused_until: 0.0, refresh_at: now, lease_expires_at: None }
     }
 
-    /// `is_lost`: calls to the registry fail. Answers are as old as if they had been requested at `requested_at`.
+    /// Runs one step of the node. Calls to the registry fail if `is_lost`; otherwise their responses are as
+    /// old as if they had been requested at `requested_at`.
     fn step(&mut self, registry: &mut ModelRegistry, now: f64, requested_at: f64, is_lost: bool) {
         if now >= self.refresh_at && !is_lost {
             self.refresh_at = now + 0.5;
@@ -98,7 +100,7 @@
     }
 }
 
-/// The sum of the shares in use. Panics if two nodes use one number.
+/// Returns the sum of the shares in use. Panics if two nodes use the same number.
 fn sum_of_shares(nodes: &mut [SimulatedNode], now: f64) -> f64 {
     let mut sum = 0.0;
     let mut numbers = BTreeMap::new();
@@ -109,12 +111,12 @@
             *numbers.entry(number).or_insert(0) += 1;
         }
     }
-    assert!(numbers.values().all(|n| *n == 1), "two nodes with one number at {now}");
+    assert!(numbers.values().all(|n| *n == 1), "two nodes use the same number at {now} s");
     sum
 }
 
-/// Nodes join, stop without notice, and pause for any time; calls to the registry take up to half the margin or are
-/// lost. Gives the largest sum of shares seen.
+/// Simulates a fleet in which nodes join, stop without notice, and pause for random times. Calls to the
+/// registry take up to half the safety margin or are lost. Returns the largest sum of shares at any time.
 fn simulate(seed: u64, churn: f64, until: f64) -> f64 {
     let mut random = WyRand::new_seed(seed);
     let mut uniform = move || random.generate::<u32>() as f64 / u32::MAX as f64;
@@ -130,7 +132,7 @@
         }
         if !nodes.is_empty() && uniform() < churn / 2.0 {
             let n = (uniform() * nodes.len() as f64) as usize % nodes.len();
-            // Stopped for good, or for a while.
+            // The node stops permanently or pauses.
             if uniform() < 0.5 {
                 nodes.remove(n);
             } else {
@@ -139,11 +141,11 @@
         }
         for node in nodes.iter_mut().filter(|node| now >= node.paused_until) {
             let is_lost = uniform() < 0.1;
-            // An answer received now was requested up to half a margin ago, as far as the node knows.
+            // By the node's own clock, a response received now was requested up to half the margin ago.
             let requested_at = now - 0.5 * CONFIG.margin_s * uniform();
             node.step(&mut registry, now, requested_at, is_lost);
         }
-        // A paused node decides nothing; when it resumes, it acts by what it knew.
+        // A paused node makes no decisions; when it resumes, it acts on its old state.
         max_sum = max_sum.max(sum_of_shares(&mut nodes, now));
     }
     max_sum
@@ -154,12 +156,12 @@
     #[test]
     fn sum_of_shares_never_exceeds_the_whole(seed in any::<u64>(), churn in 0.001..0.05f64) {
         let max_sum = simulate(seed, churn, 120.0);
-        prop_assert!(max_sum <= 1.0 + 1e-9, "{max_sum}");
+        prop_assert!(max_sum <= 1.0 + 1e-9, "the shares add up to {max_sum}");
     }
 }
 
 #[test]
-fn number_that_the_registry_lost_is_claimed_again() {
+fn number_lost_by_registry_is_claimed_again() {
     let mut node = Membership::new(CONFIG, "a");
     node.lease_renewed(0.0, 100.0);
     node.update_registrations(0.0, vec![]);
@@ -172,7 +174,7 @@
 }
 
 #[test]
-fn nearly_everything_is_used_with_little_churn() {
+fn nearly_the_whole_limit_is_used_with_little_churn() {
     assert!(simulate(3, 0.002, 300.0) > 0.9);
 }
 
@@ -181,7 +183,7 @@
 }
 
 #[test]
-fn more_nodes_count_at_once_and_fewer_only_after_their_leases_expired() {
+fn higher_node_count_applies_at_once_and_lower_count_after_leases_expired() {
     let mut node = Membership::new(CONFIG, "a");
     node.lease_renewed(0.0, CONFIG.lease_s);
     node.update_registrations(0.0, vec![]);
@@ -193,21 +195,21 @@
         node.update_registrations(at, others.chain([registration(0, "a", 1)]).collect());
         node.position(at).node_count
     };
-    // Not before all others must have seen it.
+    // The node uses no share before all other nodes must have seen it.
     assert_eq!((observe(&mut node, 1.0, 4), observe(&mut node, 3.2, 4)), (None, Some(4)));
     assert_eq!(observe(&mut node, 4.0, 5), Some(5));
     assert_eq!(
         (observe(&mut node, 5.0, 2), observe(&mut node, 10.9, 2), observe(&mut node, 11.1, 2)),
         (Some(5), Some(5), Some(2))
     );
-    // A view that is too old is none; so is a lease that may have ended.
+    // A list that is too old gives no position, and neither does a lease that may have expired.
     assert_eq!(node.position(13.2), FleetPosition { number: None, node_count: None });
     node.update_registrations(20.0, vec![registration(0, "a", 1)]);
     assert_eq!(node.position(20.0).node_count, None);
 }
 
 #[test]
-fn earlier_of_two_registrations_with_one_number_wins() {
+fn earlier_of_two_registrations_with_the_same_number_wins() {
     let mut node = Membership::new(CONFIG, "a");
     node.lease_renewed(0.0, 100.0);
     node.update_registrations(0.0, vec![]);
--- a/crates/nickelgw-registry/src/core/mod.rs
+++ b/crates/nickelgw-registry/src/core/mod.rs
@@ -1,5 +1,6 @@
-//! State machines of service discovery: following the registry, the view of the endpoints, this node's membership among
-//! the nodes. No I/O: times and answers come in, commands go out.
+//! State machines of service discovery: the watch of the registry, the view of the endpoints, and this node's
+//! membership in the fleet. They do no I/O: the caller passes in times and responses, and carries out the
+//! commands that they return.
 
 pub mod endpoint_view;
 mod endpoint_view_config;
--- a/crates/nickelgw-registry/src/core/registry_watch.rs
+++ b/crates/nickelgw-registry/src/core/registry_watch.rs
@@ -1,18 +1,21 @@
-//! Following the registry: a full read, then a watch from the next revision on, and what to do when the watch breaks, is
-//! silent, was compacted, or the registry's revision goes back. Registry servers take turns, with jittered backoff.
+//! Watch of the registry: a full read, followed by a watch from the next revision on. Handles watches that
+//! break, become idle or ask for a compacted revision, and registries whose revision goes back. After a
+//! failure, the next registry server is tried, with jittered backoff.
 
 use nanorand::{Rng, WyRand};
 
 /// Timeouts of a [`RegistryWatch`].
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryWatchConfig {
-    /// A watch without any message, not even progress, for so long is taken for dead.
+    /// Time in seconds without any message, even a progress notification, after which a watch counts as
+    /// failed.
     pub idle_timeout_s: f64,
-    /// Backoff after the first failure; doubles with each further one.
+    /// Backoff in seconds after the first failure; doubles with each further consecutive failure.
     pub initial_backoff_s: f64,
-    /// Longest backoff.
+    /// Longest backoff in seconds.
     pub max_backoff_s: f64,
-    /// A revision lower than known counts only if two servers report it, or a lone one twice over this time.
+    /// A revision lower than the known one is accepted only if two servers report it, or if the only server
+    /// reports it twice at least this many seconds apart.
     pub rollback_confirmation_s: f64,
 }
 
@@ -27,38 +30,39 @@
     }
 }
 
-/// Doublings of the backoff after which it grows no further.
+/// Maximum number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 10;
-/// Part of the backoff that is kept for the first try at another server: one server's failure should cost little.
+/// Fraction of the backoff that applies before the first attempt at another server, since the failure of a
+/// single server should cause little delay.
 const FIRST_FAILOVER_SHARE: f64 = 0.1;
 
-/// What the caller does next. `endpoint` is the number of a registry server.
+/// Command to the caller. `endpoint` is the index of a registry server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchCommand {
-    /// Read everything.
+    /// Read all keys of the prefix.
     Read {
-        /// At this server.
+        /// Registry server to read from.
         endpoint: usize,
     },
-    /// Watch for changes.
+    /// Watch the prefix for changes.
     Watch {
-        /// At this server.
+        /// Registry server to watch.
         endpoint: usize,
-        /// The first revision of interest.
+        /// First revision to receive.
         from: u64,
     },
     /// Cancel the open watch.
     CloseWatch,
 }
 
-/// How a full read relates to what is known.
+/// Result of comparing a full read with the known revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadVerdict {
-    /// As new as what is known, or newer.
+    /// The read is at the known revision or a newer one.
     Good,
-    /// The registry has gone back, and that is confirmed.
+    /// The registry was rolled back or restored, and this is confirmed.
     RolledBack,
-    /// Older than what is known: that server lags.
+    /// The read is older than the known revision: the server lags, or a rollback is not confirmed yet.
     Stale,
 }
 
@@ -69,36 +73,37 @@
     Watching { last_message_at: f64 },
 }
 
-/// A report of a lower revision that is not confirmed yet.
+/// Report of a lower revision that is not confirmed yet.
 #[derive(Clone, Copy, Debug)]
 struct SuspectedRollback {
     endpoint: usize,
     since: f64,
 }
 
-/// The state of following one prefix of the registry.
+/// State of the watch of one prefix of the registry.
 pub struct RegistryWatch {
     config: RegistryWatchConfig,
     endpoints: usize,
     endpoint: usize,
     state: State,
     consecutive_failures: u32,
-    /// The newest revision known.
+    /// Newest known revision.
     revision: u64,
     /// Whether the next step is a full read.
     needs_read: bool,
-    /// The cluster that the revisions belong to; empty: not known.
+    /// Id of the cluster that the revisions belong to; empty if it is not known.
     cluster: String,
     suspected_rollback: Option<SuspectedRollback>,
     random: WyRand,
-    /// Watches and reads that failed.
+    /// Number of watches and reads that failed.
     pub breaks: u64,
-    /// Watches whose revision was compacted away.
+    /// Number of watches whose revision had been compacted.
     pub compacted: u64,
 }
 
 impl RegistryWatch {
-    /// Follows a registry of so many servers. Nodes with different seeds begin at different servers.
+    /// Creates the watch of a registry with `endpoints` servers. The seed determines the server at which the
+    /// watch begins, so that nodes with different seeds are spread over the servers.
     pub fn new(config: RegistryWatchConfig, endpoints: usize, seed: u64) -> RegistryWatch {
         let mut random = WyRand::new_seed(seed);
         let endpoints = endpoints.max(1);
@@ -119,7 +124,7 @@
         }
     }
 
-    /// The newest revision known.
+    /// Returns the newest known revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -128,8 +133,9 @@
         !cluster.is_empty() && !self.cluster.is_empty() && self.cluster != cluster
     }
 
-    /// Whether a message is of the cluster that is followed. Another id is that of a restored cluster, whose revisions
-    /// are unrelated, be they higher or lower: everything is read again.
+    /// Returns whether a message comes from the known cluster. A different id is that of a restored cluster,
+    /// whose revisions are unrelated to the known ones, whether higher or lower; in that case a full read is
+    /// scheduled.
     pub fn is_same_cluster(&mut self, now: f64, cluster: &str) -> bool {
         if !self.is_other_cluster(cluster) {
             return true;
@@ -143,7 +149,7 @@
         self.state = State::Backoff { until: now };
     }
 
-    /// A full read succeeded.
+    /// Records that a full read succeeded.
     pub fn read_finished(&mut self, now: f64, revision: u64, cluster: &str) -> ReadVerdict {
         let is_other_cluster = self.is_other_cluster(cluster);
         if !cluster.is_empty() {
@@ -152,7 +158,7 @@
         let is_older = revision < self.revision && !is_other_cluster;
         if is_older && !self.confirms_rollback(now) {
             self.suspected_rollback.get_or_insert(SuspectedRollback { endpoint: self.endpoint, since: now });
-            // Another server may know better.
+            // Another server may have newer data.
             self.back_off(now);
             self.needs_read = true;
             return ReadVerdict::Stale;
@@ -168,7 +174,7 @@
         ReadVerdict::Good
     }
 
-    /// Whether a report of a lower revision by the present server confirms an earlier one.
+    /// Returns whether a report of a lower revision by the present server confirms an earlier report.
     fn confirms_rollback(&self, now: f64) -> bool {
         self.suspected_rollback.is_some_and(|suspected| {
             let is_lone_server = self.endpoints == 1;
@@ -177,8 +183,9 @@
         })
     }
 
-    /// Events or progress up to a revision came over the watch. False: it is lower than what is known, so the server
-    /// lags or the registry went back; everything is read again to tell which.
+    /// Records that the watch received events or progress up to a revision. Returns false if the revision is
+    /// lower than the known one. Then the server lags or the registry was rolled back, and a full read is
+    /// scheduled to find out which.
     pub fn watch_progressed(&mut self, now: f64, revision: u64) -> bool {
         if revision < self.revision {
             self.read_again(now);
@@ -192,13 +199,13 @@
         true
     }
 
-    /// The read or watch failed. A watch resumes at the next revision, without a full read.
+    /// Records that a read or watch failed. A watch resumes at the next revision without a full read.
     pub fn failed(&mut self, now: f64) {
         self.breaks += 1;
         self.back_off(now);
     }
 
-    /// The revision to resume from was compacted away: everything is read again.
+    /// Records that the revision to resume from was compacted, and schedules a full read.
     pub fn was_compacted(&mut self, now: f64) {
         self.compacted += 1;
         self.read_again(now);
@@ -216,7 +223,7 @@
         self.state = State::Backoff { until: now + backoff_s * (0.5 + 0.5 * jitter) };
     }
 
-    /// What to do now, and when to poll again.
+    /// Returns the commands to carry out now, and the time of the next poll.
     pub fn poll_commands(&mut self, now: f64) -> (Vec<WatchCommand>, f64) {
         let mut commands = Vec::new();
         if let State::Watching { last_message_at } = self.state {
--- a/crates/nickelgw-registry/src/core/registry_watch_tests.rs
+++ b/crates/nickelgw-registry/src/core/registry_watch_tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn broken_watch_resumes_at_the_next_revision_at_another_server() {
+fn failed_watch_resumes_at_next_revision_at_another_server() {
     let (mut watch, mut now) = watching_with(3);
     assert!(watch.watch_progressed(now, 60));
     let first = watch.endpoint;
@@ -30,8 +30,8 @@
         [WatchCommand::Watch { endpoint, from: 61 }] => assert_ne!(endpoint, first),
         ref other => panic!("{other:?}"),
     }
-    assert!(now < failed_at + 0.02, "another server is tried at once");
-    // No server answers: the backoff grows up to its maximum.
+    assert!(now < failed_at + 0.02, "another server must be tried at once");
+    // If no server responds, the backoff grows up to its maximum.
     let mut backoffs = Vec::new();
     for _ in 0..9 {
         watch.failed(now);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn idle_watch_is_closed_and_a_compaction_causes_a_full_read() {
+fn idle_watch_is_closed_and_compaction_causes_full_read() {
     let (mut watch, mut now) = watching_with(2);
     assert!(watch.watch_progressed(now + 1.0, 50));
     assert_eq!(watch.poll_commands(now + 4.5).0, vec![]);
@@ -58,14 +58,14 @@
 }
 
 #[test]
-fn older_revision_over_the_watch_causes_a_full_read() {
+fn older_revision_in_watch_message_causes_full_read() {
     let (mut watch, mut now) = watching_with(2);
     assert!(!watch.watch_progressed(now, 20));
     assert!(matches!(next_commands(&mut watch, &mut now)[..], [WatchCommand::Read { .. }]));
 }
 
 #[test]
-fn restored_registry_is_recognized_by_its_cluster_id_at_any_revision() {
+fn restored_registry_is_detected_by_cluster_id_at_any_revision() {
     let (mut watch, mut now) = watching_with(1);
     assert!(
         watch.is_same_cluster(now, "c")
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn lagging_server_is_skipped_and_a_rollback_needs_two_reports() {
+fn lagging_server_is_skipped_and_rollback_needs_two_reports() {
     let (mut watch, mut now) = watching_with(2);
     watch.was_compacted(now);
     next_commands(&mut watch, &mut now);
@@ -92,7 +92,7 @@
     assert_eq!(watch.read_finished(now, 12, "c"), ReadVerdict::Stale);
     next_commands(&mut watch, &mut now);
     assert_eq!((watch.read_finished(now, 12, "c"), watch.revision()), (ReadVerdict::RolledBack, 12));
-    // A lone server must report it twice over a time.
+    // An only server must report the rollback twice, `rollback_confirmation_s` apart.
     let (mut watch, mut now) = watching_with(1);
     watch.was_compacted(now);
     next_commands(&mut watch, &mut now);
--- a/crates/nickelgw-registry/src/lib.rs
+++ b/crates/nickelgw-registry/src/lib.rs
@@ -1,5 +1,5 @@
-//! Service discovery by a registry. [`core`] decides which endpoints and nodes count; [`wire`] has the messages of etcd's
-//! v3 JSON gateway.
+//! Service discovery through a registry. The sans-I/O [`core`] decides which endpoints and nodes count;
+//! [`wire`] contains the messages of etcd's v3 JSON gateway.
 
 pub mod core;
 pub mod wire;
--- a/crates/nickelgw-registry/src/wire_tests.rs
+++ b/crates/nickelgw-registry/src/wire_tests.rs
@@ -3,7 +3,7 @@
 use proptest::test_runner::RngSeed;
 
 #[test]
-fn published_messages_are_parsed() {
+fn messages_of_the_json_gateway_are_parsed() {
     let line = r#"{"id":"e1","address":"h:1","zone":"a","role":"read","memory_tokens":5,"state":"in"}"#;
     let pair = json!({"key": base64_text(b"eng/e1"), "value": base64_text(line.as_bytes()), "create_revision": "4", "mod_revision": "9"});
     let text = json!({"header": {"cluster_id": "14841639068965178418", "revision": "12"}, "kvs": [pair, {"key": base64_text(b"eng/e2"), "value": base64_text(line.as_bytes())}]});
