--- a/crates/nickelgw-background-tasks/src/core/tests.rs
+++ b/crates/nickelgw-background-tasks/src/core/tests.rs
@@ -38,7 +38,7 @@
 #[test]
 fn all_classes_run_and_together_stay_within_time_share() {
     let mut scheduler = Scheduler::new(SchedulerConfig::default(), 1);
-    // Demand far exceeds the budget: each task could work all the time.
+    // Demand far exceeds the budget: each task would take 1 s of work per second.
     let ids = [TaskClass::Required, TaskClass::Maintenance, TaskClass::Idle]
         .map(|class| scheduler.add(0.0, spec(class, Some(0.0), 0.01)));
     let work_s = simulate(&mut scheduler, 100.0, &[0.01; 3]);
