--- a/crates/nickelgw-node/src/discovery/registry_watch.rs
+++ b/crates/nickelgw-node/src/discovery/registry_watch.rs
@@ -116,7 +116,7 @@
             return ControlFlow::Break(());
         }
         let revision = message.header.revision.max(0) as u64;
-        if !watch.is_same_cluster(now(), &message.header.cluster_id) {
+        if !watch.check_cluster(now(), &message.header.cluster_id) {
             return ControlFlow::Break(());
         }
         if message.created && revision >= watch.revision() {
--- a/crates/nickelgw-registry/src/core/registry_watch.rs
+++ b/crates/nickelgw-registry/src/core/registry_watch.rs
@@ -96,7 +96,7 @@
     suspected_rollback: Option<SuspectedRollback>,
     random: WyRand,
     /// Number of watches and reads that failed.
-    pub breaks: u64,
+    pub failures: u64,
     /// Number of watches whose revision had been compacted.
     pub compacted: u64,
 }
@@ -119,7 +119,7 @@
             cluster: String::new(),
             suspected_rollback: None,
             random,
-            breaks: 0,
+            failures: 0,
             compacted: 0,
         }
     }
@@ -136,7 +136,7 @@
     /// Returns whether a message comes from the known cluster. A different id is that of a restored cluster,
     /// whose revisions are unrelated to the known ones, whether higher or lower; in that case a full read is
     /// scheduled.
-    pub fn is_same_cluster(&mut self, now: f64, cluster: &str) -> bool {
+    pub fn check_cluster(&mut self, now: f64, cluster: &str) -> bool {
         if !self.is_other_cluster(cluster) {
             return true;
         }
@@ -201,7 +201,7 @@
 
     /// Records that a read or watch failed. A watch resumes at the next revision without a full read.
     pub fn failed(&mut self, now: f64) {
-        self.breaks += 1;
+        self.failures += 1;
         self.back_off(now);
     }
 
--- a/crates/nickelgw-registry/src/core/registry_watch_tests.rs
+++ b/crates/nickelgw-registry/src/core/registry_watch_tests.rs
@@ -68,9 +68,9 @@
 fn restored_registry_is_detected_by_cluster_id_at_any_revision() {
     let (mut watch, mut now) = watching_with(1);
     assert!(
-        watch.is_same_cluster(now, "c")
-            && watch.is_same_cluster(now, "")
-            && !watch.is_same_cluster(now, "restored")
+        watch.check_cluster(now, "c")
+            && watch.check_cluster(now, "")
+            && !watch.check_cluster(now, "restored")
     );
     assert!(matches!(next_commands(&mut watch, &mut now)[..], [WatchCommand::Read { .. }]));
     assert_eq!(watch.read_finished(now, 70, "restored"), ReadVerdict::RolledBack);
