--- a/crates/nickelgw-cli/src/node_options.rs
+++ b/crates/nickelgw-cli/src/node_options.rs
@@ -11,7 +11,7 @@
 use nickelgw_gossip::core::{Gossip, GossipConfig};
 use nickelgw_node::discovery::RegistryOptions;
 use nickelgw_node::{
-    DeferredQueueConfig, EndpointSource, GossipOptions, GossipSockets, LatencyMetrics, Limits, NodeOptions,
+    DeferredQueueConfig, EndpointSource, GossipOptions, GossipSocket, LatencyMetrics, Limits, NodeOptions,
 };
 use nickelgw_node_core::admission::{Model, Tenant};
 use nickelgw_node_core::shutdown::ShutdownConfig;
@@ -109,7 +109,7 @@
             max_failback_delay_s: accord.longest_wait_ms() / 1e3,
             ..Default::default()
         },
-        sockets: GossipSockets { socket: None, listen: accord.listen.clone() },
+        socket: GossipSocket { bound: None, address: accord.listen.clone() },
     })
 }
 
--- a/crates/nickelgw-cli/src/serve.rs
+++ b/crates/nickelgw-cli/src/serve.rs
@@ -109,14 +109,14 @@
 
 fn bind_gossip(node: &Node, options: &mut NodeOptions) -> Result<(), CommandError> {
     let Some(gossip) = &mut options.gossip else { return Ok(()) };
-    let address = &gossip.sockets.listen;
+    let address = &gossip.socket.address;
     let socket = UdpSocket::bind(address).map_err(about(format!("{address}: cannot listen for nodes")))?;
     let bound = socket.local_addr()?.to_string();
     announce(&format!("accord {bound}"));
     if node.accord.as_ref().is_some_and(|accord| accord.address.is_none()) {
         gossip.gossip.set_own_address(bound);
     }
-    gossip.sockets.socket = Some(socket);
+    gossip.socket.bound = Some(socket);
     Ok(())
 }
 
--- a/crates/nickelgw-node/src/gossip.rs
+++ b/crates/nickelgw-node/src/gossip.rs
@@ -16,16 +16,17 @@
     pub gossip: Gossip,
     /// How zones fail over.
     pub zones: ZoneConfig,
-    /// Where datagrams come in.
-    pub sockets: GossipSockets,
+    /// UDP socket that sends and receives the gossip datagrams.
+    pub socket: GossipSocket,
 }
 
-/// The UDP socket of the gossip.
-pub struct GossipSockets {
-    /// Bound already, or bound later: the process before may hold the address still.
-    pub socket: Option<std::net::UdpSocket>,
-    /// Address to bind.
-    pub listen: String,
+/// UDP socket of the gossip protocol, bound already or still to be bound.
+pub struct GossipSocket {
+    /// The bound socket; `None` if the node has to bind it, which fails for as long as the previous process still holds
+    /// the address.
+    pub bound: Option<std::net::UdpSocket>,
+    /// Address to bind if `bound` is `None`.
+    pub address: String,
 }
 
 /// Delay before a failed bind is retried.
@@ -49,11 +50,11 @@
     pub all_zones_active: Rc<Cell<bool>>,
 }
 
-/// The socket, once its address is free; `None`: it cannot be used.
-async fn bind(sockets: GossipSockets) -> Option<UdpSocket> {
-    let mut socket = sockets.socket;
+/// Binds the socket, retrying until its address is free. Returns `None` if the socket cannot be used asynchronously.
+async fn bind(options: GossipSocket) -> Option<UdpSocket> {
+    let mut socket = options.bound;
     while socket.is_none() {
-        socket = std::net::UdpSocket::bind(&sockets.listen).ok();
+        socket = std::net::UdpSocket::bind(&options.address).ok();
         if socket.is_none() {
             Timer::after(seconds(BIND_RETRY_S)).await;
         }
@@ -63,8 +64,8 @@
 
 impl GossipTask {
     /// Runs until dropped, or until the node stops listening.
-    pub async fn run(self, sockets: GossipSockets) {
-        let Some(socket) = bind(sockets).await else { return };
+    pub async fn run(self, socket: GossipSocket) {
+        let Some(socket) = bind(socket).await else { return };
         let (send_now, send_requested) = bounded(1);
         let exchange = nickelgw_gossip::run(
             socket,
--- a/crates/nickelgw-node/src/lib.rs
+++ b/crates/nickelgw-node/src/lib.rs
@@ -33,7 +33,7 @@
 pub use clock::{seconds, within, Clock};
 pub use deferred::{DeferredQueueConfig, MAX_ATTEMPTS};
 pub use events::ProcessSignal;
-pub use gossip::{GossipOptions, GossipSockets};
+pub use gossip::{GossipOptions, GossipSocket};
 pub use latency_metrics::LatencyMetrics;
 pub use limits::Limits;
 pub use lingering_close::close_lingering;
--- a/crates/nickelgw-node/src/node/assembly.rs
+++ b/crates/nickelgw-node/src/node/assembly.rs
@@ -71,7 +71,7 @@
         let all_zones_active = Rc::new(Cell::new(true));
         let (engine_unreachable, urgent) = bounded(1);
         let gossip = options.map(|options| {
-            let GossipOptions { gossip, zones, sockets } = options;
+            let GossipOptions { gossip, zones, socket } = options;
             core.join_fleet(&gossip.own().name, zones, gossip.round_s(), self.seed);
             let gossip = Rc::new(RefCell::new(gossip));
             let task = GossipTask {
@@ -82,7 +82,7 @@
                 urgent: (engine_unreachable.clone(), urgent),
                 all_zones_active: all_zones_active.clone(),
             };
-            self.spawn(task.run(sockets));
+            self.spawn(task.run(socket));
             gossip
         });
         FleetState { gossip, all_zones_active, engine_unreachable }
