--- a/crates/nickelgw-node/src/admin/metrics.rs
+++ b/crates/nickelgw-node/src/admin/metrics.rs
@@ -141,7 +141,7 @@
 
     fn register_background(&self, registry: &mut Registry) {
         let help = "Time of the node's thread taken by background work";
-        let elapsed_s = self.background.elapsed_s();
+        let elapsed_s = self.background.total_run_time_s();
         register_float(registry, "background_taken", help, Unit::Seconds, elapsed_s);
         let overdue = self.background.overdue();
         let longest_s = overdue.iter().map(|(_, waited_s)| *waited_s).fold(0.0, f64::max);
--- a/crates/nickelgw-node/src/arrival.rs
+++ b/crates/nickelgw-node/src/arrival.rs
@@ -1,18 +1,19 @@
-//! When what a client sent arrived at this machine. It waits in the kernel while its connection is in the listener's
-//! backlog or the process is held up, and in the node's buffers behind an open request.
+//! Determines when the bytes that a client sent arrived at this machine. They may wait in the kernel, while
+//! their connection is in the listener's backlog or the process is stalled, and in the node's buffers behind
+//! an open request.
 
 use std::collections::VecDeque;
 use std::mem::{offset_of, size_of, MaybeUninit};
 use std::os::fd::{AsFd, AsRawFd};
 use std::time::{Duration, Instant};
 
-/// Reads of a connection whose bytes are still buffered and whose arrival is known one by one. Of more than these the
-/// earlier arrival stands for both.
+/// Largest number of reads of one connection whose arrival times are kept while their bytes are buffered.
+/// Further reads are merged with the last one and get its earlier arrival time.
 const MAX_ARRIVALS: usize = 1024;
 
-/// Bytes that were read together, or one after the other.
+/// Bytes with the same recorded arrival time, from one read or from several merged reads.
 struct Arrival {
-    /// Bytes of the connection up to the last of these.
+    /// Number of bytes of the connection up to and including the last of these.
     end: u64,
     arrived_at: Instant,
 }
@@ -21,23 +22,24 @@
 pub struct ArrivalTimes {
     read_bytes: u64,
     arrivals: VecDeque<Arrival>,
-    /// What is read later had not arrived by then.
+    /// Latest time at which no unread bytes were waiting: bytes that are read later arrived after it.
     empty_at: Instant,
 }
 
 impl ArrivalTimes {
-    /// A connection on which nothing had arrived by `empty_at`.
+    /// Creates the arrival times of a connection on which nothing had arrived by `empty_at`.
     pub fn new(empty_at: Instant) -> ArrivalTimes {
         ArrivalTimes { read_bytes: 0, arrivals: VecDeque::new(), empty_at }
     }
 
-    /// A read that began at `read_at` found nothing.
+    /// Records a read that began at `read_at` and found nothing.
     pub fn record_empty(&mut self, read_at: Instant) {
         self.empty_at = read_at;
     }
 
-    /// A read of this socket that began at `read_at` gave so many bytes. A process that is held up between the two takes the
-    /// bytes for older than they are, never for younger.
+    /// Records a read of this socket that began at `read_at` and returned `bytes` bytes. If the process is
+    /// stalled between `read_at` and the query of the socket here, the bytes are taken to be older than they
+    /// are, never younger.
     pub fn record_read(&mut self, read_at: Instant, socket: &impl AsFd, bytes: usize) {
         let age = last_received_age(socket).unwrap_or_default();
         self.record(bytes, read_at.checked_sub(age).unwrap_or(read_at));
@@ -53,7 +55,8 @@
         }
     }
 
-    /// When the last byte before the `unused` ones at the end arrived. What arrived before it is forgotten.
+    /// Returns when the last byte before the `unused` bytes at the end arrived. The arrival times of earlier
+    /// bytes are discarded.
     pub fn arrival_before(&mut self, unused: usize) -> Instant {
         let last_byte = self.read_bytes.saturating_sub(unused as u64);
         while self.arrivals.len() > 1 && self.arrivals.front().is_some_and(|first| first.end < last_byte) {
@@ -63,13 +66,14 @@
     }
 }
 
-/// How long ago the connection received data last, by the kernel's monotonic clock. None: the system does not tell.
+/// Returns how long ago the connection last received data, by the kernel's monotonic clock; `None` if the
+/// system does not report it.
 #[allow(unsafe_code)]
 fn last_received_age(socket: &impl AsFd) -> Option<Duration> {
     let mut info = MaybeUninit::<libc::tcp_info>::zeroed();
     let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
-    // SAFETY: the pointers refer to `info` and `length`, which are valid for writes of the sizes stated for the whole call,
-    // and the descriptor is open while `socket` is borrowed.
+    // SAFETY: the pointers refer to `info` and `length`, which are valid for writes of the sizes stated for
+    // the whole call, and the descriptor is open while `socket` is borrowed.
     let status = unsafe {
         libc::getsockopt(
             socket.as_fd().as_raw_fd(),
@@ -83,7 +87,8 @@
     if status != 0 || (length as usize) < field_end {
         return None;
     }
-    // SAFETY: zero bytes are valid integers, of which the structure consists, and the call wrote integers over them.
+    // SAFETY: the structure consists of integers, for which zero bytes are valid, and the call wrote integers
+    // over them.
     let info = unsafe { info.assume_init() };
     Some(Duration::from_millis(info.tcpi_last_data_recv.into()))
 }
--- a/crates/nickelgw-node/src/background.rs
+++ b/crates/nickelgw-node/src/background.rs
@@ -1,4 +1,5 @@
-//! Runs the tasks that the background scheduler picks, on the node's own thread; a run's cost is the time of its polls.
+//! Runs the tasks that the background scheduler selects, on the node's own thread. The cost of a run is the
+//! time spent in polls of its future.
 
 use crate::clock::{within, Clock};
 use async_channel::{bounded, Receiver, Sender};
@@ -12,16 +13,16 @@
 use std::task::{Context, Poll};
 use std::time::Instant;
 
-/// Bounds of the scheduler's sleep.
+/// Shortest and longest sleep before the scheduler is polled again.
 const MIN_SLEEP_S: f64 = 0.001;
 const MAX_SLEEP_S: f64 = 1.0;
 
-/// How a run ended.
+/// Result of one run of a background task.
 pub struct TaskResult {
-    /// Bytes that it processed.
+    /// Number of bytes that the run processed.
     pub bytes: f64,
-    /// Whether it did what it is for.
-    pub done: bool,
+    /// Whether the run did its work.
+    pub succeeded: bool,
 }
 
 type StartRun = Rc<dyn Fn() -> Pin<Box<dyn Future<Output = TaskResult>>>>;
@@ -34,7 +35,7 @@
 /// The node's background tasks.
 pub struct Background {
     scheduler: RefCell<Scheduler>,
-    /// By [`TaskId`].
+    /// Indexed by [`TaskId`].
     tasks: RefCell<Vec<RegisteredTask>>,
     runs: RefCell<HashMap<TaskId, Task<()>>>,
     wakeup: (Sender<()>, Receiver<()>),
@@ -42,10 +43,10 @@
     clock: Clock,
 }
 
-/// Adds up the time that a future's polls take.
+/// Future that sums the time spent in polls of the inner future.
 struct PollTimed<F> {
     inner: Pin<Box<F>>,
-    elapsed_s: Rc<Cell<f64>>,
+    poll_time_s: Rc<Cell<f64>>,
 }
 
 impl<F: Future> Future for PollTimed<F> {
@@ -54,13 +55,13 @@
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<F::Output> {
         let started_at = Instant::now();
         let poll = self.inner.as_mut().poll(cx);
-        self.elapsed_s.set(self.elapsed_s.get() + started_at.elapsed().as_secs_f64());
+        self.poll_time_s.set(self.poll_time_s.get() + started_at.elapsed().as_secs_f64());
         poll
     }
 }
 
 impl Background {
-    /// Without tasks.
+    /// Creates a scheduler without tasks.
     pub fn new(executor: Rc<LocalExecutor<'static>>, clock: Clock, seed: u64) -> Rc<Background> {
         Rc::new(Background {
             scheduler: RefCell::new(Scheduler::new(SchedulerConfig::default(), seed)),
@@ -72,7 +73,7 @@
         })
     }
 
-    /// Registers a task; `start_run` makes the future of one run.
+    /// Registers a task. `start_run` creates the future of one run.
     pub fn add<F: Future<Output = TaskResult> + 'static>(
         &self,
         name: &'static str,
@@ -84,15 +85,15 @@
         self.tasks.borrow_mut().push(RegisteredTask { name, start_run });
     }
 
-    /// Names of overdue tasks, and how many seconds each has waited.
+    /// Returns the name of each overdue task and how many seconds it has waited.
     pub fn overdue(&self) -> Vec<(&'static str, f64)> {
         let tasks = self.tasks.borrow();
         let overdue = self.scheduler.borrow().overdue(self.clock.now());
         overdue.into_iter().filter_map(|(id, waited_s)| Some((tasks.get(id.0)?.name, waited_s))).collect()
     }
 
-    /// Seconds of the node's thread that all runs have taken so far.
-    pub fn elapsed_s(&self) -> f64 {
+    /// Returns the total time in seconds that all runs have taken on the node's thread so far.
+    pub fn total_run_time_s(&self) -> f64 {
         let scheduler = self.scheduler.borrow();
         (0..self.tasks.borrow().len()).map(|n| scheduler.counters(TaskId(n)).took_s).sum()
     }
@@ -121,21 +122,21 @@
 
     fn start(self: &Rc<Self>, id: TaskId) {
         let start_run = self.tasks.borrow()[id.0].start_run.clone();
-        let (background, elapsed_s) = (self.clone(), Rc::new(Cell::new(0.0)));
+        let (background, poll_time_s) = (self.clone(), Rc::new(Cell::new(0.0)));
         let run = self.executor.spawn(async move {
-            let timed = PollTimed { inner: Box::pin(start_run()), elapsed_s: elapsed_s.clone() };
+            let timed = PollTimed { inner: Box::pin(start_run()), poll_time_s: poll_time_s.clone() };
             let result = timed.await;
-            background.run_ended(id, elapsed_s.get(), &result);
+            background.run_ended(id, poll_time_s.get(), &result);
         });
         self.runs.borrow_mut().insert(id, run);
     }
 
-    fn run_ended(&self, id: TaskId, elapsed_s: f64, result: &TaskResult) {
+    fn run_ended(&self, id: TaskId, took_s: f64, result: &TaskResult) {
         let now = self.clock.now();
-        let run = RunResult { took_s: elapsed_s, bytes: result.bytes, succeeded: result.done };
+        let run = RunResult { took_s, bytes: result.bytes, succeeded: result.succeeded };
         self.scheduler.borrow_mut().run_ended(now, id, run);
         let _ = self.wakeup.0.try_send(());
-        // The run's own handle: it is at its end.
+        // The run itself calls this. Its handle is detached, because dropping the handle would cancel the run.
         if let Some(run) = self.runs.borrow_mut().remove(&id) {
             run.detach();
         }
--- a/crates/nickelgw-node/src/client/call.rs
+++ b/crates/nickelgw-node/src/client/call.rs
@@ -1,4 +1,4 @@
-//! Calls over pooled connections, and what their failures prove about the request.
+//! Makes calls over pooled connections, and determines what a failure proves about the request.
 
 use super::peer::Peer;
 use super::pool::{Connection, Pool};
@@ -7,14 +7,15 @@
 use hyper::body::Incoming;
 use hyper::{HeaderMap, Request, Response};
 use nickelgw_node_core::AttemptOutcome;
-use nickelgw_tls::{classify_error as classify_failure, TlsFailure};
+use nickelgw_tls::{classify_error, TlsFailure};
 use std::rc::Rc;
 
-/// Largest body that is read whole: errors, prefill responses, endpoint lists.
+/// Largest size in bytes of a body that is read as a whole: an error, a prefill response or an endpoint list.
 pub const MAX_BODY_BYTES: usize = 4 << 20;
 
 impl Pool {
-    /// Makes the call; the response's head, and the connection to return once the body is read.
+    /// Makes the call. Returns the response with its unread body, and the connection, which is to be returned
+    /// to the pool once the body is read.
     pub async fn call(
         self: &Rc<Self>,
         peer: Peer<'_>,
@@ -36,14 +37,14 @@
                 Ok(response) => return Ok((response, connection)),
                 Err(error) => error,
             };
-            match failure(&error, &connection, peer) {
+            match classify_send_error(&error, &connection, peer) {
                 Some(outcome) => return Err(outcome),
                 None => continue,
             }
         }
     }
 
-    /// Makes the call and reads the response whole: its status, headers and body.
+    /// Makes the call and reads the whole response. Returns its status, headers and body.
     pub async fn fetch(
         self: &Rc<Self>,
         peer: Peer<'_>,
@@ -57,18 +58,24 @@
     }
 }
 
-/// What a failed send proves; `None`: another connection may carry the request.
-fn failure(error: &hyper::Error, connection: &Connection, peer: Peer<'_>) -> Option<AttemptOutcome> {
+/// Returns the outcome that a failed send proves, or `None` if the request may be sent again on another
+/// connection.
+fn classify_send_error(
+    error: &hyper::Error,
+    connection: &Connection,
+    peer: Peer<'_>,
+) -> Option<AttemptOutcome> {
     let is_new = connection.is_new;
-    // TLS 1.3: the peer verifies our certificate after we may have written. Its certificate alert says that its
-    // handshake never ended, so it has read nothing of what came after: proven not to have run.
+    // In TLS 1.3 the peer verifies this node's certificate when the node may already have sent the request. A
+    // certificate alert means that the peer's handshake has not completed, so that it has read nothing of
+    // what followed: the request is proven not to have run.
     let is_new_tls = is_new && peer.tls_name.is_some();
-    if is_new_tls && matches!(classify_failure(error), TlsFailure::OwnCertificate(_)) {
+    if is_new_tls && matches!(classify_error(error), TlsFailure::OwnCertificate(_)) {
         connection.certificate_rejected();
         return Some(AttemptOutcome::ConnectFailed);
     }
     match error {
-        // Closed before a byte was sent: proven not to have run.
+        // The connection was closed before a byte was sent: the request is proven not to have run.
         error if error.is_canceled() && !is_new => None,
         error if error.is_canceled() => Some(AttemptOutcome::ConnectFailed),
         error if error.is_parse() => Some(AttemptOutcome::Malformed),
@@ -76,7 +83,7 @@
     }
 }
 
-/// Reads a body whole, within [`MAX_BODY_BYTES`].
+/// Reads a whole body of up to [`MAX_BODY_BYTES`] bytes.
 pub async fn read_body(body: Incoming) -> Result<Bytes, AttemptOutcome> {
     match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => Ok(body.to_bytes()),
--- a/crates/nickelgw-node/src/client/mod.rs
+++ b/crates/nickelgw-node/src/client/mod.rs
@@ -1,4 +1,5 @@
-//! The HTTP/1.1 client towards engines, the endpoint list and the registry: pooled connections, in TLS where set.
+//! HTTP/1.1 client for engines, the endpoint list service and the registry, with pooled connections and
+//! optional TLS.
 
 mod call;
 mod connect;
--- a/crates/nickelgw-node/src/client/peer.rs
+++ b/crates/nickelgw-node/src/client/peer.rs
@@ -1,25 +1,26 @@
-//! Whom a call goes to.
+//! The peer that a call goes to.
 
 use std::cell::Cell;
 
-/// Whom to call, and by which name its certificate is verified.
+/// Address of a call, and the name by which the peer's certificate is verified.
 #[derive(Clone, Copy)]
 pub struct Peer<'a> {
-    /// host:port.
+    /// Address of the peer as host:port.
     pub address: &'a str,
-    /// The name in its certificate; `None`: a plain connection.
+    /// Name expected in the peer's certificate; `None` for a plain connection.
     pub tls_name: Option<&'a str>,
-    /// Set once a byte of the call may have been sent: until then it is known not to have run.
+    /// Set once a byte of the call may have been sent; until then the call is known not to have run.
     pub sent: Option<&'a Cell<bool>>,
 }
 
 impl<'a> Peer<'a> {
-    /// A peer without TLS.
+    /// Creates a peer without TLS.
     pub fn plain(address: &'a str) -> Self {
         Peer { address, tls_name: None, sent: None }
     }
 
-    /// The pool's key: connections verified by another name are not shared.
+    /// Returns the key of the peer's connections in the pool. Connections verified by different names are not
+    /// shared.
     pub(super) fn pool_key(&self) -> String {
         match self.tls_name {
             None => self.address.to_string(),
@@ -28,7 +29,7 @@
     }
 }
 
-/// The address in a pool key.
+/// Returns the address in a pool key.
 pub(super) fn address_of(pool_key: &str) -> &str {
     pool_key.split(' ').next().unwrap_or(pool_key)
 }
--- a/crates/nickelgw-node/src/client/pool.rs
+++ b/crates/nickelgw-node/src/client/pool.rs
@@ -1,4 +1,4 @@
-//! The connection pool: carries out what the pool's core ([`nickelgw_tls::core::pool`]) decides.
+//! The connection pool: runs the commands of the pool's core ([`nickelgw_tls::core::pool`]).
 
 use super::connect::{connect, HttpConnection, Tls};
 use super::peer::{address_of, Peer};
@@ -16,23 +16,23 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Bounds of the sleep between two runs of the pool's own timeouts.
+/// Shortest and longest sleep between two checks of the pool's timeouts.
 const MIN_SLEEP_S: f64 = 0.01;
 const MAX_SLEEP_S: f64 = 0.25;
 
-/// A connection checked out for a call. Dropped in the middle of the call it closes, by which the peer knows that
-/// nobody waits any more.
+/// A connection checked out for a call. Dropping it in the middle of the call closes it, which tells the peer
+/// that nobody waits for the response any more.
 pub struct Connection {
     pool: Rc<Pool>,
     pool_key: String,
     id: ConnectionId,
     pub(super) http: Option<HttpConnection>,
-    /// Opened for this call: nothing was ever answered on it.
+    /// Whether it was opened for this call, so that no response was ever received on it.
     pub(super) is_new: bool,
 }
 
 impl Connection {
-    /// Tells the pool that the peer refused this node's certificate after the handshake.
+    /// Reports to the pool that the peer rejected this node's certificate after the handshake.
     pub(super) fn certificate_rejected(&self) {
         self.pool.core.borrow_mut().connection_failed(
             self.pool.now(),
@@ -52,12 +52,12 @@
     }
 }
 
-/// A call that waits for a connection. Dropped, it leaves the queue and returns a connection it was granted but has not
-/// picked up.
+/// A call that waits for a connection. Dropping it removes it from the queue and returns a connection that it
+/// was granted but has not picked up.
 struct Waiter<'a> {
     pool: &'a Pool,
     pool_key: &'a str,
-    /// `None` once the core knows that the wait is over.
+    /// Id in the core; `None` once the core knows that the wait is over.
     id: Option<WaiterId>,
     granted: Option<Receiver<Checkout>>,
 }
@@ -75,7 +75,7 @@
     }
 }
 
-/// Connections to all peers.
+/// Pool of the connections to all peers.
 pub struct Pool {
     executor: Rc<LocalExecutor<'static>>,
     core: RefCell<pool::Pool>,
@@ -84,12 +84,12 @@
     next_waiter: Cell<u64>,
     started_at: Instant,
     connect_timeout_s: f64,
-    /// `None`: all connections are plain.
+    /// TLS configuration; `None` if all connections are plain.
     pub tls: Option<Tls>,
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         connect_timeout_s: f64,
@@ -114,7 +114,7 @@
         self.started_at.elapsed().as_secs_f64()
     }
 
-    /// Reloads the TLS files; connections of an earlier generation are retired.
+    /// Reloads the TLS files. Connections of an earlier generation are retired.
     pub async fn reload_tls(&self) {
         let Some(tls) = self.tls.clone() else { return };
         let events =
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Closes idle and retired connections as their times pass; runs until dropped.
+    /// Closes idle and retired connections when they are due; runs until dropped.
     pub async fn run(self: Rc<Self>) {
         loop {
             let (commands, wake_at) = self.core.borrow_mut().poll_commands(self.now());
@@ -147,7 +147,8 @@
                 PoolCommand::Close(connection) => drop(self.idle.borrow_mut().remove(&connection)),
                 PoolCommand::Notify(waiter, checkout) => {
                     let granted = self.waiters.borrow_mut().remove(&waiter);
-                    // The channel holds the one answer; where nobody reads it any more, the waiter's drop returns it.
+                    // The channel has room for this one message. If the waiter is dropped without reading it,
+                    // its `drop` returns the connection.
                     if let Some(granted) = granted {
                         let _ = granted.try_send(checkout);
                     }
@@ -156,13 +157,13 @@
         }
     }
 
-    /// Closes the idle connections of all other addresses.
+    /// Closes the idle connections to addresses for which `is_wanted` is false.
     pub fn retain_addresses(&self, is_wanted: impl Fn(&str) -> bool) {
         self.core.borrow_mut().retain_engines(|pool_key| is_wanted(address_of(pool_key)));
         self.run_ready();
     }
 
-    /// A connection to the peer, reused or new, once the core grants one.
+    /// Checks out a connection to the peer, reused or new, once the core grants one.
     pub(super) async fn checkout(self: &Rc<Self>, peer: Peer<'_>) -> Result<Connection, AttemptOutcome> {
         let pool_key = peer.pool_key();
         let waiter_id = WaiterId(self.next_waiter.replace(self.next_waiter.get() + 1));
@@ -172,7 +173,8 @@
             let (sender, granted) = async_channel::bounded(1);
             self.waiters.borrow_mut().insert(waiter_id, sender);
             waiter.granted = Some(granted.clone());
-            // What is granted at the last moment goes to the next in the queue, by the waiter's drop.
+            // A connection granted just as the wait times out is returned by the waiter's `drop` and goes to
+            // the next call in the queue.
             let Some(Ok(granted)) = within(self.connect_timeout_s, granted.recv()).await else {
                 return Err(AttemptOutcome::ConnectFailed);
             };
@@ -215,7 +217,9 @@
         let waiter_id = waiter.id.ok_or(AttemptOutcome::ConnectFailed)?;
         let generation = generation(self.tls.as_ref());
         let opened = within(self.connect_timeout_s, connect(&self.executor, self.tls.as_ref(), peer)).await;
-        let opened = opened.unwrap_or_else(|| Err(TlsFailure::Connection("timed out".into())));
+        let opened = opened.unwrap_or_else(|| {
+            Err(TlsFailure::Connection(format!("not connected within {} s", self.connect_timeout_s)))
+        });
         waiter.id = None;
         match opened {
             Ok(http) => {
@@ -245,7 +249,7 @@
     }
 }
 
-/// Generation of the TLS configuration in force; 0: none.
+/// Returns the generation of the TLS configuration in force, or 0 if there is none.
 fn generation(tls: Option<&Tls>) -> u64 {
     tls.and_then(Tls::config).map_or(0, |(_, generation)| generation)
 }
--- a/crates/nickelgw-node/src/clock.rs
+++ b/crates/nickelgw-node/src/clock.rs
@@ -4,31 +4,32 @@
 use std::future::Future;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What a timer is clamped to: a limit of "never" has to fit a [`Duration`].
+/// Longest timer, in seconds. Larger values, which stand for "never", are clamped to it so that they fit a
+/// [`Duration`].
 const MAX_TIMER_S: f64 = 86_400.0;
 
-/// Seconds since the Unix epoch.
+/// Returns the current time in seconds since the Unix epoch.
 pub(crate) fn unix_now() -> f64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.map_or(0.0, |duration| duration.as_secs_f64())
 }
 
-/// Seconds since the node started.
+/// Monotonic clock that counts the seconds since the node started.
 #[derive(Clone, Copy)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// A clock whose time zero is now.
+    /// Starts a clock whose time zero is now.
     pub fn start() -> Clock {
         Clock(Instant::now())
     }
 
-    /// Seconds since the clock was started.
+    /// Returns the seconds since the clock was started.
     pub fn now(self) -> f64 {
         self.seconds_at(Instant::now())
     }
 
-    /// The same at another moment; less than zero before the start.
+    /// Returns the clock's time at `moment` in seconds; negative if `moment` is before the start.
     pub fn seconds_at(self, moment: Instant) -> f64 {
         match moment.checked_duration_since(self.0) {
             Some(since) => since.as_secs_f64(),
@@ -36,21 +37,21 @@
         }
     }
 
-    /// The instant of time zero.
+    /// Returns the instant of time zero.
     pub fn origin(self) -> Instant {
         self.0
     }
 }
 
-/// The duration of so many seconds, clamped to what a timer can hold.
+/// Converts seconds to a [`Duration`], clamped to between zero and the longest timer.
 pub fn seconds(s: f64) -> Duration {
     Duration::from_secs_f64(s.clamp(0.0, MAX_TIMER_S))
 }
 
-/// The future's result, or `None` once so many seconds have passed.
-pub async fn within<T>(s: f64, future: impl Future<Output = T>) -> Option<T> {
+/// Returns the future's result, or `None` if it has not completed within `timeout_s` seconds.
+pub async fn within<T>(timeout_s: f64, future: impl Future<Output = T>) -> Option<T> {
     futures_lite::future::or(async { Some(future.await) }, async {
-        Timer::after(seconds(s)).await;
+        Timer::after(seconds(timeout_s)).await;
         None
     })
     .await
--- a/crates/nickelgw-node/src/engines/decode_stream.rs
+++ b/crates/nickelgw-node/src/engines/decode_stream.rs
@@ -1,4 +1,4 @@
-//! The event stream of a decode engine.
+//! Event stream of a decode engine.
 
 use super::load_report;
 use crate::client::Connection;
@@ -11,15 +11,15 @@
 use nickelgw_protocol::sse::{Event, EventDecoder};
 use smol::Timer;
 
-/// How an engine's error event begins.
-const ERROR_EVENT: &[u8] = b"{\"error\"";
+/// First bytes of an engine's error event.
+const ERROR_EVENT_PREFIX: &[u8] = b"{\"error\"";
 
-/// The response to a decode attempt as it arrives.
+/// The response to a decode attempt while it arrives.
 pub(super) struct DecodeStream {
     body: Incoming,
     parser: EventDecoder,
-    /// Read ahead, before the attempt may respond to the client.
-    first: Option<Event>,
+    /// First event, read ahead before the attempt may respond to the client.
+    first_event: Option<Event>,
     trailers: Option<HeaderMap>,
     at_end: bool,
     connection: Connection,
@@ -34,14 +34,14 @@
         DecodeStream {
             body,
             parser: EventDecoder::default(),
-            first: None,
+            first_event: None,
             trailers: None,
             at_end: false,
             connection,
         }
     }
 
-    /// Whether the body was read to its end.
+    /// Returns whether the body was read to its end.
     pub fn is_at_end(&self) -> bool {
         self.at_end
     }
@@ -51,12 +51,12 @@
     }
 
     /// Reads the first event ahead.
-    pub async fn read_first(&mut self) -> Result<(), AttemptOutcome> {
-        self.first = Some(self.next_event().await?.ok_or(AttemptOutcome::Malformed)?);
+    pub async fn read_first_event(&mut self) -> Result<(), AttemptOutcome> {
+        self.first_event = Some(self.next_event().await?.ok_or(AttemptOutcome::Malformed)?);
         Ok(())
     }
 
-    /// The next event; `None` at the end of the body.
+    /// Reads the next event; returns `None` at the end of the body.
     async fn next_event(&mut self) -> Result<Option<Event>, AttemptOutcome> {
         loop {
             if let Some(event) = self.parser.next_event().map_err(|_| AttemptOutcome::Malformed)? {
@@ -77,13 +77,13 @@
         }
     }
 
-    async fn next_before(
+    async fn next_event_before_timeout(
         &mut self,
         idle_timer: &mut Timer,
         idle_timeout_s: f64,
     ) -> Result<Option<Event>, AttemptOutcome> {
-        if let Some(first) = self.first.take() {
-            return Ok(Some(first));
+        if let Some(first_event) = self.first_event.take() {
+            return Ok(Some(first_event));
         }
         idle_timer.set_after(seconds(idle_timeout_s));
         let next = futures_lite::future::or(async { Some(self.next_event().await) }, async {
@@ -93,7 +93,7 @@
         next.await.unwrap_or(Err(AttemptOutcome::TimedOut))
     }
 
-    /// Forwards events until the stream ends, and tells how it ended.
+    /// Forwards events until the stream ends, and returns how it ended.
     pub async fn forward(
         &mut self,
         sink: &mut ResponseSink,
@@ -102,12 +102,12 @@
     ) -> AttemptResult {
         let mut idle_timer = Timer::after(seconds(idle_timeout_s));
         loop {
-            let (frame, data) = match self.next_before(&mut idle_timer, idle_timeout_s).await {
-                // Ended without [DONE]: cut, whatever the framing says.
+            let (frame, data) = match self.next_event_before_timeout(&mut idle_timer, idle_timeout_s).await {
+                // Without `[DONE]` the stream was cut off, even if its HTTP framing is complete.
                 Ok(None) => return ended(AttemptOutcome::ConnectionLost),
                 Err(outcome) => return ended(outcome),
                 Ok(Some(Event::Done)) => return self.finish(idle_timeout_s).await,
-                Ok(Some(Event::Data { data, .. })) if data.starts_with(ERROR_EVENT) => {
+                Ok(Some(Event::Data { data, .. })) if data.starts_with(ERROR_EVENT_PREFIX) => {
                     return ended(AttemptOutcome::ErrorStatus(200));
                 }
                 Ok(Some(Event::Data { frame, data })) => (frame, data),
@@ -120,7 +120,8 @@
         }
     }
 
-    /// After `[DONE]`: reads up to the trailers. The response is whole; what else follows it is not forwarded.
+    /// Reads up to the trailers after `[DONE]`. The response is complete by then: further events are not
+    /// forwarded.
     async fn finish(&mut self, idle_timeout_s: f64) -> AttemptResult {
         let rest = within(idle_timeout_s, self.next_event()).await;
         let load = self.trailers.as_ref().and_then(load_report);
--- a/crates/nickelgw-node/src/engines/mod.rs
+++ b/crates/nickelgw-node/src/engines/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to engines: attempts, probes and releases, each reported to the event loop as it ends.
+//! Makes calls to engines (attempts, probes and releases) and reports the end of each to the event loop.
 
 mod attempt;
 mod decode_stream;
@@ -21,9 +21,9 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Calls engines on behalf of one node.
+/// Client for a node's calls to engines.
 pub struct EngineClient {
-    /// Connections to engines, and to the sources of the endpoint list.
+    /// Connections to engines and to the source of the endpoint list.
     pub pool: Rc<Pool>,
     node: String,
     zone: String,
@@ -31,13 +31,14 @@
     events: Sender<TimedEvent>,
 }
 
-/// The load report in an engine's response. One that cannot be parsed is ignored: the response counts without it.
+/// Parses the load report in an engine's response. A malformed report is ignored: the response counts without
+/// it.
 fn load_report(headers: &HeaderMap) -> Option<LoadReport> {
     LoadReport::parse(headers.get(LOAD_METRICS_HEADER)?.to_str().ok()?).ok()
 }
 
 impl EngineClient {
-    /// A client for the node of this name and zone.
+    /// Creates the client of a node with this name and zone.
     pub fn new(
         pool: Rc<Pool>,
         node: &str,
@@ -54,7 +55,7 @@
         Peer { address: &endpoint.address, tls_name: self.pool.tls.is_some().then(tls_name), sent }
     }
 
-    /// A request with the headers that every call of the node carries.
+    /// Starts a request with the headers that every call of the node carries.
     pub fn request(&self, method: Method, address: &str, path: &str) -> Builder {
         let builder = Request::builder().method(method).uri(path).header(HOST, address);
         builder
@@ -63,12 +64,12 @@
             .header(LOAD_METRICS_FORMAT_HEADER, "JSON")
     }
 
-    /// A full queue holds the task up; an event is never dropped.
+    /// Reports an event to the event loop. Waits while the queue is full: no event is dropped.
     async fn report(&self, event: Event) {
         let _ = self.events.send(TimedEvent::new(event)).await;
     }
 
-    /// A short call without a body; fails after the probe timeout.
+    /// Makes a short call without a body, which fails after the probe timeout.
     async fn short_call(
         &self,
         method: Method,
@@ -81,7 +82,7 @@
         within(self.limits.probe_timeout_s, fetch).await.unwrap_or(Err(AttemptOutcome::TimedOut))
     }
 
-    /// Probes the engine's health.
+    /// Probes the engine's health and reports the outcome.
     pub async fn probe(self: Rc<Self>, endpoint: Rc<Endpoint>) {
         let (outcome, load) = match self.short_call(Method::GET, &endpoint, "/health").await {
             Err(outcome) => (outcome, None),
@@ -93,26 +94,27 @@
         self.report(Event::ProbeFinished { endpoint, outcome, load }).await;
     }
 
-    /// Whether an engine responds to a probe at all, with whatever status.
+    /// Returns whether an engine responds to a probe, regardless of the status.
     pub async fn is_reachable(&self, endpoint: &Endpoint) -> bool {
         self.short_call(Method::GET, endpoint, "/health").await.is_ok()
     }
 
-    /// Releases what earlier processes of this node reserved at a prefill engine; `incarnation`: this process, whose
-    /// reservations stay.
+    /// Releases what earlier processes of this node reserved at a prefill engine. `incarnation` names this
+    /// process, whose reservations are kept.
     pub async fn release_orphans(self: Rc<Self>, endpoint: Rc<Endpoint>, incarnation: String) {
         let path = format!("/v1/states?except={incarnation}");
         let response = self.short_call(Method::DELETE, &endpoint, &path).await;
-        // An engine that does not know the call will not learn it: its own limit frees them.
-        let done = matches!(response, Ok((200 | 204 | 404 | 405 | 501, _, _)));
-        self.report(Event::OrphanCleanupFinished { endpoint, done }).await;
+        // An engine that does not support the call is not called again: its own time limit releases the
+        // reservations.
+        let confirmed = matches!(response, Ok((200 | 204 | 404 | 405 | 501, _, _)));
+        self.report(Event::OrphanCleanupFinished { endpoint, confirmed }).await;
     }
 
     /// Releases a reservation at its prefill engine.
     pub async fn release(self: Rc<Self>, call: ReleaseCall) {
         let path = format!("/v1/states/{}", call.reservation.name);
         let outcome = match self.short_call(Method::DELETE, &call.endpoint, &path).await {
-            // Not found counts as released: it was fetched, or never there.
+            // Not found counts as released: the reservation was fetched or never existed.
             Ok((200 | 204 | 404, _, _)) => ReleaseOutcome::Confirmed,
             Ok(_) => ReleaseOutcome::Refused,
             Err(_) => ReleaseOutcome::Unanswered,
--- a/crates/nickelgw-node/src/event_loop/handle_event.rs
+++ b/crates/nickelgw-node/src/event_loop/handle_event.rs
@@ -1,4 +1,4 @@
-//! What each event does to the core and to the open requests.
+//! Applies each event to the core and to the open requests.
 
 use super::EventLoop;
 use crate::events::{Event, ProcessSignal};
@@ -18,8 +18,8 @@
             Event::Accept { request, client, accepted } => {
                 self.accept_request(now, &request, client, accepted)
             }
-            Event::ResponseStarted { request_id, attempt, grant } => {
-                self.response_started(now, request_id, attempt, grant)
+            Event::ResponseStarted { request_id, attempt, reply_to } => {
+                self.response_started(now, request_id, attempt, reply_to)
             }
             Event::AttemptEnded { request_id, attempt, result, sink } => {
                 self.attempt_ended(now, request_id, attempt, result, sink)
@@ -28,8 +28,8 @@
                 self.probe_finished(now, &endpoint, outcome, load)
             }
             Event::ReleaseFinished { call, outcome } => self.core.release_finished(now, call, outcome),
-            Event::OrphanCleanupFinished { endpoint, done } => {
-                self.core.orphan_cleanup_finished(now, &endpoint.address, done)
+            Event::OrphanCleanupFinished { endpoint, confirmed } => {
+                self.core.orphan_cleanup_finished(now, &endpoint.address, confirmed)
             }
             Event::FleetPosition(position) => {
                 self.core.set_fleet_position(now, position.number.zip(position.node_count))
@@ -56,8 +56,8 @@
     fn handle_signal(&mut self, now: f64, signal: ProcessSignal) {
         match signal {
             ProcessSignal::SkipStage => self.lifecycle.skip_stage(now),
-            ProcessSignal::ReleaseStore => self.release_stores(true),
-            ProcessSignal::ResumeStore => self.release_stores(false),
+            ProcessSignal::ReleaseStore => self.set_stores_released(true),
+            ProcessSignal::ResumeStore => self.set_stores_released(false),
             ProcessSignal::Drain => self.lifecycle.begin_drain(now, false),
             ProcessSignal::DrainHandedOver => {
                 self.listener.handed_over.set(true);
@@ -66,9 +66,9 @@
         }
     }
 
-    fn release_stores(&self, release: bool) {
+    fn set_stores_released(&self, released: bool) {
         for store_writer in &self.store_writers {
-            store_writer.release(release);
+            store_writer.set_released(released);
         }
     }
 
@@ -104,11 +104,11 @@
         now: f64,
         request_id: RequestId,
         attempt: u32,
-        grant: Sender<ResponseSink>,
+        reply_to: Sender<ResponseSink>,
     ) {
         if self.core.response_started(now, request_id, attempt) {
             if let Some(client) = self.clients.get_mut(&request_id) {
-                let _ = grant.try_send(client.begin_response());
+                let _ = reply_to.try_send(client.begin_response());
             }
         }
     }
@@ -127,7 +127,7 @@
             tracing::debug!(request = %client.id, attempt, cause = ?result.outcome, "attempt ended");
         }
         if let Some(sink) = sink {
-            // The client's own stream is closed by the last event that follows.
+            // This drops the client's own sender, so that its stream is closed after the last event.
             if let Some(client) = self.clients.remove(&request_id) {
                 self.finish_response(sink, &client, result.outcome);
             }
--- a/crates/nickelgw-node/src/event_loop/mod.rs
+++ b/crates/nickelgw-node/src/event_loop/mod.rs
@@ -1,4 +1,4 @@
-//! The one task that owns the core: handles events, runs the core's commands, and never waits for a peer.
+//! The one task that owns the core. It handles events, runs the core's commands, and never waits for a peer.
 
 mod handle_event;
 mod responses;
@@ -23,38 +23,40 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// Events handled in one iteration: as many as wait, so that a burst costs fewer iterations, not longer queues.
+/// Largest number of queued events handled in one iteration. Handling all that wait makes a burst cost fewer
+/// iterations instead of longer queues.
 const MAX_EVENTS_PER_ITERATION: usize = 256;
 
 /// Called once the node can serve.
 pub type OnServing = Box<dyn FnOnce() + Send>;
 
-/// A running attempt. Dropped, it is cancelled.
+/// A running attempt. Dropping it cancels the attempt.
 pub struct RunningAttempt {
     _task: Task<()>,
-    /// Whether a byte of it may have been sent.
+    /// Whether a byte of the attempt may have been sent.
     sent: Rc<Cell<bool>>,
 }
 
-/// The ends of the event loop's queues that it reads or signals.
+/// Channels that the event loop reads or signals.
 pub struct EventLoopChannels {
-    /// Events of all other tasks.
+    /// Events from all other tasks.
     pub events: Receiver<TimedEvent>,
-    /// Requests whose client has disconnected. Unbounded, but each open request is sent once at most.
+    /// Ids of requests whose client has disconnected. The channel is unbounded, but each open request is sent
+    /// at most once.
     pub disconnects: Receiver<RequestId>,
-    /// Wakes the endpoint list's watch.
+    /// Wakes the task that watches the endpoint list.
     pub poll_endpoints: Sender<()>,
-    /// Raised when an engine was found unreachable, which other nodes may want to know.
+    /// Signals that an engine was found unreachable, so that gossip informs other nodes early.
     pub engine_unreachable: Sender<()>,
 }
 
 /// Owns the core and all open requests.
 pub struct EventLoop {
-    /// The state machine.
+    /// The state machine that decides for the node.
     pub core: NodeCore,
-    /// The process's stages.
+    /// Stages of the process's lifecycle.
     pub lifecycle: ProcessLifecycle,
-    /// The queues.
+    /// Channels to and from other tasks.
     pub channels: EventLoopChannels,
     /// The node's clock.
     pub clock: Clock,
@@ -64,28 +66,28 @@
     pub engines: Rc<EngineClient>,
     /// Limits of the node's sockets.
     pub limits: Rc<Limits>,
-    /// Shared with the client connections.
+    /// State shared with the client connections.
     pub listener: Rc<ListenerState>,
-    /// Released and resumed by process signals.
+    /// Store writers, released and resumed by process signals.
     pub store_writers: Vec<Rc<StoreWriter>>,
-    /// Requests that wait in the queue.
+    /// Number of requests that wait in the event loop's queue.
     pub queued: Rc<Cell<usize>>,
-    /// Where latencies are recorded, if they are.
+    /// Where latencies are recorded; `None` if they are not recorded.
     pub latency: Option<Arc<Mutex<LatencyMetrics>>>,
-    /// Name of this process, by which engines know its reservations.
+    /// Name of this process, by which engines identify its reservations.
     pub incarnation: String,
-    /// Addresses of the endpoint list's sources.
+    /// Network addresses of the endpoint list's source.
     pub discovery_addresses: Vec<String>,
-    /// `None`: it was called already.
+    /// Called once the node can serve; `None` if it was called already.
     pub on_serving: Option<OnServing>,
     /// Open requests whose response has not ended.
     pub clients: HashMap<RequestId, ClientRequest>,
-    /// By request and number of the attempt.
+    /// Running attempts by request and number of the attempt.
     pub attempts: HashMap<(RequestId, u32), RunningAttempt>,
 }
 
-/// The event that ends the loop's wait.
-// On the stack for a moment, one at a time: boxing the event would cost an allocation each.
+/// What ended the loop's wait.
+// Only one exists at a time, briefly and on the stack; boxing each event would cost an allocation.
 #[allow(clippy::large_enum_variant)]
 enum Wakeup {
     Event(TimedEvent),
@@ -97,12 +99,12 @@
     /// Runs until the process's lifecycle ends.
     pub async fn run(mut self) -> Exit {
         let mut timer = Timer::never();
-        let mut received = Vec::new();
+        let mut receive_times = Vec::new();
         loop {
             let wakeup = self.wait(&mut timer).await;
             let now = self.clock.now();
             let started_at = Instant::now();
-            self.handle_pending(now, wakeup, &mut received);
+            self.handle_pending(now, wakeup, &mut receive_times);
             let core_wake_at = self.run_commands(now);
             let (exit, lifecycle_wake_at) = self.advance_lifecycle(now);
             if let Some(exit) = exit {
@@ -112,8 +114,8 @@
                 Some(wake_at) => timer.set_after(seconds((wake_at - self.clock.now()).max(0.0))),
                 None => timer = Timer::never(),
             }
-            self.record_iteration(started_at, &received);
-            received.clear();
+            self.record_iteration(started_at, &receive_times);
+            receive_times.clear();
         }
     }
 
@@ -129,25 +131,25 @@
         first.unwrap_or(Wakeup::Timer)
     }
 
-    /// Handles the event that ended the wait and those that have queued up since.
-    fn handle_pending(&mut self, now: f64, wakeup: Wakeup, received: &mut Vec<Instant>) {
+    /// Handles the event that ended the wait and those that were queued since.
+    fn handle_pending(&mut self, now: f64, wakeup: Wakeup, receive_times: &mut Vec<Instant>) {
         match wakeup {
-            Wakeup::Event(event) => self.handle_timed_event(now, event, received),
+            Wakeup::Event(event) => self.handle_timed_event(now, event, receive_times),
             Wakeup::ClientDisconnected(request_id) => self.client_disconnected(now, request_id),
             Wakeup::Timer => {}
         }
         for _ in 0..MAX_EVENTS_PER_ITERATION {
             let Ok(event) = self.channels.events.try_recv() else { break };
-            self.handle_timed_event(now, event, received);
+            self.handle_timed_event(now, event, receive_times);
         }
         while let Ok(request_id) = self.channels.disconnects.try_recv() {
             self.client_disconnected(now, request_id);
         }
     }
 
-    fn handle_timed_event(&mut self, now: f64, event: TimedEvent, received: &mut Vec<Instant>) {
+    fn handle_timed_event(&mut self, now: f64, event: TimedEvent, receive_times: &mut Vec<Instant>) {
         if self.latency.is_some() {
-            received.push(event.received_at);
+            receive_times.push(event.received_at);
         }
         self.handle_event(now, event.event);
     }
@@ -158,17 +160,18 @@
         }
     }
 
-    fn record_iteration(&self, started_at: Instant, received: &[Instant]) {
+    fn record_iteration(&self, started_at: Instant, receive_times: &[Instant]) {
         self.record_latency(|latency| {
-            latency.events += received.len() as u64;
-            for received_at in received {
+            latency.events += receive_times.len() as u64;
+            for received_at in receive_times {
                 LatencyMetrics::record(&mut latency.to_decision, received_at.elapsed());
             }
             LatencyMetrics::record(&mut latency.iteration, started_at.elapsed());
         });
     }
 
-    /// Runs the lifecycle's commands; returns how the process exits, if it does, and the lifecycle's next wake.
+    /// Runs the lifecycle's commands. Returns how the process exits, if it does, and when the lifecycle has
+    /// to be polled next.
     fn advance_lifecycle(&mut self, now: f64) -> (Option<Exit>, Option<f64>) {
         let remaining = Remaining {
             open_requests: self.core.open(),
--- a/crates/nickelgw-node/src/event_loop/responses.rs
+++ b/crates/nickelgw-node/src/event_loop/responses.rs
@@ -1,4 +1,4 @@
-//! How responses end.
+//! Ends responses: last events of streams, complete responses and errors.
 
 use super::EventLoop;
 use crate::clock::within;
@@ -28,14 +28,14 @@
 }
 
 impl EventLoop {
-    /// Sends a stream's last event. In a task, as it may have to wait for the client.
+    /// Sends the last event of a stream in a separate task, because it may have to wait for the client.
     fn send_last_event(&self, events: Sender<Bytes>, event: Bytes) {
         let stall_timeout_s = self.limits.client_stall_timeout_s;
         let send = async move { drop(within(stall_timeout_s, events.send(event)).await) };
         self.executor.spawn(send).detach();
     }
 
-    /// Ends a response that has begun, as its attempt ended.
+    /// Ends a response that has begun, because its attempt has ended.
     pub(super) fn finish_response(
         &self,
         sink: ResponseSink,
@@ -50,9 +50,9 @@
             ResponseSink::Stream { events, .. } => {
                 self.send_last_event(events, error_event(FailureReason::StreamBroken))
             }
-            ResponseSink::Unary(whole) => {
+            ResponseSink::Unary(response) => {
                 let reply = match is_complete {
-                    true => Reply::Unary(whole.body(&client.chat.model)),
+                    true => Reply::Unary(response.body(&client.chat.model)),
                     false => Reply::Error(failure_error(FailureReason::StreamBroken)),
                 };
                 let _ = client.reply.try_send(reply);
@@ -66,11 +66,11 @@
         self.log_finished(client, answer);
     }
 
-    /// Sends the core's final answer, unless the response ended with its attempt already.
+    /// Sends the core's final answer, unless the response has already ended with its attempt.
     pub(super) fn send_final_answer(&mut self, request_id: RequestId, answer: FinalAnswer) {
         let Some(client) = self.clients.remove(&request_id) else { return };
         if let (Some(events), FinalAnswer::Failed(reason)) = (client.stream.clone(), answer) {
-            // Its attempt is cancelled with this, so that nothing follows.
+            // The core cancels the attempt as well, so that no further event follows.
             self.send_last_event(events, error_event(reason));
             return self.log_finished(&client, "errored");
         }
@@ -81,7 +81,7 @@
                 (error, "shed")
             }
             FinalAnswer::Failed(reason) => (failure_error(reason), "errored"),
-            // Cannot come for a response that has not begun.
+            // Does not occur for a response that has not begun.
             FinalAnswer::Completed => (failure_error(FailureReason::AttemptsFailed), "errored"),
         };
         let _ = client.reply.try_send(Reply::Error(error));
--- a/crates/nickelgw-node/src/event_loop/run_commands.rs
+++ b/crates/nickelgw-node/src/event_loop/run_commands.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Whether running a command has told the core something, so that it may have further commands.
+/// Whether running a command has reported something to the core, so that it may have further commands.
 #[derive(PartialEq)]
 enum CoreState {
     Unchanged,
@@ -18,7 +18,7 @@
 }
 
 impl EventLoop {
-    /// Runs commands until the core has no more; returns the core's next wake.
+    /// Runs commands until the core has no more. Returns when the core has to be polled next.
     pub(super) fn run_commands(&mut self, now: f64) -> Option<f64> {
         loop {
             let started_at = Instant::now();
@@ -40,12 +40,12 @@
 
     fn run_command(&mut self, now: f64, command: Command) -> CoreState {
         match command {
-            Command::StartAttempt(order) => return self.start_attempt(now, order),
+            Command::StartAttempt(attempt_request) => return self.start_attempt(now, attempt_request),
             Command::CancelAttempt { request, attempt } => {
                 self.cancel_attempt(now, request, attempt);
                 return CoreState::Changed;
             }
-            Command::Answer { request: ticket, answer } => self.send_final_answer(ticket, answer),
+            Command::Answer { request, answer } => self.send_final_answer(request, answer),
             Command::Release(call) => self.release(call),
             Command::Probe(endpoint) => self.probe(endpoint),
             Command::ReleaseOrphans(endpoint) => self.release_orphans(endpoint),
@@ -54,8 +54,8 @@
         CoreState::Unchanged
     }
 
-    fn start_attempt(&mut self, now: f64, order: AttemptRequest) -> CoreState {
-        let (request, number) = (order.request, order.attempt);
+    fn start_attempt(&mut self, now: f64, attempt_request: AttemptRequest) -> CoreState {
+        let (request, number) = (attempt_request.request, attempt_request.attempt);
         let Some(client) = self.clients.get(&request) else {
             self.core.attempt_ended(now, request, number, AttemptResult::default());
             return CoreState::Changed;
@@ -63,13 +63,17 @@
         tracing::debug!(
             request = %client.id,
             attempt = number,
-            engine = %order.engine.id,
-            prefill = order.kind == AttemptKind::Prefill,
+            engine = %attempt_request.engine.id,
+            prefill = attempt_request.kind == AttemptKind::Prefill,
             "attempt started"
         );
         let sent = Rc::new(Cell::new(false));
-        let attempt =
-            Attempt { order, request_id: client.id.clone(), chat: client.chat.clone(), sent: sent.clone() };
+        let attempt = Attempt {
+            attempt_request,
+            request_id: client.id.clone(),
+            chat: client.chat.clone(),
+            sent: sent.clone(),
+        };
         let task = self.executor.spawn(self.engines.clone().run_attempt(attempt));
         self.attempts.insert((request, number), RunningAttempt { _task: task, sent });
         CoreState::Unchanged
@@ -77,8 +81,9 @@
 
     fn cancel_attempt(&mut self, now: f64, request: RequestId, number: u32) {
         let attempt = self.attempts.remove(&(request, number));
-        // Cancelled while its connection was still being opened: it is known not to have run, and may be retried
-        // elsewhere. Seen where a handshake stalled until the probe beside it timed out.
+        // An attempt that is cancelled while its connection is still being opened is known not to have run,
+        // and may be retried on another engine. This happens if a handshake stalls until a concurrent probe
+        // of the engine times out.
         let may_have_run =
             attempt.is_none_or(|attempt| attempt.sent.get()) || !self.clients.contains_key(&request);
         let outcome = match may_have_run {
--- a/crates/nickelgw-node/src/events.rs
+++ b/crates/nickelgw-node/src/events.rs
@@ -14,47 +14,47 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// An event, and when it was read off its socket.
+/// An event, and when it was read from its socket.
 pub struct TimedEvent {
-    /// For the latency from socket to decision.
+    /// When the event was received; the latency from socket to decision is measured from here.
     pub received_at: Instant,
-    /// What happened.
+    /// The event.
     pub event: Event,
 }
 
 impl TimedEvent {
-    /// The event, stamped with the current time.
+    /// Stamps an event with the current time.
     pub fn new(event: Event) -> TimedEvent {
         TimedEvent { received_at: Instant::now(), event }
     }
 }
 
-/// A control signal to the process.
+/// Control signal to the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessSignal {
     /// Shut down in stages; open requests may finish.
     Drain,
-    /// Shut down; another process owns the listening socket already.
+    /// Shut down in stages; another process already accepts connections on the listening socket.
     DrainHandedOver,
-    /// Close the store, which another process is about to open.
+    /// Close the store, because another process is about to open it.
     ReleaseStore,
-    /// Open the store again, as no other process has.
+    /// Open the store again, because no other process has opened it.
     ResumeStore,
     /// Enter the next shutdown stage at once.
     SkipStage,
 }
 
-/// What the event loop is told.
+/// Event for the event loop to handle.
 pub enum Event {
     /// The process received a control signal.
     Signal(ProcessSignal),
     /// A client's request passed admission.
     Accept {
-        /// What the core decides on.
+        /// The request as the core decides on it.
         request: AdmittedRequest,
-        /// Where its response goes.
+        /// The client's side of the request, which receives the response.
         client: ClientRequest,
-        /// Takes the id, if the core accepts it.
+        /// Receives the request's id if the core accepts it; dropped otherwise.
         accepted: Sender<RequestId>,
     },
     /// A decode engine sent the first event of its stream.
@@ -63,8 +63,8 @@
         request_id: RequestId,
         /// Number of the attempt.
         attempt: u32,
-        /// Takes the sink, if this attempt may respond; dropped otherwise.
-        grant: Sender<ResponseSink>,
+        /// Receives the response sink if this attempt may respond to the client; dropped otherwise.
+        reply_to: Sender<ResponseSink>,
     },
     /// A prefill or decode attempt ended.
     AttemptEnded {
@@ -72,65 +72,65 @@
         request_id: RequestId,
         /// Number of the attempt.
         attempt: u32,
-        /// How it ended.
+        /// How the attempt ended.
         result: AttemptResult,
-        /// The sink that it was granted.
+        /// The attempt's response sink; `None` if the attempt was given none.
         sink: Option<ResponseSink>,
     },
     /// A health probe ended.
     ProbeFinished {
         /// The probed engine.
         endpoint: Rc<Endpoint>,
-        /// How it ended.
+        /// How the probe ended.
         outcome: AttemptOutcome,
-        /// The load that the engine reported.
+        /// Load that the engine reported; `None` if it reported none.
         load: Option<LoadReport>,
     },
     /// A call that releases a reservation ended.
     ReleaseFinished {
-        /// The call.
+        /// Id of the release call.
         call: ReleaseCallId,
-        /// How it ended.
+        /// How the call ended.
         outcome: ReleaseOutcome,
     },
-    /// A call that releases an earlier process's reservations ended.
+    /// A call that releases the reservations of an earlier process of this node ended.
     OrphanCleanupFinished {
         /// The prefill engine.
         endpoint: Rc<Endpoint>,
-        /// Whether they are released for certain.
-        done: bool,
+        /// Whether the engine needs no further call: it has released them, or does not support the call.
+        confirmed: bool,
     },
-    /// The learned state is to be saved.
+    /// The core's learned state is requested, in order to save it.
     SaveLearnedState {
-        /// Takes the encoded state.
+        /// Receives the encoded state.
         reply_to: Sender<Vec<u8>>,
     },
-    /// The node's number in the fleet has changed.
+    /// The node's position in the fleet has changed.
     FleetPosition(FleetPosition),
-    /// A gossip round.
+    /// A gossip round begins.
     ZoneRound {
         /// Records of the zone's other nodes.
         peers: Vec<PeerRecord>,
-        /// Takes what this node publishes.
+        /// Receives what this node publishes in the round.
         reply_to: Sender<ZoneRound>,
     },
-    /// Metrics are scraped.
+    /// Metrics are requested.
     CollectMetrics {
-        /// Takes the snapshot.
+        /// Receives the snapshot.
         reply_to: Sender<MetricsSnapshot>,
     },
-    /// The trace of a request is read.
+    /// The trace of a request is requested.
     Explain {
-        /// The request id.
+        /// The request id, as in the `x-request-id` header.
         request_id: String,
-        /// Takes the trace as text, if there is one.
+        /// Receives the trace as text, or `None` if no trace is kept for the request.
         reply_to: Sender<Option<String>>,
     },
-    /// Endpoint discovery has a new list.
+    /// Endpoint discovery has received a new endpoint list.
     EndpointsUpdated {
-        /// The list.
+        /// The endpoint list.
         list: EndpointList,
-        /// Ids whose engine was replaced by another process.
+        /// Ids of engines whose process was replaced by another one.
         replaced: Vec<String>,
     },
     /// A fetch of the endpoint list failed.
--- a/crates/nickelgw-node/src/gossip.rs
+++ b/crates/nickelgw-node/src/gossip.rs
@@ -1,4 +1,5 @@
-//! Runs the gossip protocol for the core: records of other nodes in, this node's record out, a round at a time.
+//! Runs the gossip protocol for the core. In each round the core receives the records of other nodes and
+//! returns what this node publishes in its own record.
 
 use crate::clock::{seconds, Clock};
 use crate::events::{Event, TimedEvent};
@@ -10,11 +11,11 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// How a node takes part in a fleet.
+/// Options of a node's gossip with the other nodes of its fleet.
 pub struct GossipOptions {
-    /// The protocol's state, with this node's own record.
+    /// State of the protocol, including this node's own record.
     pub gossip: Gossip,
-    /// How zones fail over.
+    /// Configuration of zone failover.
     pub zones: ZoneConfig,
     /// UDP socket that sends and receives the gossip datagrams.
     pub socket: GossipSocket,
@@ -22,8 +23,8 @@
 
 /// UDP socket of the gossip protocol, bound already or still to be bound.
 pub struct GossipSocket {
-    /// The bound socket; `None` if the node has to bind it, which fails for as long as the previous process still holds
-    /// the address.
+    /// The bound socket; `None` if the node has to bind it, which fails while the previous process still
+    /// holds the address.
     pub bound: Option<std::net::UdpSocket>,
     /// Address to bind if `bound` is `None`.
     pub address: String,
@@ -31,26 +32,27 @@
 
 /// Delay before a failed bind is retried.
 const BIND_RETRY_S: f64 = 0.1;
-/// Part of a round that passes at least before the next, whatever other nodes report meanwhile.
-const MIN_ROUND_SHARE: f64 = 0.25;
+/// Fraction of a round that passes before the next one even if other nodes report something urgent.
+const MIN_ROUND_FRACTION: f64 = 0.25;
 
-/// Carries gossip between the sockets and the event loop.
+/// Exchanges gossip records between the socket and the event loop.
 pub struct GossipTask {
-    /// The protocol's state.
+    /// State of the protocol.
     pub gossip: Rc<RefCell<Gossip>>,
     /// The event loop's queue.
     pub events: Sender<TimedEvent>,
     /// The node's clock.
     pub clock: Clock,
-    /// Closed when the node stops listening: from then on its successor publishes.
+    /// Closed when the node stops listening; from then on its successor publishes.
     pub stop: Receiver<()>,
-    /// A failure was observed here or by another node; the next round does not wait for it.
+    /// Signals that this node or another one has observed a failure, so that the next round begins early.
     pub urgent: (Sender<()>, Receiver<()>),
-    /// Set each round: no zone is evacuated or recovering.
+    /// Whether no zone is evacuated or recovering; updated in each round.
     pub all_zones_active: Rc<Cell<bool>>,
 }
 
-/// Binds the socket, retrying until its address is free. Returns `None` if the socket cannot be used asynchronously.
+/// Binds the socket, retrying until its address is free. Returns `None` if the socket cannot be used
+/// asynchronously.
 async fn bind(options: GossipSocket) -> Option<UdpSocket> {
     let mut socket = options.bound;
     while socket.is_none() {
@@ -63,7 +65,7 @@
 }
 
 impl GossipTask {
-    /// Runs until dropped, or until the node stops listening.
+    /// Runs until dropped or until the node stops listening.
     pub async fn run(self, socket: GossipSocket) {
         let Some(socket) = bind(socket).await else { return };
         let (send_now, send_requested) = bounded(1);
@@ -101,11 +103,12 @@
         }
     }
 
-    /// Urgent observations of other nodes end the wait early, but not at every datagram.
+    /// Waits until the round is over. Urgent observations end the wait early, but not before
+    /// [`MIN_ROUND_FRACTION`] of the round, so that not every datagram starts a round.
     async fn wait_for_next_round(&self, round_s: f64) {
-        Timer::after(seconds(round_s * MIN_ROUND_SHARE)).await;
+        Timer::after(seconds(round_s * MIN_ROUND_FRACTION)).await;
         let round_ended = async {
-            Timer::after(seconds(round_s * (1.0 - MIN_ROUND_SHARE))).await;
+            Timer::after(seconds(round_s * (1.0 - MIN_ROUND_FRACTION))).await;
         };
         let urgent = async {
             let _ = self.urgent.1.recv().await;
--- a/crates/nickelgw-node/src/http_response.rs
+++ b/crates/nickelgw-node/src/http_response.rs
@@ -10,15 +10,15 @@
 use std::convert::Infallible;
 use std::pin::Pin;
 
-/// A body that is whole already, or streamed.
+/// Response body, complete or streamed.
 pub type ResponseBody = Pin<Box<dyn Body<Data = Bytes, Error = Infallible>>>;
-/// A response of either port.
+/// Response of the chat port or the admin port.
 pub type HttpResponse = Response<ResponseBody>;
 
-/// OpenAI's client libraries prefer it to the coarser `retry-after`.
+/// Retry delay in milliseconds. OpenAI's client libraries prefer this header to the coarser `retry-after`.
 const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("retry-after-ms");
 
-/// A response with a JSON body.
+/// Builds a response with a JSON body.
 pub fn json_response(status: u16, body: Bytes) -> HttpResponse {
     let body: ResponseBody = Box::pin(Full::new(body));
     let mut response = Response::new(body);
@@ -27,7 +27,7 @@
     response
 }
 
-/// An API error, with its `retry-after` headers.
+/// Builds the response for an API error, with its `retry-after` headers.
 pub fn error_response(error: &ApiError) -> HttpResponse {
     let mut response = json_response(error.status, error.body());
     if let Some(value) = error.retry_after_header().and_then(|s| HeaderValue::from_str(&s).ok()) {
@@ -41,7 +41,7 @@
     response
 }
 
-/// A response of server-sent events, one frame each.
+/// Builds a response that streams server-sent events, one frame per event.
 pub fn event_stream_response(events: impl Stream<Item = Bytes> + 'static) -> HttpResponse {
     let frames = events.map(|event| Ok(Frame::data(event)));
     let body: ResponseBody = Box::pin(StreamBody::new(frames));
--- a/crates/nickelgw-node/src/latency_metrics.rs
+++ b/crates/nickelgw-node/src/latency_metrics.rs
@@ -1,22 +1,22 @@
-//! Latencies that a node measures of itself.
+//! Latencies of the node's own event loop.
 
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// Longest latency that is told apart, in nanoseconds.
+/// Longest latency that the histograms distinguish, in nanoseconds; longer ones are recorded as this value.
 const MAX_LATENCY_NS: u64 = 100_000_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Histograms of the event loop's latencies, in nanoseconds.
 pub struct LatencyMetrics {
-    /// From an event's reading at its socket to the end of the core's decision on it.
+    /// Time from reading an event from its socket to the end of the core's decision on it.
     pub to_decision: Histogram<u64>,
-    /// One call of the core for its commands, decisions included.
+    /// Duration of one call that gets the core's commands, including its decisions.
     pub poll_commands: Histogram<u64>,
-    /// One iteration of the event loop: events handled, decisions, commands started.
+    /// Duration of one iteration of the event loop: handling events, deciding and starting commands.
     pub iteration: Histogram<u64>,
-    /// Events handled.
+    /// Number of events handled.
     pub events: u64,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl LatencyMetrics {
-    /// Quantiles in microseconds, as JSON.
+    /// Returns the number of events and the latency quantiles in microseconds, as JSON.
     pub fn json(&self) -> Value {
         json!({
             "words": self.events,
--- a/crates/nickelgw-node/src/lib.rs
+++ b/crates/nickelgw-node/src/lib.rs
@@ -1,5 +1,5 @@
-//! A node: the I/O-free core ([`nickelgw_node_core`]) and the sockets, timers and files that act for it.
-//! All of a node runs on one thread; `docs/design-node.md` says why.
+//! A node: the shell of sockets, timers and files around the I/O-free core ([`nickelgw_node_core`]).
+//! A node runs on a single thread; `docs/design-node.md` explains why.
 
 mod admin;
 mod arrival;
--- a/crates/nickelgw-node/src/limits.rs
+++ b/crates/nickelgw-node/src/limits.rs
@@ -1,30 +1,31 @@
 //! Limits of the node's sockets.
 
-/// Limits of the node's sockets; each is a setting, with its default in `node.proto`.
+/// Limits of the node's sockets. Each is a setting whose default is in `node.proto`.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Client connections open at once.
+    /// Largest number of client connections open at the same time.
     pub max_connections: usize,
-    /// Largest body of a chat request.
+    /// Largest body of a chat request, in bytes.
     pub max_body_bytes: usize,
-    /// For a request's head to arrive whole.
+    /// Time in seconds in which a request's head has to arrive completely; also limits a client's TLS
+    /// handshake.
     pub head_timeout_s: f64,
-    /// For a request's body to arrive whole.
+    /// Time in seconds in which a request's body has to arrive completely.
     pub body_timeout_s: f64,
-    /// For a connection to an engine, its handshake included.
+    /// Time in seconds in which a connection to an engine has to be opened, including its TLS handshake.
     pub connect_timeout_s: f64,
-    /// For a short call to an engine: a probe or a release.
+    /// Time in seconds in which a short call to an engine, a probe or a release, has to complete.
     pub probe_timeout_s: f64,
-    /// Idle connections kept open to one engine.
+    /// Largest number of idle connections kept open to one engine.
     pub max_idle_connections: usize,
-    /// How long an idle connection to an engine is kept open.
+    /// Time in seconds for which an idle connection to an engine is kept open.
     pub idle_timeout_s: f64,
-    /// Requests that may wait for the core; one more is rejected.
+    /// Largest number of requests that wait for the core; further requests are rejected.
     pub max_queued: usize,
-    /// A client that reads nothing of its response for so long is disconnected.
+    /// Time in seconds after which a client that reads nothing of its response is disconnected.
     pub client_stall_timeout_s: f64,
-    /// The `retry-after` of a rejected request.
+    /// Delay in seconds in the `retry-after` header of a rejected request.
     pub retry_after_s: f64,
-    /// Size of the kernel's send buffer of each client connection; 0: the system's default.
+    /// Size in bytes of the kernel's send buffer of each client connection; 0 selects the system's default.
     pub send_buffer: usize,
 }
--- a/crates/nickelgw-node/src/lingering_close.rs
+++ b/crates/nickelgw-node/src/lingering_close.rs
@@ -1,5 +1,5 @@
-//! Closing a connection so that its last response arrives: the system resets one that is closed over unread bytes, and the
-//! response may be lost with it.
+//! Closes a connection so that its last response arrives. The system resets a connection that is closed while
+//! received bytes are unread, and the response may be lost with it.
 
 use crate::clock::within;
 use smol::io::AsyncReadExt;
@@ -7,11 +7,11 @@
 use std::io::ErrorKind;
 use std::net::{Shutdown, TcpStream};
 
-/// Bytes of one read.
+/// Size of the buffer that discarded bytes are read into.
 const READ_BYTES: usize = 8 * 1024;
 
-/// Ends the sending direction, then reads and discards what still comes: until the peer closes, for so long and so many bytes
-/// at most.
+/// Shuts down the sending direction, then reads and discards what the peer still sends, until the peer
+/// closes, `linger_s` seconds have passed, or `max_bytes` bytes were discarded.
 pub async fn close_lingering(mut stream: &Async<TcpStream>, linger_s: f64, max_bytes: usize) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
     let discard = async {
--- a/crates/nickelgw-node/src/listener_close.rs
+++ b/crates/nickelgw-node/src/listener_close.rs
@@ -1,5 +1,6 @@
-//! Closing a listening socket. The system resets what waits in the backlog at the close, so nothing may be in it then: a
-//! request on a connection that the system has accepted is owed an answer.
+//! Closes a listening socket. The system resets the connections that wait in the backlog when the socket is
+//! closed. It has accepted them, so a request on them has to be answered: the backlog must be empty at the
+//! close.
 
 use crate::clock::seconds;
 use smol::{Async, Timer};
@@ -7,21 +8,23 @@
 use std::io;
 use std::net::TcpListener;
 
-/// Time for handshakes that are under way to complete: a round trip within a region.
+/// Time in seconds for TCP handshakes in progress to complete: a round trip within a region.
 const HANDSHAKE_TIME_S: f64 = 0.02;
 
 /// Offset of the flags in a TCP header, and the flag of a segment that opens a connection.
 const TCP_FLAGS_OFFSET: u32 = 13;
 const TCP_SYN: u32 = 0x02;
-/// Instructions of classic BPF (linux/bpf_common.h): load a byte of the segment, jump if a bit is set, return a constant.
+/// Instructions of classic BPF (linux/bpf_common.h): load a byte of the segment, jump if a bit is set, return
+/// a constant.
 const BPF_LOAD_BYTE: u16 = 0x30;
 const BPF_JUMP_IF_SET: u16 = 0x45;
 const BPF_RETURN: u16 = 0x06;
-/// What a filter returns: how many bytes of the segment are kept.
+/// Return values of a filter: the number of bytes of the segment to keep.
 const DROP_SEGMENT: u32 = 0;
 const KEEP_SEGMENT: u32 = u32::MAX;
 
-/// Lets the system ignore attempts to open a connection. Their clients repeat them after a second, and are refused then.
+/// Makes the system ignore attempts to open a connection. The clients repeat them after a second and are
+/// refused then.
 fn ignore_new_handshakes(listener: &TcpListener) -> io::Result<()> {
     SockRef::from(listener).attach_filter(&[
         SockFilter::new(BPF_LOAD_BYTE, 0, 0, TCP_FLAGS_OFFSET),
@@ -31,11 +34,11 @@
     ])
 }
 
-/// Closes a listener once nothing waits in its backlog and nothing comes into it. `accept_waiting` accepts until the backlog
-/// is empty, and returns as soon as it has seen that.
+/// Closes a listener once its backlog is empty and no further connections enter it. `accept_waiting` has to
+/// accept connections until the backlog is empty, and then return at once.
 pub async fn close_listener(listener: Async<TcpListener>, accept_waiting: impl AsyncFn(&TcpListener)) {
     if let Err(error) = ignore_new_handshakes(listener.get_ref()) {
-        tracing::debug!(%error, "connections may still be opened while the listener closes");
+        tracing::debug!(%error, "socket filter not attached; closing the listener may reset connections");
     }
     accept_waiting(listener.get_ref()).await;
     Timer::after(seconds(HANDSHAKE_TIME_S)).await;
--- a/crates/nickelgw-node/src/listener_close/tests.rs
+++ b/crates/nickelgw-node/src/listener_close/tests.rs
@@ -6,11 +6,12 @@
 
 const CLIENTS: usize = 16;
 const OPEN_FOR: Duration = Duration::from_millis(100);
-/// Stands for a process that is held up between the last accept and the close.
-const HELD_UP: Duration = Duration::from_millis(30);
+/// Simulates a process that is stalled between the last accept and the close.
+const STALL: Duration = Duration::from_millis(30);
 const RESPONSE: &[u8] = b"answer";
 
-/// A client that connects and sends until it is refused; returns how many of its connections were closed unanswered.
+/// Starts a client that connects and sends requests until it is refused. The thread returns how many of its
+/// connections were closed without a response.
 fn start_client(address: SocketAddr) -> JoinHandle<usize> {
     spawn(move || {
         let mut unanswered = 0;
@@ -24,7 +25,7 @@
     })
 }
 
-/// Answers what waits in the backlog.
+/// Answers all connections that wait in the backlog.
 fn answer_waiting(listener: &TcpListener) {
     while let Ok((mut stream, _)) = listener.accept() {
         stream.set_nonblocking(false).unwrap();
@@ -33,9 +34,9 @@
     }
 }
 
-/// A connection that came up between the last accept and the close was reset with its request.
+/// A connection established between the last accept and the close was reset, and its request was lost.
 #[test]
-fn no_connection_is_reset_by_the_close_of_its_listener() {
+fn closing_a_listener_resets_no_established_connection() {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
     let address = listener.get_ref().local_addr().unwrap();
     let clients: Vec<_> = (0..CLIENTS).map(|_| start_client(address)).collect();
@@ -45,8 +46,8 @@
     }
     smol::block_on(close_listener(listener, async |listener: &TcpListener| {
         answer_waiting(listener);
-        sleep(HELD_UP);
+        sleep(STALL);
     }));
     let unanswered: usize = clients.into_iter().map(|client| client.join().unwrap()).sum();
-    assert_eq!(unanswered, 0, "connected, and closed with no answer");
+    assert_eq!(unanswered, 0, "connections closed without a response");
 }
--- a/crates/nickelgw-node/src/listener_state.rs
+++ b/crates/nickelgw-node/src/listener_state.rs
@@ -1,10 +1,10 @@
-//! State that the event loop and the client connections share.
+//! State shared by the event loop and the client connections.
 
 use async_channel::{Receiver, Sender};
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A signal without a value: raised by closing the channel.
+/// Signal without a value, raised by closing a channel.
 pub struct CloseSignal {
     sender: Sender<()>,
     receiver: Receiver<()>,
@@ -16,37 +16,37 @@
         CloseSignal { sender, receiver }
     }
 
-    /// Raises the signal for good.
+    /// Raises the signal; it cannot be reset.
     pub fn raise(&self) {
         self.sender.close();
     }
 
-    /// A handle whose `recv` ends once the signal is raised.
+    /// Returns a receiver whose `recv` returns once the signal is raised.
     pub fn subscribe(&self) -> Receiver<()> {
         self.receiver.clone()
     }
 }
 
-/// What the listener and its connections need to know of the process's lifecycle.
+/// State of the process's lifecycle that the listener and its connections depend on.
 pub struct ListenerState {
-    /// Whether `/healthz` answers 200.
+    /// Whether `/healthz` responds with status 200.
     pub healthy: Cell<bool>,
-    /// Each response closes its connection.
+    /// Whether each response closes its connection.
     pub closing_connections: Cell<bool>,
-    /// Client connections open now.
+    /// Number of open client connections.
     pub connections: Cell<usize>,
-    /// Connections over the limit that are being answered and closed.
+    /// Number of connections over the limit that are being answered and closed.
     pub rejecting: Cell<usize>,
-    /// Another process listens on the same socket and goes on accepting.
+    /// Whether another process listens on the same socket and continues to accept connections.
     pub handed_over: Cell<bool>,
-    /// Raised when no more connections are accepted.
+    /// Raised when the node is to stop accepting connections.
     pub stop_listening: CloseSignal,
-    /// Raised when idle connections are closed.
+    /// Raised when idle connections are to be closed.
     pub close_idle: CloseSignal,
 }
 
 impl ListenerState {
-    /// Not healthy, and accepting.
+    /// Creates the state of a node that is not healthy yet and accepts connections.
     pub fn new() -> Rc<ListenerState> {
         Rc::new(ListenerState {
             healthy: Cell::new(false),
@@ -59,14 +59,14 @@
         })
     }
 
-    /// Counts a connection until the guard is dropped.
+    /// Counts an open connection until the returned guard is dropped.
     pub fn connection_opened(self: &Rc<Self>) -> ConnectionGuard {
         self.connections.set(self.connections.get() + 1);
         ConnectionGuard(self.clone())
     }
 
-    /// Counts a connection over the limit until the guard is dropped.
-    pub fn rejection_begun(self: &Rc<Self>) -> RejectionGuard {
+    /// Counts a connection over the limit until the returned guard is dropped.
+    pub fn rejection_started(self: &Rc<Self>) -> RejectionGuard {
         self.rejecting.set(self.rejecting.get() + 1);
         RejectionGuard(self.clone())
     }
--- a/crates/nickelgw-node/src/maintenance.rs
+++ b/crates/nickelgw-node/src/maintenance.rs
@@ -1,4 +1,4 @@
-//! The node's background tasks: work that no request waits for.
+//! The node's background tasks, for which no request waits.
 
 use crate::background::{Background, TaskResult};
 use crate::client::Pool;
@@ -12,28 +12,28 @@
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
 
-/// How often the idempotency table's timeouts are run.
-const IDEMPOTENCY_S: f64 = 0.1;
+/// How often the timeouts of the idempotency table are checked.
+const IDEMPOTENCY_INTERVAL_S: f64 = 0.1;
 /// How often the learned state is saved.
-const LEARNED_STATE_S: f64 = 2.0;
-/// How often expired records are removed, and the background tasks' own cost is logged.
-const HOUSEKEEPING_S: f64 = 30.0;
-/// TLS files are not read more often than this.
-const MIN_RELOAD_S: f64 = 0.01;
-/// A run that takes longer is cancelled.
-const MAX_RUN_S: f64 = 10.0;
-/// First guess of a run's cost.
-const EXPECTED_RUN_S: f64 = 1e-4;
+const LEARNED_STATE_INTERVAL_S: f64 = 2.0;
+/// How often expired records are removed and the cost of the background tasks is logged.
+const HOUSEKEEPING_INTERVAL_S: f64 = 30.0;
+/// Shortest interval between two reads of the TLS files.
+const MIN_RELOAD_INTERVAL_S: f64 = 0.01;
+/// Time after which a run is cancelled.
+const RUN_TIMEOUT_S: f64 = 10.0;
+/// Initial estimate of the time that a run takes, used until runs have been measured.
+const INITIAL_RUN_ESTIMATE_S: f64 = 1e-4;
 
-/// What the tasks work on.
+/// Parts of the node that the background tasks work on.
 pub struct Maintenance {
-    /// Responses shared by idempotency keys.
+    /// Responses shared by requests with the same idempotency key.
     pub responses: Rc<ResponseSharing>,
-    /// Connections to engines, with their TLS files.
+    /// Connections to engines, including their TLS files.
     pub pool: Rc<Pool>,
-    /// TLS files of the chat port.
+    /// TLS configuration of the chat port; `None` if the port does not use TLS.
     pub chat_tls: Option<Arc<Mutex<nickelgw_tls::Server>>>,
-    /// How often TLS files are read.
+    /// Interval in seconds at which the TLS files are read.
     pub reload_s: f64,
     /// The event loop's queue.
     pub events: Sender<TimedEvent>,
@@ -41,58 +41,59 @@
     pub store_writer: Rc<StoreWriter>,
 }
 
-fn spec(class: TaskClass, every_s: f64) -> TaskSpec {
+fn spec(class: TaskClass, interval_s: f64) -> TaskSpec {
     TaskSpec {
         class,
-        interval_s: Some(every_s),
-        deadline_s: every_s,
-        timeout_s: MAX_RUN_S,
-        estimated_s: EXPECTED_RUN_S,
+        interval_s: Some(interval_s),
+        deadline_s: interval_s,
+        timeout_s: RUN_TIMEOUT_S,
+        estimated_s: INITIAL_RUN_ESTIMATE_S,
         estimated_bytes: 0.0,
     }
 }
 
-fn done() -> TaskResult {
-    TaskResult { bytes: 0.0, done: true }
+fn succeeded() -> TaskResult {
+    TaskResult { bytes: 0.0, succeeded: true }
 }
 
 impl Maintenance {
-    /// Registers the tasks.
+    /// Registers the tasks with the scheduler.
     pub fn register(self, background: &Rc<Background>) {
         let maintenance = Rc::new(self);
         let state = maintenance.clone();
-        background.add("idempotency", spec(TaskClass::Required, IDEMPOTENCY_S), move || {
+        background.add("idempotency", spec(TaskClass::Required, IDEMPOTENCY_INTERVAL_S), move || {
             let state = state.clone();
             async move {
                 state.responses.run_commands();
-                done()
+                succeeded()
             }
         });
         let state = maintenance.clone();
-        let reload_s = maintenance.reload_s.max(MIN_RELOAD_S);
+        let reload_s = maintenance.reload_s.max(MIN_RELOAD_INTERVAL_S);
         background.add("tls_reload", spec(TaskClass::Maintenance, reload_s), move || {
             let state = state.clone();
             async move {
                 state.reload_tls().await;
-                done()
+                succeeded()
             }
         });
         let state = maintenance.clone();
-        background.add("learned_state", spec(TaskClass::Maintenance, LEARNED_STATE_S), move || {
+        background.add("learned_state", spec(TaskClass::Maintenance, LEARNED_STATE_INTERVAL_S), move || {
             let state = state.clone();
             async move { state.save_learned_state().await }
         });
-        background.add("expire", spec(TaskClass::Idle, HOUSEKEEPING_S), move || {
+        background.add("expire", spec(TaskClass::Idle, HOUSEKEEPING_INTERVAL_S), move || {
             let state = maintenance.clone();
             async move {
                 state.store_writer.expire();
-                done()
+                succeeded()
             }
         });
         register_cost_report(background);
     }
 
-    /// Reloads the TLS files of both sides; open client connections keep the configuration that they began with.
+    /// Reloads the TLS files of the chat port and of the connections to engines. Open client connections keep
+    /// the configuration that they were opened with.
     async fn reload_tls(&self) {
         self.pool.reload_tls().await;
         if let Some(chat_tls) = self.chat_tls.clone() {
@@ -104,23 +105,23 @@
         let (reply_to, replied) = bounded(1);
         let requested = self.events.send(TimedEvent::new(Event::SaveLearnedState { reply_to })).await;
         let Ok(state) = replied.recv().await else {
-            return TaskResult { bytes: 0.0, done: requested.is_ok() };
+            return TaskResult { bytes: 0.0, succeeded: requested.is_ok() };
         };
         self.store_writer.put(RecordKind::LearnedState, b"", &state);
-        TaskResult { bytes: state.len() as f64, done: true }
+        TaskResult { bytes: state.len() as f64, succeeded: true }
     }
 }
 
 fn register_cost_report(background: &Rc<Background>) {
-    // Weak, as the tasks belong to what they report on.
+    // A weak reference, as `background` owns the task and a strong one would form a cycle.
     let weak = Rc::downgrade(background);
-    background.add("cost_report", spec(TaskClass::Idle, HOUSEKEEPING_S), move || {
+    background.add("cost_report", spec(TaskClass::Idle, HOUSEKEEPING_INTERVAL_S), move || {
         let weak = weak.clone();
         async move {
             if let Some(background) = weak.upgrade() {
                 log_cost(&background);
             }
-            done()
+            succeeded()
         }
     });
 }
@@ -129,5 +130,5 @@
     for (task, waited_s) in background.overdue() {
         tracing::warn!(task, waited_s, "background task overdue");
     }
-    tracing::debug!(elapsed_s = background.elapsed_s(), "background task cost");
+    tracing::debug!(elapsed_s = background.total_run_time_s(), "background task cost");
 }
--- a/crates/nickelgw-node/src/metrics_snapshot.rs
+++ b/crates/nickelgw-node/src/metrics_snapshot.rs
@@ -1,27 +1,27 @@
-//! The core's counters and gauges at one moment.
+//! Counters and gauges of the core at one point in time.
 
 use nickelgw_node_core::ledger::ReservationCounters;
 use nickelgw_node_core::RequestCounters;
 
-/// The core's counters and gauges at the moment of the scrape.
+/// Counters and gauges of the core at the time when metrics were requested.
 #[derive(Clone, Debug, Default)]
 pub struct MetricsSnapshot {
-    /// Requests by how they ended.
+    /// Number of requests by outcome.
     pub requests: RequestCounters,
-    /// KV reservations by how they ended.
+    /// Number of KV reservations by outcome.
     pub reservations: ReservationCounters,
-    /// Violated invariants, by name.
+    /// Names of invariants, and how often each was violated.
     pub violations: Vec<(&'static str, u64)>,
-    /// Requests open now.
+    /// Number of open requests.
     pub open_requests: usize,
-    /// Reservations held at prefill engines now.
+    /// Number of reservations held at prefill engines.
     pub open_reservations: usize,
-    /// 99th percentile of the time that reservations wait unclaimed.
+    /// 99th percentile of the time in seconds that reservations wait unclaimed.
     pub unclaimed_p99_s: f64,
-    /// Longest time that a reservation waited unclaimed.
+    /// Longest time in seconds that a reservation waited unclaimed.
     pub unclaimed_max_s: f64,
-    /// Request traces kept for `/why`.
+    /// Number of request traces kept for `/why`.
     pub traces: usize,
-    /// Zones with the share of the traffic that each gets, where zone failover is on.
+    /// Zones and each zone's share of the traffic; empty if zone failover is off.
     pub zone_weights: Vec<(String, f64)>,
 }
--- a/crates/nickelgw-node/src/node/assembly.rs
+++ b/crates/nickelgw-node/src/node/assembly.rs
@@ -1,4 +1,4 @@
-//! Builds the parts of a node, and starts their tasks.
+//! Builds the parts of a node and starts their tasks.
 
 use super::state::{ChatTls, DiscoveryState, FleetState, Node, Storage};
 use crate::admin::Admin;
@@ -33,12 +33,12 @@
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
 
-/// Plain connections opened at once, of the node and towards one engine. Without a handshake they cost little; the
-/// engines' own limits bound them.
+/// Largest number of plain connections that are being opened at the same time, by the node and to one engine.
+/// Without a TLS handshake they cost little; the engines' own limits bound them.
 const MAX_PLAIN_CONNECTS: usize = 1024;
 const MAX_PLAIN_CONNECTS_PER_ENGINE: usize = 256;
 
-/// Limits of the connection pool.
+/// Returns the limits of the connection pool.
 pub(super) fn pool_config(tls: &TlsOptions, limits: &Limits) -> pool::PoolConfig {
     let is_plain = tls.engines.is_none();
     pool::PoolConfig {
@@ -120,7 +120,7 @@
         EndpointDirectory::new(view, engines.clone(), events, self.clock, cache, executor)
     }
 
-    /// Starts to follow the source; returns its addresses.
+    /// Starts to follow the source of the endpoint list. Returns the source's network addresses.
     pub fn start_discovery(
         &mut self,
         source: EndpointSource,
@@ -143,7 +143,7 @@
             EndpointSource::Registry(options) => {
                 let addresses = options.endpoints.clone();
                 if options.nodes.is_some() {
-                    // Until it has a number it gets no share of what all nodes share.
+                    // Until the node has a number in the fleet, it gets no share of what all nodes share.
                     core.set_fleet_position(self.clock.now(), None);
                 }
                 let client = RegistryClient::new(options, self.name.clone(), directory);
@@ -205,7 +205,7 @@
             listener: self.listener.clone(),
             tls,
             node: self.name.clone(),
-            ids_made: Cell::new(0),
+            generated_ids: Cell::new(0),
         })
     }
 
--- a/crates/nickelgw-node/src/node/mod.rs
+++ b/crates/nickelgw-node/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! Builds a node of its parts and runs it.
+//! Builds a node from its parts and runs it.
 
 mod assembly;
 mod restore;
@@ -22,7 +22,7 @@
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
 
-/// Serves until the process's lifecycle ends or the future is dropped. Everything that it started ends with it.
+/// Serves until the process's lifecycle ends or the future is dropped. All tasks that it started end with it.
 pub async fn run(listener: TcpListener, options: NodeOptions) -> std::io::Result<Exit> {
     let clock = Clock::start();
     let listener = Async::new(listener)?;
--- a/crates/nickelgw-node/src/node/restore.rs
+++ b/crates/nickelgw-node/src/node/restore.rs
@@ -1,4 +1,4 @@
-//! Restores what an earlier process has kept.
+//! Restores the state that an earlier process has stored.
 
 use super::state::{DiscoveryState, Node};
 use crate::clock::Clock;
@@ -11,7 +11,7 @@
 use nickelgw_store::core::write_buffer::RestoredRecord;
 use nickelgw_store::core::{retention, RecordKind};
 
-/// Restores what an earlier process has kept.
+/// Restores the idempotency keys and the learned state from the store.
 pub(super) fn restore_records(
     records: Vec<RestoredRecord>,
     core: &mut NodeCore,
@@ -34,7 +34,7 @@
     }
 }
 
-/// The callback for when the node can serve, and a receiver that is closed with it.
+/// Returns the callback for when the node can serve, and a receiver that the callback closes.
 pub(super) fn serving_gate(on_serving: Option<OnServing>) -> (OnServing, Receiver<()>) {
     let (gate, serving) = bounded::<()>(1);
     let callback: OnServing = Box::new(move || {
@@ -47,7 +47,7 @@
 }
 
 impl Node {
-    /// Serves from the cached endpoint list, if there is one, until the source responds.
+    /// Restores the cached endpoint list, if there is one, and serves from it until the source responds.
     pub fn restore_endpoints(
         &self,
         directory: &EndpointDirectory,
--- a/crates/nickelgw-node/src/node/state.rs
+++ b/crates/nickelgw-node/src/node/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of a node share while it is built.
+//! State that the parts of a node share, and how it is passed on while the node is built.
 
 use crate::clock::Clock;
 use crate::deferred::{DeferredQueueConfig, DeferredRequests};
@@ -21,23 +21,24 @@
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
 
-/// Length of the event loop's queue.
-const EVENT_QUEUE: usize = 1024;
-/// What all parts of a node share, and the tasks started so far.
+/// Capacity of the event loop's queue.
+const EVENT_QUEUE_CAPACITY: usize = 1024;
+
+/// State that all parts of a node share, and the tasks started so far.
 pub(super) struct Node {
     pub clock: Clock,
     pub executor: Rc<LocalExecutor<'static>>,
     pub events: Sender<TimedEvent>,
     pub disconnects: Sender<RequestId>,
-    /// Requests that wait in the event loop's queue.
+    /// Number of requests that wait in the event loop's queue.
     pub queued: Rc<Cell<usize>>,
     pub limits: Rc<Limits>,
     pub listener: Rc<ListenerState>,
     pub seed: u64,
     pub name: String,
-    /// Name of this process, by which engines know its reservations.
+    /// Name of this process, by which engines identify its reservations.
     pub incarnation: String,
-    /// Dropped, they are cancelled.
+    /// Started tasks; dropping them cancels them.
     pub tasks: Vec<Task<()>>,
 }
 
@@ -47,12 +48,12 @@
     pub disconnects: Receiver<RequestId>,
 }
 
-/// The node's part in the fleet.
+/// What connects the node with the other nodes of its fleet.
 pub(super) struct FleetState {
     pub gossip: Option<Rc<RefCell<Gossip>>>,
-    /// No zone is evacuated or recovering.
+    /// Whether no zone is evacuated or recovering.
     pub all_zones_active: Rc<Cell<bool>>,
-    /// Raised when an engine was found unreachable.
+    /// Signals that an engine was found unreachable.
     pub engine_unreachable: Sender<()>,
 }
 
@@ -69,12 +70,12 @@
     }
 }
 
-/// What endpoint discovery hands to the event loop.
+/// State of endpoint discovery, to be passed to the event loop.
 pub(super) struct DiscoveryState {
     pub lifecycle: ProcessLifecycle,
     pub on_serving: Option<OnServing>,
     pub poll_endpoints: Sender<()>,
-    /// Of the endpoint list's sources.
+    /// Network addresses of the endpoint list's source.
     pub addresses: Vec<String>,
 }
 
@@ -97,12 +98,12 @@
 
 impl Storage {
     pub fn store_writers(&self) -> Vec<Rc<StoreWriter>> {
-        let of_deferred = self.deferred.iter().map(|deferred| &deferred.store_writer);
-        std::iter::once(&self.store_writer).chain(of_deferred).cloned().collect()
+        let deferred_writer = self.deferred.iter().map(|deferred| &deferred.store_writer);
+        std::iter::once(&self.store_writer).chain(deferred_writer).cloned().collect()
     }
 }
 
-/// The TLS of the chat port, and how often TLS files are read.
+/// TLS of the chat port, and the interval in seconds at which TLS files are read.
 pub(super) struct ChatTls {
     pub server: Option<Arc<Mutex<nickelgw_tls::Server>>>,
     pub reload_s: f64,
@@ -121,7 +122,7 @@
 
 impl Node {
     pub fn new(clock: Clock, name: String, incarnation: String, limits: Limits, seed: u64) -> (Node, Queues) {
-        let (events, incoming_events) = bounded(EVENT_QUEUE);
+        let (events, incoming_events) = bounded(EVENT_QUEUE_CAPACITY);
         let (disconnects, disconnected) = unbounded();
         let node = Node {
             clock,
@@ -152,7 +153,7 @@
         });
     }
 
-    /// Accepts client connections; `serving`: not before it is closed.
+    /// Accepts client connections. If `serving` is given, the first is accepted once that channel is closed.
     pub fn accept(
         &mut self,
         listener: Async<TcpListener>,
@@ -168,7 +169,7 @@
         });
     }
 
-    /// Runs until the process's lifecycle ends, then cancels all tasks and writes what is buffered.
+    /// Runs until the process's lifecycle ends, then cancels all tasks and flushes the stores.
     pub async fn run_event_loop(self, event_loop: EventLoop, store_writers: Vec<Rc<StoreWriter>>) -> Exit {
         let exit = self.executor.run(event_loop.run()).await;
         drop(self.tasks);
--- a/crates/nickelgw-node/src/options.rs
+++ b/crates/nickelgw-node/src/options.rs
@@ -1,4 +1,4 @@
-//! What a node is started with.
+//! Options that a node is started with.
 
 use crate::deferred::DeferredQueueConfig;
 use crate::discovery::RegistryOptions;
@@ -17,78 +17,82 @@
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
 
-/// All that a node is started with.
+/// Options that a node is started with.
 pub struct NodeOptions {
     /// The node's name.
     pub name: String,
     /// The node's zone.
     pub zone: String,
-    /// What the decision module is told of the deployment.
+    /// Description of the deployment for the decision module.
     pub deployment: Deployment,
-    /// Settings of the core.
+    /// Configuration of the core.
     pub core_config: CoreConfig,
-    /// Models and tenants.
+    /// Admission of requests: known models and tenants.
     pub admission: Admission,
-    /// Limits of the sockets.
+    /// Limits of the node's sockets.
     pub limits: Limits,
-    /// Where the endpoint list comes from.
+    /// Source of the endpoint list.
     pub endpoint_source: EndpointSource,
-    /// File that keeps the endpoint list, to serve from until the source responds.
+    /// File that caches the endpoint list, from which the node serves until the source responds; `None` if
+    /// the list is not cached.
     pub endpoint_cache: Option<PathBuf>,
-    /// File that keeps what the next process needs to know.
+    /// Store file that keeps what the next process needs to know; `None` if nothing is persisted.
     pub store: Option<PathBuf>,
-    /// The admin port's listener.
+    /// Listener of the admin port; `None` if it is not bound yet or there is no admin port.
     pub admin: Option<TcpListener>,
-    /// Or its address, which is bound once the process before has released it.
+    /// Address of the admin port, bound once the previous process has released it; `None` if there is none to
+    /// bind.
     pub admin_address: Option<String>,
-    /// Where the node records its own latencies.
+    /// Where the node records its own latencies; `None` if they are not recorded.
     pub latency: Option<Arc<Mutex<LatencyMetrics>>>,
-    /// TLS on both sides.
+    /// TLS of the chat port and of the connections to engines.
     pub tls: TlsOptions,
     /// Limits of the idempotency table.
     pub idempotency: IdempotencyConfig,
-    /// Limits of clients' retries.
+    /// Budget of clients' retries.
     pub retry_budget: retry_budget::RetryBudgetConfig,
     /// Timing of the shutdown's stages.
     pub shutdown: ShutdownConfig,
-    /// Control signals to the process while it serves.
+    /// Receives control signals to the process.
     pub signals: Receiver<ProcessSignal>,
-    /// When reports of the endpoint source are suspect.
+    /// Decides when a report of the endpoint source is suspect.
     pub view_config: endpoint_view::EndpointViewConfig,
-    /// Called once, when the node can serve.
+    /// Called once when the node can serve.
     pub on_serving: Option<Box<dyn FnOnce() + Send>>,
-    /// The queue of deferred requests; `None`: they are rejected.
+    /// Configuration of the queue of deferred requests; `None` if they are rejected.
     pub deferred: Option<DeferredQueueConfig>,
-    /// Gossip between nodes; `None`: the node acts on its own observations alone.
+    /// Gossip between nodes; `None` if the node acts on its own observations alone.
     pub gossip: Option<GossipOptions>,
-    /// Accepts no connection before it can serve: another process listens on the same socket meanwhile.
+    /// Whether the node accepts no connection before it can serve, because another process listens on the
+    /// same socket until then.
     pub accept_when_ready: bool,
 }
 
-/// Where the endpoint list comes from.
+/// Source of the endpoint list.
 #[derive(Clone, Debug)]
 pub enum EndpointSource {
-    /// host:port of the endpoint list service.
+    /// Address (host:port) of the endpoint list service.
     List(String),
-    /// A file of the same form, watched.
+    /// File in the format of the endpoint list service, polled for changes.
     File(PathBuf),
     /// An etcd v3 registry.
     Registry(RegistryOptions),
 }
 
-/// TLS on both sides. Files were checked by the caller: a node does not start with invalid ones.
+/// TLS of the chat port and of the connections to engines. The caller has checked the files: a node does not
+/// start with invalid ones.
 #[derive(Default)]
 pub struct TlsOptions {
-    /// Towards engines; `None`: plain connections.
+    /// TLS of the connections to engines; `None` if they are plain.
     pub engines: Option<nickelgw_tls::Client>,
-    /// On the chat port; `None`: plain connections.
+    /// TLS of the chat port; `None` if its connections are plain.
     pub chat: Option<nickelgw_tls::Server>,
-    /// How often the files are read.
+    /// Interval in seconds at which the files are read.
     pub reload_s: f64,
-    /// Handshakes in progress at once, of the node.
+    /// Largest number of handshakes of the node in progress at the same time.
     pub max_handshakes: usize,
-    /// Handshakes in progress at once, towards one engine.
+    /// Largest number of handshakes with one engine in progress at the same time.
     pub max_handshakes_per_engine: usize,
-    /// After a rotation, the gap between closing one older connection and the next.
+    /// Time in seconds between closing one older connection and the next after a certificate rotation.
     pub retire_gap_s: f64,
 }
--- a/crates/nickelgw-node/src/persistence.rs
+++ b/crates/nickelgw-node/src/persistence.rs
@@ -1,5 +1,5 @@
-//! The node's store: writes are buffered, committed in batches on a thread that may block, and confirmed to those who
-//! wait.
+//! Writes the node's store. Writes are buffered, committed in batches on a thread that may block, and
+//! confirmed to the tasks that wait for them.
 
 use crate::clock::{unix_now, within, Clock};
 use async_channel::{bounded, Receiver, Sender};
@@ -16,17 +16,18 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long the file of a process that hands over may stay locked, and how often that is checked.
+/// How long to wait for the lock of the store file, which a process that hands over may still hold, and how
+/// often to retry.
 const LOCK_TIMEOUT: Duration = Duration::from_secs(2);
 const LOCK_POLL: Duration = Duration::from_millis(20);
-/// Bounds of the sleep between commits.
+/// Shortest and longest sleep between two commits.
 const MIN_SLEEP_S: f64 = 0.0005;
 const MAX_SLEEP_S: f64 = 1.0;
-/// The flush at the process's end is bounded by these.
+/// Largest number of commits of a flush, and the delay after each.
 const FLUSH_ATTEMPTS: usize = 200;
 const FLUSH_RETRY: Duration = Duration::from_millis(10);
 
-/// Writes one store file.
+/// Writer of one store file.
 pub struct StoreWriter {
     buffer: RefCell<WriteBuffer>,
     store: RefCell<Option<Arc<Store>>>,
@@ -34,12 +35,12 @@
     waiters: RefCell<HashMap<Waiter, Sender<bool>>>,
     next_waiter: Cell<u64>,
     wakeup: (Sender<()>, Receiver<()>),
-    /// The file is closed, for the process that takes over.
+    /// Whether the file is closed, or about to be, for the process that takes over.
     released: Cell<bool>,
     clock: Clock,
 }
 
-/// Opens the store, waiting a little for another process to release it.
+/// Opens the store, waiting up to [`LOCK_TIMEOUT`] for another process to release it.
 fn open_when_unlocked(path: &Path) -> Opened {
     let started_at = Instant::now();
     loop {
@@ -52,7 +53,7 @@
 }
 
 impl StoreWriter {
-    /// Opens the file and loads its records; blocking, before anything is served.
+    /// Opens the file and loads its records. This blocks, so it is called before the node serves.
     pub fn open(path: Option<PathBuf>, clock: Clock) -> (Rc<StoreWriter>, Vec<RestoredRecord>) {
         let mut buffer = WriteBuffer::new(WriteBufferConfig::default());
         let (mut store, mut restored) = (None, Vec::new());
@@ -83,12 +84,13 @@
         (Rc::new(writer), restored)
     }
 
-    /// The clock that the store's writes are timed by.
+    /// Returns the time in seconds on the clock by which the store's writes are timed.
     pub fn now(&self) -> f64 {
         self.clock.now()
     }
 
-    /// Another process has the file, or is about to: what must be on disk before it runs cannot run here.
+    /// Returns whether another process has the file open or is about to open it. A request that must be on
+    /// disk before it runs cannot run in this process then.
     pub fn is_released(&self) -> bool {
         self.released.get()
     }
@@ -101,7 +103,7 @@
         let _ = self.wakeup.0.try_send(());
     }
 
-    /// Buffers a record.
+    /// Buffers a record for the next commit.
     pub fn put(&self, kind: RecordKind, key: &[u8], value: &[u8]) {
         if self.is_open() {
             self.buffer.borrow_mut().put(self.clock.now(), unix_now(), (kind, key), value, None);
@@ -109,12 +111,13 @@
         }
     }
 
-    /// Buffers a record's removal.
+    /// Buffers the removal of a record for the next commit.
     pub fn remove(&self, kind: RecordKind, key: &[u8]) {
         self.buffer.borrow_mut().remove(self.clock.now(), kind, key);
     }
 
-    /// True once the record is on disk, or where nothing is persisted at all.
+    /// Buffers a record and waits for its commit. Returns true once the record is on disk, or if the node has
+    /// no store file.
     pub async fn put_and_wait(&self, kind: RecordKind, key: &[u8], value: &[u8]) -> bool {
         if !self.is_open() {
             return self.path.is_none();
@@ -128,30 +131,30 @@
         committed.recv().await.unwrap_or(false)
     }
 
-    /// What the store has done so far.
+    /// Returns the store's counters.
     pub fn counters(&self) -> StoreCounters {
         self.buffer.borrow().counters
     }
 
-    /// Removes the records that are past their retention.
+    /// Removes the records whose retention time is over.
     pub fn expire(&self) {
         self.buffer.borrow_mut().expire(self.clock.now(), unix_now());
         self.wake();
     }
 
-    /// Closes the file for another process, or opens it again.
-    pub fn release(&self, release: bool) {
-        self.released.set(release);
+    /// Closes the file for another process if `released` is true, or opens it again.
+    pub fn set_released(&self, released: bool) {
+        self.released.set(released);
         self.wake();
     }
 
-    /// Commits batches as they are due; runs until dropped.
+    /// Commits batches as they become due; runs until dropped.
     pub async fn run(self: Rc<Self>) {
         let Some(path) = self.path.clone() else { return };
         loop {
             if self.released.get() && self.is_open() {
                 self.flush().await;
-                // The last handle closes the file.
+                // Dropping the last handle closes the file.
                 let store = self.store.borrow_mut().take();
                 smol::unblock(move || drop(store)).await;
             }
@@ -167,7 +170,7 @@
         }
     }
 
-    /// Commits the batch that is due, if any; returns when the next is.
+    /// Commits the batch that is due, if any. Returns when the next one is due.
     async fn commit(&self) -> Option<f64> {
         let (batch, wake_at) = self.buffer.borrow_mut().poll_batch(self.clock.now());
         let Some(batch) = batch else { return wake_at };
@@ -192,7 +195,8 @@
         Some(self.clock.now())
     }
 
-    /// Writes what is buffered, before the process ends; gives up after a bounded number of tries.
+    /// Commits everything that is buffered, before the file is closed or the process ends. Stops after
+    /// [`FLUSH_ATTEMPTS`] commits.
     pub async fn flush(&self) {
         for _ in 0..FLUSH_ATTEMPTS {
             if !self.is_open() || self.buffer.borrow().is_clean() {
--- a/crates/nickelgw-node/src/server/accept.rs
+++ b/crates/nickelgw-node/src/server/accept.rs
@@ -1,4 +1,5 @@
-//! Client connections: accepted within limits, in TLS where set, disconnected when they stall.
+//! Accepts client connections within the limits, with TLS if it is configured, and disconnects stalled
+//! clients.
 
 use super::connection_monitor::ConnectionMonitor;
 use super::ChatServer;
@@ -20,27 +21,31 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// A connection that has carried no request is not closed before it is so old: its client's first request is on its way.
+/// Age in seconds below which a connection without a request is not closed, as its client's first request is
+/// on its way.
 const FIRST_REQUEST_GRACE_S: f64 = 0.5;
-/// Delay after a failed accept.
+/// Delay in seconds after a failed accept.
 const ACCEPT_RETRY_S: f64 = 0.01;
-/// Largest head of a request.
+/// Largest head of a request, in bytes.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// A connection over the limit stays open for so long after its response, and so many of them at once.
+/// Time in seconds for which a connection over the limit stays open after its response, and the largest
+/// number of connections that do so at the same time.
 const REJECT_LINGER_S: f64 = 1.0;
 const MAX_REJECTING: usize = 1024;
-/// What a connection over the limit gets.
+/// Response to a connection over the limit.
 const OVERLOADED_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
-/// Out of descriptors, or the peer closed while it waited: the next accept may succeed.
+/// Logs a failed accept and waits before the next, which may succeed: the process had no free file
+/// descriptor, or the peer closed its connection while it waited.
 async fn wait_after_failed_accept(error: &io::Error) {
     tracing::warn!(%error, "accept failed");
     Timer::after(seconds(ACCEPT_RETRY_S)).await;
 }
 
 impl ChatServer {
-    /// Accepts until dropped, or until the node stops listening, and then what the system has accepted already.
+    /// Accepts connections until dropped or until the node stops listening; then accepts those that wait in
+    /// the backlog.
     pub async fn accept(self: Rc<Self>, listener: Async<TcpListener>, executor: Rc<LocalExecutor<'static>>) {
         let stop_listening = self.listener.stop_listening.subscribe();
         loop {
@@ -51,21 +56,23 @@
             };
             match futures_lite::future::or(stopped, accepted).await {
                 None => return self.stop_listening(listener, &executor).await,
-                Some(Ok((stream, _))) => self.accepted(stream, &executor),
+                Some(Ok((stream, _))) => self.handle_accepted(stream, &executor),
                 Some(Err(error)) => wait_after_failed_accept(&error).await,
             }
         }
     }
 
-    /// Closes the listener. After a handover it stays open in the new process, which accepts what waits.
+    /// Closes the listener. After a handover it stays open in the new process, which accepts the waiting
+    /// connections.
     async fn stop_listening(
         self: &Rc<Self>,
         listener: Async<TcpListener>,
         executor: &LocalExecutor<'static>,
     ) {
         if !self.listener.handed_over.get() {
-            // The process does not exit while a connection is open, and so not before its listener is closed either.
-            let _not_before = self.listener.connection_opened();
+            // The process does not exit while a connection is open. Counting one here delays the exit until
+            // the listener is closed.
+            let _exit_guard = self.listener.connection_opened();
             close_listener(listener, async |listener: &TcpListener| {
                 self.accept_waiting(listener, executor).await
             })
@@ -73,22 +80,23 @@
         }
     }
 
-    /// Accepts until the backlog is empty.
+    /// Accepts connections until the backlog is empty.
     async fn accept_waiting(self: &Rc<Self>, listener: &TcpListener, executor: &LocalExecutor<'static>) {
         loop {
             match listener.accept().and_then(|(stream, _)| Async::new(stream)) {
-                Ok(stream) => self.accepted(stream, executor),
+                Ok(stream) => self.handle_accepted(stream, executor),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) => wait_after_failed_accept(&error).await,
             }
         }
     }
 
-    fn accepted(self: &Rc<Self>, stream: Async<TcpStream>, executor: &LocalExecutor<'static>) {
+    fn handle_accepted(self: &Rc<Self>, stream: Async<TcpStream>, executor: &LocalExecutor<'static>) {
         let limits = &self.submitter.limits;
         let _ = stream.get_ref().set_nodelay(true);
         if limits.send_buffer > 0 {
-            // Else the system buffers megabytes for a client that reads nothing, and the engine is not slowed.
+            // Otherwise the system buffers megabytes for a client that reads nothing, and the engine is not
+            // slowed down.
             let _ = socket2::SockRef::from(stream.get_ref()).set_send_buffer_size(limits.send_buffer);
         }
         if self.listener.connections.get() >= limits.max_connections {
@@ -97,11 +105,11 @@
         executor.spawn(self.clone().serve_connection(stream)).detach();
     }
 
-    /// Answers a connection over the limit, and reads what its client still sends.
+    /// Responds to a connection over the limit, then reads and discards what its client still sends.
     async fn reject_connection(self: Rc<Self>, stream: Async<TcpStream>) {
         let _ = stream.get_ref().write(OVERLOADED_RESPONSE);
         if self.listener.rejecting.get() < MAX_REJECTING {
-            let _guard = self.listener.rejection_begun();
+            let _guard = self.listener.rejection_started();
             let max_bytes = self.submitter.limits.max_body_bytes + MAX_HEAD_BYTES;
             close_lingering(&stream, REJECT_LINGER_S, max_bytes).await;
         }
@@ -134,12 +142,13 @@
         futures_lite::future::or(serving, stalled).await;
     }
 
-    /// The configuration of a new connection's handshake; `None`: the port is plain.
+    /// Returns the TLS configuration for a new connection; `None` if the port is plain.
     fn tls_config(&self) -> Option<Arc<ServerConfig>> {
         self.tls.as_ref()?.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).config()
     }
 
-    /// Serves requests one after the other; once idle connections are to close, no further one.
+    /// Serves the requests of a connection one after the other, and no further one once idle connections are
+    /// to be closed.
     async fn serve_http(
         self: Rc<Self>,
         stream: impl AsyncRead + AsyncWrite + Unpin,
@@ -160,7 +169,8 @@
         let close_idle = self.listener.close_idle.subscribe();
         let close_requested = async {
             let _ = close_idle.recv().await;
-            // hyper's graceful shutdown closes a connection that has read nothing at once, and its first request is lost.
+            // hyper's graceful shutdown immediately closes a connection on which nothing was read, and its first
+            // request is lost.
             if !has_carried_request.get() {
                 Timer::at(opened_at + seconds(FIRST_REQUEST_GRACE_S)).await;
             }
@@ -173,7 +183,7 @@
             ended = Some(connection.await);
         }
         if let Some(Err(error)) = ended {
-            tracing::debug!(%error, "connection ended");
+            tracing::debug!(%error, "HTTP connection of a client failed");
         }
     }
 }
--- a/crates/nickelgw-node/src/server/chat.rs
+++ b/crates/nickelgw-node/src/server/chat.rs
@@ -1,4 +1,5 @@
-//! `POST /v1/chat/completions`: reads, parses and admits a request, and picks how it is run.
+//! `POST /v1/chat/completions`: reads, parses and admits a request, then submits it, shares a response or
+//! defers it.
 
 use super::connection_monitor::ConnectionMonitor;
 use super::{bearer_token, ChatServer};
@@ -18,7 +19,7 @@
 
 const TIMEOUT_HEADER: &str = "x-request-timeout-ms";
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
-/// A client's own count of its retries: OpenAI's libraries send the first.
+/// Headers with a client's own count of its retries. OpenAI's libraries send the first.
 const RETRY_COUNT_HEADERS: [&str; 2] = ["x-stainless-retry-count", "x-retry-count"];
 
 fn header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
@@ -72,10 +73,14 @@
             body_digest: *blake3::hash(&body).as_bytes(),
             retry_count: retry_count(headers),
         };
-        self.run(request, header(headers, IDEMPOTENCY_KEY_HEADER)).await
+        self.run_request(request, header(headers, IDEMPOTENCY_KEY_HEADER)).await
     }
 
-    async fn run(&self, request: PreparedRequest, key: Option<&str>) -> Result<HttpResponse, ApiError> {
+    async fn run_request(
+        &self,
+        request: PreparedRequest,
+        key: Option<&str>,
+    ) -> Result<HttpResponse, ApiError> {
         match key {
             None => {
                 self.submitter.check_retry_budget(&request)?;
--- a/crates/nickelgw-node/src/server/connection_monitor.rs
+++ b/crates/nickelgw-node/src/server/connection_monitor.rs
@@ -1,5 +1,5 @@
-//! Observes a client's connection: when what was read of it had arrived, and whether the client reads nothing of its response,
-//! in which case what is buffered for it would be held for ever.
+//! Observes a client's connection: when the bytes read from it had arrived, and whether the client has
+//! stopped reading its response, in which case the data buffered for it would be held forever.
 
 use crate::arrival::ArrivalTimes;
 use crate::clock::seconds;
@@ -12,39 +12,40 @@
 use std::task::{Context, Poll};
 use std::time::Instant;
 
-/// Part of the stall timeout after which it is checked, and the shortest such interval.
-const CHECK_SHARE: f64 = 0.25;
-const MIN_CHECK_S: f64 = 0.01;
+/// Interval of the checks for a stalled client, as a fraction of the stall timeout, and its lower limit in
+/// seconds.
+const CHECK_INTERVAL_FRACTION: f64 = 0.25;
+const MIN_CHECK_INTERVAL_S: f64 = 0.01;
 
-/// What is observed of one connection.
+/// Observations of one connection.
 #[derive(Clone)]
 pub(super) struct ConnectionMonitor {
-    /// Since when writes are blocked.
+    /// Time since which writes have been blocked; `None` if they are not.
     blocked_since: Rc<Cell<Option<Instant>>>,
     arrivals: Rc<RefCell<ArrivalTimes>>,
 }
 
 impl ConnectionMonitor {
-    /// Of a connection on which nothing had arrived by `empty_at`.
+    /// Creates the monitor of a connection on which nothing had arrived by `empty_at`.
     pub fn new(empty_at: Instant) -> ConnectionMonitor {
         let arrivals = Rc::new(RefCell::new(ArrivalTimes::new(empty_at)));
         ConnectionMonitor { blocked_since: Rc::default(), arrivals }
     }
 
-    /// When the last byte that was read had arrived at this machine.
+    /// Returns when the last byte that was read had arrived at this machine.
     pub fn last_arrival(&self) -> Instant {
         self.arrivals.borrow_mut().arrival_before(0)
     }
 
-    /// The connection, with its reads and writes observed.
+    /// Wraps the connection so that its reads and writes are observed.
     pub fn watch<S>(&self, inner: S) -> WatchedStream<S> {
         WatchedStream { inner, monitor: self.clone() }
     }
 
-    /// Ends once writes have been blocked for so long.
+    /// Completes once writes have been blocked for `timeout_s` seconds.
     pub async fn stalled_for(&self, timeout_s: f64) {
         loop {
-            Timer::after(seconds((timeout_s * CHECK_SHARE).max(MIN_CHECK_S))).await;
+            Timer::after(seconds((timeout_s * CHECK_INTERVAL_FRACTION).max(MIN_CHECK_INTERVAL_S))).await;
             let blocked_since = self.blocked_since.get();
             if blocked_since.is_some_and(|since| since.elapsed() >= seconds(timeout_s)) {
                 return;
@@ -52,7 +53,7 @@
         }
     }
 
-    fn observe<T>(&self, write: &Poll<T>) {
+    fn observe_write<T>(&self, write: &Poll<T>) {
         let blocked_since = match write {
             Poll::Pending => self.blocked_since.get().or(Some(Instant::now())),
             Poll::Ready(_) => None,
@@ -61,7 +62,7 @@
     }
 }
 
-/// A client's connection that is observed.
+/// A client's connection whose reads and writes are observed.
 pub(super) struct WatchedStream<S> {
     inner: S,
     monitor: ConnectionMonitor,
@@ -88,7 +89,7 @@
 impl<S: AsyncWrite + Unpin> AsyncWrite for WatchedStream<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let write = Pin::new(&mut self.inner).poll_write(cx, bytes);
-        self.monitor.observe(&write);
+        self.monitor.observe_write(&write);
         write
     }
 
--- a/crates/nickelgw-node/src/server/mod.rs
+++ b/crates/nickelgw-node/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! The chat port: accepts connections, routes requests, writes responses as they come.
+//! The chat port: accepts connections, routes requests, and forwards responses while they are produced.
 
 mod accept;
 mod chat;
@@ -21,27 +21,27 @@
 
 const REQUEST_ID_HEADER: HeaderName = HeaderName::from_static(nickelgw_protocol::REQUEST_ID_HEADER);
 const MODELS_PATH: &str = "/v1/models/";
-/// Longest request id that is taken over from a client.
+/// Longest request id that is accepted from a client.
 const MAX_REQUEST_ID_BYTES: usize = 64;
-/// Part of an unknown path that is repeated in the error.
+/// Number of characters of an unknown path that the error message repeats.
 const MAX_ECHOED_PATH_CHARS: usize = 64;
 
 /// Serves the chat API.
 pub struct ChatServer {
-    /// The way to the event loop.
+    /// Submits requests to the event loop.
     pub submitter: Rc<RequestSubmitter>,
-    /// Requests with an idempotency key.
+    /// Serves requests with an idempotency key.
     pub responses: Rc<ResponseSharing>,
-    /// Deferred requests, where they are on.
+    /// Serves deferred requests; `None` if they are off.
     pub deferred: Option<Rc<DeferredService>>,
-    /// Health and connections.
+    /// Health of the node, and its client connections.
     pub listener: Rc<ListenerState>,
-    /// `None`: the port is plain.
+    /// TLS of the port; `None` if it is plain.
     pub tls: Option<Arc<Mutex<nickelgw_tls::Server>>>,
-    /// The node's name, in the request ids that it makes.
+    /// Name of the node, used in the request ids that it generates.
     pub node: String,
-    /// Request ids made so far.
-    pub ids_made: Cell<u64>,
+    /// Number of request ids generated so far.
+    pub generated_ids: Cell<u64>,
 }
 
 fn bearer_token(headers: &HeaderMap) -> Option<&str> {
@@ -64,14 +64,14 @@
 }
 
 impl ChatServer {
-    /// The client's request id where it is valid, else a new one.
+    /// Returns the client's request id if it is valid, or else a new one.
     fn request_id(&self, headers: &HeaderMap) -> Rc<str> {
         let id = headers.get(REQUEST_ID_HEADER).and_then(|value| value.to_str().ok());
         match id.filter(|id| is_valid_request_id(id)) {
             Some(id) => id.into(),
             None => {
-                self.ids_made.set(self.ids_made.get() + 1);
-                format!("{}-{:x}-{}", self.node, std::process::id(), self.ids_made.get()).into()
+                self.generated_ids.set(self.generated_ids.get() + 1);
+                format!("{}-{:x}-{}", self.node, std::process::id(), self.generated_ids.get()).into()
             }
         }
     }
@@ -145,7 +145,8 @@
         }
     }
 
-    /// Not healthy before there is an endpoint list: a load balancer does better to wait.
+    /// Reports the node's health. Without an endpoint list the node is not healthy: a load balancer does
+    /// better to wait.
     fn serve_health(&self) -> HttpResponse {
         let listener = &self.listener;
         if !listener.healthy.get() {
--- a/crates/nickelgw-node/src/submission.rs
+++ b/crates/nickelgw-node/src/submission.rs
@@ -1,4 +1,4 @@
-//! Hands requests to the event loop and waits for their replies.
+//! Submits requests to the event loop and waits for their replies.
 
 use crate::clock::Clock;
 use crate::events::{Event, TimedEvent};
@@ -19,7 +19,7 @@
 
 /// A request that has passed admission.
 pub struct PreparedRequest {
-    /// What the core decides on.
+    /// The request as the core decides on it.
     pub admitted: AdmittedRequest,
     /// The request id, as in the `x-request-id` header.
     pub id: Rc<str>,
@@ -27,20 +27,21 @@
     pub chat: Rc<ChatRequest>,
     /// When the request's head was read.
     pub received_at: Instant,
-    /// Digest of the body, by which repeats are known.
+    /// Digest of the body, by which repeated requests are recognized.
     pub body_digest: [u8; 32],
-    /// The client's own count of its retries, where it sends one.
+    /// Number of retries as counted by the client; `None` if the client does not send it.
     pub retry_count: Option<u32>,
 }
 
-/// Dropped before the response is whole, it reports that the client has disconnected.
+/// Reports that the client has disconnected if it is dropped before the response is complete.
 pub struct DisconnectGuard {
+    /// The request; `None` if dropping the guard is to report nothing.
     request: Option<RequestId>,
     disconnects: Sender<RequestId>,
 }
 
 impl DisconnectGuard {
-    /// The response is whole: dropping the guard reports nothing.
+    /// Marks the response as complete: dropping the guard reports nothing from now on.
     pub fn disarm(&mut self) {
         self.request = None;
     }
@@ -54,16 +55,16 @@
     }
 }
 
-/// A reply, and the guard of the client that it is for.
+/// A reply, and the disconnect guard of its client.
 pub struct GuardedReply {
     /// The reply, or the beginning of it.
     pub reply: Reply,
-    /// To be disarmed once the response is whole.
+    /// Guard to be disarmed once the response is complete.
     pub guard: DisconnectGuard,
 }
 
 impl GuardedReply {
-    /// The HTTP response to a client that nobody shares it with.
+    /// Builds the HTTP response of a reply that is not shared between clients.
     pub fn into_response(mut self) -> Result<HttpResponse, ApiError> {
         match self.reply {
             Reply::Stream(events) => {
@@ -81,7 +82,7 @@
     }
 }
 
-/// A client's event stream; its guard is disarmed at the stream's end.
+/// A client's event stream, which disarms its guard at the end.
 struct GuardedStream {
     events: Pin<Box<Receiver<Bytes>>>,
     guard: DisconnectGuard,
@@ -99,26 +100,26 @@
     }
 }
 
-/// The way from the client connections to the event loop.
+/// Submits the requests of client connections to the event loop.
 pub struct RequestSubmitter {
-    /// Who may send what.
+    /// Admission rules: which tenant may send what.
     pub admission: Rc<Admission>,
     /// Limits of the node's sockets.
     pub limits: Rc<Limits>,
     /// The event loop's queue.
     pub events: Sender<TimedEvent>,
-    /// Takes requests whose client has disconnected.
+    /// Sends the event loop the ids of requests whose client has disconnected.
     pub disconnects: Sender<RequestId>,
-    /// Requests that wait in the event loop's queue.
+    /// Number of requests that wait in the event loop's queue.
     pub queued: Rc<Cell<usize>>,
     /// The node's clock.
     pub clock: Clock,
-    /// Limits clients' retries.
+    /// Limits the retries of clients.
     pub retry_budget: RefCell<RetryBudget>,
 }
 
 impl RequestSubmitter {
-    /// Rejects a retry that is over the retry budget.
+    /// Rejects a retry that exceeds the retry budget.
     pub fn check_retry_budget(&self, request: &PreparedRequest) -> Result<(), ApiError> {
         let mut digest = [0; 16];
         digest.copy_from_slice(&request.body_digest[..16]);
@@ -127,10 +128,10 @@
         let mut budget = self.retry_budget.borrow_mut();
         match budget.admit(self.clock.now(), tenant, route, request.retry_count, digest) {
             RetryVerdict::FirstAttempt | RetryVerdict::Retry => Ok(()),
-            RetryVerdict::Rejected { retry_after_s: come_back_s } => {
+            RetryVerdict::Rejected { retry_after_s } => {
                 let message = "too many retries of late; come back later";
                 Err(ApiError::new(429, "rate_limit_error", "retry_budget", message)
-                    .with_retry_after(come_back_s))
+                    .with_retry_after(retry_after_s))
             }
         }
     }
@@ -139,7 +140,7 @@
         RejectReason::QueueFull.error(self.limits.retry_after_s)
     }
 
-    /// Submits the request and waits for its reply, or the beginning of it.
+    /// Submits the request and waits for its reply, or for the beginning of a streamed reply.
     pub async fn submit(&self, request: PreparedRequest) -> Result<GuardedReply, ApiError> {
         if self.queued.get() >= self.limits.max_queued {
             return Err(self.queue_full());
@@ -160,7 +161,8 @@
             self.queued.set(self.queued.get() - 1);
             return Err(self.queue_full());
         }
-        // From here on the client may disconnect: dropping this future drops the guard, which tells the core.
+        // If the client disconnects from here on, this future is dropped and with it the guard, which informs
+        // the core.
         let mut guard = DisconnectGuard { request: None, disconnects: self.disconnects.clone() };
         guard.request = accepted_id.recv().await.ok();
         let stopped = |_| ApiError::new(500, "server_error", "node_stopping", "the node is stopping");
--- a/crates/nickelgw-node/src/tls_reload.rs
+++ b/crates/nickelgw-node/src/tls_reload.rs
@@ -4,7 +4,8 @@
 use nickelgw_tls::TlsEvent;
 use std::sync::{Arc, Mutex};
 
-/// Reloads on a thread that may block, and logs and returns what has changed. `side`: whose files, for the log.
+/// Reloads the files on a thread that may block, then logs and returns what has changed. `side` says in the
+/// log which connections the files are for.
 pub(crate) async fn reload<T: Send + 'static>(
     side: &str,
     files: Arc<Mutex<T>>,
@@ -29,6 +30,6 @@
         TlsEvent::Refused(reason) => {
             tracing::warn!(side, why = %reason, "TLS configuration rejected; keeping the previous one")
         }
-        TlsEvent::Notice(notice) => tracing::warn!(side, ?notice, "certificate"),
+        TlsEvent::Notice(notice) => tracing::warn!(side, ?notice, "certificate notice"),
     }
 }
