--- a/crates/nickelgw-node/src/gossip.rs
+++ b/crates/nickelgw-node/src/gossip.rs
@@ -1,4 +1,5 @@
-//! Runs the gossip protocol for the core: records of other nodes in, this node's record out, a round at a time.
+//! Runs the gossip protocol for the core. In each round the core receives the records of other nodes and
+//! returns what this node publishes in its own record.
 
 use crate::clock::{seconds, Clock};
 use crate::events::{Event, TimedEvent};
@@ -10,50 +11,52 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// How a node takes part in a fleet.
+/// Options of a node's gossip with the other nodes of its fleet.
 pub struct GossipOptions {
-    /// The protocol's state, with this node's own record.
+    /// State of the protocol, including this node's own record.
     pub gossip: Gossip,
-    /// How zones fail over.
+    /// Configuration of zone failover.
     pub zones: ZoneConfig,
-    /// Where datagrams come in.
-    pub sockets: GossipSockets,
+    /// UDP socket that sends and receives the gossip datagrams.
+    pub socket: GossipSocket,
 }
 
-/// The UDP socket of the gossip.
-pub struct GossipSockets {
-    /// Bound already, or bound later: the process before may hold the address still.
-    pub socket: Option<std::net::UdpSocket>,
-    /// Address to bind.
-    pub listen: String,
+/// UDP socket of the gossip protocol, bound already or still to be bound.
+pub struct GossipSocket {
+    /// The bound socket; `None` if the node has to bind it, which fails while the previous process still
+    /// holds the address.
+    pub bound: Option<std::net::UdpSocket>,
+    /// Address to bind if `bound` is `None`.
+    pub address: String,
 }
 
 /// Delay before a failed bind is retried.
 const BIND_RETRY_S: f64 = 0.1;
-/// Part of a round that passes at least before the next, whatever other nodes report meanwhile.
-const MIN_ROUND_SHARE: f64 = 0.25;
+/// Fraction of a round that passes before the next one even if other nodes report something urgent.
+const MIN_ROUND_FRACTION: f64 = 0.25;
 
-/// Carries gossip between the sockets and the event loop.
+/// Exchanges gossip records between the socket and the event loop.
 pub struct GossipTask {
-    /// The protocol's state.
+    /// State of the protocol.
     pub gossip: Rc<RefCell<Gossip>>,
     /// The event loop's queue.
     pub events: Sender<TimedEvent>,
     /// The node's clock.
     pub clock: Clock,
-    /// Closed when the node stops listening: from then on its successor publishes.
+    /// Closed when the node stops listening; from then on its successor publishes.
     pub stop: Receiver<()>,
-    /// A failure was observed here or by another node; the next round does not wait for it.
+    /// Signals that this node or another one has observed a failure, so that the next round begins early.
     pub urgent: (Sender<()>, Receiver<()>),
-    /// Set each round: no zone is evacuated or recovering.
+    /// Whether no zone is evacuated or recovering; updated in each round.
     pub all_zones_active: Rc<Cell<bool>>,
 }
 
-/// The socket, once its address is free; `None`: it cannot be used.
-async fn bind(sockets: GossipSockets) -> Option<UdpSocket> {
-    let mut socket = sockets.socket;
+/// Binds the socket, retrying until its address is free. Returns `None` if the socket cannot be used
+/// asynchronously.
+async fn bind(options: GossipSocket) -> Option<UdpSocket> {
+    let mut socket = options.bound;
     while socket.is_none() {
-        socket = std::net::UdpSocket::bind(&sockets.listen).ok();
+        socket = std::net::UdpSocket::bind(&options.address).ok();
         if socket.is_none() {
             Timer::after(seconds(BIND_RETRY_S)).await;
         }
@@ -62,9 +65,9 @@
 }
 
 impl GossipTask {
-    /// Runs until dropped, or until the node stops listening.
-    pub async fn run(self, sockets: GossipSockets) {
-        let Some(socket) = bind(sockets).await else { return };
+    /// Runs until dropped or until the node stops listening.
+    pub async fn run(self, socket: GossipSocket) {
+        let Some(socket) = bind(socket).await else { return };
         let (send_now, send_requested) = bounded(1);
         let exchange = nickelgw_gossip::run(
             socket,
@@ -100,11 +103,12 @@
         }
     }
 
-    /// Urgent observations of other nodes end the wait early, but not at every datagram.
+    /// Waits until the round is over. Urgent observations end the wait early, but not before
+    /// [`MIN_ROUND_FRACTION`] of the round, so that not every datagram starts a round.
     async fn wait_for_next_round(&self, round_s: f64) {
-        Timer::after(seconds(round_s * MIN_ROUND_SHARE)).await;
+        Timer::after(seconds(round_s * MIN_ROUND_FRACTION)).await;
         let round_ended = async {
-            Timer::after(seconds(round_s * (1.0 - MIN_ROUND_SHARE))).await;
+            Timer::after(seconds(round_s * (1.0 - MIN_ROUND_FRACTION))).await;
         };
         let urgent = async {
             let _ = self.urgent.1.recv().await;
