--- a/crates/nickelgw-cli/tests/platform_soak/clients.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/clients.rs
@@ -1,5 +1,5 @@
-//! A node's clients: they send requests all the time, on connections that they keep, and go on using the open ones while the
-//! node shuts down. Some nodes have a crowd besides: idle clients that fill its descriptors, and slow ones.
+//! A node's clients: they send requests continuously on kept-alive connections, and continue to use open connections while
+//! the node shuts down. Some nodes also have a crowd: idle clients that use up the node's file descriptors, and slow clients.
 
 use crate::member::Member;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -15,35 +15,38 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Deadline of a request.
+/// Time from the sending of a request to its deadline.
 const TIMEOUT: Duration = Duration::from_millis(2000);
-/// Gap between the requests of a node's clients, in the mean.
-const GAP: Duration = Duration::from_millis(60);
-/// One client in so many connects up to this long before its first request.
-const CLIENTS_PER_EARLY_ONE: u32 = 8;
+/// Mean time between the requests of a node's clients.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(60);
+/// One request in this number is sent on a connection that its client opened up to `MAX_FIRST_DELAY` before.
+const REQUESTS_PER_EARLY_CONNECT: u32 = 8;
+/// Longest time between a client's connect and its first request.
 const MAX_FIRST_DELAY: Duration = Duration::from_millis(300);
-/// Clients that connect while a node shuts down, in the second half of the time in which new connections come.
+/// Number of clients that connect while a node shuts down, in the second half of the time in which new connections are opened.
 const SHUTDOWN_CLIENTS: usize = 8;
-/// Clients of a crowd that connect and send nothing, and that send a request byte by byte.
+/// Number of clients of a crowd that connect and send nothing.
 const IDLE_CLIENTS: usize = 150;
+/// Number of clients of a crowd that send a request byte by byte.
 const SLOW_CLIENTS: usize = 10;
-/// Gap between the bytes of a slow client.
-const SLOW_BYTE_GAP: Duration = Duration::from_millis(200);
-/// Gap after which a client of a crowd connects again.
-const RECONNECT_GAP: Duration = Duration::from_millis(50);
+/// Time between the bytes of a slow client.
+const SLOW_BYTE_INTERVAL: Duration = Duration::from_millis(200);
+/// Time after which a client of a crowd connects again.
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// A request that ended without an answer, where that is allowed if the node never read it.
+/// A request that ended without an answer in a way that is allowed only if the node never read the request.
 pub struct UnreadRequest {
-    /// The request.
+    /// ID of the request.
     pub id: String,
-    /// When it was sent, and when it ended.
+    /// When the request was sent.
     pub sent_at: Instant,
+    /// When the request ended.
     pub ended_at: Instant,
     pub outcome: Outcome,
 }
 
-/// Whether a node may end a request so if it has not read it: on a connection that was used before, since its client sends it
-/// again, and at a crowded node on a new one as well. No node may leave a client waiting.
+/// Whether a node that has not read a request may end it with this outcome. It may close a reused connection, since the client
+/// then sends the request again; a crowded node may also close a new connection. No node may let a client time out.
 pub(crate) fn may_be_unread(is_new_connection: bool, is_crowded: bool, outcome: &Outcome) -> bool {
     (!is_new_connection || is_crowded) && *outcome == Outcome::ConnectionClosed
 }
@@ -55,7 +58,7 @@
     pub delay: Duration,
 }
 
-/// The clients of this seed; `accepts_for` after the request to shut down new connections cease.
+/// Returns the clients for this seed. `accepts_for` is the time after the shutdown signal in which clients open connections.
 pub(crate) fn shutdown_clients(seed: u64, accepts_for: Duration) -> Vec<ShutdownClient> {
     let mut random = WyRand::new_seed(seed);
     let mut client = || ShutdownClient {
@@ -65,61 +68,62 @@
     (0..SHUTDOWN_CLIENTS).map(|_| client()).collect()
 }
 
-/// Tries of requests, and what became of second ones.
+/// Counts of the sends of clients: first sends and retries.
 #[derive(Clone, Default)]
-pub struct TryCounts {
-    /// First tries.
+pub struct SendCounts {
+    /// Number of first sends.
     pub first: usize,
-    /// Second tries by their outcome: of requests that crossed the close of a connection.
-    pub second: BTreeMap<String, usize>,
+    /// Number of retries by outcome. A client retries once if the node closed a reused connection while it was sending.
+    pub retries: BTreeMap<String, usize>,
 }
 
-impl TryCounts {
-    /// Adds the tries of another node's clients.
-    pub fn add(&mut self, other: &TryCounts) {
+impl SendCounts {
+    /// Adds the sends of another node's clients.
+    pub fn add(&mut self, other: &SendCounts) {
         self.first += other.first;
-        for (outcome, count) in &other.second {
-            *self.second.entry(outcome.clone()).or_default() += count;
+        for (outcome, count) in &other.retries {
+            *self.retries.entry(outcome.clone()).or_default() += count;
         }
     }
 }
 
-/// What all clients of a node share.
+/// State shared by all clients of a node.
 pub struct Clients {
     pub member: Arc<Member>,
     pub table: Arc<RequestTable>,
-    /// The node has a crowd besides.
+    /// Whether the node also has a crowd.
     pub is_crowded: bool,
-    /// Connections that can carry a further request.
+    /// Open connections that can carry another request.
     idle: Mutex<Vec<TcpStream>>,
-    /// Requests on connections that the node closed, which it must not have read.
+    /// Requests without an answer that the node must not have read.
     pub unread: Mutex<Vec<UnreadRequest>>,
-    pub tries: Mutex<TryCounts>,
-    /// Requests of clients that connected while the node shut down, so far.
+    pub sends: Mutex<SendCounts>,
+    /// Number of requests so far of clients that connected while the node was shutting down.
     shutdown_requests: AtomicUsize,
 }
 
-/// A connection.
+/// A client's connection to the node.
 struct ClientConnection {
     stream: TcpStream,
-    /// When its client began to open it, where it has carried no request yet. A kill that ended after that may have cut it.
+    /// When the client began to open the connection. `None` if it has carried a request already. A kill that ended after this
+    /// time may have closed the connection.
     opened_at: Option<Instant>,
 }
 
 impl Clients {
     pub fn new(member: Arc<Member>, table: Arc<RequestTable>, is_crowded: bool) -> Arc<Clients> {
-        let (idle, unread, tries) = (Mutex::default(), Mutex::default(), Mutex::default());
+        let (idle, unread, sends) = (Mutex::default(), Mutex::default(), Mutex::default());
         let shutdown_requests = AtomicUsize::new(0);
-        Arc::new(Clients { member, table, is_crowded, idle, unread, tries, shutdown_requests })
+        Arc::new(Clients { member, table, is_crowded, idle, unread, sends, shutdown_requests })
     }
 
-    /// Sends requests until told to stop; returns their outcomes.
+    /// Sends requests while `running` is set. Returns their outcomes.
     pub fn send_requests(self: &Arc<Self>, node: usize, seed: u64, running: &AtomicBool) -> Vec<Outcome> {
         let mut random = WyRand::new_seed(seed ^ ((node as u64 + 1) << 32));
-        let mut open = Vec::new();
+        let mut pending = Vec::new();
         let mut number = 0;
         while running.load(Relaxed) {
-            sleep(GAP.mul_f64(0.5 + random.generate::<f64>()));
+            sleep(REQUEST_INTERVAL.mul_f64(0.5 + random.generate::<f64>()));
             number += 1;
             let at_most_once = random.generate_range(0..4u32) == 0;
             let disconnects = random.generate_range(0..8u32) == 0;
@@ -131,26 +135,26 @@
                 disconnect_after: disconnects
                     .then(|| Duration::from_millis(random.generate_range(0..600u64))),
             };
-            let connects_early = random.generate_range(0..CLIENTS_PER_EARLY_ONE) == 0;
+            let connects_early = random.generate_range(0..REQUESTS_PER_EARLY_CONNECT) == 0;
             let delay = connects_early.then(|| MAX_FIRST_DELAY.mul_f64(random.generate()));
             let clients = self.clone();
-            open.push(smol::spawn(async move { clients.send_after(request, delay).await }));
+            pending.push(smol::spawn(async move { clients.send_after(request, delay).await }));
         }
-        open.into_iter().filter_map(smol::block_on).collect()
+        pending.into_iter().filter_map(smol::block_on).collect()
     }
 
-    /// Sends a request on a connection that may be new; some clients open one before they have a request.
+    /// Sends a request. With a delay, the client opens a new connection and sends the request on it after the delay.
     async fn send_after(&self, request: ClientRequest, delay: Option<Duration>) -> Option<Outcome> {
-        if let (Some(delay), true) = (delay, self.member.takes_connections()) {
+        if let (Some(delay), true) = (delay, self.member.accepts_connections()) {
             let connection = self.connect(&request).await?;
             Timer::after(delay).await;
-            lock(&self.tries).first += 1;
+            lock(&self.sends).first += 1;
             return Some(self.exchange(connection, &request).await);
         }
         self.send(request).await
     }
 
-    /// Starts clients that connect while the node shuts down and send their first request some time later.
+    /// Starts clients that connect while the node shuts down and send their first request after a delay.
     pub fn start_shutdown_clients(self: &Arc<Self>, seed: u64, accepts_for: Duration) {
         for ShutdownClient { connects_after, delay } in shutdown_clients(seed, accepts_for) {
             let number = self.shutdown_requests.fetch_add(1, Relaxed);
@@ -170,30 +174,34 @@
         }
     }
 
-    /// Sends a request, and once more if it crossed the close of a connection. None: the node takes no new connections.
+    /// Sends a request, and once more if the node closed a reused connection meanwhile. Returns `None` if the node accepts no new
+    /// connections.
     async fn send(&self, mut request: ClientRequest) -> Option<Outcome> {
         let first = self.connection(&request).await?;
-        lock(&self.tries).first += 1;
-        let was_used = first.opened_at.is_none();
+        lock(&self.sends).first += 1;
+        let is_reused = first.opened_at.is_none();
         let outcome = self.exchange(first, &request).await;
-        if outcome != Outcome::ConnectionClosed || !was_used || !self.member.takes_connections() {
+        if outcome != Outcome::ConnectionClosed || !is_reused || !self.member.accepts_connections() {
             return Some(outcome);
         }
         request.id.push('r');
-        let second = match self.connect(&request).await {
+        let retried = match self.connect(&request).await {
             Some(connection) => self.exchange(connection, &request).await,
             None => Outcome::ConnectionRefused,
         };
-        *lock(&self.tries).second.entry(format!("{second:?}")).or_default() += 1;
-        Some(second)
+        *lock(&self.sends).retries.entry(format!("{retried:?}")).or_default() += 1;
+        Some(retried)
     }
 
-    /// A new connection. That a node which takes connections refuses one is a finding.
+    /// Opens a new connection. It is a violation if a node that should accept connections refuses one.
     async fn connect(&self, request: &ClientRequest) -> Option<ClientConnection> {
         let opened_at = Some(Instant::now());
         let connected = TcpStream::connect(self.member.address).await;
-        if let (Err(error), true) = (&connected, self.member.takes_connections()) {
-            self.table.no_final_answer(&request.id, format!("{error}, at a node that takes connections"));
+        if let (Err(error), true) = (&connected, self.member.accepts_connections()) {
+            self.table.no_final_answer(
+                &request.id,
+                format!("connect failed at a node that accepts connections: {error}"),
+            );
         }
         connected.ok().map(|stream| ClientConnection { stream, opened_at })
     }
@@ -202,7 +210,7 @@
         if let Some(stream) = lock(&self.idle).pop() {
             return Some(ClientConnection { stream, opened_at: None });
         }
-        if !self.member.takes_connections() {
+        if !self.member.accepts_connections() {
             return None;
         }
         self.connect(request).await
@@ -218,7 +226,7 @@
         outcome
     }
 
-    /// Reports what the page does not allow.
+    /// Reports an outcome that the platform's rules do not allow.
     fn judge(
         &self,
         request: &ClientRequest,
@@ -232,17 +240,17 @@
                 false
             }
             Outcome::ConnectionClosed | Outcome::TimedOut => true,
-            // A stream that breaks is an engine's fault, unless its node was killed under it.
-            Outcome::StreamBroken => self.member.cut_late(sent_at),
+            // A broken stream is caused by an engine's fault, unless the node was killed while it was open.
+            Outcome::StreamBroken => self.member.was_cut_without_excuse(sent_at),
             Outcome::Completed | Outcome::Status(_) => false,
             Outcome::ConnectionRefused | Outcome::Disconnected => false,
         };
-        // A kill ends a connection that waits for its first request as well.
+        // A kill also closes a connection that waits for its first request.
         if !is_lost || self.member.excuses(opened_at.unwrap_or(sent_at)) {
             return;
         }
         if may_be_unread(opened_at.is_some(), self.is_crowded, outcome) {
-            // Allowed if the node has not read it, which its log tells.
+            // Allowed if the node has not read the request; its log shows that at the end of the run.
             let (id, ended_at, outcome) = (request.id.clone(), Instant::now(), outcome.clone());
             let unread = UnreadRequest { id, sent_at, ended_at, outcome };
             lock(&self.unread).push(unread);
@@ -252,7 +260,7 @@
         }
     }
 
-    /// Starts idle and slow clients that come again for as long as the flag is set.
+    /// Starts idle and slow clients, which reconnect while `running` is set.
     pub fn start_crowd(&self, running: &Arc<AtomicBool>) {
         for client in 0..IDLE_CLIENTS + SLOW_CLIENTS {
             let (member, running) = (self.member.clone(), running.clone());
@@ -260,9 +268,9 @@
             smol::spawn(async move {
                 while running.load(Relaxed) {
                     if let Ok(stream) = TcpStream::connect(member.address).await {
-                        bother(stream, is_slow, &running).await;
+                        occupy(stream, is_slow, &running).await;
                     }
-                    Timer::after(RECONNECT_GAP).await;
+                    Timer::after(RECONNECT_DELAY).await;
                 }
             })
             .detach();
@@ -270,8 +278,8 @@
     }
 }
 
-/// Holds a connection until the node closes it; a slow client sends a head that never ends.
-async fn bother(mut stream: TcpStream, is_slow: bool, running: &AtomicBool) {
+/// Occupies a connection until the node closes it. A slow client sends a request head that never ends.
+async fn occupy(mut stream: TcpStream, is_slow: bool, running: &AtomicBool) {
     let mut bytes = b"POST /v1/chat/completions HTTP/1.1\r\nX-Slow: ".iter().chain(std::iter::repeat(&b'x'));
     while running.load(Relaxed) {
         if is_slow {
@@ -283,7 +291,7 @@
         let mut answer = [0; 64];
         let ended = async { stream.read(&mut answer).await.unwrap_or(0) == 0 };
         let pause = async {
-            Timer::after(SLOW_BYTE_GAP).await;
+            Timer::after(SLOW_BYTE_INTERVAL).await;
             false
         };
         if futures_lite::future::or(ended, pause).await {
--- a/crates/nickelgw-cli/tests/platform_soak/faults.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/faults.rs
@@ -1,4 +1,4 @@
-//! Random faults that overlap: each is begun at a random moment and ends by itself some time later.
+//! Random overlapping faults: each begins at a random time, and most end by themselves some time later.
 
 use crate::fleet::Fleet;
 use crate::member::Member;
@@ -11,22 +11,26 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Kinds of faults; those from the second number on hit a node, the others an engine or the way to it.
+/// Number of kinds of faults.
 const FAULT_KINDS: usize = 18;
+/// Kinds from this one on affect a node; those before it affect an engine or the connections to it.
 const FIRST_NODE_FAULT: usize = 12;
-/// Work for a new connection, while it costs any.
+/// Work of an engine for each new connection while that fault lasts.
 const CONNECTION_WORK_MS: u64 = 20;
-/// Signals of one series, at most, and the longest gap between two.
+/// Largest number of signals in one series.
 const MAX_SERIES: usize = 6;
+/// Longest time between two signals of a series.
 const MAX_SERIES_GAP: Duration = Duration::from_millis(250);
-/// A node is held up for less than 0.15 s, and runs on for this before the next time.
+/// Longest suspension of a node: below 0.15 s.
 const MAX_SUSPENSION_MS: usize = 140;
-const RUNS_BETWEEN: Duration = Duration::from_millis(60);
-/// An engine that drains leaves the list after the first time and more, and returns cold after the second.
+/// Time for which a node runs after a suspension before the next signal.
+const RUN_TIME_AFTER_SUSPENSION: Duration = Duration::from_millis(60);
+/// Shortest time for which an engine drains before it is removed from the list.
 const DRAIN_TIME: Duration = Duration::from_millis(1300);
+/// Time for which a drained engine is absent from the list before it returns cold.
 const ABSENCE: Duration = Duration::from_millis(400);
 
-/// What ends a fault, and when.
+/// When a fault ends, and the function that ends it.
 struct Ending {
     at: Instant,
     end: Box<dyn Fn(&Fleet) + Send>,
@@ -34,42 +38,44 @@
 
 /// One step of a series of signals.
 struct SeriesStep {
-    gap: Duration,
+    delay: Duration,
     suspended_for: Duration,
     kind: usize,
 }
 
-/// Holds a process up.
+/// Suspends the node's process for this time, and then lets it run for `RUN_TIME_AFTER_SUSPENSION`.
 fn suspend(member: &Member, duration: Duration) {
     member.signal(Signal::STOP);
     sleep(duration);
     member.signal(Signal::CONT);
-    sleep(RUNS_BETWEEN);
+    sleep(RUN_TIME_AFTER_SUSPENSION);
 }
 
 pub struct Faults {
     random: WyRand,
-    /// An engine drains, or is away.
-    draining: Arc<AtomicBool>,
+    /// Whether an engine is draining or absent from the list.
+    is_draining: Arc<AtomicBool>,
     endings: Vec<Ending>,
     started_at: Instant,
-    /// The faults so far: when each began and what it hit, and when it ends by itself.
-    pub played: Vec<Value>,
+    /// Records of the faults so far: when each began, which engine or node it affected, and when it ends by itself.
+    pub injected: Vec<Value>,
 }
 
 impl Faults {
-    /// Faults of this seed, in a play that started then.
+    /// Creates the generator of the faults for this seed, in a run that started at `started_at`.
     pub fn new(seed: u64, started_at: Instant) -> Faults {
         let random = WyRand::new_seed(seed);
-        Faults { random, draining: Arc::default(), endings: Vec::new(), started_at, played: Vec::new() }
+        Faults { random, is_draining: Arc::default(), endings: Vec::new(), started_at, injected: Vec::new() }
     }
 
-    fn below(&mut self, n: usize) -> usize {
-        self.random.generate_range(0..n)
+    /// Returns a random number from 0 up to, but not including, `limit`.
+    fn random_below(&mut self, limit: usize) -> usize {
+        self.random.generate_range(0..limit)
     }
 
-    fn ends_in(&mut self, ms: usize, end: impl Fn(&Fleet) + Send + 'static) {
-        let after = Duration::from_millis(self.below(ms) as u64 + 100);
+    /// Lets a fault end after 100 ms and a random time below `max_ms`.
+    fn end_within(&mut self, max_ms: usize, end: impl Fn(&Fleet) + Send + 'static) {
+        let after = Duration::from_millis(self.random_below(max_ms) as u64 + 100);
         self.endings.push(Ending { at: Instant::now() + after, end: Box::new(end) });
     }
 
@@ -77,16 +83,16 @@
         at.saturating_duration_since(self.started_at).as_secs_f64()
     }
 
-    /// Waits a while, ends what is over, and begins one more.
-    pub fn next(&mut self, fleet: &Fleet) {
-        sleep(Duration::from_millis(self.below(200) as u64));
+    /// Waits for a random time of up to 200 ms, ends the faults that are due to end, and begins another one.
+    pub fn inject_next(&mut self, fleet: &Fleet) {
+        sleep(Duration::from_millis(self.random_below(200) as u64));
         self.end_expired(fleet, Instant::now());
-        let engine = self.below(fleet.engines.len());
+        let engine = self.random_below(fleet.engines.len());
         let proxy = fleet.engines[engine].proxy.clone();
         let behaviour = fleet.engines[engine].engine.behaviour.clone();
-        let node = self.below(fleet.nodes());
-        let (began_at, open) = (Instant::now(), self.endings.len());
-        let kind = self.below(FAULT_KINDS);
+        let node = self.random_below(fleet.nodes());
+        let (began_at, open_endings) = (Instant::now(), self.endings.len());
+        let kind = self.random_below(FAULT_KINDS);
         let name = match kind {
             0..=5 => self.begin_connection_fault(kind, proxy),
             6..=9 => self.begin_engine_fault(kind, behaviour),
@@ -94,14 +100,14 @@
             11 => self.begin_connection_work(fleet),
             _ => self.begin_node_fault(kind, fleet, node),
         };
-        let ends_at = self.endings.get(open).map(|ending| self.seconds(ending.at));
+        let ends_at = self.endings.get(open_endings).map(|ending| self.seconds(ending.at));
         let target = if kind < FIRST_NODE_FAULT { json!({"engine": engine}) } else { json!({"node": node}) };
         let fault =
             json!({"at_s": self.seconds(began_at), "fault": name, "target": target, "ends_at_s": ends_at});
-        self.played.push(fault);
+        self.injected.push(fault);
     }
 
-    /// A fault between the nodes and one engine.
+    /// Begins a fault between the nodes and one engine. Returns the fault's name.
     fn begin_connection_fault(&mut self, kind: usize, proxy: Proxy) -> &'static str {
         match kind {
             0 | 1 => {
@@ -110,7 +116,7 @@
             }
             2 => {
                 proxy.silence(true);
-                self.ends_in(2000, move |_| Proxy::heal(&proxy));
+                self.end_within(2000, move |_| Proxy::heal(&proxy));
                 "an engine is cut off"
             }
             3 => {
@@ -119,64 +125,64 @@
             }
             4 => {
                 proxy.refuse(true);
-                self.ends_in(1000, move |_| proxy.refuse(false));
+                self.end_within(1000, move |_| proxy.refuse(false));
                 "connections are refused"
             }
             _ => {
                 proxy.delay(Duration::from_millis(40));
-                self.ends_in(1000, move |_| proxy.delay(Duration::ZERO));
+                self.end_within(1000, move |_| proxy.delay(Duration::ZERO));
                 "connections are late"
             }
         }
     }
 
-    /// A fault of one engine.
+    /// Begins a fault of one engine. Returns the fault's name.
     fn begin_engine_fault(&mut self, kind: usize, behaviour: Arc<Behaviour>) -> &'static str {
         match kind {
             6 => {
                 behaviour.loses_responses.store(true, Relaxed);
-                self.ends_in(600, move |_| behaviour.loses_responses.store(false, Relaxed));
+                self.end_within(600, move |_| behaviour.loses_responses.store(false, Relaxed));
                 "answers get lost"
             }
             7 => {
                 behaviour.hangs.store(true, Relaxed);
-                self.ends_in(1500, move |_| behaviour.hangs.store(false, Relaxed));
+                self.end_within(1500, move |_| behaviour.hangs.store(false, Relaxed));
                 "an engine hangs"
             }
             8 => {
                 behaviour.is_full.store(true, Relaxed);
-                self.ends_in(800, move |_| behaviour.is_full.store(false, Relaxed));
+                self.end_within(800, move |_| behaviour.is_full.store(false, Relaxed));
                 "an engine is full"
             }
             _ => {
-                behaviour.work_ms.store(self.below(500) as u64 + 5, Relaxed);
-                self.ends_in(1500, move |_| behaviour.work_ms.store(10, Relaxed));
+                behaviour.work_ms.store(self.random_below(500) as u64 + 5, Relaxed);
+                self.end_within(1500, move |_| behaviour.work_ms.store(10, Relaxed));
                 "an engine is slow"
             }
         }
     }
 
-    /// Each new connection costs every engine work, as a handshake does.
+    /// Makes each new connection cost every engine some work, as a handshake does. Returns the fault's name.
     fn begin_connection_work(&mut self, fleet: &Fleet) -> &'static str {
         let engines: Vec<_> = fleet.engines.iter().map(|proxied| proxied.engine.behaviour.clone()).collect();
         let set = move |work_ms| {
             engines.iter().for_each(|behaviour| behaviour.connection_work_ms.store(work_ms, Relaxed));
         };
         set(CONNECTION_WORK_MS);
-        self.ends_in(1500, move |_| set(0));
+        self.end_within(1500, move |_| set(0));
         "new connections cost engines work"
     }
 
-    /// An engine drains, leaves the list, and returns with a new start time; one at a time.
+    /// Lets an engine drain, leave the list, and return with a new start time; one engine at a time. Returns the fault's name.
     fn begin_drain(&mut self, fleet: &Fleet, engine: usize) -> &'static str {
-        if self.draining.swap(true, Relaxed) {
+        if self.is_draining.swap(true, Relaxed) {
             return "no drain, as another engine drains";
         }
-        let drains_for = DRAIN_TIME + Duration::from_millis(self.below(700) as u64);
-        let (discovery, is_draining) = (fleet.discovery.clone(), self.draining.clone());
+        let drains_for = DRAIN_TIME + Duration::from_millis(self.random_below(700) as u64);
+        let (discovery, is_draining) = (fleet.discovery.clone(), self.is_draining.clone());
         let behaviour = fleet.engines[engine].engine.behaviour.clone();
         let id = json!(format!("e{engine}"));
-        fleet.run_beside(move || {
+        fleet.run_concurrently(move || {
             let set = |lifecycle: &str| {
                 discovery.announce(|instances| {
                     let entry = instances.iter_mut().find(|entry| entry["instanceId"] == id);
@@ -205,11 +211,14 @@
         "an engine drains, leaves and returns cold"
     }
 
-    /// A fault of one node.
+    /// Begins a fault of one node. Returns the fault's name.
     fn begin_node_fault(&mut self, kind: usize, fleet: &Fleet, node: usize) -> &'static str {
         match kind {
             12 => {
-                suspend(&fleet.member(node), Duration::from_millis(self.below(MAX_SUSPENSION_MS) as u64));
+                suspend(
+                    &fleet.member(node),
+                    Duration::from_millis(self.random_below(MAX_SUSPENSION_MS) as u64),
+                );
                 "a node is suspended"
             }
             13 => {
@@ -231,22 +240,23 @@
         }
     }
 
-    /// Several signals to one node in a row, in any order; with a shutdown among them, they go on behind it.
+    /// Sends a series of signals of random kinds to one node. With a shutdown, the node also gets SIGTERM at the start of the
+    /// series, and the other signals follow.
     fn begin_series(&mut self, fleet: &Fleet, node: usize, with_shutdown: bool) {
         let member = fleet.member(node);
-        let steps: Vec<SeriesStep> = (0..2 + self.below(MAX_SERIES - 1))
+        let steps: Vec<SeriesStep> = (0..2 + self.random_below(MAX_SERIES - 1))
             .map(|_| SeriesStep {
-                gap: MAX_SERIES_GAP.mul_f64(self.random.generate()),
-                suspended_for: Duration::from_millis(self.below(MAX_SUSPENSION_MS) as u64),
-                kind: self.below(3),
+                delay: MAX_SERIES_GAP.mul_f64(self.random.generate()),
+                suspended_for: Duration::from_millis(self.random_below(MAX_SUSPENSION_MS) as u64),
+                kind: self.random_below(3),
             })
             .collect();
         let shutdown_random = with_shutdown.then(|| self.random.generate());
-        // Further requests to shut down go to the process that this series ends: nobody would start another one again.
+        // Further SIGTERMs go only to the process that this series ends: no one would restart another process.
         let ending_process = shutdown_random.and_then(|random| fleet.shut_down_and_restart(node, random));
-        fleet.run_beside(move || {
+        fleet.run_concurrently(move || {
             for step in steps {
-                sleep(step.gap);
+                sleep(step.delay);
                 match step.kind {
                     0 => member.reload(),
                     1 => suspend(&member, step.suspended_for),
@@ -269,7 +279,7 @@
         ended.iter().for_each(|ending: &Ending| (ending.end)(fleet));
     }
 
-    /// All faults end. Nodes that are being restarted serve again before that.
+    /// Ends all faults, after the nodes that are being restarted serve again.
     pub fn end(&mut self, fleet: &Fleet) {
         fleet.join_node_faults();
         let endings = std::mem::take(&mut self.endings);
--- a/crates/nickelgw-cli/tests/platform_soak/fleet.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/fleet.rs
@@ -1,6 +1,6 @@
-//! Nodes as processes with clients each that send requests all the time, and what was found wrong in the end.
+//! Node processes, each with clients that send requests continuously, and the findings at the end of a run.
 
-use crate::clients::{Clients, TryCounts, UnreadRequest};
+use crate::clients::{Clients, SendCounts, UnreadRequest};
 use crate::judge::Finding;
 use crate::lateness::Lateness;
 use crate::member::Member;
@@ -13,25 +13,26 @@
 use std::thread::{sleep, spawn, JoinHandle};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Number of the first node in addresses of loopback.
+/// Third byte of the first node's loopback address, 127.1.120.1.
 const FIRST_ADDRESS: u8 = 120;
 const PREFILLS: usize = 4;
 const DECODES: usize = 5;
-/// Longest deadline of the settings, in seconds.
+/// Longest deadline in the settings, in seconds.
 const DEADLINE_S: f64 = 2.0;
-/// Crowds come with one seed in so many, at so many nodes.
+/// One seed in this number has crowded nodes.
 const SEEDS_PER_CROWD: u64 = 4;
+/// Number of crowded nodes with such a seed.
 const CROWDED_NODES: usize = 2;
-/// Time after the last request in which reservations that are being released end.
+/// Time after the last request within which release calls in progress end.
 const RELEASE_TIME: Duration = Duration::from_secs(1);
-/// The rule of a line that a node logs when a release was not confirmed in time.
+/// Rule named in the line that a node logs if a release was not confirmed in time.
 const OVERDUE_RULE: &str = "reservation_overdue";
 
-/// What a node logs of a client that sends a request without an end.
+/// Fields that a node logs for a client whose request does not end.
 const ENDLESS_REQUEST: &str = "source=\"client\" reason=\"a request that does not end\"";
 
-/// Plays that this process has started.
-static PLAYS_STARTED: AtomicUsize = AtomicUsize::new(0);
+/// Number of runs that this process has started.
+static RUNS_STARTED: AtomicUsize = AtomicUsize::new(0);
 
 pub struct Fleet {
     pub engines: Vec<ProxiedEngine>,
@@ -42,29 +43,31 @@
     running: Arc<AtomicBool>,
     clients: Vec<Arc<Clients>>,
     sending: Vec<JoinHandle<Vec<Outcome>>>,
-    /// Threads that run faults of nodes to their end.
+    /// Threads that run faults of nodes until these end.
     node_faults: Mutex<Vec<JoinHandle<()>>>,
 }
 
-/// The result of a play.
+/// Result of a run.
 pub struct Report {
-    pub asked: usize,
+    /// Number of requests sent.
+    pub sent: usize,
+    /// Number of requests that were served completely.
     pub served: usize,
-    /// Requests that crossed the close of a connection, and were not read.
+    /// Number of requests that the node closed without having read them.
     pub unread: usize,
-    pub tries: TryCounts,
-    /// Everything that was found wrong.
+    pub sends: SendCounts,
+    /// All findings, whether they count or not.
     pub findings: Vec<Finding>,
     pub lateness: Arc<Lateness>,
 }
 
 impl std::fmt::Display for Report {
     fn fmt(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let (asked, served, unread, found) = (self.asked, self.served, self.unread, self.findings.len());
-        let TryCounts { first, second } = &self.tries;
+        let (sent, served, unread, found) = (self.sent, self.served, self.unread, self.findings.len());
+        let SendCounts { first, retries } = &self.sends;
         write!(
             formatter,
-            "{asked} asked, {served} served, {unread} unread, {found} findings; {first} first tries, second tries {second:?}; \
+            "{sent} sent, {served} served, {unread} unread, {found} findings; {first} first sends, retries {retries:?}; \
              harness late by {:?}",
             self.lateness.max()
         )
@@ -77,8 +80,8 @@
     settings["limits"]["probes"] = probes.into();
     settings["limits"]["most_tries"] = 6.into();
     settings["classes"][0]["deadline_s"] = DEADLINE_S.into();
-    let once = json!({"name": "pay", "slo_s": 1.0, "deadline_s": DEADLINE_S, "idempotency": "side_effect", "worth": 1.0});
-    settings["classes"].as_array_mut().unwrap().push(once);
+    let side_effect_class = json!({"name": "pay", "slo_s": 1.0, "deadline_s": DEADLINE_S, "idempotency": "side_effect", "worth": 1.0});
+    settings["classes"].as_array_mut().unwrap().push(side_effect_class);
     settings["family_info"]["aim_us_per_1000_prompt_tokens"] = json!([40000.0, 40000.0]);
     settings["family_info"]["token_aim_s"] = json!([0.06, 0.06]);
 }
@@ -88,15 +91,15 @@
         let table = Arc::new(RequestTable::new(RuleLimits::default()));
         let engines = start_engines(&table, PREFILLS, DECODES);
         let discovery = smol::block_on(Discovery::start(endpoints(&engines))).unwrap();
-        let play = PLAYS_STARTED.fetch_add(1, Relaxed);
+        let run = RUNS_STARTED.fetch_add(1, Relaxed);
         let probes = seed.is_multiple_of(2);
         let start_member = |n: usize| {
             let (address, path) =
                 write_config_for(FIRST_ADDRESS + n as u8, discovery.address, endpoints(&engines), |config| {
                     change_settings(config, nodes, probes);
                 });
-            // A play is not judged by the log of another.
-            let log = path.with_extension(format!("play-{play}.log"));
+            // Each run has a log of its own, so that it is not judged by the log of another.
+            let log = path.with_extension(format!("play-{run}.log"));
             Member::start(n, address, path, log)
         };
         let members: Vec<Arc<Member>> = (0..nodes).map(start_member).collect();
@@ -130,17 +133,17 @@
         self.members[node].clone()
     }
 
-    /// Runs a fault of a node beside the others.
-    pub fn run_beside(&self, fault: impl FnOnce() + Send + 'static) {
+    /// Runs a node's fault in a thread, concurrently with other faults.
+    pub fn run_concurrently(&self, fault: impl FnOnce() + Send + 'static) {
         lock(&self.node_faults).push(spawn(fault));
     }
 
-    /// A node is killed; its reservations are released by the platform.
+    /// Kills and restarts a node. Its requests are excused from then on, since the platform releases their reservations.
     pub fn kill_and_restart(&self, node: usize) {
         let member = self.member(node);
         if member.begin_end() {
             let (table, discovery) = (self.table.clone(), self.discovery.clone());
-            self.run_beside(move || {
+            self.run_concurrently(move || {
                 member.kill();
                 table.excuse_requests(&member.request_prefix);
                 member.restart(&discovery.list());
@@ -148,7 +151,8 @@
         }
     }
 
-    /// A node shuts down, is killed when its time is up, and starts again. Returns its process; none: it is ending already.
+    /// Shuts a node down, kills it if it has not exited in time, and restarts it. Returns the ID of the process that ends, or
+    /// `None` if it is ending already.
     pub fn shut_down_and_restart(&self, node: usize, random: f64) -> Option<u32> {
         let member = self.member(node);
         member.begin_end().then(|| {
@@ -156,7 +160,7 @@
             let discovery = self.discovery.clone();
             let accepts_for = Member::accept_duration(random);
             self.clients[node].start_shutdown_clients(random.to_bits(), accepts_for);
-            self.run_beside(move || {
+            self.run_concurrently(move || {
                 member.shut_down(accepts_for);
                 member.restart(&discovery.list());
             });
@@ -164,13 +168,13 @@
         })
     }
 
-    /// Waits until faults of nodes have run to their end.
+    /// Waits until all faults of nodes have ended.
     pub fn join_node_faults(&self) {
         let faults = std::mem::take(&mut *lock(&self.node_faults));
         faults.into_iter().for_each(|fault| fault.join().unwrap());
     }
 
-    /// Ends all, and judges.
+    /// Stops the clients and nodes, and collects the findings.
     pub fn end(self) -> Report {
         self.running.store(false, Relaxed);
         let outcomes: Vec<Outcome> =
@@ -181,13 +185,13 @@
         let mut findings: Vec<Finding> =
             observed.iter().map(|observed| Finding::observed(observed, &limits)).collect();
         let reserved = self.table.reserved_requests().into_iter();
-        findings.extend(reserved.map(|(id, out)| stays_reserved(id, out)));
-        let (mut unread, mut tries) = (0, TryCounts::default());
+        findings.extend(reserved.map(|(id, attempts)| stays_reserved(id, attempts)));
+        let (mut unread, mut sends) = (0, SendCounts::default());
         for (member, clients) in self.members.iter().zip(&self.clients) {
             member.end();
             let log = std::fs::read_to_string(&member.log).unwrap_or_default();
             let of_log = findings_of_log(&member.address.to_string(), &log);
-            // Slow clients send requests that never end, and the node has to say so.
+            // Slow clients send requests that never end, and the node is expected to log that.
             let is_expected =
                 |finding: &Finding| clients.is_crowded && finding.what.contains(ENDLESS_REQUEST);
             findings.extend(of_log.into_iter().filter(|finding| !is_expected(finding)));
@@ -196,45 +200,46 @@
                 ended_unread.iter().partition(|request| was_read(&log, &request.id));
             findings.extend(read.into_iter().map(read_and_unanswered));
             unread += not_read.len();
-            tries.add(&lock(&clients.tries));
+            sends.add(&lock(&clients.sends));
         }
         if findings.is_empty() {
             self.members.iter().for_each(|member| drop(std::fs::remove_file(&member.log)));
         } else {
-            // The logs of a failed play are kept: a violation is followed by its request's id.
-            println!("logs: {} and those of the other nodes", self.members[0].log.display());
+            // The logs of a run with findings are kept, so that a violation can be traced by the ID of its request.
+            println!("kept logs: {} and those of the other nodes", self.members[0].log.display());
         }
         let served = outcomes.iter().filter(|outcome| **outcome == Outcome::Completed).count();
-        Report { asked: outcomes.len(), served, unread, tries, findings, lateness: self.lateness }
+        Report { sent: outcomes.len(), served, unread, sends, findings, lateness: self.lateness }
     }
 }
 
-/// Whether a node has read a request, by its log.
+/// Whether the node's log says that it has read a request.
 pub(crate) fn was_read(log: &str, id: &str) -> bool {
     let field = format!("request={id}");
-    let names_it = |line: &&str| line.split_ascii_whitespace().any(|word| word == field);
-    log.lines().filter(|line| line.contains("request received")).any(|line| names_it(&line))
+    let names_request = |line: &&str| line.split_ascii_whitespace().any(|word| word == field);
+    log.lines().filter(|line| line.contains("request received")).any(|line| names_request(&line))
 }
 
 fn read_and_unanswered(request: &UnreadRequest) -> Finding {
     let UnreadRequest { id, sent_at, ended_at, outcome } = request;
-    let what = format!("{id} was read, and ended with no answer: {outcome:?}");
+    let what = format!("request {id} was read by its node and ended without an answer: {outcome:?}");
     let excess = (*outcome == Outcome::TimedOut).then_some(Duration::ZERO);
     Finding { what, request: Some(id.clone()), from: *sent_at, until: *ended_at, excess }
 }
 
 fn stays_reserved(id: String, attempts: u32) -> Finding {
     let now = Instant::now();
-    let what = format!("{id} stays reserved, {attempts} attempts out");
+    let what = format!("request {id} still has a reservation, with {attempts} attempts at engines");
     Finding { what, request: Some(id), from: now, until: now, excess: None }
 }
 
-/// What a node finds wrong itself, and whatever else it logs that is no usual step.
+/// Returns a finding for each line of a node's log that is above the level INFO: violations that the node found itself, and
+/// other warnings and errors.
 fn findings_of_log(address: &str, log: &str) -> Vec<Finding> {
     let is_unusual = |line: &&str| !line.contains(" DEBUG ") && !line.contains(" INFO ");
     let finding = |line: &str| {
         let logged_at = time_of(line).unwrap_or_else(Instant::now);
-        // Only that a release was not confirmed in time can be the harness's lateness.
+        // Of these, only an overdue release can be explained by the harness's lateness.
         let excess = line.contains(OVERDUE_RULE).then_some(Duration::ZERO);
         let from = logged_at.checked_sub(RuleLimits::default().max_unattended).unwrap_or(logged_at);
         let what = format!("{address}: {line}");
@@ -243,7 +248,7 @@
     log.lines().filter(is_unusual).map(finding).collect()
 }
 
-/// When a line was logged; its first word is the time in UTC.
+/// Returns when a line was logged. The line begins with the time in UTC. `None` if it does not.
 fn time_of(line: &str) -> Option<Instant> {
     const DAY_S: f64 = 86_400.0;
     let (_, time) = line.split_once('T')?;
--- a/crates/nickelgw-cli/tests/platform_soak/judge.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/judge.rs
@@ -1,7 +1,7 @@
-//! Judges each finding of a play by the time in which it arose, and keeps all of them.
+//! Judges each finding of a run by the harness's lateness at the time of the finding, and records all findings.
 //!
-//! A finding counts unless the harness was late in that very time, and by so much that it may explain the finding. A play
-//! with findings that are explained so, and no other, is neither passed nor failed.
+//! A finding counts unless the harness was late during that time, and by enough to explain the finding. A run in which all
+//! findings are explained by lateness neither passes nor fails.
 
 use crate::lateness::Lateness;
 use nickelgw_test_servers::platform::{ObservedViolation, RuleLimits, Violation};
@@ -9,35 +9,35 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-/// Lateness up to which all findings count: a third of the tightest limit that is judged by (0.15 s).
+/// Lateness below which all findings count: a third of `RuleLimits::deadline_slack` (0.15 s).
 const MAX_LATENESS: Duration = Duration::from_millis(50);
-/// A time that is measured between two events of a late harness is wrong by its lateness at either end.
-const LATE_ENDS: u32 = 2;
-/// A play of which the harness was late for more than this part cannot be judged: lateness hides violations as well.
+/// Number of ends of a measured time span: a late harness may be wrong by its lateness at each of them.
+const SPAN_ENDS: u32 = 2;
+/// A run cannot be judged if the harness was late for more than this share of it, since lateness hides violations as well.
 const MAX_LATE_SHARE: f64 = 0.1;
-/// Of all plays so many may be without a verdict: one in this number.
-const PLAYS_PER_INCONCLUSIVE: usize = 10;
+/// At most one run in this number may be inconclusive.
+const RUNS_PER_INCONCLUSIVE: usize = 10;
 
-/// Something that was found wrong.
+/// A suspected violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Finding {
-    /// What was found, for people.
+    /// Description of what was found.
     pub what: String,
-    /// The request, where it concerns one.
+    /// ID of the request. `None` if the finding concerns no single request.
     pub request: Option<String>,
-    /// When the time that was judged began.
+    /// Start of the time span that was judged.
     pub from: Instant,
-    /// When it ended.
+    /// End of the time span that was judged.
     pub until: Instant,
-    /// By how much a limit of time was exceeded; none: lateness explains nothing of it.
+    /// How much a time limit was exceeded by. `None` if the finding has no time limit, so that lateness cannot explain it.
     pub excess: Option<Duration>,
 }
 
 impl Finding {
-    /// What engines and clients have observed.
+    /// Creates the finding for a violation that engines or clients observed.
     pub fn observed(observed: &ObservedViolation, limits: &RuleLimits) -> Finding {
         let excess = match &observed.violation {
-            // Nothing came up to the end of the wait: the limit was reached, and it is not known by how much exceeded.
+            // No answer came before the client stopped waiting: the limit was exceeded by an unknown amount.
             Violation::NoFinalAnswer { outcome, .. } if outcome.starts_with("TimedOut") => {
                 Some(Duration::ZERO)
             }
@@ -53,18 +53,18 @@
     }
 }
 
-/// Whether a finding counts.
+/// Judgement on a finding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Judgement {
-    /// It is a violation.
+    /// The finding is a violation.
     Counts,
-    /// The harness was late by as much in that time.
+    /// The harness was so late at that time that its lateness may explain the finding.
     Inconclusive,
 }
 
-/// Judges a finding by the harness's lateness in its own time.
+/// Judges a finding by the harness's lateness during the finding's time span.
 pub fn judge(excess: Option<Duration>, lateness: Duration) -> Judgement {
-    let explained = excess.is_some_and(|excess| excess <= lateness * LATE_ENDS);
+    let explained = excess.is_some_and(|excess| excess <= lateness * SPAN_ENDS);
     if lateness < MAX_LATENESS || !explained {
         Judgement::Counts
     } else {
@@ -72,19 +72,19 @@
     }
 }
 
-/// The verdict on a play.
+/// Verdict on a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing was found.
+    /// There are no findings.
     Passed,
-    /// A finding counts.
+    /// At least one finding counts.
     Failed,
-    /// It cannot be judged.
+    /// The run cannot be judged.
     Inconclusive,
 }
 
 impl Verdict {
-    /// The verdict by the judgements of all findings, and the part of the play in which the harness was late.
+    /// Returns the verdict by the judgements of all findings and the share of the run in which the harness was late.
     pub fn new(judgements: &[Judgement], late_share: f64) -> Verdict {
         if judgements.contains(&Judgement::Counts) {
             Verdict::Failed
@@ -96,27 +96,27 @@
     }
 }
 
-/// Whether so many plays without a verdict are too many.
-pub fn too_many_inconclusive(inconclusive: usize, plays: usize) -> bool {
-    inconclusive * PLAYS_PER_INCONCLUSIVE > plays
+/// Whether too many of the runs are inconclusive.
+pub fn too_many_inconclusive(inconclusive: usize, runs: usize) -> bool {
+    inconclusive * RUNS_PER_INCONCLUSIVE > runs
 }
 
-/// A play, as its findings are reported.
-pub struct PlayRecord<'a> {
+/// A run, for the report of its findings.
+pub struct RunRecord<'a> {
     pub seed: u64,
-    pub play: usize,
+    pub run: usize,
     pub started_at: Instant,
     pub lateness: &'a Lateness,
-    /// The faults, with their times.
+    /// The injected faults, with their times.
     pub faults: &'a [Value],
 }
 
-impl PlayRecord<'_> {
+impl RunRecord<'_> {
     fn seconds(&self, at: Instant) -> f64 {
         at.saturating_duration_since(self.started_at).as_secs_f64()
     }
 
-    /// Judges all findings, and prints and writes each with what is known of it.
+    /// Judges all findings, and prints each and writes it to the file, with its judgement and time span.
     pub fn report(&self, findings: &[Finding], file: &mut impl Write) -> Vec<Judgement> {
         let mut judgements = Vec::new();
         for finding in findings {
@@ -124,12 +124,12 @@
             let judgement = judge(finding.excess, lateness);
             let line = self.line(finding, lateness, judgement);
             println!("{line}");
-            writeln!(file, "{line}").expect("the record can be written");
+            writeln!(file, "{line}").expect("the record must be writable");
             judgements.push(judgement);
         }
         if !findings.is_empty() {
-            let faults = json!({"seed": self.seed, "play": self.play, "faults": self.faults});
-            writeln!(file, "{faults}").expect("the record can be written");
+            let faults = json!({"seed": self.seed, "play": self.run, "faults": self.faults});
+            writeln!(file, "{faults}").expect("the record must be writable");
         }
         judgements
     }
@@ -137,7 +137,7 @@
     fn line(&self, finding: &Finding, lateness: Duration, judgement: Judgement) -> Value {
         json!({
             "seed": self.seed,
-            "play": self.play,
+            "play": self.run,
             "judgement": format!("{judgement:?}"),
             "request": finding.request,
             "what": finding.what,
@@ -148,13 +148,14 @@
         })
     }
 
-    /// The part of the play in which the harness was late.
+    /// Returns the share of the run in which the harness was late by `MAX_LATENESS` or more.
     pub fn late_share(&self) -> f64 {
         let total = self.lateness.total_of(MAX_LATENESS).as_secs_f64();
         total / self.started_at.elapsed().as_secs_f64()
     }
 
-    /// What the judge before this one said of a play: void if the harness was late at any moment.
+    /// Returns the verdict by the criterion used before this one: "void" if the harness was late by `MAX_LATENESS` or more at any
+    /// time.
     pub fn former_verdict(&self, findings: &[Finding]) -> &'static str {
         if self.lateness.max() >= MAX_LATENESS {
             "void"
--- a/crates/nickelgw-cli/tests/platform_soak/judge_tests.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/judge_tests.rs
@@ -1,8 +1,8 @@
-//! Tests of the judge itself: what it counts, what it cannot judge, and that it drops nothing.
+//! Tests of the judge: which findings count, which are inconclusive, and that all of them are reported.
 
 use crate::clients::{may_be_unread, shutdown_clients};
 use crate::fleet::was_read;
-use crate::judge::{judge, too_many_inconclusive, Finding, Judgement, PlayRecord, Verdict};
+use crate::judge::{judge, too_many_inconclusive, Finding, Judgement, RunRecord, Verdict};
 use crate::lateness::Lateness;
 use nickelgw_test_servers::platform::{Outcome, RequestTable, Role, RuleLimits, Violation};
 use std::time::{Duration, Instant};
@@ -12,15 +12,23 @@
 }
 
 #[test]
-fn finding_counts_unless_lateness_in_its_own_time_explains_it() {
+fn finding_counts_unless_harness_lateness_at_that_time_explains_it() {
     assert_eq!(judge(Some(ms(1)), ms(49)), Judgement::Counts);
     assert_eq!(judge(Some(ms(100)), ms(50)), Judgement::Inconclusive);
-    assert_eq!(judge(Some(ms(101)), ms(50)), Judgement::Counts, "more than lateness can explain");
-    assert_eq!(judge(None, ms(5000)), Judgement::Counts, "no matter of time");
+    assert_eq!(
+        judge(Some(ms(101)), ms(50)),
+        Judgement::Counts,
+        "excess is more than the lateness at both ends can explain"
+    );
+    assert_eq!(
+        judge(None, ms(5000)),
+        Judgement::Counts,
+        "lateness cannot explain a finding without a time limit"
+    );
 }
 
 #[test]
-fn lateness_is_that_of_the_findings_own_time() {
+fn lateness_is_taken_from_the_time_span_of_the_finding() {
     let (lateness, start) = (Lateness::default(), Instant::now());
     lateness.record(start + ms(100), ms(60));
     lateness.record(start + ms(120), ms(60));
@@ -30,9 +38,9 @@
     assert_eq!(lateness.total_of(ms(50)), ms(80), "overlapping samples count once");
 }
 
-/// Five plays were dropped by the judge before, one of them with 901 violations, as the harness was late at some moment.
+/// The former judge dropped five runs, one of them with 901 violations, since the harness had been late at some time.
 #[test]
-fn all_findings_are_written_and_one_that_counts_fails_the_play() {
+fn all_findings_are_written_and_one_that_counts_fails_the_run() {
     let (lateness, started_at) = (Lateness::default(), Instant::now());
     lateness.record(started_at + ms(1000), ms(400));
     let finding = |at: u64, excess: Option<u64>| Finding {
@@ -43,17 +51,17 @@
         excess: excess.map(ms),
     };
     let findings = [finding(1200, Some(30)), finding(2000, Some(30)), finding(1200, None)];
-    let play = PlayRecord { seed: 1, play: 0, started_at, lateness: &lateness, faults: &[] };
+    let run = RunRecord { seed: 1, run: 0, started_at, lateness: &lateness, faults: &[] };
     let mut written = Vec::new();
-    let judgements = play.report(&findings, &mut written);
+    let judgements = run.report(&findings, &mut written);
     assert_eq!(judgements, [Judgement::Inconclusive, Judgement::Counts, Judgement::Counts]);
     let written = String::from_utf8(written).unwrap();
     assert!((0..3).all(|line| written.lines().nth(line).unwrap().contains("\"seed\":1")), "{written}");
-    assert_eq!(play.former_verdict(&findings), "void");
+    assert_eq!(run.former_verdict(&findings), "void");
     assert_eq!(Verdict::new(&judgements, 0.0), Verdict::Failed);
 }
 
-/// A request that was read and refused, its answer lost, counted as unread.
+/// A request that the node had read and refused counted as unread if its response was lost.
 #[test]
 fn request_is_read_whether_it_was_admitted_or_refused() {
     let line =
@@ -62,28 +70,28 @@
         + &line("request not admitted at=0.5 request=s0x2 reason=NodeFull");
     assert!(was_read(&refused, "s0x2"));
     assert!(was_read(&line("request received at=0.5 connection=7 request=s0x2"), "s0x2"));
-    assert!(!was_read(&refused, "s0x"), "part of an id is another one");
+    assert!(!was_read(&refused, "s0x"), "a prefix of an ID is another request");
     assert!(!was_read(&line("response sent at=0.5 request=s0x2"), "s0x2"));
 }
 
-/// A client that waited in vain at a crowded node, and a second try that was lost, counted as unread.
+/// Requests that timed out at a crowded node, and retries that were lost, counted as unread.
 #[test]
-fn unread_is_only_what_was_closed_on_a_used_connection_or_at_a_crowded_node() {
-    let (new, used, crowded, calm) = (true, false, true, false);
-    assert!(may_be_unread(used, calm, &Outcome::ConnectionClosed));
+fn request_may_be_unread_only_if_closed_on_a_reused_connection_or_at_a_crowded_node() {
+    let (new, reused, crowded, uncrowded) = (true, false, true, false);
+    assert!(may_be_unread(reused, uncrowded, &Outcome::ConnectionClosed));
     assert!(may_be_unread(new, crowded, &Outcome::ConnectionClosed));
-    assert!(!may_be_unread(new, calm, &Outcome::ConnectionClosed), "as a second try is");
+    assert!(!may_be_unread(new, uncrowded, &Outcome::ConnectionClosed), "a retry also uses a new connection");
     for outcome in [Outcome::TimedOut, Outcome::StreamBroken] {
         assert!(
-            !may_be_unread(new, crowded, &outcome) && !may_be_unread(used, calm, &outcome),
+            !may_be_unread(new, crowded, &outcome) && !may_be_unread(reused, uncrowded, &outcome),
             "{outcome:?}"
         );
     }
 }
 
-/// The delay between a client's connect and its first request was no part of the seed.
+/// The delay between a client's connect and its first request did not depend on the seed.
 #[test]
-fn clients_that_come_during_a_shutdown_have_the_times_of_their_seed() {
+fn times_of_clients_that_connect_during_a_shutdown_depend_only_on_the_seed() {
     let accepts_for = ms(300);
     let clients = shutdown_clients(7, accepts_for);
     assert_eq!(clients, shutdown_clients(7, accepts_for));
@@ -91,9 +99,9 @@
     assert!(clients.iter().all(|client| client.connects_after <= accepts_for));
 }
 
-/// An attempt that its node wrote before the client left, and that was late on its way, counted as begun after that.
+/// An attempt that its node wrote before the client disconnected, and that arrived late, counted as begun after the disconnect.
 #[test]
-fn attempt_begins_as_its_node_writes_it() {
+fn attempt_begins_when_its_node_writes_it() {
     let table = RequestTable::new(RuleLimits::default());
     let late = RuleLimits::default().disconnect_slack + ms(20);
     for id in ["before", "after"] {
@@ -109,14 +117,18 @@
     let violations = table.violations();
     let is_the_late_one = |violation: &Violation| matches!(violation, Violation::AttemptAfterDisconnect { id, .. } if id == "after");
     assert!(violations.len() == 1 && violations.iter().all(is_the_late_one), "{violations:?}");
-    // A time that was noted stands for one attempt.
+    // A recorded time of writing applies to one attempt only.
     table.attempt_arrived("before", None, Role::Decode);
-    assert_eq!(table.violations().len(), 2, "begun as it arrived, after the client had left");
+    assert_eq!(
+        table.violations().len(),
+        2,
+        "it counts as begun on arrival, after the client had disconnected"
+    );
 }
 
-/// What a client has left was judged as the attempt was written, which hid time on its way to the engine.
+/// The client's remaining time was judged when the attempt was written, which hid the time on the way to the engine.
 #[test]
-fn time_that_is_left_is_judged_as_the_attempt_arrives() {
+fn remaining_time_is_judged_when_the_attempt_arrives() {
     let table = RequestTable::new(RuleLimits::default());
     table.request_sent("late", ms(2000), false);
     table.attempt_written("late");
@@ -127,17 +139,17 @@
 }
 
 #[test]
-fn play_with_nothing_but_explained_findings_has_no_verdict() {
+fn run_with_only_explained_findings_is_inconclusive() {
     assert_eq!(Verdict::new(&[Judgement::Inconclusive], 0.0), Verdict::Inconclusive);
     assert_eq!(Verdict::new(&[], 0.11), Verdict::Inconclusive, "lateness hides violations too");
     assert_eq!(Verdict::new(&[], 0.1), Verdict::Passed);
     assert!(too_many_inconclusive(1, 9) && !too_many_inconclusive(1, 10));
 }
 
-/// Samplers that started before all of them were counted ended at once, and nothing was late.
+/// Samplers that started before all of them were counted ended at once, so that no lateness was recorded.
 #[test]
-fn lateness_is_sampled_until_its_owner_has_gone() {
-    let _alone = crate::executor_alone();
+fn lateness_is_sampled_until_its_owner_is_dropped() {
+    let _executor = crate::lock_executor();
     let lateness = Lateness::measure();
     let blocked_at = Instant::now();
     for _ in 0..16 {
@@ -145,7 +157,7 @@
     }
     let deadline = Instant::now() + ms(10_000);
     while lateness.max_between(blocked_at, Instant::now()) <= ms(50) {
-        assert!(Instant::now() < deadline, "no lateness is seen");
+        assert!(Instant::now() < deadline, "no lateness above 50 ms was recorded within 10 s");
         std::thread::sleep(ms(10));
     }
 }
--- a/crates/nickelgw-cli/tests/platform_soak/lateness.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/lateness.rs
@@ -1,30 +1,31 @@
-//! How late the soak's own tasks and threads run, over time: what they say of others in that time is no surer than that.
+//! How late the soak test's own tasks and threads run, over time. What they measure of others is no more precise than that.
 
 use nickelgw_test_servers::platform::lock;
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// Gap between two samples.
+/// Time between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(5);
-/// Samples that are less late are not kept.
+/// Samples with less lateness are discarded.
 const MIN_KEPT: Duration = Duration::from_millis(5);
-/// Tasks that sample the executor that engines, proxies and clients run on: it has several threads.
+/// Number of tasks that sample the executor of engines, proxies and clients. There are several since it has several threads.
 const SAMPLING_TASKS: usize = 4;
 
-/// A sampler that was to wake up at a moment, and woke up so much later.
+/// When a sampler was due to wake up, and how much later it did.
 #[derive(Clone, Copy)]
 struct Sample {
     due_at: Instant,
     late: Duration,
 }
 
-/// Samples since the play began.
+/// Samples since the run began.
 #[derive(Default)]
 pub struct Lateness(Mutex<Vec<Sample>>);
 
 impl Lateness {
-    /// Samples the executor, and a thread like the one that injects faults, until the last owner has gone.
+    /// Samples the executor, and a thread like the one that injects faults, until the returned value and all its clones are
+    /// dropped.
     pub fn measure() -> Arc<Lateness> {
         let lateness = Arc::new(Lateness::default());
         for _ in 0..SAMPLING_TASKS {
@@ -39,25 +40,25 @@
         lock(&self.0)
     }
 
-    /// A sampler that was due at this moment has woken up.
+    /// Records that a sampler due at `due_at` woke up `late` after that.
     pub fn record(&self, due_at: Instant, late: Duration) {
         if late >= MIN_KEPT {
             self.samples().push(Sample { due_at, late });
         }
     }
 
-    /// The greatest lateness of the play.
+    /// Returns the greatest lateness of the run.
     pub fn max(&self) -> Duration {
         self.samples().iter().map(|sample| sample.late).max().unwrap_or_default()
     }
 
-    /// The greatest lateness that overlaps this time.
+    /// Returns the greatest lateness of the samples that overlap this time span.
     pub fn max_between(&self, from: Instant, until: Instant) -> Duration {
         let overlaps = |sample: &&Sample| sample.due_at <= until && sample.due_at + sample.late >= from;
         self.samples().iter().filter(overlaps).map(|sample| sample.late).max().unwrap_or_default()
     }
 
-    /// For how long anything was late by this or more.
+    /// Returns the total time during which any sampler was late by `min` or more.
     pub fn total_of(&self, min: Duration) -> Duration {
         let mut spans: Vec<(Instant, Instant)> = self
             .samples()
--- a/crates/nickelgw-cli/tests/platform_soak/member.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/member.rs
@@ -1,4 +1,4 @@
-//! One node over the lives of its processes: started, signalled, killed and started again as the platform does it.
+//! One node across all its processes: it is started, signalled, killed and restarted as the platform does it.
 
 use crate::common::TEST_TIMEOUT;
 use crate::processes::{is_ready, start_process_with};
@@ -13,55 +13,55 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Descriptors of a node.
+/// Limit of a node's file descriptors.
 const DESCRIPTORS: usize = 256;
-/// After the request to shut down new connections still come for a time in this range.
+/// Range of the time after SIGTERM in which clients still open new connections.
 const ACCEPT_RANGE: (Duration, Duration) = (Duration::from_millis(200), Duration::from_millis(400));
-/// SIGKILL comes so long after it, the platform's earliest moment: the longest deadline and 0.7 s.
+/// Time from SIGTERM to SIGKILL: the platform's shortest, which is the longest deadline plus 0.7 s.
 const KILL_AFTER: Duration = Duration::from_millis(2700);
-/// What is unanswered at SIGKILL is lost if it came later than this after the request to shut down.
+/// A request that is unanswered at SIGKILL is excused if it was sent within this time after SIGTERM; a later one counts as lost.
 const UNANSWERED_EXCUSED: Duration = Duration::from_millis(700);
-/// SIGHUP never comes before a process is ready, nor in its first second (the platform's page).
+/// Shortest time from a process's readiness to SIGHUP: the platform documents that it sends none before.
 const MIN_READY_BEFORE_RELOAD: Duration = Duration::from_secs(1);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The time in which a process was killed: its connections end at some moment of it.
+/// A kill of a process. Its connections are closed at some time between the kill and `ended_at`.
 struct Kill {
-    /// The request to shut down, where one came before.
+    /// When SIGTERM was sent. `None` if the process was killed without it.
     shutdown_at: Option<Instant>,
-    /// None: the process may still be dying.
+    /// When the process had exited. `None` if it may still be exiting.
     ended_at: Option<Instant>,
 }
 
 impl Kill {
-    /// Whether it cut a request that was sent then and is open now.
+    /// Whether the kill cut a request that was sent at `sent_at` and is open now.
     fn cuts(&self, sent_at: Instant) -> bool {
         self.ended_at.is_none_or(|ended_at| ended_at >= sent_at)
     }
 
-    /// Whether that is nobody's loss.
+    /// Whether the kill cut such a request, and the loss is excused.
     fn excuses(&self, sent_at: Instant) -> bool {
         self.cuts(sent_at)
             && self.shutdown_at.is_none_or(|shutdown_at| sent_at <= shutdown_at + UNANSWERED_EXCUSED)
     }
 }
 
-/// One node.
+/// One node of the fleet.
 pub struct Member {
-    /// What the ids of its clients' requests begin with.
+    /// Prefix of the IDs of its clients' requests.
     pub request_prefix: String,
-    /// Where it listens.
+    /// Address on which the node listens.
     pub address: SocketAddr,
-    /// Its log, of all its processes.
+    /// Log file of all its processes.
     pub log: PathBuf,
     config: PathBuf,
     child: Mutex<Child>,
-    /// It takes no new connections: it shuts down, or is not ready yet.
-    closed: AtomicBool,
-    /// A shutdown or a kill is under way.
-    ending: AtomicBool,
+    /// Set while clients must open no new connections, since the node is shutting down or not ready yet.
+    is_closed: AtomicBool,
+    /// Set while a shutdown or a kill is in progress, until the node has restarted.
+    is_ending: AtomicBool,
     kills: Mutex<Vec<Kill>>,
-    /// Since when its present process is ready.
+    /// When the current process became ready. `None` if it is not ready yet.
     ready_at: Mutex<Option<Instant>>,
 }
 
@@ -76,44 +76,58 @@
     /// Starts the first process.
     pub fn start(number: usize, address: SocketAddr, config: PathBuf, log: PathBuf) -> Arc<Member> {
         let child = Mutex::new(spawn_process(&config, &log));
-        let (closed, ending) = (AtomicBool::new(false), AtomicBool::new(false));
+        let (is_closed, is_ending) = (AtomicBool::new(false), AtomicBool::new(false));
         let (kills, ready_at) = (Mutex::default(), Mutex::default());
         let request_prefix = format!("s{number}x");
-        Arc::new(Member { request_prefix, address, log, config, child, closed, ending, kills, ready_at })
-    }
-
-    /// Waits until it answers that it is ready.
+        Arc::new(Member {
+            request_prefix,
+            address,
+            log,
+            config,
+            child,
+            is_closed,
+            is_ending,
+            kills,
+            ready_at,
+        })
+    }
+
+    /// Waits until the node answers that it is ready.
     pub fn wait_until_ready(&self) {
         let started_at = Instant::now();
         while !is_ready(self.address) {
-            assert!(started_at.elapsed() < 3 * TEST_TIMEOUT, "{} is not ready", self.address);
+            assert!(
+                started_at.elapsed() < 3 * TEST_TIMEOUT,
+                "node {} is not ready after 3 * TEST_TIMEOUT",
+                self.address
+            );
             sleep(POLL_INTERVAL);
         }
         *lock(&self.ready_at) = Some(Instant::now());
     }
 
-    /// Whether new connections come now.
-    pub fn takes_connections(&self) -> bool {
-        !self.closed.load(Relaxed)
+    /// Whether the node accepts new connections now.
+    pub fn accepts_connections(&self) -> bool {
+        !self.is_closed.load(Relaxed)
     }
 
-    /// Whether a request that was sent then, and is open now, was cut by a kill and is nobody's loss.
+    /// Whether a kill that excuses the loss cut a request that was sent at `sent_at` and is open now.
     pub fn excuses(&self, sent_at: Instant) -> bool {
         lock(&self.kills).iter().any(|kill| kill.excuses(sent_at))
     }
 
-    /// Whether a request that was sent then, and is open now, was cut by a kill that does not excuse it.
-    pub fn cut_late(&self, sent_at: Instant) -> bool {
+    /// Whether a kill that does not excuse the loss cut a request that was sent at `sent_at` and is open now.
+    pub fn was_cut_without_excuse(&self, sent_at: Instant) -> bool {
         lock(&self.kills).iter().any(|kill| kill.cuts(sent_at) && !kill.excuses(sent_at))
     }
 
-    /// Sends a signal to its process.
+    /// Sends a signal to the current process.
     pub fn signal(&self, signal: Signal) {
         let child = lock(&self.child);
         let _ = kill_process(Pid::from_child(&child), signal);
     }
 
-    /// Sends a reload to its process, unless that is ready since less than a second: the platform never does.
+    /// Sends SIGHUP to the current process, unless it has been ready for less than a second: the platform never does so.
     pub fn reload(&self) {
         let is_old_enough = |ready_at: &Instant| ready_at.elapsed() >= MIN_READY_BEFORE_RELOAD;
         if lock(&self.ready_at).as_ref().is_some_and(is_old_enough) {
@@ -121,12 +135,12 @@
         }
     }
 
-    /// Its present process.
+    /// Returns the ID of the current process.
     pub fn process(&self) -> u32 {
         lock(&self.child).id()
     }
 
-    /// Sends a signal to this process, if it is still the present one.
+    /// Sends a signal to this process if it is still the current one.
     pub fn signal_process(&self, process: u32, signal: Signal) {
         let child = lock(&self.child);
         if child.id() == process {
@@ -134,14 +148,14 @@
         }
     }
 
-    /// Claims the end of its process; false if it is ending already.
+    /// Claims the right to end the current process. Returns `false` if it is ending already.
     pub fn begin_end(&self) -> bool {
-        !self.ending.swap(true, Relaxed)
+        !self.is_ending.swap(true, Relaxed)
     }
 
-    /// Kills its process, which `begin_end` has claimed.
+    /// Kills the current process, whose end `begin_end` has claimed.
     pub fn kill(&self) {
-        self.closed.store(true, Relaxed);
+        self.is_closed.store(true, Relaxed);
         self.kill_process(None);
     }
 
@@ -154,21 +168,22 @@
         let mut child = lock(&self.child);
         let _ = child.kill();
         let _ = child.wait();
-        // Its sockets are closed only now: up to here the system accepted connections for a process that was dying.
+        // The sockets of the process are closed only now: until then the kernel accepted connections for the exiting process.
         lock(&self.kills)[kill].ended_at = Some(Instant::now());
     }
 
-    /// How long new connections come after the request to shut down. `random` is from 0 to 1.
+    /// Returns how long clients open new connections after SIGTERM. `random` is between 0 and 1.
     pub fn accept_duration(random: f64) -> Duration {
         ACCEPT_RANGE.0 + (ACCEPT_RANGE.1 - ACCEPT_RANGE.0).mul_f64(random)
     }
 
-    /// Tells its process to shut down, and kills it at the platform's earliest moment. New connections come for `accepts_for`.
+    /// Sends SIGTERM to the current process, and SIGKILL at the platform's earliest time if it still runs. Clients open new
+    /// connections for `accepts_for`.
     pub fn shut_down(&self, accepts_for: Duration) {
         let shutdown_at = Instant::now();
         self.signal(Signal::TERM);
         sleep(accepts_for);
-        self.closed.store(true, Relaxed);
+        self.is_closed.store(true, Relaxed);
         let mut has_ended = false;
         while !has_ended && shutdown_at.elapsed() < KILL_AFTER {
             sleep(POLL_INTERVAL);
@@ -179,7 +194,7 @@
         }
     }
 
-    /// Starts a new process, which knows this list, after the end of the one before.
+    /// Starts a new process after the previous one has ended. Its configuration contains the endpoint list `known`.
     pub fn restart(&self, known: &Value) {
         let text = std::fs::read_to_string(&self.config).unwrap();
         let mut config: Value = serde_json::from_str(&text).unwrap();
@@ -188,11 +203,11 @@
         *lock(&self.ready_at) = None;
         *lock(&self.child) = spawn_process(&self.config, &self.log);
         self.wait_until_ready();
-        self.closed.store(false, Relaxed);
-        self.ending.store(false, Relaxed);
+        self.is_closed.store(false, Relaxed);
+        self.is_ending.store(false, Relaxed);
     }
 
-    /// Ends its process for good.
+    /// Ends the current process for good.
     pub fn end(&self) {
         let mut child = lock(&self.child);
         let _ = child.kill();
