--- a/crates/nickelgw-cli/tests/platform.rs
+++ b/crates/nickelgw-cli/tests/platform.rs
@@ -1,6 +1,7 @@
-//! The platform's node as a process: small limits filled by idle clients while discovery is unavailable, and restarts.
+//! Tests of the `platform` command as a process: idle clients that use up its limits, restarts, malformed requests, cold engines
+//! and a suspended event loop.
 
-// Each of these tests plays one long story on one process.
+// Each of these tests is one long sequence of steps on the same processes.
 #![allow(clippy::too_many_lines)]
 
 #[allow(dead_code)]
@@ -21,7 +22,7 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// A discovery service that does not answer until the flag is set; then it announces this list.
+/// Returns a discovery service that does not answer until the returned flag is set, and then announces the list `after`.
 fn unavailable_discovery(after: Value) -> (Peer, Arc<AtomicBool>) {
     let up = Arc::new(AtomicBool::new(false));
     let answers = up.clone();
@@ -33,7 +34,8 @@
     (discovery, up)
 }
 
-/// However many idle clients there are, the node answers, streams continue, and the list is fetched when discovery recovers.
+/// Idle clients that use up the descriptors must not keep the node from answering, from continuing streams, and from fetching
+/// the endpoint list when discovery recovers.
 #[test]
 fn idle_clients_may_fill_the_descriptors_while_discovery_is_unavailable() {
     const LIMIT: usize = 72;
@@ -58,33 +60,40 @@
     let (running, silent_clients) = node.start_silent_clients(200);
     sleep(Duration::from_millis(1500));
     let (before, ticks) = (Instant::now(), node.ticks());
-    assert!(node.is_ready(), "it answers while the silent clients are there");
+    assert!(node.is_ready(), "the node does not answer while silent clients are connected");
     sleep(Duration::from_secs(1));
     let used = (node.ticks() - ticks) as f64 / 100.0 / before.elapsed().as_secs_f64();
-    assert!(used < 0.3, "it spins: {used} of a core");
+    assert!(used < 0.3, "the event loop spins: it uses {used} of a core");
     let descriptors = node.descriptors();
-    // 31 of them are the clients', 11 the process's own and discovery's; no more, though 200 try to connect.
+    // At most 31 sockets belong to clients, though 200 try to connect, and 11 to the process itself and to discovery.
     let sockets = descriptors.iter().filter(|target| target.starts_with("socket:")).count();
-    assert!(sockets <= 31 + 11, "{descriptors:?}");
+    assert!(sockets <= 31 + 11, "{sockets} sockets are open: {descriptors:?}");
     up.store(true, Ordering::Relaxed);
     let returned = Instant::now();
     let mut number = 0;
     while second.received("POST").is_empty() {
-        assert!(returned.elapsed() < Duration::from_secs(5), "the list was not applied");
+        assert!(
+            returned.elapsed() < Duration::from_secs(5),
+            "the list was not applied within 5 s of the recovery of discovery"
+        );
         exchange(node.address, chat_request(&format!("eb{number}")).as_bytes());
         number += 1;
     }
     let before = first.received("POST").len();
     (0..3).for_each(|number| drop(exchange(node.address, chat_request(&format!("ec{number}")).as_bytes())));
-    assert_eq!(first.received("POST").len(), before, "it drains");
+    assert_eq!(first.received("POST").len(), before, "a draining engine got a request");
     finish_first_stream.send_blocking(()).unwrap();
     let response = read_response(&mut open);
-    assert!(response.ends_with("0\r\n\r\n"), "the connection with an open request stayed: {response}");
+    assert!(
+        response.ends_with("0\r\n\r\n"),
+        "the stream that was open all the time is incomplete: {response}"
+    );
     running.store(false, Ordering::Relaxed);
     silent_clients.join().unwrap();
 }
 
-/// Fewer descriptors than its configuration states: idle connections are closed, and it waits in between.
+/// The process may open fewer descriptors than its configuration states: it must close idle connections, and wait between
+/// attempts to accept instead of spinning.
 #[test]
 fn node_out_of_descriptors_serves_without_spinning() {
     let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
@@ -97,16 +106,16 @@
     let remaining = Duration::from_secs(1).saturating_sub(before.elapsed());
     sleep(remaining);
     let used = (node.ticks() - ticks) as f64 / 100.0 / before.elapsed().as_secs_f64();
-    assert!(ready >= 3 && used < 0.3, "ready {ready} of 4, {used} of a core");
+    assert!(ready >= 3 && used < 0.3, "ready in {ready} of 4 checks, used {used} of a core");
     running.store(false, Ordering::Relaxed);
     silent_clients.join().unwrap();
-    // The silent clients have disconnected: it serves.
+    // The silent clients have disconnected, so that the node serves again.
     sleep(Duration::from_millis(300));
     let response = exchange(node.address, chat_request("ed01").as_bytes());
     assert!(response.ends_with("0\r\n\r\n"), "{response}");
 }
 
-/// Ten nodes are killed and restarted, without discovery, with silent clients and with requests all the time.
+/// Ten nodes are killed and restarted without discovery, while silent clients and clients with requests keep connecting.
 #[test]
 fn nine_in_ten_restarted_processes_are_ready_in_time() {
     let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
@@ -162,14 +171,17 @@
         running.store(false, Ordering::Relaxed);
         silent_clients.join().unwrap();
     }
-    println!("ready after {ready_after_s:?} s, served {served:?}");
-    assert!(ready_after_s[8] < 10.0, "{ready_after_s:?}");
-    assert!(served.iter().all(|&count| count > 0), "they serve with the engines they knew: {served:?}");
+    println!("nodes ready after {ready_after_s:?} s; requests served by node: {served:?}");
+    assert!(ready_after_s[8] < 10.0, "times in s until the nodes were ready: {ready_after_s:?}");
+    assert!(
+        served.iter().all(|&count| count > 0),
+        "a node did not serve with the engines of its configuration: {served:?}"
+    );
 }
 
-/// Malformed bytes of a client cost its connection alone, and the log one line.
+/// Malformed bytes from a client must close only the client's own connection, and repeated ones must add only one log line.
 #[test]
-fn malformed_bytes_cost_their_connection_alone_and_one_log_line() {
+fn malformed_bytes_close_only_their_connection_and_add_one_log_line() {
     let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
     let mut node = start_node(3, &silent_discovery(), endpoint_list(&[&prefill], &[&decode]), 128, 128);
     node.wait_until_ready();
@@ -187,14 +199,15 @@
     assert_eq!(log.matches("malformed message rejected").count(), 1, "{log}");
 }
 
-/// Twenty processes, six of eight engines of each role warming up, twice what such an engine bears as an even share: what
-/// all of them send one, attempts and probes together, is within its budget of N calls and 2 x root of N + 2 for chance.
+/// Twenty processes share eight engines of each role, six of which are warming up; an even share of the load is twice what such
+/// an engine can take. The attempts and probes of all processes together to one cold engine must stay within its budget of
+/// N calls, plus 2 x root of N + 2 for random variation.
 #[test]
 fn all_processes_together_respect_the_limit_of_a_cold_engine() {
     const NODES: u8 = 20;
-    /// Requests a second that a warm engine bears.
+    /// Requests per second that a warm engine can take.
     const ENGINE_CAPACITY: f64 = 10.0;
-    /// Requests a second of all clients.
+    /// Requests per second of all clients.
     const REQUEST_RATE: f64 = 60.0;
     let calls: Vec<Arc<std::sync::Mutex<Vec<Instant>>>> = (0..16).map(|_| Arc::default()).collect();
     let engine = |number: usize| {
@@ -242,7 +255,7 @@
                 let mut served = 0;
                 for i in 0..(4.0 / gap.as_secs_f64()) as u32 {
                     sleep((first + gap * i).saturating_duration_since(Instant::now()));
-                    // Each request has a session of its own: the hash spreads them.
+                    // Each request has a session of its own, so that the route hash spreads the requests over the engines.
                     let text = chat_request(&format!("a{number}x{i}"))
                         .replace("X-Route-Hash: 7f3a", &format!("X-Route-Hash: {number}x{i}"));
                     served += usize::from(exchange(address, text.as_bytes()).ends_with("0\r\n\r\n"));
@@ -265,17 +278,18 @@
             max_share = max_share.max(within / (budget + 2.0 * budget.sqrt() + 2.0));
         }
     }
-    println!("{served} served, at most {max_share:.2} of the bound");
-    assert!(served as f64 > 0.8 * 4.0 * REQUEST_RATE, "{served}");
-    assert!(max_share <= 1.0, "{max_share}");
+    println!("{served} requests served; calls to a cold engine at most {max_share:.2} of the bound");
+    assert!(served as f64 > 0.8 * 4.0 * REQUEST_RATE, "only {served} requests were served");
+    assert!(max_share <= 1.0, "a cold engine got {max_share} of the bound on its calls");
     let used: usize = cold_engines().map(|calls| calls.lock().unwrap().len()).sum();
-    assert!(used > 20, "they are used: {used}");
+    assert!(used > 20, "cold engines got only {used} calls");
 }
 
-/// A client's disconnection and the event that would dispatch its request are both there when the event loop runs again:
-/// queued without a prefill engine, and then the list brings one; prefilled, and then the engine answers; not accepted yet.
+/// When a suspended event loop resumes, a client's disconnect and the event that would dispatch its request are both pending.
+/// The request must not be dispatched if it was queued until the list announces a prefill engine, if its prefill finishes
+/// meanwhile, or if its connection has not been accepted yet.
 #[test]
-fn request_of_a_client_that_disconnected_while_the_loop_was_late_is_not_dispatched() {
+fn request_of_a_client_that_disconnected_while_the_loop_was_suspended_is_not_dispatched() {
     let (open_gate, opened) = async_channel::bounded::<()>(1);
     let prefill_gate = opened.clone();
     let prefill = peer(move |_, _| {
@@ -291,7 +305,7 @@
         let _ = opened.recv_blocking();
         PeerAction::Respond(http_response("200 OK", &announced))
     });
-    // One knows no prefill engine until the agent announces it, the other knows one from the start.
+    // The first node knows no prefill engine until the agent announces it; the second knows one from the start.
     let (queueing, prefilling) = (
         start_node(60, &agent, endpoint_list(&[], &[&decode]), 128, 128),
         start_node(61, &silent_discovery(), endpoint_list(&[&prefill], &[&decode]), 128, 128),
@@ -314,11 +328,11 @@
         let mut client = connect(node.address);
         client.write_all(chat_request(id).as_bytes()).unwrap();
     }
-    // The agent announces the prefill engine, and the prefill finishes.
+    // Lets the agent announce the prefill engine, and the prefill finish.
     open_gate.close();
     sleep(Duration::from_millis(100));
     [&queueing, &prefilling].into_iter().for_each(Node::resume);
-    // Both continue and serve clients that stay connected.
+    // Both nodes still serve clients that stay connected.
     for (node, id) in [(&queueing, "fa10"), (&prefilling, "fb10")] {
         assert!(exchange(node.address, chat_request(id).as_bytes()).ends_with("0\r\n\r\n"));
     }
@@ -333,16 +347,16 @@
     assert_eq!(ids(&decode), ["fa10", "fb10"]);
 }
 
-/// A request that arrived on an open connection while the node was held up had its whole time from the moment it was read.
+/// A request that arrived on an open connection while the node was suspended got its whole timeout from the time it was read.
 #[test]
-fn time_in_which_the_node_was_held_up_counts_against_the_deadline() {
-    const HELD_UP: Duration = Duration::from_millis(600);
+fn time_in_which_the_node_was_suspended_counts_against_the_deadline() {
+    const SUSPENSION: Duration = Duration::from_millis(600);
     const BUDGET: Duration = Duration::from_millis(1500);
     const DEADLINE_SLACK: Duration = Duration::from_millis(150);
     let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
     let known = endpoint_list(&[&prefill], &[&decode]);
     let node = start_node_with(64, &silent_discovery(), known, 128, |config| {
-        // No request is rejected because it has waited.
+        // With this objective no request is rejected for the time it has waited.
         config["settings"]["classes"][0]["slo_s"] = 4.0.into();
     });
     node.wait_until_ready();
@@ -354,17 +368,17 @@
     let budget_header = format!("X-Budget-Ms: {}", BUDGET.as_millis());
     let request = chat_request("fd02").replace("X-Budget-Ms: 4000", &budget_header);
     client.write_all(request.as_bytes()).unwrap();
-    sleep(HELD_UP);
+    sleep(SUSPENSION);
     node.resume();
     assert!(read_response(&mut client).starts_with("HTTP/1.1 200"));
-    // It was sent to the engine no sooner than the node ran again.
-    let left = BUDGET.saturating_sub(HELD_UP);
+    // The attempt was sent to the engine no earlier than the node resumed.
+    let left = BUDGET.saturating_sub(SUSPENSION);
     let attempt = prefill.received("POST").into_iter().find(|request| request.contains("fd02")).unwrap();
     let given = attempt.lines().find_map(|line| line.strip_prefix("x-budget-ms: ")).unwrap();
     let given = Duration::from_millis(given.parse().unwrap());
     assert!(
         given <= left + DEADLINE_SLACK,
-        "given {given:?} with {left:?} left, sent {:?} ago",
+        "the attempt got a budget of {given:?} with {left:?} left; the request was sent {:?} ago",
         sent_at.elapsed()
     );
 }
--- a/crates/nickelgw-cli/tests/platform_reservations/faults.c
+++ b/crates/nickelgw-cli/tests/platform_reservations/faults.c
@@ -1,6 +1,7 @@
-/* System calls that fail and a wall clock that steps, in one process: loaded with LD_PRELOAD.
- * FAULTS_EVERY=N: every Nth recv, send and accept4 fails for a moment, by turns with the errors that Linux documents.
- * FAULTS_STEP_S=S: the wall clock steps by S seconds forth and back, five times a second; the monotonic clock runs on. */
+/* Library for LD_PRELOAD that makes system calls fail and the wall clock step in one process.
+ * FAULTS_EVERY=N: every Nth call of recv, send and accept4 fails once, cycling through temporary errors that Linux documents.
+ * FAULTS_STEP_S=S: the wall clock steps S seconds forward and S seconds back, five times a second; the monotonic clock is
+ * not affected. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -27,7 +28,7 @@
     static const int errors[] = {EINTR};
     if (!next) next = dlsym(RTLD_NEXT, "recv");
     if (fails(&counter, errors, 1)) return -1;
-    /* Short reads as well. */
+    /* Also makes reads short, as send does with writes. */
     return next(fd, buf, setting("FAULTS_EVERY") && len > 64 ? 64 : len, flags);
 }
 
--- a/crates/nickelgw-cli/tests/platform_reservations/world.rs
+++ b/crates/nickelgw-cli/tests/platform_reservations/world.rs
@@ -1,4 +1,4 @@
-//! One node's process, engines behind fault proxies, and clients.
+//! A node's process, test engines behind fault proxies, and clients.
 
 use crate::common::{endpoint_entry, http_response, peer, Peer, PeerAction, TEST_TIMEOUT};
 use crate::processes::{start_process_with, write_config, Node};
@@ -12,9 +12,9 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// What a client waits for a first event.
+/// Time that a client waits for the first event of a response.
 pub const TIMEOUT: Duration = Duration::from_secs(4);
-/// Descriptors of a node.
+/// Limit of a node's file descriptors.
 const DESCRIPTORS: usize = 256;
 
 /// An engine and the proxy in front of it.
@@ -23,16 +23,17 @@
     pub proxy: Proxy,
 }
 
-pub struct World {
+/// A node's process with engines behind proxies, a discovery service, and the table of what the engines observe.
+pub struct TestSite {
     pub table: Arc<RequestTable>,
     engines: Vec<ProxiedEngine>,
     pub node: Node,
     log: std::path::PathBuf,
-    /// What discovery announces next.
+    /// List that discovery announces next.
     next_list: Arc<Mutex<Option<Value>>>,
 }
 
-/// A discovery service that announces each list once, and does not answer otherwise.
+/// Starts a discovery service that announces each list once, and does not answer otherwise. Returns it and its next list.
 fn discovery() -> (Peer, Arc<Mutex<Option<Value>>>) {
     let next_list: Arc<Mutex<Option<Value>>> = Arc::default();
     let next = next_list.clone();
@@ -43,9 +44,14 @@
     (agent, next_list)
 }
 
-/// Engines behind proxies: prefill engines first.
-pub fn start_engines(table: &Arc<RequestTable>, prefills: usize, decodes: usize) -> Vec<ProxiedEngine> {
-    let roles = (0..prefills + decodes).map(|n| if n < prefills { Role::Prefill } else { Role::Decode });
+/// Starts engines behind proxies. Prefill engines come first.
+pub fn start_engines(
+    table: &Arc<RequestTable>,
+    prefill_engines: usize,
+    decode_engines: usize,
+) -> Vec<ProxiedEngine> {
+    let role_of = |n| if n < prefill_engines { Role::Prefill } else { Role::Decode };
+    let roles = (0..prefill_engines + decode_engines).map(role_of);
     let start = |(n, role)| {
         smol::block_on(async {
             let engine = Engine::start(n, role, table.clone()).await.unwrap();
@@ -56,7 +62,7 @@
     roles.enumerate().map(start).collect()
 }
 
-/// The list that discovery would announce of them.
+/// Returns the endpoint list that contains these engines, at the addresses of their proxies.
 pub fn endpoints(engines: &[ProxiedEngine]) -> Value {
     let entries = engines.iter().enumerate().map(|(n, proxied)| {
         let kind = if proxied.engine.role == Role::Prefill { "m1" } else { "m2" };
@@ -65,8 +71,8 @@
     json!({"generation": 3, "reset": true, "instances": entries.collect::<Vec<_>>()})
 }
 
-/// The library that lets system calls fail, built for this run.
-pub fn shim() -> std::path::PathBuf {
+/// Compiles the library that lets system calls fail. Returns its path.
+pub fn build_fault_library() -> std::path::PathBuf {
     let source = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/platform_reservations/faults.c");
     let built = std::env::temp_dir().join(format!("nickelgw-faults-{}.so", std::process::id()));
     let compiled = Command::new("cc")
@@ -74,27 +80,35 @@
         .arg(&built)
         .args([source, "-ldl"])
         .status();
-    assert!(compiled.is_ok_and(|status| status.success()), "a C compiler is needed");
+    assert!(
+        compiled.is_ok_and(|status| status.success()),
+        "faults.c could not be compiled: the test needs a C compiler (cc)"
+    );
     built
 }
 
-impl World {
-    pub fn start(n: u8, prefills: usize, decodes: usize, change: impl Fn(&mut Value)) -> World {
-        World::start_with(n, prefills, decodes, change, |_| {})
+impl TestSite {
+    pub fn start(
+        address_byte: u8,
+        prefill_engines: usize,
+        decode_engines: usize,
+        change: impl Fn(&mut Value),
+    ) -> TestSite {
+        TestSite::start_with(address_byte, prefill_engines, decode_engines, change, |_| {})
     }
 
-    /// With a change of the node's configuration, and of its command.
+    /// Starts a site after a change to the node's configuration and one to its command.
     pub fn start_with(
-        n: u8,
-        prefills: usize,
-        decodes: usize,
+        address_byte: u8,
+        prefill_engines: usize,
+        decode_engines: usize,
         change: impl Fn(&mut Value),
         command: impl FnOnce(&mut Command),
-    ) -> World {
+    ) -> TestSite {
         let table = Arc::new(RequestTable::new(RuleLimits::default()));
-        let engines = start_engines(&table, prefills, decodes);
+        let engines = start_engines(&table, prefill_engines, decode_engines);
         let (agent, next_list) = discovery();
-        let (address, path) = write_config(n, &agent, endpoints(&engines), change);
+        let (address, path) = write_config(address_byte, &agent, endpoints(&engines), change);
         let log = path.with_extension("log");
         let file = std::fs::File::create(&log).unwrap();
         let child = start_process_with(&path, DESCRIPTORS, |process| {
@@ -103,23 +117,23 @@
         });
         let node = Node { child, address, path };
         node.wait_until_ready();
-        World { table, engines, node, log, next_list }
+        TestSite { table, engines, node, log, next_list }
     }
 
-    pub fn prefills(&self) -> Vec<&ProxiedEngine> {
+    pub fn prefill_engines(&self) -> Vec<&ProxiedEngine> {
         self.engines.iter().filter(|proxied| proxied.engine.role == Role::Prefill).collect()
     }
 
-    pub fn decodes(&self) -> Vec<&ProxiedEngine> {
+    pub fn decode_engines(&self) -> Vec<&ProxiedEngine> {
         self.engines.iter().filter(|proxied| proxied.engine.role == Role::Decode).collect()
     }
 
-    /// Discovery announces that an engine drains.
-    pub fn drain(&self, n: usize) {
-        self.announce(|list| list["instances"][n]["lifecycle"] = "draining".into());
+    /// Makes discovery announce that the engine with this index drains.
+    pub fn drain(&self, engine: usize) {
+        self.announce(|list| list["instances"][engine]["lifecycle"] = "draining".into());
     }
 
-    /// Discovery announces a list that differs from the first.
+    /// Makes discovery announce the first list after a change to it.
     pub fn announce(&self, change: impl Fn(&mut Value)) {
         let mut list = endpoints(&self.engines);
         list["generation"] = 4.into();
@@ -127,41 +141,39 @@
         *self.next_list.lock().unwrap() = Some(list);
     }
 
-    /// A client sends a request and waits for its outcome.
+    /// Sends a request and waits for its outcome.
     pub fn request(&self, id: &str) -> Outcome {
         self.request_in_background(id).join().unwrap()
     }
 
-    /// A client sends a request in a thread of its own.
+    /// Sends a request in a thread of its own.
     pub fn request_in_background(&self, id: &str) -> JoinHandle<Outcome> {
         self.request_and_disconnect(id, None)
     }
 
-    /// A client sends a request, and disconnects after a while.
-    pub fn request_and_disconnect(&self, id: &str, leaves_after: Option<Duration>) -> JoinHandle<Outcome> {
+    /// Sends a request in a thread of its own. The client disconnects after this time, or not at all if it is `None`.
+    pub fn request_and_disconnect(
+        &self,
+        id: &str,
+        disconnect_after: Option<Duration>,
+    ) -> JoinHandle<Outcome> {
         let (id, class) = (id.to_string(), "chat".to_string());
-        let asked = ClientRequest {
-            id,
-            class,
-            at_most_once: false,
-            timeout: TIMEOUT,
-            disconnect_after: leaves_after,
-        };
+        let request = ClientRequest { id, class, at_most_once: false, timeout: TIMEOUT, disconnect_after };
         let (address, table) = (self.node.address, self.table.clone());
         std::thread::spawn(move || {
-            smol::block_on(send_request(address, &asked, &table, RuleLimits::default().answer_slack))
+            smol::block_on(send_request(address, &request, &table, RuleLimits::default().answer_slack))
         })
     }
 
-    /// The client got a final answer: its request was not lost, and its connection neither refused nor closed.
+    /// Asserts that the client got a final answer: the request did not time out, and the connection was not refused or closed.
     pub fn assert_final_answer(&self, outcome: Outcome) {
         assert!(
             !matches!(outcome, Outcome::TimedOut | Outcome::ConnectionClosed | Outcome::ConnectionRefused),
-            "no final answer: {outcome:?}"
+            "the client got no final answer: {outcome:?}"
         );
     }
 
-    /// No rule was violated, and nothing stays reserved.
+    /// Asserts that no rule was violated and that all reservations are released within 1 s.
     pub fn assert_no_violation(&self) {
         let deadline = Instant::now() + Duration::from_secs(1);
         while self.table.has_reservations() && Instant::now() < deadline {
@@ -169,10 +181,10 @@
         }
         let violations = self.table.violations();
         assert!(violations.is_empty(), "{violations:?}\n{}", self.log());
-        assert!(!self.table.has_reservations(), "something stays reserved");
+        assert!(!self.table.has_reservations(), "a reservation was not released within 1 s");
     }
 
-    /// The node's log, for a test that fails.
+    /// Returns the node's log, for the message of a failed assertion.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
@@ -185,16 +197,16 @@
         self.signal(Signal::TERM);
     }
 
-    pub fn wait_for_end(&mut self) {
+    pub fn wait_for_exit(&mut self) {
         let deadline = Instant::now() + TEST_TIMEOUT;
         while self.node.child.try_wait().unwrap().is_none() {
-            assert!(Instant::now() < deadline, "it does not end");
+            assert!(Instant::now() < deadline, "the node has not exited within TEST_TIMEOUT");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 }
 
-impl Drop for World {
+impl Drop for TestSite {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.log);
     }
--- a/crates/nickelgw-cli/tests/platform_soak/fleet.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/fleet.rs
@@ -15,8 +15,8 @@
 
 /// Third byte of the first node's loopback address, 127.1.120.1.
 const FIRST_ADDRESS: u8 = 120;
-const PREFILLS: usize = 4;
-const DECODES: usize = 5;
+const PREFILL_ENGINES: usize = 4;
+const DECODE_ENGINES: usize = 5;
 /// Longest deadline in the settings, in seconds.
 const DEADLINE_S: f64 = 2.0;
 /// One seed in this number has crowded nodes.
@@ -89,7 +89,7 @@
 impl Fleet {
     pub fn start(nodes: usize, seed: u64) -> Fleet {
         let table = Arc::new(RequestTable::new(RuleLimits::default()));
-        let engines = start_engines(&table, PREFILLS, DECODES);
+        let engines = start_engines(&table, PREFILL_ENGINES, DECODE_ENGINES);
         let discovery = smol::block_on(Discovery::start(endpoints(&engines))).unwrap();
         let run = RUNS_STARTED.fetch_add(1, Relaxed);
         let probes = seed.is_multiple_of(2);
--- a/crates/nickelgw-cli/tests/processes/mod.rs
+++ b/crates/nickelgw-cli/tests/processes/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes as processes, started as the platform starts them.
+//! Node processes, started as the platform starts them.
 
 use crate::common::*;
 use rustix::process::{kill_process, Pid, Signal};
@@ -12,7 +12,7 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// A node's process; it ends with the test.
+/// A node's process, which is killed when this is dropped.
 pub struct Node {
     pub child: Child,
     pub address: SocketAddr,
@@ -27,19 +27,19 @@
     }
 }
 
-/// An address of loopback that no other test uses.
-pub fn loopback_address(n: u8) -> SocketAddr {
-    TcpListener::bind((std::net::Ipv4Addr::new(127, 1, n, 1), 0)).unwrap().local_addr().unwrap()
+/// Returns a free address on 127.1.`address_byte`.1, a loopback address that no other test uses.
+pub fn loopback_address(address_byte: u8) -> SocketAddr {
+    TcpListener::bind((std::net::Ipv4Addr::new(127, 1, address_byte, 1), 0)).unwrap().local_addr().unwrap()
 }
 
-/// A node's process with this configuration file and limit of descriptors.
+/// Starts a node's process with this configuration file and limit of file descriptors.
 pub fn start_process(path: &std::path::Path, descriptors: usize) -> Child {
     start_process_with(path, descriptors, |command| {
         command.stderr(Stdio::piped());
     })
 }
 
-/// A node's process, with a change of its command.
+/// Starts a node's process after a change to its command.
 pub fn start_process_with(
     path: &std::path::Path,
     descriptors: usize,
@@ -55,64 +55,73 @@
     command.spawn().unwrap()
 }
 
-/// A node whose configuration states so many descriptors, in a process that gets `descriptors` of them.
-pub fn start_node(n: u8, discovery: &Peer, known: Value, stated: usize, descriptors: usize) -> Node {
-    start_node_with(n, discovery, known, descriptors, |config| config["limits"]["sockets"] = json!(stated))
+/// Starts a node whose configuration states a limit of `stated` sockets, in a process that may open `descriptors` descriptors.
+pub fn start_node(
+    address_byte: u8,
+    discovery: &Peer,
+    known: Value,
+    stated: usize,
+    descriptors: usize,
+) -> Node {
+    start_node_with(address_byte, discovery, known, descriptors, |config| {
+        config["limits"]["sockets"] = json!(stated)
+    })
 }
 
-/// A node with a change of its configuration.
+/// Starts a node after a change to its configuration.
 pub fn start_node_with(
-    n: u8,
+    address_byte: u8,
     discovery: &Peer,
     known: Value,
     descriptors: usize,
     change: impl Fn(&mut Value),
 ) -> Node {
-    let (address, path) = write_config(n, discovery, known, change);
+    let (address, path) = write_config(address_byte, discovery, known, change);
     Node { child: start_process(&path, descriptors), address, path }
 }
 
-/// The address and the configuration file of a node that is yet to be started.
+/// Writes the configuration of a node that is yet to be started. Returns its address and the path of the file.
 pub fn write_config(
-    n: u8,
+    address_byte: u8,
     discovery: &Peer,
     known: Value,
     change: impl Fn(&mut Value),
 ) -> (SocketAddr, PathBuf) {
-    write_config_for(n, discovery.address, known, change)
+    write_config_for(address_byte, discovery.address, known, change)
 }
 
-/// The same, with discovery at this address.
+/// Like `write_config`, with discovery at this address.
 pub fn write_config_for(
-    n: u8,
+    address_byte: u8,
     discovery: SocketAddr,
     known: Value,
     change: impl Fn(&mut Value),
 ) -> (SocketAddr, PathBuf) {
-    let address = loopback_address(n);
+    let address = loopback_address(address_byte);
     let mut config = node_config(&address.to_string(), &discovery.to_string(), known);
     change(&mut config);
-    let path = std::env::temp_dir().join(format!("nickelgw-platform-{n}-{}.json", std::process::id()));
+    let path =
+        std::env::temp_dir().join(format!("nickelgw-platform-{address_byte}-{}.json", std::process::id()));
     std::fs::write(&path, config.to_string()).unwrap();
     (address, path)
 }
 
-/// A client's connection to a node.
+/// Opens a client's connection to a node.
 pub fn connect(address: SocketAddr) -> TcpStream {
     let client = TcpStream::connect(address).unwrap();
     client.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     client
 }
 
-/// The node's response to these bytes.
+/// Sends these bytes on a new connection and returns the node's response.
 pub fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
     let mut client = connect(address);
     client.write_all(bytes).unwrap();
     read_response(&mut client)
 }
 
-/// Whether a node is ready. Silent clients keep their places for half a second each: behind 200 of them in a table of 31
-/// this client is served after some 3 s.
+/// Whether a node is ready. Silent clients occupy their connections for half a second each: behind 200 of them, with 31
+/// connections served at once, this client is served after about 3 s.
 pub fn is_ready(address: SocketAddr) -> bool {
     let Ok(mut client) = TcpStream::connect(address) else { return false };
     client.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
@@ -121,22 +130,26 @@
 }
 
 impl Node {
-    /// Whether it is ready.
+    /// Whether the node is ready.
     pub fn is_ready(&self) -> bool {
         is_ready(self.address)
     }
 
-    /// Waits until it is ready, and returns how long that took.
+    /// Waits until the node is ready. Returns how long that took.
     pub fn wait_until_ready(&self) -> Duration {
         let started_at = Instant::now();
         while !self.is_ready() {
-            assert!(started_at.elapsed() < 2 * TEST_TIMEOUT, "never ready");
+            assert!(
+                started_at.elapsed() < 2 * TEST_TIMEOUT,
+                "node {} is not ready after 2 * TEST_TIMEOUT",
+                self.address
+            );
             sleep(Duration::from_millis(20));
         }
         started_at.elapsed()
     }
 
-    /// What its descriptors refer to.
+    /// Returns the targets of the process's open file descriptors.
     pub fn descriptors(&self) -> Vec<String> {
         let entries = std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap();
         let target = |entry: std::fs::DirEntry| {
@@ -145,14 +158,14 @@
         entries.flatten().filter_map(target).collect()
     }
 
-    /// Processor time used, in hundredths of a second.
+    /// Returns the processor time that the process has used, in hundredths of a second.
     pub fn ticks(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
         fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
     }
 
-    /// So many clients that connect and send nothing, repeatedly as they are closed, until the flag is cleared.
+    /// Starts clients that connect and send nothing, and reconnect when they are closed, until the returned flag is cleared.
     pub fn start_silent_clients(&self, clients: usize) -> (Arc<AtomicBool>, std::thread::JoinHandle<()>) {
         let (running, address) = (Arc::new(AtomicBool::new(true)), self.address);
         let still_running = running.clone();
@@ -176,18 +189,18 @@
 }
 
 impl Node {
-    /// Stops the process, as if its event loop were late by all that time.
+    /// Suspends the process, which has the effect of an event loop that is stalled until `resume`.
     pub fn suspend(&self) {
         kill_process(Pid::from_child(&self.child), Signal::STOP).unwrap();
         let deadline = Instant::now() + TEST_TIMEOUT;
         let stat = || std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         while !stat().rsplit(')').next().unwrap().trim_start().starts_with('T') {
-            assert!(Instant::now() < deadline, "it still runs");
+            assert!(Instant::now() < deadline, "the process still runs after SIGSTOP");
             sleep(Duration::from_millis(1));
         }
     }
 
-    /// Lets the process continue.
+    /// Resumes the suspended process.
     pub fn resume(&self) {
         kill_process(Pid::from_child(&self.child), Signal::CONT).unwrap();
     }
