--- a/crates/nickelgw-cli/tests/command.rs
+++ b/crates/nickelgw-cli/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command as people run it.
+//! Tests of the `nickelgw` command line.
 
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn short_bad_day_keeps_the_rules_and_is_reported() {
+fn rehearsal_of_a_short_day_with_faults_violates_no_rule_and_writes_a_report() {
     let dir = new_folder("day");
     let day = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/short-day.txtpb");
     let output = nickelgw(&["rehearse", day, "--seed", "7", "--report", text_of(&dir)]);
@@ -39,7 +39,7 @@
     assert_eq!(report["seed"], 7);
     for rule in ["lost", "twice", "drain", "cold", "pinned"] {
         assert_eq!(report["rules"][rule], 0, "{report}");
-        assert!(report["judged"][rule].as_u64() > Some(0), "{rule} had nothing to judge: {report}");
+        assert!(report["judged"][rule].as_u64() > Some(0), "rule {rule} was checked in no case: {report}");
     }
     let total = |field: &str| {
         let routes = ["chat", "review", "booking"].iter();
@@ -48,7 +48,7 @@
     assert!(total("taken") > 100 && total("completed") * 2 > total("taken"), "{report}");
     let ends = ["completed", "shed", "errored", "left", "cut"];
     assert_eq!(total("taken"), ends.into_iter().map(total).sum::<u64>());
-    // The same records again, and without the answers.
+    // The audit passes the same records, and fails them once the final answers are removed.
     assert_eq!(nickelgw(&["audit", text_of(&dir)]).status.code(), Some(0));
     let record = dir.join("records/driver.jsonl");
     let lines = std::fs::read_to_string(&record).unwrap();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn invalid_files_and_usage_exit_with_2_and_an_error_line() {
+fn invalid_files_and_invalid_usage_exit_with_code_2_and_an_error_line() {
     let dir = new_folder("bad");
     let file = dir.join("x.txtpb");
     std::fs::write(&file, "name: 'x'\nlength_s: -4\n").unwrap();
@@ -83,7 +83,8 @@
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// Killed at the end of the test, however it ends: one that survives would hold the run's output open.
+/// Process that is killed when the test ends, whether it passes or not. A process that survived would keep
+/// the output of the test run open.
 struct KilledOnDrop(std::process::Child);
 
 impl Drop for KilledOnDrop {
--- a/crates/nickelgw-cli/tests/compatibility.rs
+++ b/crates/nickelgw-cli/tests/compatibility.rs
@@ -3,9 +3,9 @@
 use std::path::Path;
 use std::process::Command;
 
-/// The examples as they were at commit 32b5283.
+/// Folder of the example settings as of commit 32b5283.
 const EXAMPLES: &str = "tests/fixtures/32b5283";
-/// Settings of the node that wrote the fixtures of the store: `store`, `last_list` and `parked` among them.
+/// Settings of the node that wrote the store's fixtures; they include `store`, `last_list` and `parked`.
 const NODE_WITH_STORES: &str = "../nickelgw-store/tests/fixtures/32b5283/node.txtpb";
 
 fn assert_passes_check(file: &Path, kind: &str) {
@@ -28,7 +28,11 @@
     for (file, kind) in kinds {
         assert_passes_check(&folder.join(file), kind);
     }
-    assert_eq!(std::fs::read_dir(&folder).unwrap().count(), kinds.len(), "every example is checked");
+    assert_eq!(
+        std::fs::read_dir(&folder).unwrap().count(),
+        kinds.len(),
+        "the test must check every file in the folder of examples"
+    );
 }
 
 #[test]
--- a/crates/nickelgw-cli/tests/fleet/main.rs
+++ b/crates/nickelgw-cli/tests/fleet/main.rs
@@ -1,4 +1,5 @@
-//! Several processes of the program over three zones, and faults between them.
+//! Tests of a fleet of node processes in three zones, with faults of engines, nodes and the connections
+//! between them.
 
 mod deferred;
 mod test_fleet;
@@ -19,18 +20,18 @@
     thread::sleep(Duration::from_secs_f64(seconds));
 }
 
-/// What came of the loss of a zone.
-struct LostZone {
-    /// Attempts sent to the zone in the three seconds after.
+/// Measurements of the loss of a zone.
+struct ZoneLossResult {
+    /// Number of attempts sent to the zone in the three seconds after its loss.
     attempts: usize,
-    /// How long the last node took to evacuate the zone after the first; with gossip only.
+    /// Time from the first node's evacuation of the zone to the last node's. `None` without gossip.
     spread: Option<Duration>,
-    /// Share of the requests of four seconds that were served in target.
+    /// Share of the requests of the three seconds after the loss that were served within the target.
     served_fraction: f64,
 }
 
-/// A zone's engines become silent at once.
-fn lose_zone(with_gossip: bool) -> LostZone {
+/// Makes all engines of a zone silent at the same time, and measures how the fleet reacts.
+fn measure_zone_loss(with_gossip: bool) -> ZoneLossResult {
     let plan = FleetPlan { nodes: 4, engines: 8, with_gossip, ..FleetPlan::default() };
     let fleet = Arc::new(TestFleet::new("lost", plan));
     let traffic = fleet.start_traffic(4.0);
@@ -38,15 +39,15 @@
     let lost_at = unix_now();
     fleet.silence_zone("b", 30.0);
     let spread = with_gossip.then(|| {
-        fleet.wait_until("a node has left it", || {
+        fleet.wait_until("one node has evacuated the zone", || {
             fleet.nodes.iter().any(|node| node.zone_weight("b") == Some(0.0))
         });
-        fleet.wait_until("all have left it", || fleet.all_weights_are(&ZONES, "b", 0.0))
+        fleet.wait_until("all nodes have evacuated the zone", || fleet.all_weights_are(&ZONES, "b", 0.0))
     });
     sleep_s((lost_at + 4.0 - unix_now()).max(0.0));
     let requests = traffic.stop();
     fleet.assert_no_violations();
-    LostZone {
+    ZoneLossResult {
         attempts: fleet.attempts("b", lost_at, lost_at + 3.0),
         spread,
         served_fraction: served_fraction(&requests, lost_at, lost_at + 3.0),
@@ -56,17 +57,32 @@
 #[test]
 fn lost_zone_is_evacuated_by_all_nodes_with_few_attempts_lost() {
     let _exclusive = exclusive();
-    let alone = lose_zone(false);
-    let together = lose_zone(true);
+    let without_gossip = measure_zone_loss(false);
+    let with_gossip = measure_zone_loss(true);
     println!(
-        "thrown {}, {} without the exchange; in time {:.3}, {:.3}; last after {:?}",
-        together.attempts, alone.attempts, together.served_fraction, alone.served_fraction, together.spread
+        "attempts at the lost zone: {} with gossip, {} without; share served in target: {:.3}, {:.3}; \
+         spread of evacuations: {:?}",
+        with_gossip.attempts,
+        without_gossip.attempts,
+        with_gossip.served_fraction,
+        without_gossip.served_fraction,
+        with_gossip.spread
+    );
+    assert!(
+        with_gossip.spread.is_some_and(|spread| spread < Duration::from_secs(3)),
+        "{:?}",
+        with_gossip.spread
+    );
+    assert!(
+        with_gossip.attempts * 3 < without_gossip.attempts * 2,
+        "{} with gossip, {} without",
+        with_gossip.attempts,
+        without_gossip.attempts
     );
-    assert!(together.spread.is_some_and(|spread| spread < Duration::from_secs(3)), "{:?}", together.spread);
-    assert!(together.attempts * 3 < alone.attempts * 2, "{} beside {}", together.attempts, alone.attempts);
 }
 
-/// A cut between two zones, and one that lets only questions through: the third goes on, the zone's own nodes serve from it.
+/// The connections between two zones stall, first in both directions and then only for responses. Only the
+/// nodes of zone a may evacuate zone b; the third zone's nodes and those of zone b must continue to use it.
 #[test]
 fn cut_between_two_zones_affects_only_these_two() {
     let _exclusive = exclusive();
@@ -75,43 +91,48 @@
     sleep_s(1.0);
     for mode in [Mode::Stall, Mode::StallResponses] {
         fleet.set_relays("a", "b", mode);
-        fleet.wait_until("a's nodes have left b", || fleet.all_weights_are(&["a"], "b", 0.0));
+        fleet.wait_until("zone a's nodes have evacuated zone b", || fleet.all_weights_are(&["a"], "b", 0.0));
         sleep_s(1.0);
-        assert!(fleet.all_weights_are(&["b", "c"], "b", 1.0), "the others use it");
+        assert!(
+            fleet.all_weights_are(&["b", "c"], "b", 1.0),
+            "a node of zone b or c does not use zone b fully"
+        );
         assert!(fleet.all_weights_are(&["a"], "c", 1.0) && fleet.all_weights_are(&["a"], "a", 1.0));
         fleet.set_relays("a", "b", Mode::Pass);
-        fleet.wait_until("a's nodes are back", || fleet.all_weights_are(&["a"], "b", 1.0));
+        fleet.wait_until("zone a's nodes use zone b again", || fleet.all_weights_are(&["a"], "b", 1.0));
     }
     traffic.stop();
     fleet.assert_no_violations();
 }
 
-/// The fleet itself is cut in halves, each of which evacuates a lost zone by itself; healed, they return together.
+/// The fleet is partitioned into halves, each of which must evacuate a lost zone by itself. Once the
+/// partition heals, all nodes must return to the zone.
 #[test]
-fn partitioned_halves_evacuate_by_themselves_and_agree_once_healed() {
+fn partitioned_halves_evacuate_independently_and_agree_once_healed() {
     let _exclusive = exclusive();
     let fleet = Arc::new(TestFleet::new("halves", FleetPlan { nodes: 4, ..FleetPlan::default() }));
     let traffic = fleet.start_traffic(6.0);
     let all_know = |nodes: f64| fleet.nodes.iter().all(|node| node.metric("nodes") == Some(nodes));
     fleet.partition(Mode::Drop);
     let half = fleet.nodes.len() as f64 / 2.0;
-    fleet.wait_until("halves know of themselves alone", || all_know(half));
+    fleet.wait_until("each node knows only its own half of the fleet", || all_know(half));
     fleet.silence_zone("b", 4.0);
-    fleet.wait_until("both have left it", || fleet.all_weights_are(&ZONES, "b", 0.0));
+    fleet.wait_until("both halves have evacuated the zone", || fleet.all_weights_are(&ZONES, "b", 0.0));
     fleet.partition(Mode::Pass);
-    let healed_after = fleet.wait_until("they hear each other", || all_know(2.0 * half));
-    println!("halves heard each other {healed_after:?} after healing");
+    let healed_after = fleet.wait_until("each node knows the whole fleet", || all_know(2.0 * half));
+    println!("the halves knew each other {healed_after:?} after the partition healed");
     assert!(healed_after < Duration::from_secs(8), "{healed_after:?}");
-    fleet.wait_until("all are back", || fleet.all_weights_are(&ZONES, "b", 1.0));
+    fleet.wait_until("all nodes use the zone again", || fleet.all_weights_are(&ZONES, "b", 1.0));
     traffic.stop();
     fleet.assert_no_violations();
 }
 
-/// New engines, cold, take the place of a lost zone's under full load: all nodes together overload none of them.
+/// New, cold engines replace those of a lost zone under full load. All nodes together must overload none of
+/// them.
 #[test]
 fn zone_that_returns_cold_is_not_overloaded() {
     let _exclusive = exclusive();
-    // A cold engine bears what it can do cold, and no more: six reads in two seconds.
+    // A cold engine takes no more than it can process while cold: six prefills in two seconds.
     let engine = EngineConfig {
         mean_output_tokens: 4,
         prefill_base_s: 0.1,
@@ -127,10 +148,11 @@
     let traffic = fleet.start_traffic(4.0);
     sleep_s(1.0);
     fleet.silence_zone("b", 60.0);
-    fleet.wait_until("all have left it", || fleet.all_weights_are(&ZONES, "b", 0.0));
+    fleet.wait_until("all nodes have evacuated the zone", || fleet.all_weights_are(&ZONES, "b", 0.0));
     let replaced_at = unix_now();
     fleet.replace_engines("b", &engine);
-    let failback = fleet.wait_until("all are back", || fleet.all_weights_are(&ZONES, "b", 1.0));
+    let failback =
+        fleet.wait_until("all nodes use the zone again", || fleet.all_weights_are(&ZONES, "b", 1.0));
     sleep_s(1.0);
     let requests = traffic.stop();
     let lines = fleet.record.entries();
@@ -139,22 +161,24 @@
         line["ev"] == "send" && line["who"].as_str().is_some_and(|engine| engine.ends_with("anew"))
     });
     println!(
-        "back after {failback:?}; {} sends to the new engines; in time {:.3} while it was left, {:.3} after",
+        "failback after {failback:?}; {} sends to the new engines; share served in target: {:.3} while the \
+         zone was evacuated, {:.3} after its engines were replaced",
         at_new_engines.count(),
         served_fraction(&requests, replaced_at - 1.0, replaced_at),
         served_fraction(&requests, replaced_at, unix_now())
     );
-    let nearest = fleet.nearest_overload();
-    println!("nearest to being pushed over: {nearest:.2} of what one stands");
-    // The router gives cold engines half of what they bear.
-    assert!(nearest <= 0.5, "{nearest}");
-    assert!(overloaded.is_empty(), "{overloaded:?}");
+    let max_load = fleet.max_slow_start_load();
+    println!("highest load of a cold engine: {max_load:.2} of the load that overloads it");
+    // The router gives a cold engine at most half of the load that overloads it.
+    assert!(max_load <= 0.5, "highest load of a cold engine: {max_load} of the load that overloads it");
+    assert!(overloaded.is_empty(), "cold engines were overloaded: {overloaded:?}");
     fleet.assert_no_violations();
 }
 
-/// A zone that comes and goes is evacuated fewer times than it goes: each failback waits longer.
+/// A zone that fails and recovers repeatedly must be evacuated fewer times than it fails, since each failback
+/// waits longer.
 #[test]
-fn flapping_zone_is_returned_to_ever_more_slowly() {
+fn failback_to_a_flapping_zone_takes_longer_each_time() {
     let _exclusive = exclusive();
     let fleet = Arc::new(TestFleet::new("flaps", FleetPlan::default()));
     let traffic = fleet.start_traffic(10.0);
@@ -165,14 +189,14 @@
     }
     let evacuations = |node: &Node| node.log().matches("zone evacuated").count();
     let max_evacuations = fleet.nodes.iter().map(evacuations).max();
-    println!("left {max_evacuations:?} times of ten");
+    println!("a node evacuated the zone at most {max_evacuations:?} times in ten failures");
     assert!(max_evacuations.is_some_and(|count| (1..=6).contains(&count)), "{max_evacuations:?}");
-    fleet.wait_until("it is back for good", || fleet.all_weights_are(&ZONES, "b", 1.0));
+    fleet.wait_until("all nodes use the zone again", || fleet.all_weights_are(&ZONES, "b", 1.0));
     traffic.stop();
     fleet.assert_no_violations();
 }
 
-/// A datagram of a node that does not exist, which says that no engine of zone b answers.
+/// Returns a datagram of a node that does not exist, which claims that no engine of zone b responds.
 fn forged_datagram(key: &str, seq: u64, address: SocketAddr) -> Vec<u8> {
     let record = NodeRecord {
         name: "liar".into(),
@@ -193,9 +217,10 @@
     SharedKey::from_secret(key).seal(&Datagram { from: "liar".into(), at_ms, message }).unwrap()
 }
 
-/// A node that lies, one without the key, replayed datagrams: nobody evacuates a zone for them.
+/// Datagrams of a node that lies, of one without the fleet's key, replayed ones and malformed ones must not
+/// cause an evacuation.
 #[test]
-fn lies_forgeries_and_replays_evacuate_no_zone() {
+fn false_forged_and_replayed_datagrams_evacuate_no_zone() {
     let _exclusive = exclusive();
     let fleet = Arc::new(TestFleet::new("lies", FleetPlan::default()));
     let traffic = fleet.start_traffic(10.0);
@@ -210,8 +235,8 @@
             recorded.iter().for_each(|datagram| drop(socket.send_to(datagram, node.gossip_address)));
             socket.send_to(&[7; 40], node.gossip_address).unwrap();
         }
-        let none_believes = fleet.nodes.iter().all(|node| node.zone_weight("b") == Some(1.0));
-        assert!(none_believes, "nobody believes it");
+        let none_evacuated = fleet.nodes.iter().all(|node| node.zone_weight("b") == Some(1.0));
+        assert!(none_evacuated, "a node evacuated zone b on false datagrams");
         sleep_s(0.05);
     }
     let rejected = |node: &Node, reason: &str| node.metric(&format!("datagrams_total{{how=\"{reason}\"}}"));
@@ -219,47 +244,51 @@
         assert!(rejected(node, "key").is_some_and(|count| count >= 20.0));
         assert!(rejected(node, "version").is_some_and(|count| count >= 20.0));
         let log_lines = node.log().matches("a datagram between nodes was refused").count();
-        assert_eq!(log_lines, 1, "one line a minute");
+        assert_eq!(log_lines, 1, "the log of refused datagrams is limited to one line per minute");
     }
     traffic.stop();
     fleet.assert_no_violations();
 }
 
-/// While a zone is evacuated one node is stopped all the time, two are killed and restarted, the rest restart in turn.
+/// While a zone is evacuated, one node is suspended, two are killed and restarted, and three restart one
+/// after the other. All must learn of the evacuation.
 #[test]
-fn stopped_killed_and_restarted_nodes_learn_that_a_zone_is_evacuated() {
+fn suspended_killed_and_restarted_nodes_learn_that_a_zone_is_evacuated() {
     let _exclusive = exclusive();
     let fleet = Arc::new(TestFleet::new("restart", FleetPlan { nodes: 4, ..FleetPlan::default() }));
     let traffic = fleet.start_traffic(4.0);
     sleep_s(1.0);
-    let stopped = &fleet.nodes[0];
-    stopped.send_signal(Signal::STOP);
+    let suspended = &fleet.nodes[0];
+    suspended.send_signal(Signal::STOP);
     fleet.silence_zone("b", 60.0);
     let others_have_evacuated = || fleet.nodes[1..].iter().all(|node| node.zone_weight("b") == Some(0.0));
-    fleet.wait_until("the others have left it", others_have_evacuated);
+    fleet.wait_until("the other nodes have evacuated the zone", others_have_evacuated);
     for node in &fleet.nodes[1..3] {
         fleet.record.record("killed", json!({"node": node.name}));
         node.kill();
         node.start();
     }
-    let mut slowest = fleet.wait_until("those started anew follow", others_have_evacuated);
+    let mut slowest =
+        fleet.wait_until("the killed and restarted nodes have evacuated the zone", others_have_evacuated);
     for node in &fleet.nodes[3..6] {
         fleet.record.record("killed", json!({"node": node.name}));
         node.send_signal(Signal::TERM);
         node.wait_for_exit();
         node.start();
-        let learned = fleet.wait_until("so does each that restarts", || node.zone_weight("b") == Some(0.0));
+        let learned = fleet
+            .wait_until("the restarted node has evacuated the zone", || node.zone_weight("b") == Some(0.0));
         slowest = slowest.max(learned);
     }
-    stopped.send_signal(Signal::CONT);
-    let learned = fleet.wait_until("and the one that wakes up", || stopped.zone_weight("b") == Some(0.0));
+    suspended.send_signal(Signal::CONT);
+    let learned = fleet
+        .wait_until("the resumed node has evacuated the zone", || suspended.zone_weight("b") == Some(0.0));
     slowest = slowest.max(learned);
-    println!("the slowest took {slowest:?}");
+    println!("the slowest node learned of the evacuation after {slowest:?}");
     assert!(slowest < Duration::from_secs(6), "{slowest:?}");
     fleet.silence_zone("b", 0.0);
-    fleet.wait_until("all are back", || fleet.all_weights_are(&ZONES, "b", 1.0));
+    fleet.wait_until("all nodes use the zone again", || fleet.all_weights_are(&ZONES, "b", 1.0));
     traffic.stop();
-    // What was sent to the stopped node had no answer in time: nobody was there to give one.
-    let broken = fleet.violations_except(&stopped.name);
-    assert!(broken.is_empty(), "{broken:?}");
+    // Requests to the suspended node got no answer in time, so they are not judged.
+    let violations = fleet.violations_except(&suspended.name);
+    assert!(violations.is_empty(), "rules were violated: {violations:?}");
 }
--- a/crates/nickelgw-cli/tests/fleet/test_fleet.rs
+++ b/crates/nickelgw-cli/tests/fleet/test_fleet.rs
@@ -1,4 +1,5 @@
-//! Nodes as processes over three zones, test engines of a list for each zone, and a relay between any two parties.
+//! Node processes in three zones, test engines, an endpoint list for the nodes of each zone, and relays
+//! before all engines and nodes.
 
 mod node;
 mod traffic;
@@ -21,30 +22,32 @@
 pub use traffic::served_fraction;
 
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
-/// The key of the fleet's gossip.
+/// Key of the fleet's gossip.
 pub const GOSSIP_KEY: &str = "the secret of a fleet on loopback";
-/// A state that the test waits for must come within this time.
+/// A state that a test waits for must occur within this time.
 const STATE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One fleet at a time: each is a dozen processes' worth of work.
+/// Reserves the machine for one test's fleet: each fleet has up to a dozen processes.
 pub fn exclusive() -> MutexGuard<'static, ()> {
-    static ONE: Mutex<()> = Mutex::new(());
-    ONE.lock().unwrap_or_else(PoisonError::into_inner)
+    static FLEET: Mutex<()> = Mutex::new(());
+    FLEET.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
+/// A test engine and the relays to it.
 pub struct Engine {
     pub id: String,
     pub zone: &'static str,
     pub role: Role,
     pub address: SocketAddr,
-    /// Relays from each zone's nodes.
+    /// Relays to the engine: one for the nodes of each zone, in the order of `ZONES`.
     pub relays: Vec<Link>,
 }
 
+/// Running nodes, engines, endpoint lists and relays, and the record of what they did.
 pub struct TestFleet {
     pub nodes: Vec<Node>,
     engines: Vec<Engine>,
-    /// Addresses of each zone's list.
+    /// Address of each zone's endpoint list.
     lists: Vec<String>,
     pub record: Recorder,
     dir: PathBuf,
@@ -63,7 +66,7 @@
     (listener, address)
 }
 
-/// An engine as the lists have it.
+/// Returns an engine's entry in the endpoint lists.
 fn endpoint_entry(engine: &EngineConfig, address: SocketAddr, started_at: Option<f64>) -> EndpointEntry {
     EndpointEntry {
         id: engine.id.clone(),
@@ -82,15 +85,16 @@
     thread::spawn(move || drop(smol::block_on(server())));
 }
 
-/// What a fleet consists of.
+/// Numbers and settings of a fleet's nodes and engines.
 pub struct FleetPlan<'a> {
-    /// In each zone.
+    /// Number of nodes in each zone.
     pub nodes: usize,
-    /// Of each role, in each zone.
+    /// Number of engines of each role in each zone.
     pub engines: usize,
     /// Whether the nodes gossip.
     pub with_gossip: bool,
-    /// Settings beside the ordinary ones; `FILE` stands for a path of the node's own.
+    /// Settings in addition to the default ones. `FILE` is replaced with the path of the node's file of
+    /// deferred requests.
     pub more_settings: &'a str,
     pub engine: EngineConfig,
 }
@@ -108,7 +112,8 @@
     }
 }
 
-/// Starts an engine, and relays to it for each zone's nodes; adds it to each zone's list.
+/// Starts an engine, and a relay to it for the nodes of each zone, and adds its entry to the list of each
+/// zone.
 fn spawn_engine(
     engine: EngineConfig,
     zone: &'static str,
@@ -171,29 +176,30 @@
         fleet
     }
 
-    pub fn wait_until(&self, what: &str, is_so: impl Fn() -> bool) -> Duration {
-        let began = Instant::now();
-        while !is_so() {
-            assert!(began.elapsed() < STATE_TIMEOUT, "not seen in twenty seconds: {what}");
+    /// Waits until the condition holds. Returns how long that took.
+    pub fn wait_until(&self, what: &str, condition: impl Fn() -> bool) -> Duration {
+        let started_at = Instant::now();
+        while !condition() {
+            assert!(started_at.elapsed() < STATE_TIMEOUT, "did not happen within {STATE_TIMEOUT:?}: {what}");
             thread::sleep(Duration::from_millis(10));
         }
-        began.elapsed()
+        started_at.elapsed()
     }
 
-    /// Sends an order to all engines of a zone.
+    /// Sends a control command to all engines of a zone.
     pub fn control_engines(&self, zone: &str, order: &Value) {
         for engine in self.engines.iter().filter(|engine| engine.zone == zone) {
             let answer = smol::block_on(client::control(&engine.address.to_string(), order));
-            answer.expect("an engine that listens");
+            answer.expect("the engine must respond to a control command");
         }
     }
 
-    /// Makes all engines of a zone silent for some time.
+    /// Makes all engines of a zone silent for `for_s` seconds.
     pub fn silence_zone(&self, zone: &str, for_s: f64) {
         self.control_engines(zone, &json!({"fault": "silence", "for_s": for_s}));
     }
 
-    /// Sets what the relays from one zone's nodes to another's engines do.
+    /// Sets the mode of the relays from the nodes of zone `from` to the engines of zone `to`.
     pub fn set_relays(&self, from: &str, to: &str, mode: Mode) {
         let from = ZONES.iter().position(|zone| *zone == from).unwrap();
         for engine in self.engines.iter().filter(|engine| engine.zone == to) {
@@ -205,7 +211,7 @@
         self.nodes.iter().filter(move |node| node.zone == zone)
     }
 
-    /// Replaces a zone's engines by new ones, cold, under new names.
+    /// Replaces a zone's engines with new, cold engines under new IDs.
     pub fn replace_engines(&self, zone: &'static str, config: &EngineConfig) {
         for old in self.engines.iter().filter(|engine| engine.zone == zone) {
             let id = format!("{}-anew", old.id);
@@ -222,12 +228,12 @@
         }
     }
 
-    /// Whether all nodes of some zones have this traffic weight of a zone.
+    /// Whether all nodes of the zones `node_zones` give the zone `zone` this traffic weight.
     pub fn all_weights_are(&self, node_zones: &[&'static str], zone: &str, weight: f64) -> bool {
         node_zones.iter().all(|of| self.nodes_of(of).all(|node| node.zone_weight(zone) == Some(weight)))
     }
 
-    /// Sets what happens to datagrams between the two halves of the fleet.
+    /// Sets the mode of the relays for datagrams between the two halves of the fleet.
     pub fn partition(&self, mode: Mode) {
         let half = self.nodes.len() / 2;
         for (receiver_number, receiver) in self.nodes.iter().enumerate() {
@@ -239,7 +245,7 @@
         }
     }
 
-    /// Attempts that reached engines of a zone between two moments (Unix time).
+    /// Returns the number of attempts that reached engines of a zone between two times (Unix time).
     pub fn attempts(&self, zone: &str, from: f64, to: f64) -> usize {
         let is_in_zone = |id: &str| self.engines.iter().any(|engine| engine.zone == zone && engine.id == id);
         let lines = self.record.entries();
@@ -249,7 +255,8 @@
         attempts.filter(|line| line["t"].as_f64().is_some_and(|at| at >= from && at < to)).count()
     }
 
-    fn verdict(&self, except_node: &str) -> nickelgw_audit::AuditReport {
+    /// Audits the record, without the requests to one node.
+    fn audit_report(&self, except_node: &str) -> nickelgw_audit::AuditReport {
         let mut lines: Vec<_> =
             self.record.entries().iter().filter_map(nickelgw_audit::RecordEntry::from_json).collect();
         lines.retain(|line| line.event != "ask" || line.text("node") != except_node);
@@ -257,50 +264,56 @@
         nickelgw_audit::audit(&lines)
     }
 
-    /// Nearest that a cold engine came to overload, as a share of what it bears.
-    pub fn nearest_overload(&self) -> f64 {
-        self.verdict("").max_slow_start_load
+    /// Returns the highest load of a cold engine, as a share of the load that overloads it.
+    pub fn max_slow_start_load(&self) -> f64 {
+        self.audit_report("").max_slow_start_load
     }
 
-    /// What the auditor finds wrong in all that crossed the wire.
+    /// Returns the violations that the auditor finds in the record.
     pub fn violations(&self) -> Vec<String> {
         self.violations_except("")
     }
 
-    /// Without what was asked of this node.
+    /// Returns the violations that the auditor finds, without the requests to this node.
     pub fn violations_except(&self, node: &str) -> Vec<String> {
-        let verdict = self.verdict(node);
-        assert!(verdict.checked.get("lost").is_some_and(|judged| *judged > 0), "nothing was judged");
-        let breaks = verdict.violations.iter().take(10);
-        breaks.map(|broken| format!("{}: {}", broken.rule.name(), broken.description)).collect()
+        let report = self.audit_report(node);
+        assert!(
+            report.checked.get("lost").is_some_and(|cases| *cases > 0),
+            "the rule \"lost\" was checked in no case"
+        );
+        let violations = report.violations.iter().take(10);
+        violations.map(|found| format!("{}: {}", found.rule.name(), found.description)).collect()
     }
 
     pub fn assert_no_violations(&self) {
-        let broken = self.violations();
-        assert!(broken.is_empty(), "{broken:?}");
+        let violations = self.violations();
+        assert!(violations.is_empty(), "rules were violated: {violations:?}");
     }
 }
 
 fn control_list(list: &str, order: &Value) {
-    smol::block_on(client::control(list, order)).expect("a list that listens");
+    smol::block_on(client::control(list, order))
+        .expect("the endpoint list must respond to a control command");
 }
 
-/// Nodes that are not started yet, round the zones.
+/// Creates the nodes, which are not started yet, and assigns them to the zones in turn.
 fn new_nodes(plan: &FleetPlan, lists: &[String], dir: &Path) -> Vec<Node> {
     static FLEETS: AtomicUsize = AtomicUsize::new(0);
     let fleet = FLEETS.fetch_add(1, Ordering::Relaxed);
     let mut nodes: Vec<Node> = Vec::new();
     for number in 0..plan.nodes * ZONES.len() {
-        // Ports that a restarted node can listen on again: on an address of its own nothing else takes them.
-        let own = format!("127.{}.{}.{}:0", 1 + std::process::id() % 250, 1 + fleet % 250, 1 + number);
-        let gossip_address = UdpSocket::bind(&own).unwrap().local_addr().unwrap();
-        let free_address = || TcpListener::bind(&own).unwrap().local_addr().unwrap();
+        // Each node has a loopback address of its own, where nothing else takes the ports that it listens on
+        // after a restart.
+        let node_address =
+            format!("127.{}.{}.{}:0", 1 + std::process::id() % 250, 1 + fleet % 250, 1 + number);
+        let gossip_address = UdpSocket::bind(&node_address).unwrap().local_addr().unwrap();
+        let free_address = || TcpListener::bind(&node_address).unwrap().local_addr().unwrap();
         let (chat, admin) = (free_address(), free_address());
         let (relay_socket, gossip_relay) = (UdpSocket::bind("127.0.0.1:0").unwrap(), Link::default());
         let relay_address = relay_socket.local_addr().unwrap();
         let running = gossip_relay.clone();
         spawn(move || relay::udp(relay_socket, gossip_address, running));
-        // Each knows two others from its settings; it learns of the rest by gossip.
+        // The settings name up to two other nodes; each node learns of the rest by gossip.
         let peers: String =
             nodes.iter().take(2).map(|peer| format!(" peer: '{}'", peer.relay_address)).collect();
         let gossip = format!(
--- a/crates/nickelgw-cli/tests/fleet/test_fleet/node.rs
+++ b/crates/nickelgw-cli/tests/fleet/test_fleet/node.rs
@@ -1,4 +1,4 @@
-//! A node's process, and what is asked of it.
+//! A node's process, and calls to it.
 
 use nickelgw_test_servers::client;
 use nickelgw_test_servers::relay::Link;
@@ -12,15 +12,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A node that drains must exit within this time.
+/// A node that shuts down must exit within this time.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(15);
 
+/// A node's settings and addresses, and its process while it runs.
 pub struct Node {
     pub name: String,
     pub zone: &'static str,
-    /// Its own port for datagrams.
+    /// Address on which the node receives gossip datagrams.
     pub gossip_address: SocketAddr,
-    /// The relay before that port, where other nodes reach it.
+    /// Address of the relay before `gossip_address`, to which other nodes send.
     pub relay_address: SocketAddr,
     pub gossip_relay: Link,
     pub(super) address: String,
@@ -44,7 +45,7 @@
             .unwrap();
         let mut lines = BufReader::new(child.stdout.take().unwrap()).lines();
         let serves = lines.any(|line| line.is_ok_and(|line| line == "serving"));
-        assert!(serves, "{} did not come to serve", self.name);
+        assert!(serves, "node {} exited before it printed that it serves", self.name);
         *self.child.lock().unwrap() = Some(child);
     }
 
@@ -60,22 +61,26 @@
         kill_process(Pid::from_child(child.as_ref().unwrap()), signal).unwrap();
     }
 
-    /// Waits until it has exited by itself.
+    /// Waits until the process has exited by itself.
     pub fn wait_for_exit(&self) {
         let mut child = self.child.lock().unwrap().take().unwrap();
-        let began = Instant::now();
+        let started_at = Instant::now();
         while child.try_wait().unwrap().is_none() {
-            assert!(began.elapsed() < EXIT_TIMEOUT, "{} has not ended", self.name);
+            assert!(
+                started_at.elapsed() < EXIT_TIMEOUT,
+                "node {} has not exited within {EXIT_TIMEOUT:?}",
+                self.name
+            );
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// The file of its deferred requests.
+    /// Returns the path of the node's file of deferred requests.
     pub fn deferred_file(&self) -> PathBuf {
         self.file.with_extension("parked")
     }
 
-    /// A call of the chat API: status and body.
+    /// Calls the chat API. Returns the response's status and body.
     pub fn call(&self, method: &str, path: &str, key: &str, body: &str) -> (u16, Value) {
         let request = format!(
             "{method} {path} HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {key}\r\nconnection: close\r\n\
@@ -92,7 +97,8 @@
         std::fs::read_to_string(self.file.with_extension("log")).unwrap_or_default()
     }
 
-    /// A metric by its name and labels, from the operators' port.
+    /// Returns a metric by its name and labels, from the admin address. `None` if the node does not return
+    /// it.
     pub fn metric(&self, name: &str) -> Option<f64> {
         let request = format!("GET /metrics HTTP/1.1\r\nhost: {}\r\nconnection: close\r\n\r\n", self.admin);
         let response = smol::block_on(client::send_raw(&self.admin, &[request.as_bytes()], 0.0, 1.0));
@@ -102,7 +108,7 @@
         value.and_then(|value| value.trim().parse().ok())
     }
 
-    /// The traffic weight that it gives a zone.
+    /// Returns the traffic weight that the node gives a zone.
     pub fn zone_weight(&self, zone: &str) -> Option<f64> {
         self.metric(&format!("zone_part{{zone=\"{zone}\"}}"))
     }
--- a/crates/nickelgw-cli/tests/fleet/test_fleet/traffic.rs
+++ b/crates/nickelgw-cli/tests/fleet/test_fleet/traffic.rs
@@ -1,4 +1,5 @@
-//! Open-loop clients of all nodes of a fleet.
+//! Open-loop clients: each sends requests to one node at a fixed rate, whether or not earlier ones have
+//! ended.
 
 use super::TestFleet;
 use nickelgw_test_servers::client::{self, ChatCall};
@@ -8,13 +9,14 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
+/// Target for the time to the first token, in seconds.
 const TTFT_OBJECTIVE_S: f64 = 1.0;
 
-/// A request that a client has sent, and what came of it.
+/// Start time and result of a request that a client has sent.
 pub struct RequestOutcome {
-    /// Unix time.
+    /// When the request was sent (Unix time).
     started_at: f64,
-    seen: Option<client::CallResult>,
+    result: Option<client::CallResult>,
 }
 
 /// Clients that run until they are stopped.
@@ -24,11 +26,11 @@
     clients: Vec<JoinHandle<()>>,
 }
 
-/// The client of one node.
+/// Client of one node.
 struct NodeClient {
     fleet: Arc<TestFleet>,
     node: usize,
-    /// Tells the requests of different runs apart.
+    /// Number of the run, which distinguishes the request IDs of different runs.
     run: usize,
     rate_per_s: f64,
     tenant_key: Option<&'static str>,
@@ -37,12 +39,12 @@
 }
 
 impl TestFleet {
-    /// Clients that send each node so many requests a second, until they are stopped.
+    /// Starts clients that send each node `rate_per_s` requests per second until they are stopped.
     pub fn start_traffic(self: &Arc<Self>, rate_per_s: f64) -> Traffic {
         self.start_tenant_traffic(rate_per_s, None)
     }
 
-    /// With a tenant's key.
+    /// Like `start_traffic`, with a tenant's key.
     pub fn start_tenant_traffic(
         self: &Arc<Self>,
         rate_per_s: f64,
@@ -67,10 +69,10 @@
         let executor = smol::LocalExecutor::new();
         smol::block_on(executor.run(async {
             let mut tasks = Vec::new();
-            let began = Instant::now();
+            let started_at = Instant::now();
             for number in 0.. {
                 let at = Duration::from_secs_f64(f64::from(number) / self.rate_per_s);
-                smol::Timer::at(began + at).await;
+                smol::Timer::at(started_at + at).await;
                 if self.stop.load(Ordering::Relaxed) {
                     break;
                 }
@@ -98,13 +100,13 @@
             ..ChatCall::default()
         };
         let started_at = unix_now();
-        let seen = client::call(&request, &self.fleet.record).await;
-        self.sent.lock().unwrap().push(RequestOutcome { started_at, seen });
+        let result = client::call(&request, &self.fleet.record).await;
+        self.sent.lock().unwrap().push(RequestOutcome { started_at, result });
     }
 }
 
 impl Traffic {
-    /// Waits for all answers; gives the requests by the time of their sending.
+    /// Stops the clients and waits until all requests have ended. Returns them sorted by start time.
     pub fn stop(self) -> Vec<RequestOutcome> {
         self.stop.store(true, Ordering::Relaxed);
         self.clients.into_iter().for_each(|client| client.join().unwrap());
@@ -114,13 +116,14 @@
     }
 }
 
-/// Share of the requests sent between two moments (Unix time) that were served with their first token in target.
+/// Returns the share of the requests sent between two times (Unix time) that completed with their first token
+/// within the target.
 pub fn served_fraction(requests: &[RequestOutcome], from: f64, to: f64) -> f64 {
     let sent: Vec<_> =
         requests.iter().filter(|request| request.started_at >= from && request.started_at < to).collect();
-    let is_served = |seen: &client::CallResult| {
-        seen.outcome == "completed" && seen.ttft_s.is_some_and(|first_s| first_s <= TTFT_OBJECTIVE_S)
+    let is_served = |result: &client::CallResult| {
+        result.outcome == "completed" && result.ttft_s.is_some_and(|ttft_s| ttft_s <= TTFT_OBJECTIVE_S)
     };
-    let served = sent.iter().filter(|request| request.seen.as_ref().is_some_and(is_served)).count();
+    let served = sent.iter().filter(|request| request.result.as_ref().is_some_and(is_served)).count();
     served as f64 / sent.len().max(1) as f64
 }
--- a/crates/nickelgw-cli/tests/lifecycle/main.rs
+++ b/crates/nickelgw-cli/tests/lifecycle/main.rs
@@ -1,4 +1,4 @@
-//! A node as a process: taken over under load, killed, drained.
+//! Tests of a node's process: handover under load, kill and restart, drain and shutdown.
 
 mod test_site;
 
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use test_site::{exit_code, kill, send_signal, TestSite};
 
-/// Requests that a client has sent, and the outcomes of those that did not complete.
+/// Number of requests that a client has sent, and the outcomes of those that did not complete.
 struct ClientResult {
     sent: usize,
     not_completed: Vec<String>,
@@ -20,7 +20,7 @@
     let mut result = ClientResult { sent: 0, not_completed: Vec::new() };
     while !stop.load(Ordering::Relaxed) {
         match site.chat(&format!("q{client}-{}", result.sent)) {
-            Some(seen) if seen.outcome == "completed" => {}
+            Some(result) if result.outcome == "completed" => {}
             other => result.not_completed.push(format!("{other:?}")),
         }
         result.sent += 1;
@@ -49,8 +49,14 @@
     let not_completed: Vec<&String> = results.iter().flat_map(|result| &result.not_completed).collect();
     let after = site.chat("after");
     site.kill_successor();
-    assert!(sent > 20 && not_completed.is_empty(), "{sent} asked: {not_completed:?}");
-    assert!(after.is_some_and(|seen| seen.outcome == "completed"), "the new process serves");
+    assert!(
+        sent > 20 && not_completed.is_empty(),
+        "{sent} requests sent, of which these did not complete: {not_completed:?}"
+    );
+    assert!(
+        after.is_some_and(|result| result.outcome == "completed"),
+        "the new process did not serve a request"
+    );
 }
 
 #[test]
@@ -62,29 +68,29 @@
     thread::sleep(Duration::from_millis(600));
     assert!(old_node.try_wait().unwrap().is_none());
     assert!(site.chat_completes("q"));
-    // With valid settings it is taken over.
+    // With valid settings the handover succeeds.
     site.write_settings("limits { most_open: 100 }");
     send_signal(&old_node, Signal::HUP);
     let code = exit_code(&mut old_node);
     let after = site.chat("after");
     site.kill_successor();
-    assert_eq!((code, after.map(|seen| seen.outcome)), (0, Some("completed".into())));
+    assert_eq!((code, after.map(|result| result.outcome)), (0, Some("completed".into())));
 }
 
-/// A client that sends a streamed request in a thread of its own.
+/// Starts a client that sends a streamed request in a thread of its own.
 fn start_stream(site: &Arc<TestSite>) -> thread::JoinHandle<Option<client::CallResult>> {
     let site = site.clone();
     thread::spawn(move || site.chat("q"))
 }
 
 #[test]
-fn sigterm_lets_streams_end_and_further_ones_skip_stages() {
+fn sigterm_lets_open_streams_end_and_repeated_sigterms_skip_stages_of_the_shutdown() {
     let site = Arc::new(TestSite::new("term", 0.1));
     let mut node = site.start_node();
     let stream = start_stream(&site);
     thread::sleep(Duration::from_millis(300));
     send_signal(&node, Signal::TERM);
-    assert!(stream.join().unwrap().is_some_and(|seen| seen.outcome == "completed"));
+    assert!(stream.join().unwrap().is_some_and(|result| result.outcome == "completed"));
     assert_eq!(exit_code(&mut node), 0);
     let mut node = site.start_node();
     let stream = start_stream(&site);
@@ -93,7 +99,7 @@
         send_signal(&node, Signal::TERM);
         thread::sleep(Duration::from_millis(30));
     }
-    assert!(stream.join().unwrap().is_some_and(|seen| seen.outcome != "completed"));
+    assert!(stream.join().unwrap().is_some_and(|result| result.outcome != "completed"));
     assert_eq!(exit_code(&mut node), 3);
     assert_eq!(site.held_states(), 0);
 }
@@ -102,23 +108,23 @@
 fn restarted_node_rejects_repeats_of_non_idempotent_requests() {
     let site = TestSite::new("twice", 0.05);
     let mut node = site.start_node();
-    // Killed while it streams.
+    // The node is killed while it streams the response.
     thread::scope(|scope| {
         let first = scope.spawn(|| site.send_keyed("booking", "a"));
-        site.wait_until("it has run", || site.count("ran") == 1);
+        site.wait_until("the request has run", || site.count("ran") == 1);
         kill(&mut node);
         assert!(!first.join().unwrap().contains("[DONE]"));
     });
     let mut node = site.start_node();
     let repeat = site.send_keyed("booking", "a");
     assert!(repeat.starts_with("HTTP/1.1 409") && repeat.contains("already_taken"), "{repeat}");
-    // An idempotent request runs again.
+    // An idempotent request runs again after a restart.
     assert!(site.send_keyed("chat", "b").contains("[DONE]"));
     kill(&mut node);
     let mut node = site.start_node();
     assert!(site.send_keyed("chat", "b").contains("[DONE]"));
     assert!(site.send_keyed("booking", "a").starts_with("HTTP/1.1 409"));
-    // After a handover, the new process knows the key too.
+    // The new process also knows the key after a handover.
     assert!(site.send_keyed("booking", "c").contains("[DONE]"));
     send_signal(&node, Signal::HUP);
     assert_eq!(exit_code(&mut node), 0);
@@ -140,15 +146,15 @@
         let site = &site;
         let requests: Vec<_> =
             (0..5).map(|number| scope.spawn(move || site.chat(&format!("q{number}")))).collect();
-        site.wait_until("all are read", || site.count("read") == 5);
+        site.wait_until("all five prefills have run", || site.count("read") == 5);
         kill(&mut node);
         requests.into_iter().for_each(|request| drop(request.join()));
     });
     assert!(site.held_states() > 0);
     let mut node = site.start_node();
-    let began = Instant::now();
-    site.wait_until("they are let go of", || site.held_states() == 0);
-    assert!(began.elapsed() < Duration::from_millis(1500), "{:?}", began.elapsed());
+    let started_at = Instant::now();
+    site.wait_until("all KV states are released", || site.held_states() == 0);
+    assert!(started_at.elapsed() < Duration::from_millis(1500), "{:?}", started_at.elapsed());
     kill(&mut node);
 }
 
@@ -175,8 +181,9 @@
     }
 }
 
-/// A client connects after the node has stopped listening, while a stream still runs. Its connection came up, waited in the
-/// backlog, and was reset as the process ended: a copy of the listening socket, kept for a handover, was open to the end.
+/// A client that connects after the node has stopped listening, while a stream is still open, must be
+/// refused. A copy of the listening socket, kept for a handover, stayed open until the process exited: the
+/// connection was established, waited in the backlog, and was reset at the exit.
 #[test]
 fn connection_is_refused_once_the_node_has_stopped_listening() {
     let site = Arc::new(TestSite::new("refuse", 0.3));
@@ -184,16 +191,16 @@
     let stream = start_stream(&site);
     thread::sleep(Duration::from_millis(300));
     send_signal(&node, Signal::TERM);
-    // 0.3 s are for the notice.
+    // The node stops listening 0.3 s after the signal (`notice_ms`).
     thread::sleep(Duration::from_millis(700));
-    assert!(node.try_wait().unwrap().is_none(), "the stream still runs");
+    assert!(node.try_wait().unwrap().is_none(), "the node exited while the stream was open");
     let connection = std::net::TcpStream::connect(site.address());
-    assert!(connection.is_err(), "it came up, and nobody accepts it");
-    assert!(stream.join().unwrap().is_some_and(|seen| seen.outcome == "completed"));
+    assert!(connection.is_err(), "a connection was established after the node had stopped listening");
+    assert!(stream.join().unwrap().is_some_and(|result| result.outcome == "completed"));
     assert_eq!(exit_code(&mut node), 0);
 }
 
-/// The same in a process that took the socket over from another, as its standard input.
+/// As above, in a process that took over the listening socket from another process, as its standard input.
 #[test]
 fn connection_is_refused_once_a_successor_has_stopped_listening() {
     let site = Arc::new(TestSite::new("refuse2", 0.3));
@@ -205,8 +212,8 @@
     site.signal_successor(Signal::TERM);
     thread::sleep(Duration::from_millis(700));
     let connection = std::net::TcpStream::connect(site.address());
-    let outcome = stream.join().unwrap().map(|seen| seen.outcome);
+    let outcome = stream.join().unwrap().map(|result| result.outcome);
     site.kill_successor();
-    assert!(connection.is_err(), "it came up, and nobody accepts it");
+    assert!(connection.is_err(), "a connection was established after the node had stopped listening");
     assert_eq!(outcome.as_deref(), Some("completed"));
 }
--- a/crates/nickelgw-cli/tests/lifecycle/test_site.rs
+++ b/crates/nickelgw-cli/tests/lifecycle/test_site.rs
@@ -1,4 +1,4 @@
-//! A node as a process before three engines on threads.
+//! A node's process with three test engines, which run on threads of the test.
 
 use nickelgw_protocol::list::{self, EngineState};
 use nickelgw_test_servers::client::{self, ChatCall};
@@ -16,16 +16,17 @@
 
 /// An event that the test waits for must happen within this time.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
-/// A node that drains must exit within this time.
+/// A node that shuts down must exit within this time.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(15);
 
+/// A node's settings and store in a folder of their own, with its engines and endpoint list.
 pub struct TestSite {
     pub dir: PathBuf,
     list: String,
-    /// Addresses: the prefill engine, then two decode engines.
+    /// Addresses of the engines: the prefill engine, then two decode engines.
     pub engines: Vec<String>,
     record: Recorder,
-    /// Where the node listens.
+    /// Address on which the node listens.
     address: String,
 }
 
@@ -36,7 +37,8 @@
 }
 
 impl TestSite {
-    /// `step_s` is the time between tokens.
+    /// Starts the engines and the endpoint list, and writes the node's settings. `step_s` is the time between
+    /// tokens in seconds.
     pub fn new(name: &str, step_s: f64) -> TestSite {
         let dir = std::env::temp_dir().join(format!("nickelgw-life-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
@@ -55,7 +57,7 @@
         site
     }
 
-    /// Writes the node's settings, with more added to the ordinary ones.
+    /// Writes the node's settings with `more` added to the default ones.
     pub fn write_settings(&self, more: &str) {
         let text = format!(
             "name: 'node0' zone: 'a' zones: 'a' listen: '{}' list: '{}'\n\
@@ -80,11 +82,11 @@
             .unwrap();
         let mut lines = BufReader::new(child.stdout.take().unwrap()).lines();
         let serves = lines.any(|line| line.is_ok_and(|line| line == "serving"));
-        assert!(serves, "it did not come to serve");
+        assert!(serves, "the node exited before it printed that it serves");
         child
     }
 
-    /// Sends a streamed chat request.
+    /// Sends a streamed chat request. Returns what the client received.
     pub fn chat(&self, id: &str) -> Option<client::CallResult> {
         let request = ChatCall {
             request_id: id.into(),
@@ -101,17 +103,18 @@
     }
 
     pub fn chat_completes(&self, id: &str) -> bool {
-        self.chat(id).is_some_and(|seen| seen.outcome == "completed")
+        self.chat(id).is_some_and(|result| result.outcome == "completed")
     }
 
-    /// KV states that the prefill engine holds.
+    /// Returns the number of KV states that the prefill engine holds, or -1 if the engine does not say.
     pub fn held_states(&self) -> i64 {
         let order = serde_json::json!({"fault": "forget"});
         let answer = smol::block_on(client::control(&self.engines[0], &order));
         answer.and_then(|answer| answer["states"].as_i64()).unwrap_or(-1)
     }
 
-    /// Sends a request under an idempotency key; gives what comes back within three seconds.
+    /// Sends a request with an idempotency key. Returns the bytes of the response that arrive within three
+    /// seconds.
     pub fn send_keyed(&self, model: &str, key: &str) -> String {
         let body = format!(
             r#"{{"model":"{model}","stream":true,"messages":[{{"role":"user","content":"pay {key}"}}]}}"#
@@ -125,30 +128,31 @@
         String::from_utf8_lossy(&response).to_string()
     }
 
-    /// Events of a kind that the engines have recorded.
+    /// Returns the number of events of this kind that the engines have recorded.
     pub fn count(&self, event: &str) -> usize {
         self.record.entries().iter().filter(|line| line["ev"] == event).count()
     }
 
     pub fn wait_until(&self, what: &str, has_happened: impl Fn() -> bool) {
-        let began = Instant::now();
+        let started_at = Instant::now();
         while !has_happened() {
-            assert!(began.elapsed() < EVENT_TIMEOUT, "not seen in ten seconds: {what}");
+            assert!(started_at.elapsed() < EVENT_TIMEOUT, "did not happen within ten seconds: {what}");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Where the node listens.
+    /// Returns the address on which the node listens.
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Kills the node that serves now where it is no child of the test.
+    /// Kills the node's process after a handover, when it is not a child of the test.
     pub fn kill_successor(&self) {
         self.signal_successor(Signal::KILL);
     }
 
-    /// Sends a signal to the node that serves now where it is no child of the test: found by its settings file.
+    /// Sends a signal to the node's process after a handover, when it is not a child of the test. The process
+    /// is found by the settings file in its command line.
     pub fn signal_successor(&self, signal: Signal) {
         let settings = self.dir.join("node.txtpb").display().to_string();
         for process in std::fs::read_dir("/proc").into_iter().flatten().flatten() {
@@ -187,12 +191,12 @@
     entry
 }
 
-/// A port that a restarted node can listen on again, at an address of its own: at 127.0.0.1 a connection that another
-/// test has made meanwhile may have been given it.
+/// Returns an address that a restarted node can listen on again. Each site has a loopback address of its own,
+/// since on 127.0.0.1 the port may meanwhile have been assigned to a connection of another test.
 fn reusable_address() -> String {
     static SITES: AtomicU8 = AtomicU8::new(1);
-    let own = Ipv4Addr::new(127, 2, SITES.fetch_add(1, Ordering::Relaxed), 1);
-    TcpListener::bind((own, 0)).unwrap().local_addr().unwrap().to_string()
+    let site_address = Ipv4Addr::new(127, 2, SITES.fetch_add(1, Ordering::Relaxed), 1);
+    TcpListener::bind((site_address, 0)).unwrap().local_addr().unwrap().to_string()
 }
 
 pub fn kill(node: &mut Child) {
@@ -204,14 +208,14 @@
     kill_process(Pid::from_child(node), signal).unwrap();
 }
 
-/// Waits until the node has exited.
+/// Waits until the node has exited. Returns its exit code, or -1 if a signal ended it.
 pub fn exit_code(node: &mut Child) -> i32 {
-    let began = Instant::now();
+    let started_at = Instant::now();
     loop {
         if let Some(status) = node.try_wait().unwrap() {
             return status.code().unwrap_or(-1);
         }
-        assert!(began.elapsed() < EXIT_TIMEOUT, "it has not ended");
+        assert!(started_at.elapsed() < EXIT_TIMEOUT, "the node has not exited within {EXIT_TIMEOUT:?}");
         thread::sleep(Duration::from_millis(10));
     }
 }
--- a/crates/nickelgw-cli/tests/platform.rs
+++ b/crates/nickelgw-cli/tests/platform.rs
@@ -1,5 +1,5 @@
-//! Tests of the `platform` command as a process: idle clients that use up its limits, restarts, malformed requests, cold engines
-//! and a suspended event loop.
+//! Tests of the `platform` command as a process: idle clients that use up its limits, restarts, malformed
+//! requests, cold engines and a suspended event loop.
 
 // Each of these tests is one long sequence of steps on the same processes.
 #![allow(clippy::too_many_lines)]
@@ -22,7 +22,8 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// Returns a discovery service that does not answer until the returned flag is set, and then announces the list `after`.
+/// Returns a discovery service that does not answer until the returned flag is set, and then announces the
+/// list `after`.
 fn unavailable_discovery(after: Value) -> (Peer, Arc<AtomicBool>) {
     let up = Arc::new(AtomicBool::new(false));
     let answers = up.clone();
@@ -34,8 +35,8 @@
     (discovery, up)
 }
 
-/// Idle clients that use up the descriptors must not keep the node from answering, from continuing streams, and from fetching
-/// the endpoint list when discovery recovers.
+/// Idle clients that use up the descriptors must not keep the node from answering, from continuing streams,
+/// and from fetching the endpoint list when discovery recovers.
 #[test]
 fn idle_clients_may_fill_the_descriptors_while_discovery_is_unavailable() {
     const LIMIT: usize = 72;
@@ -65,7 +66,8 @@
     let used = (node.ticks() - ticks) as f64 / 100.0 / before.elapsed().as_secs_f64();
     assert!(used < 0.3, "the event loop spins: it uses {used} of a core");
     let descriptors = node.descriptors();
-    // At most 31 sockets belong to clients, though 200 try to connect, and 11 to the process itself and to discovery.
+    // At most 31 sockets belong to clients, though 200 try to connect, and 11 to the process itself and to
+    // discovery.
     let sockets = descriptors.iter().filter(|target| target.starts_with("socket:")).count();
     assert!(sockets <= 31 + 11, "{sockets} sockets are open: {descriptors:?}");
     up.store(true, Ordering::Relaxed);
@@ -92,8 +94,8 @@
     silent_clients.join().unwrap();
 }
 
-/// The process may open fewer descriptors than its configuration states: it must close idle connections, and wait between
-/// attempts to accept instead of spinning.
+/// The process may open fewer descriptors than its configuration states: it must close idle connections, and
+/// wait between attempts to accept instead of spinning.
 #[test]
 fn node_out_of_descriptors_serves_without_spinning() {
     let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
@@ -115,7 +117,8 @@
     assert!(response.ends_with("0\r\n\r\n"), "{response}");
 }
 
-/// Ten nodes are killed and restarted without discovery, while silent clients and clients with requests keep connecting.
+/// Ten nodes are killed and restarted without discovery, while silent clients and clients with requests keep
+/// connecting.
 #[test]
 fn nine_in_ten_restarted_processes_are_ready_in_time() {
     let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
@@ -179,7 +182,8 @@
     );
 }
 
-/// Malformed bytes from a client must close only the client's own connection, and repeated ones must add only one log line.
+/// Malformed bytes from a client must close only the client's own connection, and repeated ones must add only
+/// one log line.
 #[test]
 fn malformed_bytes_close_only_their_connection_and_add_one_log_line() {
     let (prefill, decode) = (prefill_engine(), peer(|_, _| PeerAction::Respond(stream_response())));
@@ -199,9 +203,9 @@
     assert_eq!(log.matches("malformed message rejected").count(), 1, "{log}");
 }
 
-/// Twenty processes share eight engines of each role, six of which are warming up; an even share of the load is twice what such
-/// an engine can take. The attempts and probes of all processes together to one cold engine must stay within its budget of
-/// N calls, plus 2 x root of N + 2 for random variation.
+/// Twenty processes share eight engines of each role, six of which are warming up; an even share of the load
+/// is twice what such an engine can take. The attempts and probes of all processes together to one cold
+/// engine must stay within its budget of N calls, plus 2 x root of N + 2 for random variation.
 #[test]
 fn all_processes_together_respect_the_limit_of_a_cold_engine() {
     const NODES: u8 = 20;
@@ -255,7 +259,8 @@
                 let mut served = 0;
                 for i in 0..(4.0 / gap.as_secs_f64()) as u32 {
                     sleep((first + gap * i).saturating_duration_since(Instant::now()));
-                    // Each request has a session of its own, so that the route hash spreads the requests over the engines.
+                    // Each request has a session of its own, so that the route hash spreads the requests over
+                    // the engines.
                     let text = chat_request(&format!("a{number}x{i}"))
                         .replace("X-Route-Hash: 7f3a", &format!("X-Route-Hash: {number}x{i}"));
                     served += usize::from(exchange(address, text.as_bytes()).ends_with("0\r\n\r\n"));
@@ -285,9 +290,9 @@
     assert!(used > 20, "cold engines got only {used} calls");
 }
 
-/// When a suspended event loop resumes, a client's disconnect and the event that would dispatch its request are both pending.
-/// The request must not be dispatched if it was queued until the list announces a prefill engine, if its prefill finishes
-/// meanwhile, or if its connection has not been accepted yet.
+/// When a suspended event loop resumes, a client's disconnect and the event that would dispatch its request
+/// are both pending. The request must not be dispatched if it was queued until the list announces a prefill
+/// engine, if its prefill finishes meanwhile, or if its connection has not been accepted yet.
 #[test]
 fn request_of_a_client_that_disconnected_while_the_loop_was_suspended_is_not_dispatched() {
     let (open_gate, opened) = async_channel::bounded::<()>(1);
@@ -305,7 +310,8 @@
         let _ = opened.recv_blocking();
         PeerAction::Respond(http_response("200 OK", &announced))
     });
-    // The first node knows no prefill engine until the agent announces it; the second knows one from the start.
+    // The first node knows no prefill engine until the agent announces it; the second knows one from the
+    // start.
     let (queueing, prefilling) = (
         start_node(60, &agent, endpoint_list(&[], &[&decode]), 128, 128),
         start_node(61, &silent_discovery(), endpoint_list(&[&prefill], &[&decode]), 128, 128),
@@ -347,7 +353,8 @@
     assert_eq!(ids(&decode), ["fa10", "fb10"]);
 }
 
-/// A request that arrived on an open connection while the node was suspended got its whole timeout from the time it was read.
+/// A request that arrived on an open connection while the node was suspended got its whole timeout from the
+/// time it was read.
 #[test]
 fn time_in_which_the_node_was_suspended_counts_against_the_deadline() {
     const SUSPENSION: Duration = Duration::from_millis(600);
--- a/crates/nickelgw-cli/tests/platform_reservations.rs
+++ b/crates/nickelgw-cli/tests/platform_reservations.rs
@@ -1,5 +1,5 @@
-//! Tests of KV reservations under faults: a node's process behind fault proxies to test engines, which measure how long
-//! a reservation exists with no attempt of its request at an engine.
+//! Tests of KV reservations under faults: a node's process behind fault proxies to test engines, which
+//! measure how long a reservation exists with no attempt of its request at an engine.
 
 #[allow(dead_code)]
 #[path = "../../nickelgw-platform/tests/common/mod.rs"]
@@ -36,8 +36,8 @@
     }
 }
 
-/// The response of a prefill that succeeds is lost as its connection breaks, and its engine drains: the request waits for another
-/// engine, and the reservation must be released meanwhile.
+/// The response of a prefill that succeeds is lost as its connection breaks, and its engine drains: the
+/// request waits for another engine, and the reservation must be released meanwhile.
 #[test]
 fn reservation_of_a_prefill_with_a_lost_response_is_released_in_time() {
     let site = TestSite::start(102, 1, 1, |_| {});
@@ -58,7 +58,8 @@
     site.assert_no_violation();
 }
 
-/// Attempts that never arrive and whose connections break after a while must not extend a reservation, however many there are.
+/// Attempts that never arrive and whose connections break after a while must not extend a reservation,
+/// however many there are.
 #[test]
 fn attempts_that_break_without_a_response_do_not_extend_a_reservation() {
     let site = TestSite::start(103, 1, 3, |config| config["settings"]["limits"]["most_tries"] = 6.into());
@@ -78,7 +79,8 @@
     site.assert_no_violation();
 }
 
-/// A decode attempt that has arrived keeps its reservation however long it waits at the engine, and is served late.
+/// A decode attempt that has arrived keeps its reservation however long it waits at the engine, and is served
+/// late.
 #[test]
 fn decode_attempt_that_waits_at_its_engine_keeps_its_reservation() {
     let site = TestSite::start(104, 1, 1, |_| {});
@@ -87,7 +89,8 @@
     site.assert_no_violation();
 }
 
-/// A node that shuts down must leave no reservation, even if an attempt is in progress at an engine that hangs.
+/// A node that shuts down must leave no reservation, even if an attempt is in progress at an engine that
+/// hangs.
 #[test]
 fn shutdown_leaves_nothing_reserved() {
     let mut site = TestSite::start(105, 1, 1, |_| {});
@@ -106,7 +109,8 @@
     site.assert_no_violation();
 }
 
-/// System calls that fail temporarily, short reads and writes, and a wall clock that steps by an hour must not fail requests.
+/// System calls that fail temporarily, short reads and writes, and a wall clock that steps by an hour must
+/// not fail requests.
 #[test]
 fn requests_succeed_despite_failing_system_calls_and_a_stepping_clock() {
     let faults = world::build_fault_library();
@@ -125,7 +129,8 @@
     site.assert_no_violation();
 }
 
-/// All open connections become silent while the prefill's response is on its way back: release calls must use new connections.
+/// All open connections become silent while the prefill's response is on its way back: release calls must use
+/// new connections.
 #[test]
 fn release_succeeds_though_every_open_connection_is_silent() {
     let site = TestSite::start(107, 1, 3, |_| {});
@@ -158,7 +163,8 @@
     site.assert_no_violation();
 }
 
-/// An engine that was removed from the list may still run: its reservation must be released through another engine.
+/// An engine that was removed from the list may still run: its reservation must be released through another
+/// engine.
 #[test]
 fn reservation_at_a_removed_engine_is_released() {
     let site = TestSite::start(109, 1, 1, |_| {});
@@ -170,7 +176,8 @@
     site.assert_no_violation();
 }
 
-/// No engine can be reached for longer than any timeout. After the engines recover, the release must reach them.
+/// No engine can be reached for longer than any timeout. After the engines recover, the release must reach
+/// them.
 #[test]
 fn reservation_is_released_when_engines_recover() {
     let site = TestSite::start(110, 1, 1, |_| {});
@@ -179,7 +186,8 @@
     site.prefill_engines()[0].engine.behaviour.work_ms.store(200, Relaxed);
     let pending = site.request_and_disconnect("away", Some(ms(400)));
     sleep(ms(100));
-    // The prefill succeeds, but its response does not get through the silent connection, and neither does any other call.
+    // The prefill succeeds, but its response does not get through the silent connection, and neither does any
+    // other call.
     for proxied in site.prefill_engines().into_iter().chain(site.decode_engines()) {
         proxied.proxy.silence(true);
         proxied.proxy.refuse(true);
@@ -201,7 +209,8 @@
     }
 }
 
-/// A client disconnects, or the configuration is reloaded, while an attempt is in progress on a silent connection.
+/// A client disconnects, or the configuration is reloaded, while an attempt is in progress on a silent
+/// connection.
 #[test]
 fn disconnect_and_reload_do_not_keep_a_reservation() {
     for (n, reload) in [(111, false), (112, true)] {
@@ -218,8 +227,8 @@
     }
 }
 
-/// Release calls kept engines too busy to confirm them, and were therefore repeated after the faults that caused them had ended
-/// (docs/incidents/release-storm.md).
+/// Release calls kept engines too busy to confirm them, and were therefore repeated after the faults that
+/// caused them had ended (docs/incidents/release-storm.md).
 #[test]
 fn many_releases_at_once_end_within_a_second_of_the_faults() {
     let site = TestSite::start(113, 2, 2, |_| {});
--- a/crates/nickelgw-cli/tests/platform_reservations/world.rs
+++ b/crates/nickelgw-cli/tests/platform_reservations/world.rs
@@ -23,7 +23,8 @@
     pub proxy: Proxy,
 }
 
-/// A node's process with engines behind proxies, a discovery service, and the table of what the engines observe.
+/// A node's process with engines behind proxies, a discovery service, and the table of what the engines
+/// observe.
 pub struct TestSite {
     pub table: Arc<RequestTable>,
     engines: Vec<ProxiedEngine>,
@@ -33,7 +34,8 @@
     next_list: Arc<Mutex<Option<Value>>>,
 }
 
-/// Starts a discovery service that announces each list once, and does not answer otherwise. Returns it and its next list.
+/// Starts a discovery service that announces each list once, and does not answer otherwise. Returns it and
+/// its next list.
 fn discovery() -> (Peer, Arc<Mutex<Option<Value>>>) {
     let next_list: Arc<Mutex<Option<Value>>> = Arc::default();
     let next = next_list.clone();
@@ -151,7 +153,8 @@
         self.request_and_disconnect(id, None)
     }
 
-    /// Sends a request in a thread of its own. The client disconnects after this time, or not at all if it is `None`.
+    /// Sends a request in a thread of its own. The client disconnects after this time, or not at all if it is
+    /// `None`.
     pub fn request_and_disconnect(
         &self,
         id: &str,
@@ -165,7 +168,8 @@
         })
     }
 
-    /// Asserts that the client got a final answer: the request did not time out, and the connection was not refused or closed.
+    /// Asserts that the client got a final answer: the request did not time out, and the connection was not
+    /// refused or closed.
     pub fn assert_final_answer(&self, outcome: Outcome) {
         assert!(
             !matches!(outcome, Outcome::TimedOut | Outcome::ConnectionClosed | Outcome::ConnectionRefused),
--- a/crates/nickelgw-cli/tests/platform_soak.rs
+++ b/crates/nickelgw-cli/tests/platform_soak.rs
@@ -1,12 +1,13 @@
-//! Soak test: 24 nodes as processes and engines behind fault proxies, under random overlapping faults. It is judged by what
-//! arrived at engines and clients, and by the violations that the nodes log themselves.
+//! Soak test: 24 nodes as processes and engines behind fault proxies, under random overlapping faults. It is
+//! judged by what arrived at engines and clients, and by the violations that the nodes log themselves.
 //!
 //!     SOAK_SEEDS=1,2,3 SOAK_SECONDS=30 cargo test --release -p nickelgw-cli --test platform_soak many -- --nocapture
 //!
-//! Clients keep their connections open and continue to use them until SIGKILL, which is sent at the earliest time that the
-//! platform allows. With seeds divisible by four some nodes are crowded, that is, they also have idle and slow clients
-//! (`SOAK_CROWD_SEEDS`, `--test platform_soak crowd`). Without the variables a few seeds run for a few seconds each. Every
-//! finding of every run is printed and written to a file (`SOAK_RECORD`), whether it counts or not.
+//! Clients keep their connections open and continue to use them until SIGKILL, which is sent at the earliest
+//! time that the platform allows. With seeds divisible by four some nodes are crowded, that is, they also
+//! have idle and slow clients (`SOAK_CROWD_SEEDS`, `--test platform_soak crowd`). Without the variables a few
+//! seeds run for a few seconds each. Every finding of every run is printed and written to a file
+//! (`SOAK_RECORD`), whether it counts or not.
 
 #[path = "platform_soak/clients.rs"]
 mod clients;
@@ -43,7 +44,8 @@
 const NODES: &str = "24";
 /// Time after the last fault within which all open requests end.
 const SETTLE: Duration = Duration::from_secs(5);
-/// Number of threads of the executor that runs engines, proxies and clients. A single thread was starved by the nodes' traffic.
+/// Number of threads of the executor that runs engines, proxies and clients. A single thread was starved by
+/// the nodes' traffic.
 const HARNESS_THREADS: &str = "8";
 
 fn setting(name: &str, default: &str) -> String {
@@ -67,7 +69,8 @@
     run_seeds(&setting("SOAK_SEEDS", "1,2,3,5,6"));
 }
 
-/// Some nodes are crowded: idle clients use up their file descriptors, and slow clients send requests byte by byte.
+/// Some nodes are crowded: idle clients use up their file descriptors, and slow clients send requests byte by
+/// byte.
 #[test]
 fn random_faults_beside_a_crowd_break_no_rule() {
     run_seeds(&setting("SOAK_CROWD_SEEDS", "4"));
@@ -76,8 +79,8 @@
 /// Held by the test that uses the executor, so that only one test at a time does.
 static EXECUTOR: Mutex<()> = Mutex::new(());
 
-/// Reserves the executor for one test and sets its number of threads, which smol reads when the first task of the process is
-/// spawned.
+/// Reserves the executor for one test and sets its number of threads, which smol reads when the first task of
+/// the process is spawned.
 fn lock_executor() -> MutexGuard<'static, ()> {
     let guard = lock(&EXECUTOR);
     if std::env::var_os("SMOL_THREADS").is_none() {
--- a/crates/nickelgw-cli/tests/platform_soak/clients.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/clients.rs
@@ -1,5 +1,6 @@
-//! A node's clients: they send requests continuously on kept-alive connections, and continue to use open connections while
-//! the node shuts down. Some nodes also have a crowd: idle clients that use up the node's file descriptors, and slow clients.
+//! A node's clients: they send requests continuously on kept-alive connections, and continue to use open
+//! connections while the node shuts down. Some nodes also have a crowd: idle clients that use up the node's
+//! file descriptors, and slow clients.
 
 use crate::member::Member;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -23,7 +24,8 @@
 const REQUESTS_PER_EARLY_CONNECT: u32 = 8;
 /// Longest time between a client's connect and its first request.
 const MAX_FIRST_DELAY: Duration = Duration::from_millis(300);
-/// Number of clients that connect while a node shuts down, in the second half of the time in which new connections are opened.
+/// Number of clients that connect while a node shuts down, in the second half of the time in which new
+/// connections are opened.
 const SHUTDOWN_CLIENTS: usize = 8;
 /// Number of clients of a crowd that connect and send nothing.
 const IDLE_CLIENTS: usize = 150;
@@ -45,8 +47,9 @@
     pub outcome: Outcome,
 }
 
-/// Whether a node that has not read a request may end it with this outcome. It may close a reused connection, since the client
-/// then sends the request again; a crowded node may also close a new connection. No node may let a client time out.
+/// Whether a node that has not read a request may end it with this outcome. It may close a reused connection,
+/// since the client then sends the request again; a crowded node may also close a new connection. No node may
+/// let a client time out.
 pub(crate) fn may_be_unread(is_new_connection: bool, is_crowded: bool, outcome: &Outcome) -> bool {
     (!is_new_connection || is_crowded) && *outcome == Outcome::ConnectionClosed
 }
@@ -58,7 +61,8 @@
     pub delay: Duration,
 }
 
-/// Returns the clients for this seed. `accepts_for` is the time after the shutdown signal in which clients open connections.
+/// Returns the clients for this seed. `accepts_for` is the time after the shutdown signal in which clients
+/// open connections.
 pub(crate) fn shutdown_clients(seed: u64, accepts_for: Duration) -> Vec<ShutdownClient> {
     let mut random = WyRand::new_seed(seed);
     let mut client = || ShutdownClient {
@@ -73,7 +77,8 @@
 pub struct SendCounts {
     /// Number of first sends.
     pub first: usize,
-    /// Number of retries by outcome. A client retries once if the node closed a reused connection while it was sending.
+    /// Number of retries by outcome. A client retries once if the node closed a reused connection while it
+    /// was sending.
     pub retries: BTreeMap<String, usize>,
 }
 
@@ -105,8 +110,8 @@
 /// A client's connection to the node.
 struct ClientConnection {
     stream: TcpStream,
-    /// When the client began to open the connection. `None` if it has carried a request already. A kill that ended after this
-    /// time may have closed the connection.
+    /// When the client began to open the connection. `None` if it has carried a request already. A kill that
+    /// ended after this time may have closed the connection.
     opened_at: Option<Instant>,
 }
 
@@ -143,7 +148,8 @@
         pending.into_iter().filter_map(smol::block_on).collect()
     }
 
-    /// Sends a request. With a delay, the client opens a new connection and sends the request on it after the delay.
+    /// Sends a request. With a delay, the client opens a new connection and sends the request on it after the
+    /// delay.
     async fn send_after(&self, request: ClientRequest, delay: Option<Duration>) -> Option<Outcome> {
         if let (Some(delay), true) = (delay, self.member.accepts_connections()) {
             let connection = self.connect(&request).await?;
@@ -174,8 +180,8 @@
         }
     }
 
-    /// Sends a request, and once more if the node closed a reused connection meanwhile. Returns `None` if the node accepts no new
-    /// connections.
+    /// Sends a request, and once more if the node closed a reused connection meanwhile. Returns `None` if the
+    /// node accepts no new connections.
     async fn send(&self, mut request: ClientRequest) -> Option<Outcome> {
         let first = self.connection(&request).await?;
         lock(&self.sends).first += 1;
--- a/crates/nickelgw-cli/tests/platform_soak/faults.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/faults.rs
@@ -57,7 +57,8 @@
     is_draining: Arc<AtomicBool>,
     endings: Vec<Ending>,
     started_at: Instant,
-    /// Records of the faults so far: when each began, which engine or node it affected, and when it ends by itself.
+    /// Records of the faults so far: when each began, which engine or node it affected, and when it ends by
+    /// itself.
     pub injected: Vec<Value>,
 }
 
@@ -173,7 +174,8 @@
         "new connections cost engines work"
     }
 
-    /// Lets an engine drain, leave the list, and return with a new start time; one engine at a time. Returns the fault's name.
+    /// Lets an engine drain, leave the list, and return with a new start time; one engine at a time. Returns
+    /// the fault's name.
     fn begin_drain(&mut self, fleet: &Fleet, engine: usize) -> &'static str {
         if self.is_draining.swap(true, Relaxed) {
             return "no drain, as another engine drains";
@@ -240,8 +242,8 @@
         }
     }
 
-    /// Sends a series of signals of random kinds to one node. With a shutdown, the node also gets SIGTERM at the start of the
-    /// series, and the other signals follow.
+    /// Sends a series of signals of random kinds to one node. With a shutdown, the node also gets SIGTERM at
+    /// the start of the series, and the other signals follow.
     fn begin_series(&mut self, fleet: &Fleet, node: usize, with_shutdown: bool) {
         let member = fleet.member(node);
         let steps: Vec<SeriesStep> = (0..2 + self.random_below(MAX_SERIES - 1))
@@ -252,7 +254,8 @@
             })
             .collect();
         let shutdown_random = with_shutdown.then(|| self.random.generate());
-        // Further SIGTERMs go only to the process that this series ends: no one would restart another process.
+        // Further SIGTERMs go only to the process that this series ends: no one would restart another
+        // process.
         let ending_process = shutdown_random.and_then(|random| fleet.shut_down_and_restart(node, random));
         fleet.run_concurrently(move || {
             for step in steps {
--- a/crates/nickelgw-cli/tests/platform_soak/fleet.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/fleet.rs
@@ -138,7 +138,8 @@
         lock(&self.node_faults).push(spawn(fault));
     }
 
-    /// Kills and restarts a node. Its requests are excused from then on, since the platform releases their reservations.
+    /// Kills and restarts a node. Its requests are excused from then on, since the platform releases their
+    /// reservations.
     pub fn kill_and_restart(&self, node: usize) {
         let member = self.member(node);
         if member.begin_end() {
@@ -151,8 +152,8 @@
         }
     }
 
-    /// Shuts a node down, kills it if it has not exited in time, and restarts it. Returns the ID of the process that ends, or
-    /// `None` if it is ending already.
+    /// Shuts a node down, kills it if it has not exited in time, and restarts it. Returns the ID of the
+    /// process that ends, or `None` if it is ending already.
     pub fn shut_down_and_restart(&self, node: usize, random: f64) -> Option<u32> {
         let member = self.member(node);
         member.begin_end().then(|| {
@@ -205,7 +206,8 @@
         if findings.is_empty() {
             self.members.iter().for_each(|member| drop(std::fs::remove_file(&member.log)));
         } else {
-            // The logs of a run with findings are kept, so that a violation can be traced by the ID of its request.
+            // The logs of a run with findings are kept, so that a violation can be traced by the ID of its
+            // request.
             println!("kept logs: {} and those of the other nodes", self.members[0].log.display());
         }
         let served = outcomes.iter().filter(|outcome| **outcome == Outcome::Completed).count();
@@ -233,8 +235,8 @@
     Finding { what, request: Some(id), from: now, until: now, excess: None }
 }
 
-/// Returns a finding for each line of a node's log that is above the level INFO: violations that the node found itself, and
-/// other warnings and errors.
+/// Returns a finding for each line of a node's log that is above the level INFO: violations that the node
+/// found itself, and other warnings and errors.
 fn findings_of_log(address: &str, log: &str) -> Vec<Finding> {
     let is_unusual = |line: &&str| !line.contains(" DEBUG ") && !line.contains(" INFO ");
     let finding = |line: &str| {
--- a/crates/nickelgw-cli/tests/platform_soak/judge.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/judge.rs
@@ -1,7 +1,8 @@
-//! Judges each finding of a run by the harness's lateness at the time of the finding, and records all findings.
+//! Judges each finding of a run by the harness's lateness at the time of the finding, and records all
+//! findings.
 //!
-//! A finding counts unless the harness was late during that time, and by enough to explain the finding. A run in which all
-//! findings are explained by lateness neither passes nor fails.
+//! A finding counts unless the harness was late during that time, and by enough to explain the finding. A run
+//! in which all findings are explained by lateness neither passes nor fails.
 
 use crate::lateness::Lateness;
 use nickelgw_test_servers::platform::{ObservedViolation, RuleLimits, Violation};
@@ -13,7 +14,8 @@
 const MAX_LATENESS: Duration = Duration::from_millis(50);
 /// Number of ends of a measured time span: a late harness may be wrong by its lateness at each of them.
 const SPAN_ENDS: u32 = 2;
-/// A run cannot be judged if the harness was late for more than this share of it, since lateness hides violations as well.
+/// A run cannot be judged if the harness was late for more than this share of it, since lateness hides
+/// violations as well.
 const MAX_LATE_SHARE: f64 = 0.1;
 /// At most one run in this number may be inconclusive.
 const RUNS_PER_INCONCLUSIVE: usize = 10;
@@ -29,7 +31,8 @@
     pub from: Instant,
     /// End of the time span that was judged.
     pub until: Instant,
-    /// How much a time limit was exceeded by. `None` if the finding has no time limit, so that lateness cannot explain it.
+    /// How much a time limit was exceeded by. `None` if the finding has no time limit, so that lateness
+    /// cannot explain it.
     pub excess: Option<Duration>,
 }
 
@@ -84,7 +87,8 @@
 }
 
 impl Verdict {
-    /// Returns the verdict by the judgements of all findings and the share of the run in which the harness was late.
+    /// Returns the verdict by the judgements of all findings and the share of the run in which the harness
+    /// was late.
     pub fn new(judgements: &[Judgement], late_share: f64) -> Verdict {
         if judgements.contains(&Judgement::Counts) {
             Verdict::Failed
@@ -154,8 +158,8 @@
         total / self.started_at.elapsed().as_secs_f64()
     }
 
-    /// Returns the verdict by the criterion used before this one: "void" if the harness was late by `MAX_LATENESS` or more at any
-    /// time.
+    /// Returns the verdict by the criterion used before this one: "void" if the harness was late by
+    /// `MAX_LATENESS` or more at any time.
     pub fn former_verdict(&self, findings: &[Finding]) -> &'static str {
         if self.lateness.max() >= MAX_LATENESS {
             "void"
--- a/crates/nickelgw-cli/tests/platform_soak/judge_tests.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/judge_tests.rs
@@ -38,7 +38,8 @@
     assert_eq!(lateness.total_of(ms(50)), ms(80), "overlapping samples count once");
 }
 
-/// The former judge dropped five runs, one of them with 901 violations, since the harness had been late at some time.
+/// The former judge dropped five runs, one of them with 901 violations, since the harness had been late at
+/// some time.
 #[test]
 fn all_findings_are_written_and_one_that_counts_fails_the_run() {
     let (lateness, started_at) = (Lateness::default(), Instant::now());
@@ -99,7 +100,8 @@
     assert!(clients.iter().all(|client| client.connects_after <= accepts_for));
 }
 
-/// An attempt that its node wrote before the client disconnected, and that arrived late, counted as begun after the disconnect.
+/// An attempt that its node wrote before the client disconnected, and that arrived late, counted as begun
+/// after the disconnect.
 #[test]
 fn attempt_begins_when_its_node_writes_it() {
     let table = RequestTable::new(RuleLimits::default());
@@ -115,8 +117,8 @@
         table.attempt_arrived(id, None, Role::Decode);
     }
     let violations = table.violations();
-    let is_the_late_one = |violation: &Violation| matches!(violation, Violation::AttemptAfterDisconnect { id, .. } if id == "after");
-    assert!(violations.len() == 1 && violations.iter().all(is_the_late_one), "{violations:?}");
+    let is_late_attempt = |violation: &Violation| matches!(violation, Violation::AttemptAfterDisconnect { id, .. } if id == "after");
+    assert!(violations.len() == 1 && violations.iter().all(is_late_attempt), "{violations:?}");
     // A recorded time of writing applies to one attempt only.
     table.attempt_arrived("before", None, Role::Decode);
     assert_eq!(
@@ -126,7 +128,8 @@
     );
 }
 
-/// The client's remaining time was judged when the attempt was written, which hid the time on the way to the engine.
+/// The client's remaining time was judged when the attempt was written, which hid the time on the way to the
+/// engine.
 #[test]
 fn remaining_time_is_judged_when_the_attempt_arrives() {
     let table = RequestTable::new(RuleLimits::default());
--- a/crates/nickelgw-cli/tests/platform_soak/lateness.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/lateness.rs
@@ -1,4 +1,5 @@
-//! How late the soak test's own tasks and threads run, over time. What they measure of others is no more precise than that.
+//! How late the soak test's own tasks and threads run, over time. What they measure of others is no more
+//! precise than that.
 
 use nickelgw_test_servers::platform::lock;
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
@@ -9,7 +10,8 @@
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(5);
 /// Samples with less lateness are discarded.
 const MIN_KEPT: Duration = Duration::from_millis(5);
-/// Number of tasks that sample the executor of engines, proxies and clients. There are several since it has several threads.
+/// Number of tasks that sample the executor of engines, proxies and clients. There are several since it has
+/// several threads.
 const SAMPLING_TASKS: usize = 4;
 
 /// When a sampler was due to wake up, and how much later it did.
@@ -24,8 +26,8 @@
 pub struct Lateness(Mutex<Vec<Sample>>);
 
 impl Lateness {
-    /// Samples the executor, and a thread like the one that injects faults, until the returned value and all its clones are
-    /// dropped.
+    /// Samples the executor, and a thread like the one that injects faults, until the returned value and all
+    /// its clones are dropped.
     pub fn measure() -> Arc<Lateness> {
         let lateness = Arc::new(Lateness::default());
         for _ in 0..SAMPLING_TASKS {
--- a/crates/nickelgw-cli/tests/platform_soak/member.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/member.rs
@@ -19,7 +19,8 @@
 const ACCEPT_RANGE: (Duration, Duration) = (Duration::from_millis(200), Duration::from_millis(400));
 /// Time from SIGTERM to SIGKILL: the platform's shortest, which is the longest deadline plus 0.7 s.
 const KILL_AFTER: Duration = Duration::from_millis(2700);
-/// A request that is unanswered at SIGKILL is excused if it was sent within this time after SIGTERM; a later one counts as lost.
+/// A request that is unanswered at SIGKILL is excused if it was sent within this time after SIGTERM; a later
+/// one counts as lost.
 const UNANSWERED_EXCUSED: Duration = Duration::from_millis(700);
 /// Shortest time from a process's readiness to SIGHUP: the platform documents that it sends none before.
 const MIN_READY_BEFORE_RELOAD: Duration = Duration::from_secs(1);
@@ -127,7 +128,8 @@
         let _ = kill_process(Pid::from_child(&child), signal);
     }
 
-    /// Sends SIGHUP to the current process, unless it has been ready for less than a second: the platform never does so.
+    /// Sends SIGHUP to the current process, unless it has been ready for less than a second: the platform
+    /// never does so.
     pub fn reload(&self) {
         let is_old_enough = |ready_at: &Instant| ready_at.elapsed() >= MIN_READY_BEFORE_RELOAD;
         if lock(&self.ready_at).as_ref().is_some_and(is_old_enough) {
@@ -168,7 +170,8 @@
         let mut child = lock(&self.child);
         let _ = child.kill();
         let _ = child.wait();
-        // The sockets of the process are closed only now: until then the kernel accepted connections for the exiting process.
+        // The sockets of the process are closed only now: until then the kernel accepted connections for the
+        // exiting process.
         lock(&self.kills)[kill].ended_at = Some(Instant::now());
     }
 
@@ -177,8 +180,8 @@
         ACCEPT_RANGE.0 + (ACCEPT_RANGE.1 - ACCEPT_RANGE.0).mul_f64(random)
     }
 
-    /// Sends SIGTERM to the current process, and SIGKILL at the platform's earliest time if it still runs. Clients open new
-    /// connections for `accepts_for`.
+    /// Sends SIGTERM to the current process, and SIGKILL at the platform's earliest time if it still runs.
+    /// Clients open new connections for `accepts_for`.
     pub fn shut_down(&self, accepts_for: Duration) {
         let shutdown_at = Instant::now();
         self.signal(Signal::TERM);
@@ -194,7 +197,8 @@
         }
     }
 
-    /// Starts a new process after the previous one has ended. Its configuration contains the endpoint list `known`.
+    /// Starts a new process after the previous one has ended. Its configuration contains the endpoint list
+    /// `known`.
     pub fn restart(&self, known: &Value) {
         let text = std::fs::read_to_string(&self.config).unwrap();
         let mut config: Value = serde_json::from_str(&text).unwrap();
--- a/crates/nickelgw-cli/tests/processes/mod.rs
+++ b/crates/nickelgw-cli/tests/processes/mod.rs
@@ -55,7 +55,8 @@
     command.spawn().unwrap()
 }
 
-/// Starts a node whose configuration states a limit of `stated` sockets, in a process that may open `descriptors` descriptors.
+/// Starts a node whose configuration states a limit of `stated` sockets, in a process that may open
+/// `descriptors` descriptors.
 pub fn start_node(
     address_byte: u8,
     discovery: &Peer,
@@ -80,7 +81,8 @@
     Node { child: start_process(&path, descriptors), address, path }
 }
 
-/// Writes the configuration of a node that is yet to be started. Returns its address and the path of the file.
+/// Writes the configuration of a node that is yet to be started. Returns its address and the path of the
+/// file.
 pub fn write_config(
     address_byte: u8,
     discovery: &Peer,
@@ -120,8 +122,8 @@
     read_response(&mut client)
 }
 
-/// Whether a node is ready. Silent clients occupy their connections for half a second each: behind 200 of them, with 31
-/// connections served at once, this client is served after about 3 s.
+/// Whether a node is ready. Silent clients occupy their connections for half a second each: behind 200 of
+/// them, with 31 connections served at once, this client is served after about 3 s.
 pub fn is_ready(address: SocketAddr) -> bool {
     let Ok(mut client) = TcpStream::connect(address) else { return false };
     client.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
@@ -165,7 +167,8 @@
         fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
     }
 
-    /// Starts clients that connect and send nothing, and reconnect when they are closed, until the returned flag is cleared.
+    /// Starts clients that connect and send nothing, and reconnect when they are closed, until the returned
+    /// flag is cleared.
     pub fn start_silent_clients(&self, clients: usize) -> (Arc<AtomicBool>, std::thread::JoinHandle<()>) {
         let (running, address) = (Arc::new(AtomicBool::new(true)), self.address);
         let still_running = running.clone();
