--- a/crates/nickelgw-cli/tests/platform_soak/fleet.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/fleet.rs
@@ -53,7 +53,7 @@
     pub sent: usize,
     /// Number of requests that were served completely.
     pub served: usize,
-    /// Number of requests that the node closed without having read them.
+    /// Number of requests that ended as the node closed their connections without having read them.
     pub unread: usize,
     pub sends: SendCounts,
     /// All findings, whether they count or not.
