--- a/crates/nickelgw-node/src/admin/mod.rs
+++ b/crates/nickelgw-node/src/admin/mod.rs
@@ -1,4 +1,5 @@
-//! The admin port: metrics, health, and request traces. Plain HTTP, for loopback or a protected network.
+//! The admin port: serves metrics, health and request traces. It speaks plain HTTP and is meant for the
+//! loopback interface or a protected network.
 
 mod metrics;
 
@@ -27,33 +28,33 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Connections served at once; more wait in the system's queue.
+/// Largest number of connections served at the same time; further ones wait in the system's backlog.
 const MAX_CONNECTIONS: usize = 16;
-/// A connection lasts no longer than this, whatever comes over it.
+/// Longest lifetime of a connection, whether or not requests arrive on it.
 const CONNECTION_TIMEOUT_S: f64 = 30.0;
 /// Delay before a failed bind is retried.
 const BIND_RETRY_S: f64 = 0.5;
-/// Delay after a failed accept.
+/// Delay after a failed accept before the next one.
 const ACCEPT_RETRY_S: f64 = 0.05;
-/// Longest request id that is looked up.
+/// Longest request id that is looked up; longer ones are cut.
 const MAX_REQUEST_ID_CHARS: usize = 64;
 
 const TEXT: &str = "text/plain; charset=utf-8";
 const OPENMETRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// What the admin port reports on.
+/// Server of the admin port, with the parts of the node that it reports on.
 pub struct Admin {
     /// The event loop's queue.
     pub events: Sender<TimedEvent>,
-    /// Health and connections.
+    /// State of the chat listener: health and open connections.
     pub listener: Rc<ListenerState>,
-    /// Background tasks.
+    /// The node's background tasks.
     pub background: Rc<Background>,
-    /// The node's store.
+    /// Writer of the node's store.
     pub store_writer: Rc<StoreWriter>,
-    /// Gossip between nodes, where it is on.
+    /// Gossip between nodes; `None` if it is off.
     pub gossip: Option<Rc<RefCell<Gossip>>>,
-    /// Deferred requests, where they are on.
+    /// Queue of deferred requests; `None` if they are off.
     pub deferred: Option<Rc<DeferredRequests>>,
     /// The node's clock.
     pub clock: Clock,
@@ -128,7 +129,8 @@
     }
 }
 
-/// Serves on the listener, or on the address once it is free: the process before may hold it still.
+/// Serves on the listener. If there is none, binds the address first and retries until it is free, as the
+/// previous process may still hold it.
 pub async fn run(
     mut listener: Option<TcpListener>,
     address: Option<String>,
--- a/crates/nickelgw-node/src/deferred/mod.rs
+++ b/crates/nickelgw-node/src/deferred/mod.rs
@@ -1,4 +1,5 @@
-//! Deferred requests: accepted under a ticket, run while there is spare capacity, answered by their ticket.
+//! Deferred requests. The node accepts one with a ticket and runs it while there is spare capacity; the
+//! client looks up the response by the ticket.
 
 mod concurrency;
 mod queue;
--- a/crates/nickelgw-node/src/deferred/queue.rs
+++ b/crates/nickelgw-node/src/deferred/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of deferred requests and its file.
+//! The queue of deferred requests and the store file that keeps it.
 
 use super::concurrency::ConcurrencyLimit;
 use crate::clock::{seconds, unix_now, Clock};
@@ -20,57 +20,61 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Delay before a failed write to disk is retried.
+/// Delay before a failed write to the store is retried.
 const DISK_RETRY_S: f64 = 0.2;
-/// Runs of one that failed, where it may run again.
+/// Largest number of runs of a deferred request that fails and may run again.
 pub const MAX_ATTEMPTS: u32 = 8;
 
 /// Settings of the deferred queue.
 pub struct DeferredQueueConfig {
-    /// Where the queue is stored.
+    /// Store file of the queue.
     pub file: PathBuf,
-    /// Limits of the queue.
+    /// Limits of the queue's size and of the waiting time.
     pub limits: DeferredLimits,
-    /// Deferred requests run at once.
+    /// Largest number of deferred requests that run at the same time.
     pub max_running: usize,
-    /// Each tenant's weight.
+    /// Weight of each tenant, in the order of the admission's tenants; a tenant without one has weight 1.
     pub weights: Vec<f64>,
 }
 
-/// The queue, its store, and what limits its runs.
+/// The queue of deferred requests, the writer of its store file, and the limits of its runs.
 pub struct DeferredRequests {
     pub(super) queue: RefCell<DeferredQueue>,
-    /// Writes the queue's file.
+    /// Writer of the queue's store file.
     pub store_writer: Rc<StoreWriter>,
-    /// By model route.
+    /// Retry policy of each model route.
     retry_policies: Vec<RetryPolicy>,
     weights: Vec<f64>,
     pub(super) concurrency: ConcurrencyLimit,
+    /// Number of tickets issued by this process.
     tickets_issued: Cell<u64>,
-    /// Wakes the replay loop.
+    /// Channel that wakes the replay loop.
     pub(super) wakeup: (Sender<()>, Receiver<()>),
     pub(super) gossip: Option<Rc<RefCell<Gossip>>>,
-    /// Whether no zone is evacuated or recovering: requests that wait for such a zone have the capacity first.
+    /// Whether no zone is evacuated or recovering. While one is, no deferred request runs: requests that wait
+    /// for the zone come first.
     pub(super) all_zones_active: Rc<Cell<bool>>,
 }
 
-/// Whether a deferred request may run again, by its model route.
+/// Returns whether and for how long deferred requests of a model route may run again.
 pub fn retry_policy(route: &ModelRoute) -> RetryPolicy {
     match route.idempotency {
         Idempotency::Idempotent => RetryPolicy::Always,
         Idempotency::Keyed { scope: IdempotencyScope::All, window_s } => RetryPolicy::Within { window_s },
-        // A later process does not know which engines have seen it.
+        // A narrower scope needs the engines that have received the request, which a later process does not
+        // know.
         _ => RetryPolicy::Never,
     }
 }
 
-/// The store's key of a ticket.
+/// Returns the key of a ticket's record in the store.
 pub(super) fn record_key(ticket: Ticket) -> [u8; 16] {
     ticket.to_be_bytes()
 }
 
 impl DeferredRequests {
-    /// Loads what an earlier process queued; blocking, before anything is served.
+    /// Opens the queue and loads the requests that an earlier process queued. This blocks, so it is called
+    /// before the node serves.
     pub fn open(
         config: DeferredQueueConfig,
         retry_policies: Vec<RetryPolicy>,
@@ -97,7 +101,8 @@
                 Some(bytes) => store_writer.put(RecordKind::DeferredRequest, &key, &bytes),
                 None => store_writer.remove(RecordKind::DeferredRequest, &key),
             }
-            // Visible from now on: if this process dies before the write, the next comes to the same.
+            // Marked as written before it is on disk: if this process ends before the write, the next one
+            // restores the queue with the same result.
             queue.write_finished(write.ticket, write.version, true);
         }
         tracing::info!(deferred = queue.len(), "deferred requests loaded");
@@ -114,24 +119,24 @@
         })
     }
 
-    /// Requests that wait, in all.
+    /// Returns the number of waiting requests of all tenants.
     pub fn waiting(&self) -> usize {
         self.queue.borrow().waiting().map(|(_, count)| count).sum()
     }
 
-    /// Requests that run now.
+    /// Returns the number of requests that are running.
     pub fn running(&self) -> usize {
         self.concurrency.running()
     }
 
-    /// Requests by how they ended.
+    /// Returns the counters of requests by outcome.
     pub fn counters(&self) -> DeferredCounters {
         self.queue.borrow().counters
     }
 
     pub(super) fn new_ticket(&self) -> Ticket {
         self.tickets_issued.set(self.tickets_issued.get() + 1);
-        // Each `RandomState` is seeded anew by the system.
+        // Each new `RandomState` has its own random seed.
         let random = || RandomState::new().hash_one(self.tickets_issued.get());
         Ticket::from(random()) << 64 | Ticket::from(random())
     }
@@ -144,13 +149,15 @@
         let _ = self.wakeup.0.try_send(());
     }
 
-    /// Writes a record, retrying until it is on disk or a newer version of it is due. Removals are not waited for.
+    /// Writes a record, retrying until it is on disk or a newer version of it exists. Returns without waiting
+    /// if the write removes the record.
     pub(super) async fn write(&self, write: RecordWrite) {
         let key = record_key(write.ticket);
         let Some(bytes) = write.bytes else {
             return self.store_writer.remove(RecordKind::DeferredRequest, &key);
         };
-        // Checked before each try: while a disk fails, an older record would overwrite a newer one.
+        // Checked before each try: if the disk fails for a while, a late retry could overwrite a newer
+        // record.
         while self.queue.borrow().is_latest(write.ticket, write.version) {
             if self.store_writer.put_and_wait(RecordKind::DeferredRequest, &key, &bytes).await {
                 return self.queue.borrow_mut().write_finished(write.ticket, write.version, true);
@@ -159,8 +166,9 @@
         }
     }
 
-    /// A tenant's share of what runs here: by its weight, and by how much of what it has waiting in the whole fleet waits
-    /// here. A tenant with requests at one node gets as much in all as one with requests at five.
+    /// Returns a tenant's share of the runs at this node: its weight, scaled by the part of its waiting
+    /// requests in the whole fleet that wait here. A tenant with requests at one node gets as much in total
+    /// as one with requests at five.
     pub(super) fn share(&self, tenants: &[Tenant], name: &str) -> f64 {
         let index = tenants.iter().position(|tenant| tenant.name == name);
         let weight = index.and_then(|index| self.weights.get(index)).copied().unwrap_or(1.0);
@@ -169,6 +177,7 @@
         nickelgw_deferred::core::local_weight(weight, waiting_here, self.waiting_elsewhere(name))
     }
 
+    /// Returns the number of requests of a tenant that wait at other nodes, as last published by them.
     fn waiting_elsewhere(&self, tenant: &str) -> u64 {
         let Some(gossip) = &self.gossip else { return 0 };
         let tenant_hash = name_hash(tenant) as u32;
@@ -180,7 +189,7 @@
         gossip.borrow().live_peers(self.store_writer.now()).map(waiting_at).sum()
     }
 
-    /// Publishes to the other nodes how much waits here.
+    /// Publishes to the other nodes how many requests of each tenant wait here.
     pub(super) fn publish_waiting(&self) {
         let Some(gossip) = &self.gossip else { return };
         let queue = self.queue.borrow();
--- a/crates/nickelgw-node/src/deferred/replay.rs
+++ b/crates/nickelgw-node/src/deferred/replay.rs
@@ -13,12 +13,12 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Longest sleep between two looks at the queue.
+/// Longest sleep between two polls of the queue.
 const POLL_S: f64 = 0.05;
 
-/// A run that gave no response to keep.
+/// Error returned when a run gave no response that can be kept for the client.
 struct FailedRun {
-    /// Whether it may have had an effect.
+    /// Whether an engine may have run the request.
     may_have_run: bool,
 }
 
@@ -82,22 +82,23 @@
             Some((record, policy))
         });
         let Some((record, policy)) = running else {
-            // It ended without a run.
+            // The queue has ended the request instead of starting it, for example because it may not run
+            // again.
             requests.write(write).await;
             requests.concurrency.run_ended();
             return;
         };
-        let ended = match self.persist_run(policy, write).await {
+        let result = match self.persist_run(policy, write).await {
             false => Err(FailedRun { may_have_run: false }),
             true => {
                 let remaining_s = record.deadline - unix_now();
-                // Dropped at its deadline, the run is cancelled.
+                // At the deadline the future is dropped, which cancels the run.
                 let run = within(remaining_s, self.run_once(ticket, &record, remaining_s)).await;
                 run.unwrap_or(Err(FailedRun { may_have_run: true }))
             }
         };
         let now = unix_now();
-        let write = match ended {
+        let write = match result {
             Ok(answer) => {
                 requests.concurrency.record_success();
                 requests.queue.borrow_mut().complete(now, ticket, answer)
@@ -112,10 +113,11 @@
         requests.wake();
     }
 
-    /// Before a run that must not be repeated, its record is on disk; false if it is not.
+    /// Writes the record of a run before the run starts, unless the request may be repeated without limit.
+    /// Returns false if the record is not on disk, so that the run must not start.
     async fn persist_run(&self, policy: RetryPolicy, write: RecordWrite) -> bool {
         let requests = &self.requests;
-        // For one that may be repeated it makes no difference whether an earlier process ran it.
+        // If the request may always be repeated, a later process need not know whether an earlier one ran it.
         let is_written = policy == RetryPolicy::Always || {
             let (key, bytes) = (record_key(write.ticket), write.bytes.unwrap_or_default());
             requests.store_writer.put_and_wait(RecordKind::DeferredRequest, &key, &bytes).await
@@ -124,26 +126,26 @@
         is_written
     }
 
-    /// The request of a record; else the response that says why it cannot run any more.
+    /// Builds the request from its record. Fails with the response to keep for the client if the request
+    /// cannot run any more.
     fn prepare(
         &self,
         ticket: Ticket,
         record: &DeferredRecord,
         remaining_s: f64,
     ) -> Result<PreparedRequest, DeferredAnswer> {
-        let expired = |status, message: &str| DeferredAnswer::error(status, "gone", message);
-        let chat =
-            ChatRequest::parse(&record.body).map_err(|_| expired(400, "it cannot be read any more"))?;
+        let gone = |status, message: &str| DeferredAnswer::error(status, "gone", message);
+        let chat = ChatRequest::parse(&record.body).map_err(|_| gone(400, "it cannot be read any more"))?;
         let admission = &self.submitter.admission;
         let tenant = admission.tenants.iter().find(|tenant| tenant.name == record.tenant);
         let admitted = admission.admit(&chat, tenant.map(|tenant| tenant.key.as_str()), None);
-        let mut admitted = admitted.map_err(|_| expired(410, "it is not served any more"))?;
+        let mut admitted = admitted.map_err(|_| gone(410, "it is not served any more"))?;
         admitted.is_background = true;
         admitted.timeout_s = admitted.timeout_s.min(remaining_s);
         admitted.unary_timeout_s = admitted.unary_timeout_s.map(|s| s.min(remaining_s));
         Ok(PreparedRequest {
             admitted,
-            // The same id at engines each time: by it they know a repeat.
+            // The same id for each run, by which engines recognize a repeat.
             id: format!("parked-{ticket:032x}").into(),
             chat: Rc::new(chat),
             received_at: Instant::now(),
@@ -179,7 +181,8 @@
     }
 }
 
-/// What was rejected or shed has not run, or may run again.
+/// Returns whether the request may have run on an engine: a rejected or shed request has not, or may run
+/// again.
 fn may_have_run(error: &ApiError) -> bool {
     !matches!(error.code, "shed" | "node_full" | "node_draining" | "too_many_open" | "fair_share")
 }
--- a/crates/nickelgw-node/src/deferred/service.rs
+++ b/crates/nickelgw-node/src/deferred/service.rs
@@ -1,4 +1,4 @@
-//! The API of deferred requests: enqueue one, and look up its ticket.
+//! The API of deferred requests: enqueues requests and looks up tickets.
 
 use super::queue::{record_key, DeferredRequests};
 use crate::clock::{unix_now, Clock};
@@ -17,28 +17,29 @@
 use smol::LocalExecutor;
 use std::rc::Rc;
 
-/// The field by which a client defers a request, with its deadline in seconds.
+/// Field of the request body that defers the request. Its value is the deadline in seconds after the request's
+/// arrival.
 pub const DEFER_FIELD: &str = "offline_within_s";
-/// Path of the tickets.
+/// Path prefix of the tickets.
 pub const DEFERRED_PATH: &str = "/v1/parked/";
-/// Hexadecimal digits of a ticket.
+/// Number of hexadecimal digits of a ticket.
 const TICKET_DIGITS: usize = 32;
 
-/// Serves deferred requests.
+/// Service that accepts, runs and reports deferred requests.
 pub struct DeferredService {
-    /// The queue.
+    /// Queue of deferred requests.
     pub requests: Rc<DeferredRequests>,
-    /// Runs them as other requests are run.
+    /// Submits deferred requests to the event loop like other requests.
     pub submitter: Rc<RequestSubmitter>,
-    /// Whether the node serves, or shuts down.
+    /// State of the chat listener: whether the node serves or is shutting down.
     pub listener: Rc<ListenerState>,
-    /// For tasks that outlive their client.
+    /// Executor of the tasks that continue after their client has disconnected.
     pub executor: Rc<LocalExecutor<'static>>,
     /// The node's clock.
     pub clock: Clock,
 }
 
-/// An error in the field by which a request is deferred.
+/// Returns the error for a problem with the field that defers a request.
 pub fn field_error(problem: &'static str) -> ApiError {
     ApiError::invalid_request(&Malformed::field(DEFER_FIELD, problem))
 }
@@ -72,7 +73,7 @@
         let deadline_s = deadline.and_then(|value| serde_json::from_str::<f64>(value.get()).ok());
         let deadline_s = deadline_s.filter(|s| *s > 0.0);
         let deadline_s = deadline_s.ok_or_else(|| field_error("must be a number of seconds above zero"))?;
-        // Nobody reads the response while it runs.
+        // The response is kept as a whole: no client reads it during the run.
         chat.fields.remove("stream");
         chat.fields.remove("stream_options");
         let body = serde_json::to_vec(&chat.fields).map_err(|_| field_error("cannot be kept"))?;
@@ -90,7 +91,7 @@
         })
     }
 
-    /// Enqueues a request; responds with its ticket, once its record is on disk.
+    /// Enqueues a request and responds with its ticket once its record is on disk.
     pub async fn enqueue(
         &self,
         chat: ChatRequest,
@@ -103,7 +104,7 @@
         }
         let enqueued = self.requests.queue.borrow_mut().enqueue(record.queued_at, ticket, record);
         let write = enqueued.map_err(|rejection| self.rejection(rejection))?;
-        // A task of its own: its client may disconnect meanwhile, and the write is finished all the same.
+        // The write runs in its own task, so that it is finished even if the client disconnects meanwhile.
         let (written_sender, written) = bounded(1);
         self.executor.spawn(write_new_record(self.requests.clone(), write, written_sender)).detach();
         match written.recv().await {
@@ -112,7 +113,9 @@
         }
     }
 
-    /// The state of a ticket, or its response. Unknown, expired and another tenant's tickets look the same.
+    /// Responds with the state of a ticket, or with the response to its request if that has finished. A
+    /// ticket that is unknown, expired or another tenant's gets the same error, so that tickets of others
+    /// cannot be detected.
     pub fn status(&self, bearer: Option<&str>, ticket: &str) -> Result<HttpResponse, ApiError> {
         let submitter = &self.submitter;
         let tenant = submitter.admission.authenticate(bearer);
@@ -131,11 +134,12 @@
     }
 }
 
-/// There is no such ticket, or not for this tenant.
+/// Returns the error for a ticket that is unknown or belongs to another tenant.
 pub fn unknown_ticket() -> ApiError {
     ApiError::new(404, "invalid_request_error", "not_found", "there is no such ticket")
 }
 
+/// Writes the record of a new request and reports through `written` whether it is on disk.
 async fn write_new_record(requests: Rc<DeferredRequests>, write: RecordWrite, written: Sender<bool>) {
     let RecordWrite { ticket, version, bytes } = write;
     let (store_writer, key) = (&requests.store_writer, record_key(ticket));
@@ -143,7 +147,7 @@
     let is_written = store_writer.put_and_wait(RecordKind::DeferredRequest, &key, &bytes).await;
     requests.queue.borrow_mut().write_finished(ticket, version, is_written);
     if !is_written {
-        // It may get to disk yet, and a later process must not run it.
+        // The failed write may still reach the disk, and a later process must not run the request.
         store_writer.remove(RecordKind::DeferredRequest, &key);
     }
     requests.wake();
--- a/crates/nickelgw-node/src/discovery/cache.rs
+++ b/crates/nickelgw-node/src/discovery/cache.rs
@@ -1,11 +1,11 @@
-//! The endpoint list on disk, from which a node serves until its source responds.
+//! Cache of the endpoint list on disk, from which a node serves until its endpoint source responds.
 
 use nickelgw_protocol::list::EndpointList;
 use std::fs::File;
 use std::io::Write;
 use std::path::Path;
 
-/// The list as it was last written; a missing or corrupt file is as none.
+/// Reads the list that was last written; `None` if there is no cache file or it is unreadable or corrupt.
 pub fn load(path: Option<&Path>) -> Option<EndpointList> {
     let bytes = std::fs::read(path?).ok()?;
     match EndpointList::parse(&bytes) {
@@ -17,7 +17,8 @@
     }
 }
 
-/// Writes to a file beside it, then renames that: a crash leaves the old list or the new one.
+/// Replaces the cached list. The bytes are written to a temporary file, which is then renamed, so that a
+/// crash leaves either the old list or the new one.
 pub fn store(path: &Path, bytes: &[u8]) -> std::io::Result<()> {
     let temporary = path.with_extension("new");
     let mut file = File::create(&temporary)?;
--- a/crates/nickelgw-node/src/discovery/directory.rs
+++ b/crates/nickelgw-node/src/discovery/directory.rs
@@ -1,4 +1,5 @@
-//! The directory of endpoints: sources update its view, and changes of the view go to the core and to disk.
+//! The directory of endpoints. Endpoint sources update its view; changes of the view are sent to the core and
+//! written to the cache on disk.
 
 use super::cache;
 use crate::clock::{seconds, Clock};
@@ -13,30 +14,31 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// How often the view's own timeouts are run.
-const TICK_S: f64 = 0.25;
+/// Interval at which the timeouts of the view are checked.
+const TICK_INTERVAL_S: f64 = 0.25;
 
 /// The node's view of the fleet's endpoints.
 pub struct EndpointDirectory {
-    /// Reconciles what sources report.
+    /// View of the endpoints, which reconciles the reports of the endpoint source.
     pub view: RefCell<EndpointView>,
-    /// Probes suspect endpoints, and calls the sources.
+    /// Client that probes suspect endpoints and calls the endpoint sources.
     pub engines: Rc<EngineClient>,
     /// The event loop's queue.
     pub events: Sender<TimedEvent>,
     /// The node's clock.
     pub clock: Clock,
-    /// File that keeps the list.
+    /// File that caches the list; `None` if it is not cached.
     pub cache: Option<PathBuf>,
     executor: Rc<LocalExecutor<'static>>,
-    /// Revision of the lists sent to the core: a registry's may go back, this one does not.
+    /// Revision of the last list sent to the core. The registry's own revision may go back, this one never
+    /// does.
     published_revision: Cell<u64>,
-    /// Revision on disk; locked while one is written, so that an older list never replaces a newer.
+    /// Revision of the list on disk. Locked during a write, so that an older list never replaces a newer one.
     cached_revision: smol::lock::Mutex<u64>,
 }
 
 impl EndpointDirectory {
-    /// An empty directory; `cache`: where the list is kept on disk.
+    /// Creates an empty directory that caches its list in the file `cache`, if given.
     pub fn new(
         view: EndpointView,
         engines: Rc<EngineClient>,
@@ -57,20 +59,22 @@
         })
     }
 
-    /// Starts from a cached list. What a source reports next is reconciled with it: an empty first list is suspect too.
+    /// Fills the view from a cached list. The source's first report is reconciled with it, so that even an
+    /// empty first list is treated as suspect.
     pub fn restore(&self, entries: Vec<EndpointEntry>) {
         let mut view = self.view.borrow_mut();
         view.replace_all(self.clock.now(), 0, entries, false);
         view.take_changes();
     }
 
-    /// A source has reported the whole list; `rolled_back`: the source itself was restored from a backup.
+    /// Handles a report of the whole list by the source. `rolled_back` says whether the source itself was
+    /// restored from a backup.
     pub async fn replace_all(self: &Rc<Self>, revision: u64, entries: Vec<EndpointEntry>, rolled_back: bool) {
         self.view.borrow_mut().replace_all(self.clock.now(), revision, entries, rolled_back);
         self.reconcile().await;
     }
 
-    /// Probes suspect endpoints, and publishes what has changed.
+    /// Probes suspect endpoints and publishes the view if it has changed.
     pub async fn reconcile(self: &Rc<Self>) {
         let suspects = {
             let mut view = self.view.borrow_mut();
@@ -85,14 +89,14 @@
 
     async fn probe(self: Rc<Self>, entry: EndpointEntry) {
         let endpoint = Endpoint { id: entry.id, address: entry.address, tls_name: entry.tls_name };
-        // Twice, as one lost packet must not remove an engine.
+        // Probes twice, as one lost packet must not remove an engine.
         let is_reachable =
             self.engines.is_reachable(&endpoint).await || self.engines.is_reachable(&endpoint).await;
         self.view.borrow_mut().probe_finished(self.clock.now(), &endpoint.id, is_reachable);
         self.publish().await;
     }
 
-    /// Sends the list to the core and to disk, if it has changed.
+    /// Sends the list to the core and writes it to disk, if it has changed.
     async fn publish(&self) {
         let changed = self.view.borrow_mut().take_changes();
         let Some(engines) = changed else { return };
@@ -120,10 +124,10 @@
         }
     }
 
-    /// Runs the view's own timeouts until dropped.
+    /// Checks the timeouts of the view periodically until dropped.
     pub async fn run(self: Rc<Self>) {
         loop {
-            Timer::after(seconds(TICK_S)).await;
+            Timer::after(seconds(TICK_INTERVAL_S)).await;
             self.reconcile().await;
         }
     }
--- a/crates/nickelgw-node/src/discovery/file_watch.rs
+++ b/crates/nickelgw-node/src/discovery/file_watch.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in a file, polled.
+//! Follows the endpoint list in a file, which is polled for changes.
 
 use super::directory::EndpointDirectory;
 use crate::clock::seconds;
@@ -7,19 +7,19 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// How often the file is read.
-const POLL_S: f64 = 0.5;
+/// Interval at which the file is read.
+const POLL_INTERVAL_S: f64 = 0.5;
 
-/// Follows the file until dropped; a corrupt one changes nothing.
+/// Follows the file until dropped. A corrupt or unreadable file is logged and leaves the endpoints unchanged.
 pub async fn follow_file(directory: Rc<EndpointDirectory>, path: PathBuf) {
-    let (mut previous, mut revision) = (Vec::new(), 0);
+    let (mut previous_bytes, mut revision) = (Vec::new(), 0);
     loop {
         let path_to_read = path.clone();
         match smol::unblock(move || std::fs::read(path_to_read)).await {
-            Ok(bytes) if bytes != previous => match EndpointList::parse(&bytes) {
+            Ok(bytes) if bytes != previous_bytes => match EndpointList::parse(&bytes) {
                 Ok(list) => {
                     revision += 1;
-                    previous = bytes;
+                    previous_bytes = bytes;
                     directory.replace_all(revision, list.engines, false).await;
                 }
                 Err(error) => tracing::warn!(file = %path.display(), %error, "endpoint file rejected"),
@@ -27,6 +27,6 @@
             Ok(_) => {}
             Err(error) => tracing::warn!(file = %path.display(), %error, "endpoint file read failed"),
         }
-        Timer::after(seconds(POLL_S)).await;
+        Timer::after(seconds(POLL_INTERVAL_S)).await;
     }
 }
--- a/crates/nickelgw-node/src/discovery/list_watch.rs
+++ b/crates/nickelgw-node/src/discovery/list_watch.rs
@@ -1,4 +1,4 @@
-//! The endpoint list service, followed by long polls.
+//! Follows the endpoint list service with long polls.
 
 use super::directory::EndpointDirectory;
 use crate::client::Peer;
@@ -12,60 +12,61 @@
 use nickelgw_protocol::Malformed;
 use std::rc::Rc;
 
-/// How long the service may hold a poll back while nothing changes.
-const POLL_S: f64 = 5.0;
-/// What a poll may take beyond that.
+/// Time for which the service may delay its response to a poll while the list is unchanged.
+const POLL_WAIT_S: f64 = 5.0;
+/// Time added to [`POLL_WAIT_S`] for the timeout of a poll.
 const POLL_MARGIN_S: f64 = 1.0;
-/// After a failure the core wakes the watch; past this it polls anyway.
+/// Longest delay of the next poll after a failure. The core usually requests the poll earlier.
 const MAX_BACKOFF_S: f64 = 2.0;
 
-/// Follows the endpoint list service.
+/// Task that follows the endpoint list service.
 pub struct ListWatch {
-    /// host:port of the service.
+    /// Address (host:port) of the service.
     pub address: String,
     /// This node's name.
     pub node: String,
-    /// Takes the lists.
+    /// Directory that the fetched lists are passed to.
     pub directory: Rc<EndpointDirectory>,
-    /// The core asks for a poll.
+    /// Receives the core's requests for a poll.
     pub wakeup: Receiver<()>,
 }
 
-/// A poll that brought no list.
+/// Error returned when a poll fails.
 #[derive(Debug, thiserror::Error)]
 enum FetchError {
-    #[error("invalid address")]
+    #[error("the address of the endpoint list service is invalid")]
     InvalidAddress,
-    #[error("status {0}")]
+    #[error("the endpoint list service responded with status {0}")]
     Status(u16),
-    #[error("{0:?}")]
+    #[error("the call of the endpoint list service failed: {0:?}")]
     Call(AttemptOutcome),
-    #[error("timed out")]
+    #[error("the endpoint list service did not respond within {} s", POLL_WAIT_S + POLL_MARGIN_S)]
     TimedOut,
     #[error(transparent)]
     Malformed(#[from] Malformed),
 }
 
 impl ListWatch {
-    /// Polls until dropped, or until the event loop has ended.
+    /// Polls until dropped, until the event loop has ended, or if the address is invalid.
     pub async fn run(self) {
         let mut revision = 0;
-        let mut is_first = true;
+        let mut is_immediate = true;
         loop {
-            // A poll that follows another waits for a change; the first, or one after a failure, does not.
-            let wait_s = if is_first { 0.0 } else { POLL_S };
+            // A poll that follows a successful one waits for a change. The first poll, and one after a
+            // failure, asks for an immediate response.
+            let wait_s = if is_immediate { 0.0 } else { POLL_WAIT_S };
             match self.fetch(revision, wait_s).await {
-                Ok(None) => is_first = false,
+                Ok(None) => is_immediate = false,
                 Ok(Some(list)) => {
-                    (revision, is_first) = (list.revision, false);
+                    (revision, is_immediate) = (list.revision, false);
                     self.directory.replace_all(list.revision, list.engines, false).await;
                 }
-                // It will not become valid.
+                // Retrying is useless: the address does not change.
                 Err(FetchError::InvalidAddress) => return,
                 Err(error) => {
                     let at = self.directory.clock.now();
                     tracing::warn!(%error, at, "endpoint list fetch failed");
-                    is_first = true;
+                    is_immediate = true;
                     let failed = TimedEvent::new(Event::EndpointPollFailed);
                     if self.directory.events.send(failed).await.is_err() {
                         return;
@@ -76,14 +77,15 @@
         }
     }
 
-    /// The list, or `None` where it has not changed since the revision.
+    /// Fetches the list; `None` if it has not changed since `revision`. `wait_s` is the time in seconds for
+    /// which the service may wait for a change.
     async fn fetch(&self, revision: u64, wait_s: f64) -> Result<Option<EndpointList>, FetchError> {
         let engines = &self.directory.engines;
         let path = format!("/v1/engines?after={revision}&wait_s={wait_s}&node={}", self.node);
         let request = engines.request(Method::GET, &self.address, &path).body(Full::default());
         let request = request.map_err(|_| FetchError::InvalidAddress)?;
         let fetch = engines.pool.fetch(Peer::plain(&self.address), &request);
-        match within(POLL_S + POLL_MARGIN_S, fetch).await {
+        match within(POLL_WAIT_S + POLL_MARGIN_S, fetch).await {
             Some(Ok((200, _, body))) => Ok(Some(EndpointList::parse(&body)?)),
             Some(Ok((204, _, _))) => Ok(None),
             Some(Ok((status, _, _))) => Err(FetchError::Status(status)),
--- a/crates/nickelgw-node/src/discovery/membership.rs
+++ b/crates/nickelgw-node/src/discovery/membership.rs
@@ -1,4 +1,4 @@
-//! The node's membership in the fleet: a number claimed in the registry under a lease.
+//! Keeps the node's membership in the fleet: a node number claimed in the registry under a lease.
 
 use super::registry_client::RegistryClient;
 use crate::clock::seconds;
@@ -8,24 +8,28 @@
 use smol::Timer;
 use std::rc::Rc;
 
-/// How often the membership's state is run.
-const TICK_S: f64 = 0.1;
+/// Interval at which the membership's state machine is polled for commands.
+const TICK_INTERVAL_S: f64 = 0.1;
 
-/// What keeps one node's membership.
+/// Task that keeps one node's membership.
 struct MembershipTask {
     client: Rc<RegistryClient>,
-    /// Key prefix of the numbers.
+    /// Key prefix under which node numbers are claimed.
     prefix: String,
     membership: Membership,
+    /// Id of the lease; `None` if there is none.
     lease: Option<i64>,
-    /// The registry endpoint in use; the next is tried after a failure.
+    /// Index of the registry endpoint in use; incremented after a failure, to try the next one.
     endpoint: usize,
+    /// Time of the next read of the claimed numbers.
     read_members_at: f64,
+    /// Position last reported to the core.
     position: FleetPosition,
 }
 
 impl RegistryClient {
-    /// Keeps this node's number until dropped, and reports its position in the fleet to the core.
+    /// Keeps this node's number until dropped and reports its position in the fleet to the core. Returns at
+    /// once if the options have no key prefix for node numbers.
     pub async fn hold_membership(self: Rc<Self>, seed: u64) {
         let Some(prefix) = self.options.nodes.clone() else { return };
         let task = MembershipTask {
@@ -64,19 +68,19 @@
             if self.report_position().await.is_err() {
                 return;
             }
-            Timer::after(seconds(TICK_S)).await;
+            Timer::after(seconds(TICK_INTERVAL_S)).await;
         }
     }
 
     async fn read_members(&mut self) {
         self.read_members_at = self.now() + self.client.options.member.max_staleness_s / 4.0;
-        let asked_at = self.now();
+        let sent_at = self.now();
         let response =
             self.client.call(self.endpoint, "/v3/kv/range", &wire::range_request(&self.prefix)).await;
         match response.and_then(|body| wire::parse_response::<wire::RangeResponse>(&body)) {
             Ok(range) => self
                 .membership
-                .update_registrations(asked_at, wire::node_registrations(&self.prefix, &range.kvs)),
+                .update_registrations(sent_at, wire::node_registrations(&self.prefix, &range.kvs)),
             Err(_) => self.endpoint += 1,
         }
     }
@@ -96,13 +100,13 @@
         }
     }
 
-    /// Grants the lease, or renews it.
+    /// Requests a lease, or renews the one that the node has.
     async fn keep_alive(&mut self) {
-        let asked_at = self.now();
+        let sent_at = self.now();
         match self.call_lease().await {
             Ok(granted) if granted.ttl > 0 => {
                 self.lease = Some(self.lease.unwrap_or(granted.id));
-                self.membership.lease_renewed(asked_at, granted.ttl as f64);
+                self.membership.lease_renewed(sent_at, granted.ttl as f64);
             }
             Ok(_) => {
                 tracing::warn!("node lease expired; claiming a number anew");
@@ -116,7 +120,7 @@
     async fn claim(&mut self, number: u32) {
         let key = format!("{}{number}", self.prefix);
         let response = match self.lease {
-            None => Err(RegistryError::Failed("no lease yet".into())),
+            None => Err(RegistryError::Failed("a node number cannot be claimed without a lease".into())),
             Some(lease) => {
                 let body = wire::claim_request(&key, &self.client.node, lease);
                 self.client.call(self.endpoint, "/v3/kv/txn", &body).await
@@ -128,7 +132,7 @@
         self.read_members_at = 0.0;
     }
 
-    /// Reports the position if it has changed; an error once the event loop has ended.
+    /// Reports the position to the core if it has changed. Fails once the event loop has ended.
     async fn report_position(&mut self) -> Result<(), async_channel::SendError<TimedEvent>> {
         let position = self.membership.position(self.now());
         if position == self.position {
--- a/crates/nickelgw-node/src/discovery/mod.rs
+++ b/crates/nickelgw-node/src/discovery/mod.rs
@@ -1,4 +1,5 @@
-//! Endpoint discovery: sources of the endpoint list, the directory that reconciles them, and its cache on disk.
+//! Endpoint discovery: sources of the endpoint list, the directory that reconciles them, and its cache on
+//! disk.
 
 pub(crate) mod cache;
 pub(crate) mod directory;
--- a/crates/nickelgw-node/src/discovery/registry_client.rs
+++ b/crates/nickelgw-node/src/discovery/registry_client.rs
@@ -1,4 +1,4 @@
-//! Calls to an etcd v3 registry over its JSON gateway.
+//! Client of an etcd v3 registry, called over its JSON gateway.
 
 use super::directory::EndpointDirectory;
 use crate::client::Peer;
@@ -19,30 +19,33 @@
 /// Settings of an etcd v3 registry.
 #[derive(Clone, Debug)]
 pub struct RegistryOptions {
-    /// host:port of each member.
+    /// Address (host:port) of each member of the registry's cluster.
     pub endpoints: Vec<String>,
-    /// With TLS: the name in their certificates; trust is that of the engines.
+    /// Name in the members' certificates, which are verified with the trusted roots of the engines; `None` if
+    /// the connections are plain.
     pub tls_name: Option<String>,
-    /// Key prefix of the engines.
+    /// Key prefix of the engines' entries.
     pub engines: String,
-    /// Key prefix under which nodes claim their numbers; `None`: number and count are those of the settings.
+    /// Key prefix under which nodes claim their numbers; `None` if node number and node count come from the
+    /// settings.
     pub nodes: Option<String>,
-    /// Name and password.
+    /// User name and password; `None` if the registry is called without signing in.
     pub user: Option<(String, String)>,
-    /// Timing of the node's lease.
+    /// Configuration of the membership: timing of the node's lease and of its reads.
     pub member: membership::MembershipConfig,
 }
 
-/// Calls a registry for one node.
+/// Client of a registry for one node.
 pub struct RegistryClient {
     pub(super) options: RegistryOptions,
     pub(super) node: String,
     pub(super) directory: Rc<EndpointDirectory>,
+    /// Token of the last sign-in; `None` if the client is not signed in.
     token: RefCell<Option<String>>,
 }
 
 impl RegistryClient {
-    /// A client that has not signed in yet.
+    /// Creates a client that has not signed in yet.
     pub fn new(
         options: RegistryOptions,
         node: String,
@@ -66,7 +69,8 @@
         builder.body(Full::new(Bytes::from(body.to_string()))).ok()
     }
 
-    /// Signs in where a user is set; once, and again when the registry rejects the token.
+    /// Signs in if a user is set and there is no token. The token is dropped when the registry rejects it, so
+    /// that the next call signs in again.
     pub(super) async fn sign_in(&self, endpoint: usize) -> Result<(), RegistryError> {
         let Some((name, password)) = self.options.user.clone() else { return Ok(()) };
         if self.token.borrow().is_some() {
@@ -86,11 +90,16 @@
         body: &Value,
     ) -> Result<Bytes, RegistryError> {
         let request = self.request(endpoint, path, body);
-        let request = request.ok_or_else(|| RegistryError::Failed("invalid endpoint".into()))?;
+        let request = request
+            .ok_or_else(|| RegistryError::Failed("the address of the registry endpoint is invalid".into()))?;
         let fetch = self.directory.engines.pool.fetch(self.peer(endpoint), &request);
         match within(CALL_TIMEOUT_S, fetch).await {
-            None => Err(RegistryError::Failed("timed out".into())),
-            Some(Err(outcome)) => Err(RegistryError::Failed(format!("{outcome:?}"))),
+            None => {
+                Err(RegistryError::Failed(format!("the registry did not respond within {CALL_TIMEOUT_S} s")))
+            }
+            Some(Err(outcome)) => {
+                Err(RegistryError::Failed(format!("the call of the registry failed: {outcome:?}")))
+            }
             Some(Ok((200, _, body))) => Ok(body),
             Some(Ok((status, _, body))) => {
                 if status == 401 {
@@ -101,7 +110,7 @@
         }
     }
 
-    /// A unary call, signed in where a user is set.
+    /// Makes a unary call, signing in first if a user is set.
     pub(super) async fn call(
         &self,
         endpoint: usize,
--- a/crates/nickelgw-node/src/discovery/registry_watch.rs
+++ b/crates/nickelgw-node/src/discovery/registry_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the engines of a registry: reads them whole, then watches for changes.
+//! Follows the engines listed in a registry: reads all of them, then watches for changes.
 
 use super::registry_client::{RegistryClient, CALL_TIMEOUT_S};
 use crate::clock::{seconds, within, Clock};
@@ -12,9 +12,9 @@
 use std::ops::ControlFlow;
 use std::rc::Rc;
 
-/// Longest line of a watch's stream.
+/// Longest line of a watch stream.
 const MAX_LINE_BYTES: usize = 16 << 20;
-/// Longest sleep between two looks at the watch's state.
+/// Longest sleep between two polls of the watch's state machine.
 const MAX_SLEEP_S: f64 = 0.5;
 
 impl RegistryClient {
@@ -28,7 +28,7 @@
             RegistryWatch::new(RegistryWatchConfig::default(), self.options.endpoints.len(), seed);
         loop {
             let (commands, wake_at) = watch.poll_commands(self.clock().now());
-            // Commands take their time, a watch hours: after them the next wake is computed anew.
+            // Running a command takes time, a watch even hours, so that `wake_at` is outdated afterwards.
             let is_idle = commands.is_empty();
             for command in commands {
                 match command {
@@ -36,7 +36,7 @@
                     WatchCommand::Watch { endpoint, from } => {
                         self.watch_engines(&mut watch, endpoint, from).await
                     }
-                    // An open watch was dropped with its future.
+                    // Nothing to close: the stream was dropped when `watch_engines` returned.
                     WatchCommand::CloseWatch => {}
                 }
             }
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Opens a watch from a revision on; `None`: it failed.
+    /// Opens a watch that starts at revision `from`; `None` if that fails.
     async fn open_watch(&self, endpoint: usize, from: u64) -> Option<WatchStream> {
         let body = wire::watch_request(&self.options.engines, from);
         let is_signed_in = self.sign_in(endpoint).await.is_ok();
@@ -80,7 +80,7 @@
         is_ok.then(|| WatchStream { body: response.into_body(), buffer: Vec::new(), _connection: connection })
     }
 
-    /// Watches until the stream breaks or is silent, or its revision was compacted.
+    /// Watches until the stream breaks or is silent for too long, or its start revision was compacted.
     async fn watch_engines(&self, watch: &mut RegistryWatch, endpoint: usize, from: u64) {
         let Some(mut stream) = self.open_watch(endpoint, from).await else {
             return watch.failed(self.clock().now());
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Break: the watch is over, and `watch` knows why.
+    /// Handles a message of the watch. Returns `Break` if the watch is over; `watch` has the reason then.
     async fn handle_message(
         &self,
         watch: &mut RegistryWatch,
@@ -120,7 +120,8 @@
             return ControlFlow::Break(());
         }
         if message.created && revision >= watch.revision() {
-            // The revision at which a watch is created is no progress yet: earlier events may follow.
+            // The revision in the message that confirms a watch does not count as progress: events of earlier
+            // revisions may follow.
             return ControlFlow::Continue(());
         }
         if message.events.is_empty() {
@@ -140,16 +141,17 @@
     }
 }
 
-/// The stream of a watch, a JSON message a line.
+/// The response stream of a watch, with one JSON message per line.
 struct WatchStream {
     body: Incoming,
     buffer: Vec<u8>,
-    /// Kept open while the stream is read.
+    /// Connection of the stream, kept open while the stream is read.
     _connection: crate::client::Connection,
 }
 
 impl WatchStream {
-    /// Reads a frame; false when the stream has ended, is silent, or has too long a line.
+    /// Reads a frame. Returns false if the stream has ended, is silent for too long, or has a line over
+    /// [`MAX_LINE_BYTES`].
     async fn read_more(&mut self) -> bool {
         let silence_timeout_s = RegistryWatchConfig::default().idle_timeout_s;
         let Some(Some(Ok(frame))) = within(silence_timeout_s, self.body.frame()).await else { return false };
@@ -159,6 +161,7 @@
         self.buffer.len() <= MAX_LINE_BYTES
     }
 
+    /// Removes the first complete line from the buffer; `None` if there is none.
     fn next_line(&mut self) -> Option<Vec<u8>> {
         let end = self.buffer.iter().position(|byte| *byte == b'\n')?;
         Some(self.buffer.drain(..=end).collect())
--- a/crates/nickelgw-node/src/idempotency/mod.rs
+++ b/crates/nickelgw-node/src/idempotency/mod.rs
@@ -1,4 +1,4 @@
-//! Requests with an idempotency key: one run, whose response each client with the key receives.
+//! Runs requests with an idempotency key once and sends the response to each client that uses the key.
 
 mod shared_response;
 
@@ -21,13 +21,16 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Longest idempotency key that is accepted.
+/// Longest idempotency key that is accepted, in bytes.
 pub const MAX_KEY_BYTES: usize = 255;
 
-/// Runs keyed requests once each and shares their responses.
+/// Service that runs each keyed request once and shares its response between clients.
 pub struct ResponseSharing {
+    /// Decides which requests are run, joined, rejected and forgotten.
     table: Rc<RefCell<IdempotencyTable>>,
+    /// Response of each run that is in progress or recorded.
     responses: RefCell<HashMap<EntryId, Rc<SharedResponse>>>,
+    /// Task of each run in progress; dropping it cancels the run.
     runs: RefCell<HashMap<EntryId, Task<()>>>,
     submitter: Rc<RequestSubmitter>,
     store_writer: Rc<StoreWriter>,
@@ -35,16 +38,16 @@
     clock: Clock,
 }
 
-fn conflict(status: u16, code: &'static str, message: &str) -> ApiError {
+fn key_error(status: u16, code: &'static str, message: &str) -> ApiError {
     ApiError::new(status, "invalid_request_error", code, message)
 }
 
 fn cancelled_error() -> ApiError {
-    conflict(409, "already_taken", "this request was called off as its client had gone")
+    key_error(409, "already_taken", "this request was called off as its client had gone")
 }
 
 impl ResponseSharing {
-    /// With an empty table.
+    /// Creates the service with an empty table.
     pub fn new(
         config: IdempotencyConfig,
         submitter: Rc<RequestSubmitter>,
@@ -63,39 +66,43 @@
         })
     }
 
-    /// Restores the key of a request that an earlier process ran and that may not run again.
+    /// Restores the key of a request that an earlier process ran and that may not run again. Ignores a key or
+    /// digest of the wrong length.
     pub fn restore(&self, completed_at: f64, key: &[u8], body_digest: &[u8]) {
         if let (Ok(key), Ok(body_digest)) = (key.try_into(), body_digest.try_into()) {
             self.table.borrow_mut().restore(completed_at, IdempotencyKey(key), body_digest);
         }
     }
 
-    /// Cancels runs without a client, and drops responses past their retention.
+    /// Runs the table's commands: cancels runs that no client waits for and drops responses whose retention
+    /// time is over.
     pub fn run_commands(&self) {
         let now = self.clock.now();
         let (commands, _) = self.table.borrow_mut().poll_commands(now);
         for command in commands {
             match command {
-                IdempotencyCommand::Cancel(serial) => self.cancel(now, serial),
-                IdempotencyCommand::Forget(serial) => drop(self.responses.borrow_mut().remove(&serial)),
+                IdempotencyCommand::Cancel(entry_id) => self.cancel(now, entry_id),
+                IdempotencyCommand::Forget(entry_id) => drop(self.responses.borrow_mut().remove(&entry_id)),
             }
         }
     }
 
-    fn cancel(&self, now: f64, serial: EntryId) {
-        // Dropping the run tells the core that the client has disconnected.
-        let run = self.runs.borrow_mut().remove(&serial);
+    fn cancel(&self, now: f64, entry_id: EntryId) {
+        // Dropping the task drops its disconnect guard, which reports to the core that the client has
+        // disconnected.
+        let run = self.runs.borrow_mut().remove(&entry_id);
         drop(run);
-        self.table.borrow_mut().response_ended(now, serial, RunOutcome::Cancelled);
-        self.responses.borrow_mut().remove(&serial);
+        self.table.borrow_mut().response_ended(now, entry_id, RunOutcome::Cancelled);
+        self.responses.borrow_mut().remove(&entry_id);
     }
 
-    fn full(&self, message: &str) -> ApiError {
+    fn node_full_error(&self, message: &str) -> ApiError {
         let error = ApiError::new(503, "server_error", "node_full", message);
         error.with_retry_after(self.submitter.limits.retry_after_s)
     }
 
-    /// Serves a request with a key: runs it if it is the first, else responds with the first one's response.
+    /// Serves a request with a key. The first request with a key is run; later ones receive the response to
+    /// the first.
     pub async fn serve(
         self: Rc<Self>,
         request: PreparedRequest,
@@ -104,18 +111,18 @@
         let admission = &self.submitter.admission;
         let tenant = request.admitted.tenant.map_or("", |tenant| &admission.tenants[tenant].name);
         let key = IdempotencyKey::new(tenant, key);
-        let may_repeat = admission.models[request.admitted.route].is_idempotent;
+        let is_idempotent = admission.models[request.admitted.route].is_idempotent;
         let now = self.clock.now();
-        let found = self.table.borrow_mut().look_up(now, key, request.body_digest, may_repeat);
+        let found = self.table.borrow_mut().look_up(now, key, request.body_digest, is_idempotent);
         match found {
-            KeyLookup::Join(serial) | KeyLookup::Recorded(serial) => self.subscribe(serial).await,
-            KeyLookup::New(serial) => {
-                let persistent_key = (!may_repeat).then_some(key);
-                if let Err(error) = self.start(request, serial, persistent_key).await {
-                    self.table.borrow_mut().response_ended(now, serial, RunOutcome::Rejected);
+            KeyLookup::Join(entry_id) | KeyLookup::Recorded(entry_id) => self.subscribe(entry_id).await,
+            KeyLookup::New(entry_id) => {
+                let persistent_key = (!is_idempotent).then_some(key);
+                if let Err(error) = self.start(request, entry_id, persistent_key).await {
+                    self.table.borrow_mut().response_ended(now, entry_id, RunOutcome::Rejected);
                     return Err(error);
                 }
-                self.subscribe(serial).await
+                self.subscribe(entry_id).await
             }
             KeyLookup::Unrecorded => {
                 self.submitter.check_retry_budget(&request)?;
@@ -123,49 +130,54 @@
             }
             KeyLookup::Mismatch => {
                 let message = "this idempotency key was used with another body";
-                Err(conflict(422, "idempotency_key_reused", message))
+                Err(key_error(422, "idempotency_key_reused", message))
             }
             KeyLookup::NotRecorded => {
                 let message =
                     "this request was taken before; its answer is not kept, and it does not run again";
-                Err(conflict(409, "already_taken", message))
+                Err(key_error(409, "already_taken", message))
+            }
+            KeyLookup::Full => {
+                Err(self.node_full_error("no place to remember this request, which may not run twice"))
             }
-            KeyLookup::Full => Err(self.full("no place to remember this request, which may not run twice")),
         }
     }
 
-    /// Starts the one run of a key. `persistent_key`: the key, where it must be on disk first.
+    /// Starts the run of a key. `persistent_key` is the key if it has to be on disk before the run, `None` if
+    /// not.
     async fn start(
         self: &Rc<Self>,
         request: PreparedRequest,
-        serial: EntryId,
+        entry_id: EntryId,
         persistent_key: Option<IdempotencyKey>,
     ) -> Result<(), ApiError> {
         self.submitter.check_retry_budget(&request)?;
-        // Known to the next process before it can have an effect: a crash must not let a repeat run.
+        // The key is on disk before the request can have an effect, so that a repeat does not run after a
+        // crash.
         if let Some(key) = &persistent_key {
             if !self.persist_key(key, &request.body_digest).await {
                 let message = "this request may not run twice, and cannot be remembered now";
-                return Err(self.full(message));
+                return Err(self.node_full_error(message));
             }
         }
         let response = SharedResponse::new();
-        self.responses.borrow_mut().insert(serial, response.clone());
-        let run = self.clone().run(request, serial, response, persistent_key);
+        self.responses.borrow_mut().insert(entry_id, response.clone());
+        let run = self.clone().run(request, entry_id, response, persistent_key);
         let run = self.executor.spawn(run);
-        self.runs.borrow_mut().insert(serial, run);
+        self.runs.borrow_mut().insert(entry_id, run);
         Ok(())
     }
 
+    /// Writes a key to the store. Returns false if it is not on disk.
     async fn persist_key(&self, key: &IdempotencyKey, body_digest: &[u8; 32]) -> bool {
         !self.store_writer.is_released()
             && self.store_writer.put_and_wait(RecordKind::IdempotencyKey, &key.0, body_digest).await
     }
 
-    /// The response of a run to one more client.
-    async fn subscribe(&self, serial: EntryId) -> Result<HttpResponse, ApiError> {
-        let response = self.responses.borrow().get(&serial).cloned().ok_or_else(cancelled_error)?;
-        let listener = ListenerGuard { table: self.table.clone(), clock: self.clock, serial };
+    /// Subscribes a client to the response of a run and responds with it.
+    async fn subscribe(&self, entry_id: EntryId) -> Result<HttpResponse, ApiError> {
+        let response = self.responses.borrow().get(&entry_id).cloned().ok_or_else(cancelled_error)?;
+        let listener = ListenerGuard { table: self.table.clone(), clock: self.clock, entry_id };
         let subscriber = Subscriber::new(response, listener);
         match subscriber.head().await.ok_or_else(cancelled_error)? {
             ResponseHead::Stream => Ok(event_stream_response(subscriber)),
@@ -178,42 +190,44 @@
     async fn run(
         self: Rc<Self>,
         request: PreparedRequest,
-        serial: EntryId,
+        entry_id: EntryId,
         response: Rc<SharedResponse>,
         persistent_key: Option<IdempotencyKey>,
     ) {
-        let ended = match self.submitter.submit(request).await {
+        let outcome = match self.submitter.submit(request).await {
             Err(error) => publish_error(&response, error),
-            Ok(reply) => self.publish(serial, &response, reply).await,
+            Ok(reply) => self.publish(entry_id, &response, reply).await,
         };
         response.finish();
-        self.table.borrow_mut().response_ended(self.clock.now(), serial, ended);
-        // Nothing of it has run: its key is free again.
-        if let Some(key) = persistent_key.filter(|_| ended == RunOutcome::Rejected) {
+        self.table.borrow_mut().response_ended(self.clock.now(), entry_id, outcome);
+        // No part of the request has run, so that its key may be used again.
+        if let Some(key) = persistent_key.filter(|_| outcome == RunOutcome::Rejected) {
             self.store_writer.remove(RecordKind::IdempotencyKey, &key.0);
         }
-        // This task is at its end: its own handle has nothing to cancel.
-        if let Some(run) = self.runs.borrow_mut().remove(&serial) {
+        // This task is about to end. Dropping its own handle would cancel it, so the handle is detached.
+        if let Some(run) = self.runs.borrow_mut().remove(&entry_id) {
             run.detach();
         }
     }
 
-    async fn publish(&self, serial: EntryId, response: &SharedResponse, reply: GuardedReply) -> RunOutcome {
+    /// Publishes a reply to the subscribers; returns the outcome of the run.
+    async fn publish(&self, entry_id: EntryId, response: &SharedResponse, reply: GuardedReply) -> RunOutcome {
         let GuardedReply { reply, mut guard } = reply;
         match reply {
-            // The guard of an error stays armed: the core ignores ids that are closed already.
+            // The disconnect guard stays armed for an error: the core ignores requests that are closed
+            // already.
             Reply::Error(error) => publish_error(response, error),
             Reply::Unary(body) => {
                 guard.disarm();
-                self.table.borrow_mut().record(serial, body.len());
+                self.table.borrow_mut().record(entry_id, body.len());
                 response.set_head(ResponseHead::Unary(body));
                 RunOutcome::Completed
             }
             Reply::Stream(events) => {
                 response.set_head(ResponseHead::Stream);
                 response.wake_subscribers();
-                let is_complete = self.publish_events(serial, response, &events).await;
-                // The sender is dropped: the core has given its final answer.
+                let is_complete = self.publish_events(entry_id, response, &events).await;
+                // A closed channel means that the core has sent its final response and dropped the sender.
                 if events.is_closed() {
                     guard.disarm();
                 }
@@ -225,26 +239,28 @@
         }
     }
 
-    /// Publishes events until the stream ends or a subscriber stalls; whether the last was `[DONE]`.
+    /// Publishes events until the stream ends or a subscriber stalls. Returns whether the last event was
+    /// `[DONE]`.
     async fn publish_events(
         &self,
-        serial: EntryId,
+        entry_id: EntryId,
         response: &SharedResponse,
         events: &Receiver<Bytes>,
     ) -> bool {
         let mut is_complete = false;
         while let Ok(event) = events.recv().await {
             is_complete = event == sse::done_event();
-            if !self.publish_event(serial, response, event).await {
+            if !self.publish_event(entry_id, response, event).await {
                 break;
             }
         }
         is_complete
     }
 
-    /// Publishes one event; false when the slowest subscriber stalls where the response is not recorded.
-    async fn publish_event(&self, serial: EntryId, response: &SharedResponse, event: Bytes) -> bool {
-        let is_recorded = self.table.borrow_mut().record(serial, event.len());
+    /// Publishes one event. Returns false if the response is no longer recorded and its slowest subscriber
+    /// stalls.
+    async fn publish_event(&self, entry_id: EntryId, response: &SharedResponse, event: Bytes) -> bool {
+        let is_recorded = self.table.borrow_mut().record(entry_id, event.len());
         response.push(event, is_recorded);
         response.wake_subscribers();
         loop {
@@ -260,7 +276,8 @@
     }
 }
 
-/// A request that was rejected or shed has not run, so that its key is free again.
+/// Publishes an error to the subscribers; returns the outcome of the run. A request that was rejected or shed
+/// has not run, so that its key may be used again.
 fn publish_error(response: &SharedResponse, error: ApiError) -> RunOutcome {
     let has_not_run = matches!(error.code, "shed" | "node_full" | "node_stopping");
     response.set_head(ResponseHead::Error(error));
--- a/crates/nickelgw-node/src/idempotency/shared_response.rs
+++ b/crates/nickelgw-node/src/idempotency/shared_response.rs
@@ -1,4 +1,4 @@
-//! A response with several readers, each at its own position.
+//! A response that several clients read, each at its own position.
 
 use crate::clock::Clock;
 use async_channel::{bounded, Receiver, RecvError, Sender};
@@ -12,10 +12,11 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// Events that a run may be ahead of its slowest subscriber once it is no longer recorded.
+/// Largest number of events by which a run may be ahead of its slowest subscriber once its response is no
+/// longer recorded.
 const MAX_BUFFERED_EVENTS: usize = 32;
 
-/// What kind of response it is.
+/// Kind of a response, with the body or error if it is not a stream.
 #[derive(Clone)]
 pub(super) enum ResponseHead {
     Stream,
@@ -23,28 +24,33 @@
     Error(ApiError),
 }
 
-/// A subscriber's position in the stream, and its wakeup.
+/// A subscriber's position in the stream, and the channel that wakes it.
 struct Cursor {
     position: usize,
     wakeup: Sender<()>,
 }
 
+/// The part of a response that is kept in memory, and its subscribers.
 #[derive(Default)]
 struct ResponseBuffer {
+    /// Kind of the response; `None` if it is not known yet.
     head: Option<ResponseHead>,
     events: VecDeque<Bytes>,
-    /// Position of the first event still kept.
+    /// Position in the stream of the first event in `events`.
     first_position: usize,
     is_finished: bool,
-    /// Kept from the beginning, for later clients.
+    /// Whether all events are kept from the beginning, for later clients.
     is_recorded: bool,
+    /// Cursors by subscriber id.
     cursors: HashMap<u64, Cursor>,
-    next_subscriber: u64,
+    /// Id of the subscriber that was added last.
+    last_subscriber: u64,
 }
 
-/// The response of one run as far as it has come.
+/// Response of one run, as far as it has arrived.
 pub(super) struct SharedResponse {
     buffer: RefCell<ResponseBuffer>,
+    /// Channel that wakes the run when a subscriber has read something or has disconnected.
     consumed: (Sender<()>, Receiver<()>),
 }
 
@@ -58,7 +64,8 @@
         self.buffer.borrow_mut().head = Some(head);
     }
 
-    /// Appends an event; once one is not recorded, the response is not any more.
+    /// Appends an event. From the first event with `is_recorded` false on, the response is no longer
+    /// recorded.
     pub fn push(&self, event: Bytes, is_recorded: bool) {
         let mut buffer = self.buffer.borrow_mut();
         buffer.is_recorded &= is_recorded;
@@ -76,7 +83,7 @@
         }
     }
 
-    /// Drops what every subscriber has read, where no later client may read from the beginning.
+    /// Drops the events that every subscriber has read, unless the response is recorded for later clients.
     pub fn drop_consumed(&self) {
         let mut buffer = self.buffer.borrow_mut();
         if buffer.is_recorded {
@@ -89,7 +96,7 @@
         }
     }
 
-    /// Whether the run may continue, or has to wait for its slowest subscriber.
+    /// Returns whether the run may continue; if not, it has to wait for its slowest subscriber.
     pub fn has_capacity(&self) -> bool {
         let buffer = self.buffer.borrow();
         buffer.is_recorded || buffer.events.len() <= MAX_BUFFERED_EVENTS
@@ -105,25 +112,25 @@
     }
 }
 
-/// Dropped, it tells the table that one client of the run fewer listens.
+/// Guard of one client of a run. When dropped, it reports to the table that the client no longer listens.
 pub(super) struct ListenerGuard {
     pub table: Rc<RefCell<IdempotencyTable>>,
     pub clock: Clock,
-    pub serial: EntryId,
+    pub entry_id: EntryId,
 }
 
 impl Drop for ListenerGuard {
     fn drop(&mut self) {
-        self.table.borrow_mut().listener_left(self.clock.now(), self.serial);
+        self.table.borrow_mut().listener_left(self.clock.now(), self.entry_id);
     }
 }
 
-/// A client that reads a shared response; dropped, it has disconnected.
+/// Client that reads a shared response. Dropping it means that the client has disconnected.
 pub(super) struct Subscriber {
     response: Rc<SharedResponse>,
     id: u64,
     wakeup: Pin<Box<Receiver<()>>>,
-    /// Dropped after the subscriber has left the response.
+    /// Dropped after the subscriber is removed from the response.
     _listener: ListenerGuard,
 }
 
@@ -132,15 +139,15 @@
         let (sender, wakeup) = bounded(1);
         let id = {
             let mut buffer = response.buffer.borrow_mut();
-            buffer.next_subscriber += 1;
-            let (id, position) = (buffer.next_subscriber, buffer.first_position);
+            buffer.last_subscriber += 1;
+            let (id, position) = (buffer.last_subscriber, buffer.first_position);
             buffer.cursors.insert(id, Cursor { position, wakeup: sender });
             id
         };
         Subscriber { response, id, wakeup: Box::pin(wakeup), _listener: listener }
     }
 
-    /// Waits until it is known what kind of response it is; `None`: the run was cancelled.
+    /// Waits until the kind of the response is known; `None` if the run was cancelled.
     pub async fn head(&self) -> Option<ResponseHead> {
         loop {
             let head = self.response.buffer.borrow().head.clone();
@@ -151,7 +158,8 @@
         }
     }
 
-    /// The next event, or `None` at the end of the response; pending while neither is there.
+    /// Returns the next event, or `None` at the end of the response. Pending if the next event has not
+    /// arrived yet.
     fn poll_buffer(&self) -> Poll<Option<Bytes>> {
         let mut buffer = self.response.buffer.borrow_mut();
         let Some(position) = buffer.cursors.get(&self.id).map(|cursor| cursor.position) else {
@@ -187,7 +195,7 @@
                 self.response.notify_consumed();
                 return Poll::Ready(next);
             }
-            // The wakeup is closed when the run was cancelled: the response is cut there.
+            // The wakeup channel is closed if the run was cancelled: the response ends here, incomplete.
             match self.wakeup.as_mut().poll_next(cx) {
                 Poll::Ready(Some(())) => continue,
                 Poll::Ready(None) => return Poll::Ready(None),
