--- a/crates/nickelgw-node/examples/fleet/main.rs
+++ b/crates/nickelgw-node/examples/fleet/main.rs
@@ -1,6 +1,6 @@
-//! The decision modules of a whole fleet in one process and in virtual time: three zones, one of which becomes
-//! unreachable and returns, with datagrams late and lost. Prints how long the fleet takes to evacuate the zone, and what
-//! gossip costs on the wire.
+//! Simulates the decision modules of a whole fleet in one process and in virtual time. One of three zones
+//! becomes unreachable and returns; gossip datagrams are delayed and lost. Prints how long the fleet takes to
+//! evacuate the zone, and how many datagrams and bytes gossip sends.
 //!
 //!     cargo run --release -p nickelgw-node --example fleet -- 350
 
@@ -19,16 +19,21 @@
 use std::collections::{BinaryHeap, HashMap};
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
-/// Of each role, in each zone.
-const ENGINES: u32 = 15;
-const LOST_AT: f64 = 6.0;
-const BACK_AT: f64 = 12.0;
-const END: f64 = 22.0;
-/// Requests a second in all, as on the fleet days: a node of 350 sees one in 3 s.
-const RATE: f64 = 120.0;
-const DATAGRAM_LOSS: f64 = 0.1;
-const ROUND_S: f64 = 0.1;
+/// Number of engines of each role in each zone.
+const ENGINES_PER_ROLE_AND_ZONE: u32 = 15;
+/// Time at which zone b becomes unreachable.
+const ZONE_LOST_AT_S: f64 = 6.0;
+/// Time at which zone b is reachable again.
+const ZONE_RESTORED_AT_S: f64 = 12.0;
+const SIMULATION_END_S: f64 = 22.0;
+/// Rate of requests to the whole fleet, as in rehearsals of a fleet: each of 350 nodes receives one in 3 s.
+const REQUESTS_PER_S: f64 = 120.0;
+/// Share of gossip datagrams that are lost.
+const DATAGRAM_LOSS_SHARE: f64 = 0.1;
+/// Mean time between two gossip rounds of a node.
+const GOSSIP_ROUND_S: f64 = 0.1;
 
+/// An event of the simulation.
 enum Event {
     Arrival(usize),
     AttemptEnded { node: usize, request: RequestHandle, attempt: u32, outcome: Outcome, after_s: f64 },
@@ -38,28 +43,32 @@
     Datagram { to: usize, bytes: Vec<u8> },
 }
 
+/// A simulated node.
 struct Node {
     router: Router,
     zone_failover: ZoneFailover,
     gossip: Gossip,
-    /// Attempts made for each request, and whether each is in flight.
+    /// Attempts of each request, by their number; true while the attempt is in flight.
     attempts: HashMap<u32, Vec<bool>>,
+    /// Time at which the node evacuated zone b; `None` if it has not.
     evacuated_at: Option<f64>,
+    /// Time for which the node's next decision is scheduled.
     wakes_at: f64,
     last_round_at: f64,
 }
 
-/// What is simulated.
+/// Parameters of a simulation.
 #[derive(Clone, Copy)]
 struct Scenario {
     node_count: usize,
-    /// Zone b is unreachable from zone a alone, not lost.
+    /// Whether zone b is unreachable from zone a alone; if not, it is lost to all nodes.
     is_partition: bool,
+    /// Whether the nodes exchange gossip.
     gossip: bool,
 }
 
 impl Scenario {
-    /// Whether the node cannot reach zone b while it is lost or cut.
+    /// Returns whether the node cannot reach zone b while that is lost or partitioned.
     fn is_affected(&self, node: usize) -> bool {
         node.is_multiple_of(3) || !self.is_partition
     }
@@ -68,14 +77,17 @@
 struct Simulation {
     scenario: Scenario,
     nodes: Vec<Node>,
+    /// Nodes by gossip address.
     by_address: HashMap<String, usize>,
-    /// Time in microseconds, and key of the event.
+    /// Time in microseconds and key of each scheduled event, earliest first.
     queue: BinaryHeap<Reverse<(u64, u64)>>,
+    /// Scheduled events by key.
     events: HashMap<u64, Event>,
+    /// Number of events scheduled so far, which gives the next key.
     scheduled: u64,
     random: WyRand,
     failed_attempts: usize,
-    /// Attempts at the zone after its return, by the half second.
+    /// Number of attempts at zone b in each half second after its return.
     attempts_after_return: Vec<usize>,
     rejected: usize,
     arrived: usize,
@@ -101,7 +113,9 @@
     }
 
     fn is_unreachable(&self, node: usize, id: &str, now: f64) -> bool {
-        (LOST_AT..BACK_AT).contains(&now) && zone_of(id) == 1 && self.scenario.is_affected(node)
+        (ZONE_LOST_AT_S..ZONE_RESTORED_AT_S).contains(&now)
+            && zone_of(id) == 1
+            && self.scenario.is_affected(node)
     }
 
     fn decide(&mut self, node: usize, now: f64) {
@@ -120,7 +134,7 @@
         for request in decisions.closed {
             self.nodes[node].attempts.remove(&request.0);
         }
-        // One wake at a time, as a node has one timer.
+        // Schedules one wake at a time, as a node has one timer.
         let wakes_at = self.nodes[node].wakes_at;
         if let Some(wake_at) = decisions.wake_at.filter(|at| *at < wakes_at || wakes_at <= now) {
             let wake_at = wake_at.max(now + 0.001);
@@ -143,8 +157,8 @@
         if outcome == Outcome::ConnectFailed {
             self.failed_attempts += 1;
         }
-        if zone_of(&id) == 1 && now >= BACK_AT {
-            let half_second = ((now - BACK_AT) * 2.0) as usize;
+        if zone_of(&id) == 1 && now >= ZONE_RESTORED_AT_S {
+            let half_second = ((now - ZONE_RESTORED_AT_S) * 2.0) as usize;
             let counts = &mut self.attempts_after_return;
             counts.resize(counts.len().max(half_second + 1), 0);
             counts[half_second] += 1;
@@ -164,7 +178,7 @@
 
     fn send_datagrams(&mut self, now: f64, datagrams: Vec<OutgoingDatagram>) {
         for OutgoingDatagram { to: address, bytes } in datagrams {
-            let is_lost = self.random() < DATAGRAM_LOSS;
+            let is_lost = self.random() < DATAGRAM_LOSS_SHARE;
             let latency_s = 0.001 + 0.004 * self.random();
             if let Some(&to) = self.by_address.get(&address).filter(|_| !is_lost) {
                 self.schedule(now + latency_s, Event::Datagram { to, bytes });
@@ -178,7 +192,10 @@
         let peers = node.gossip.zone_peers(now);
         let round = node.zone_failover.update(now, &mut node.router, &peers);
         node.gossip.publish(now, round.reports, round.urgent);
-        if now >= LOST_AT && node.evacuated_at.is_none() && node.zone_failover.zone_weights()[1].1 == 0.0 {
+        if now >= ZONE_LOST_AT_S
+            && node.evacuated_at.is_none()
+            && node.zone_failover.zone_weights()[1].1 == 0.0
+        {
             node.evacuated_at = Some(now);
         }
         let (datagrams, _) = node.gossip.poll_datagrams(now, unix_ms(now));
@@ -202,7 +219,7 @@
             Event::Decide(node) => self.decide(node, now),
             Event::Round(node) => {
                 self.run_round(node, now);
-                let next = now + ROUND_S * (0.95 + 0.1 * self.random());
+                let next = now + GOSSIP_ROUND_S * (0.95 + 0.1 * self.random());
                 self.schedule(next, Event::Round(node));
             }
             Event::Datagram { to, bytes } => self.receive_datagram(to, now, &bytes),
@@ -225,7 +242,7 @@
         };
         self.nodes[node].router.admit_request(now, &request);
         self.decide(node, now);
-        let gap_s = -(1.0 - self.random()).ln() * self.nodes.len() as f64 / RATE;
+        let gap_s = -(1.0 - self.random()).ln() * self.nodes.len() as f64 / REQUESTS_PER_S;
         self.schedule(now + gap_s, Event::Arrival(node));
     }
 
@@ -237,7 +254,7 @@
         outcome: Outcome,
         elapsed_s: f64,
     ) {
-        // Cancelled already: its result is ignored.
+        // The result of an attempt that is already cancelled is ignored.
         let attempts = self.nodes[node].attempts.get_mut(&request.0);
         let in_flight = attempts.and_then(|attempts| attempts.get_mut(attempt as usize));
         if !in_flight.is_some_and(std::mem::take) {
@@ -264,8 +281,8 @@
         let is_urgent = gossip.receive(now, unix_ms(now), bytes) == Ok(true);
         let (datagrams, _) = gossip.poll_datagrams(now, unix_ms(now));
         self.send_datagrams(now, datagrams);
-        // As a node does: not at every datagram.
-        if is_urgent && now >= self.nodes[to].last_round_at + ROUND_S / 4.0 {
+        // A node does not run a round for every urgent datagram either.
+        if is_urgent && now >= self.nodes[to].last_round_at + GOSSIP_ROUND_S / 4.0 {
             self.run_round(to, now);
         }
     }
@@ -273,7 +290,7 @@
     fn run(&mut self) {
         while let Some(Reverse((at, key))) = self.queue.pop() {
             let now = at as f64 / 1e6;
-            if now > END {
+            if now > SIMULATION_END_S {
                 break;
             }
             if let Some(event) = self.events.remove(&key) {
@@ -286,7 +303,7 @@
 fn engine_entries() -> Vec<EngineEntry> {
     let mut entries = Vec::new();
     for (zone, name) in ZONES.iter().enumerate() {
-        for n in 0..ENGINES {
+        for n in 0..ENGINES_PER_ROLE_AND_ZONE {
             for (role, letter) in [(EngineRole::Prefill, 'r'), (EngineRole::Decode, 'w')] {
                 entries.push(EngineEntry {
                     id: format!("{name}{letter}{n}"),
@@ -336,7 +353,7 @@
     let key = SharedKey::from_secret("a key for the fleet in one process");
     Node {
         router,
-        zone_failover: ZoneFailover::new(zones, &name, Default::default(), ROUND_S, number as u64),
+        zone_failover: ZoneFailover::new(zones, &name, Default::default(), GOSSIP_ROUND_S, number as u64),
         gossip: Gossip::new(GossipConfig::default(), key, own, peers, number as u64),
         attempts: HashMap::new(),
         evacuated_at: None,
@@ -362,8 +379,8 @@
         arrived: 0,
     };
     for n in 0..count {
-        let first_arrival = simulation.random() * count as f64 / RATE;
-        let first_round = ROUND_S * simulation.random();
+        let first_arrival = simulation.random() * count as f64 / REQUESTS_PER_S;
+        let first_round = GOSSIP_ROUND_S * simulation.random();
         simulation.schedule(first_arrival, Event::Arrival(n));
         if scenario.gossip {
             simulation.schedule(first_round, Event::Round(n));
--- a/crates/nickelgw-node/examples/fleet/report.rs
+++ b/crates/nickelgw-node/examples/fleet/report.rs
@@ -1,24 +1,27 @@
-//! Prints what a simulation has come to.
+//! Prints the results of a simulation.
 
-use super::{Node, Simulation, END, LOST_AT};
+use super::{Node, Simulation, SIMULATION_END_S, ZONE_LOST_AT_S};
 
-/// Prints one line: how the zone was evacuated, and what that cost.
+/// Prints one line with the times at which nodes evacuated the zone, the failed attempts, and the traffic of
+/// gossip.
 pub fn report(simulation: &Simulation) {
     let (scenario, nodes) = (simulation.scenario, &simulation.nodes);
     let count = scenario.node_count;
     let affected: Vec<&Node> =
         nodes.iter().enumerate().filter(|(n, _)| scenario.is_affected(*n)).map(|(_, node)| node).collect();
     let mut evacuated_after: Vec<f64> =
-        affected.iter().filter_map(|node| node.evacuated_at).map(|at| at - LOST_AT).collect();
+        affected.iter().filter_map(|node| node.evacuated_at).map(|at| at - ZONE_LOST_AT_S).collect();
     evacuated_after.sort_by(f64::total_cmp);
-    let wrongly = nodes.iter().filter(|node| node.evacuated_at.is_some()).count() - evacuated_after.len();
+    let wrongly_evacuated =
+        nodes.iter().filter(|node| node.evacuated_at.is_some()).count() - evacuated_after.len();
     let datagrams: u64 = nodes.iter().map(|node| node.gossip.counters.sent).sum();
     let bytes: u64 = nodes.iter().map(|node| node.gossip.counters.sent_bytes).sum();
-    let node_seconds = count as f64 * END;
+    let node_seconds = count as f64 * SIMULATION_END_S;
     let after = |index: usize| evacuated_after.get(index).copied().unwrap_or(f64::NAN);
     let after_return = &simulation.attempts_after_return;
     println!(
-        "{count} nodes, {}, gossip {}: evacuated by {} of {} ({wrongly} wrongly), first {:.2} half {:.2} last {:.2} s; \
+        "{count} nodes, {}, gossip {}: evacuated by {} of {} ({wrongly_evacuated} wrongly), \
+         first {:.2} half {:.2} last {:.2} s; \
          failed attempts {}; rejected {} of {}; {:.1} datagrams, {:.0} bytes a node a second; \
          by half seconds after the return {:?}",
         if scenario.is_partition { "cut from a" } else { "lost" },
--- a/crates/nickelgw-node/tests/common/deployment.rs
+++ b/crates/nickelgw-node/tests/common/deployment.rs
@@ -1,8 +1,8 @@
-//! A small deployment, as the tests and the fleet example start from.
+//! A small deployment, which the tests and the fleet example adapt.
 
 use nickelgw::interface::{Deployment, ModelRoute};
 
-/// One node in zone 0 with these routes, and no quotas.
+/// Returns a deployment of one node in zone 0 with the given routes and without tenant quotas.
 pub fn small_deployment(routes: Vec<ModelRoute>) -> Deployment {
     Deployment {
         node: 0,
--- a/crates/nickelgw-node/tests/common/options.rs
+++ b/crates/nickelgw-node/tests/common/options.rs
@@ -1,4 +1,4 @@
-//! The options that tests start nodes with.
+//! Options that the tests start nodes with.
 
 use super::deployment::small_deployment;
 use super::{API_KEY, DEDUP_WINDOW_S};
@@ -74,7 +74,7 @@
     }
 }
 
-/// A node in zone "a" that follows the endpoint list service at this address.
+/// Returns the options of a node in zone "a" that follows the endpoint list service at the given address.
 pub fn node_options(endpoint_list: &str) -> NodeOptions {
     NodeOptions {
         name: "node0".into(),
--- a/crates/nickelgw-node/tests/conformance.rs
+++ b/crates/nickelgw-node/tests/conformance.rs
@@ -1,4 +1,5 @@
-//! An independent client library against a node: all shapes of responses and errors. Its runtime stays here.
+//! Tests a node with an independent client library (async-openai): all kinds of responses and errors. The
+//! library needs tokio, which only this test uses.
 
 mod common;
 
@@ -112,9 +113,9 @@
         assert_eq!(rejection, (404, invalid.clone(), "model_not_found".into(), Some("model".into())));
         let two = CreateChatCompletionRequest { n: Some(2), ..request("chat") };
         assert_eq!(error(API_KEY, two).await, (400, invalid, "invalid_request".into(), Some("n".into())));
-        // Nothing can be prefilled: shed with retry-after.
+        // The only prefill engine drains, so that the request is shed with retry-after. The library reports
+        // only the status of a 503.
         cluster.control("r0a", json!({"fault": "drain"}));
-        // Of a 503 the library gives the status alone.
         assert_eq!(error(API_KEY, request("chat")).await.0, 503);
     });
 }
@@ -129,6 +130,6 @@
         while let Some(chunk) = stream.next().await {
             last = Some(chunk);
         }
-        assert!(last.unwrap().is_err(), "the stream's end passed for a complete one");
+        assert!(last.unwrap().is_err(), "the broken stream was taken for a complete one");
     });
 }
--- a/crates/nickelgw-node/tests/failures.rs
+++ b/crates/nickelgw-node/tests/failures.rs
@@ -1,4 +1,5 @@
-//! Engines that fail in each way on real sockets: one coherent response each, no rule broken.
+//! Tests failures of engines over real sockets: each request gets one coherent response, and no rule of the
+//! audit is violated.
 
 mod common;
 
@@ -33,7 +34,7 @@
         assert!(response.text.starts_with("w0 w1 w2 "), "{}", response.text);
     }
     cluster.assert_engines_idle(&["r0a", "r1a", "w0a", "w1a"]);
-    // Each KV cache was transferred.
+    // The KV cache of each request was transferred.
     assert_eq!(cluster.count_events("fetched", ""), 24);
     cluster.assert_audit_passes();
 }
@@ -41,16 +42,17 @@
 #[test]
 fn a_prefill_engine_lost_with_a_reservation_costs_a_second_prefill() {
     let cluster = TestCluster::new(engines(&["r0a", "r1a", "w0a"]));
-    // The decode engine is silent for a while: the reservation stays at the prefill engine.
+    // The decode engine does not respond for a while, so that the reservation stays at the prefill engine.
     cluster.control("w0a", json!({"fault": "silence", "for_s": 0.5}));
     let pending = cluster.send_in_background(cluster.chat_request("q", "chat"));
     cluster.wait_for_event("read", "q");
-    let prefill_engine = cluster.record.entries().iter().find(|event| event["ev"] == "read").unwrap()["who"]
+    let prefill_engine = cluster.recorder.entries().iter().find(|event| event["ev"] == "read").unwrap()
+        ["who"]
         .as_str()
         .unwrap()
         .to_string();
     cluster.control(&prefill_engine, json!({"fault": "die"}));
-    cluster.record.for_source(&prefill_engine).record("died", json!({}));
+    cluster.recorder.for_source(&prefill_engine).record("died", json!({}));
     assert_eq!(pending.join().unwrap().outcome, "completed");
     assert_eq!(cluster.count_events("read", "q"), 2);
     cluster.assert_audit_passes();
@@ -69,26 +71,27 @@
     let response = pending.join().unwrap();
     assert_eq!((response.outcome.as_str(), response.code.as_deref()), ("errored", Some("stream_broken")));
     thread::sleep(Duration::from_millis(1200));
-    // What the engine sent later was ignored: still one final answer.
+    // The node ignored what the engine sent later: the client received one final response.
     assert_eq!(cluster.count_events("final", "q"), 1);
     cluster.assert_engines_idle(&["r0a", "w0a"]);
     cluster.assert_audit_passes();
 }
 
 #[test]
-fn a_lost_response_is_retried_only_where_that_is_idempotent() {
+fn a_lost_response_is_retried_only_if_the_route_allows_it() {
     let cluster = TestCluster::new(engines(&["r0a", "w0a", "w1a", "w2b"]));
     for engine in ["w0a", "w1a", "w2b"] {
         cluster.control(engine, json!({"fault": "lose", "for_s": 60.0, "share": 1.0}));
     }
     let booking = cluster.send(cluster.chat_request("b", "booking"));
     assert_eq!((booking.outcome.as_str(), cluster.count_events("ran", "b")), ("errored", 1));
-    // Deduplicated inside a zone: the decision module does not prefill it again; among all engines: it does.
+    // If requests are deduplicated within a zone, the decision module does not prefill again; if they are
+    // deduplicated among all engines, it does.
     let review = cluster.send(cluster.chat_request("d", "review"));
     assert_eq!((review.outcome.as_str(), cluster.count_events("ran", "d")), ("errored", 1));
     let marked = cluster.send(cluster.chat_request("m", "marked"));
     assert!(marked.outcome != "completed" && cluster.count_events("ran", "m") >= 2, "{marked:?}");
-    // Idempotent: as often as attempts are left.
+    // An idempotent request is retried as long as attempts are left.
     let chat = cluster.send(cluster.chat_request("c", "chat"));
     assert!(chat.outcome != "completed" && cluster.count_events("ran", "c") >= 2, "{chat:?}");
     cluster.assert_engines_idle(&["r0a", "w0a", "w1a", "w2b"]);
@@ -114,12 +117,12 @@
         ..engine_config(id)
     };
     let cluster = TestCluster::new(vec![slow("r0a"), slow("w0a")]);
-    let mut early = cluster.chat_request("early", "chat");
-    early.disconnect = DisconnectAt::WaitingFor(0.2);
-    assert_eq!(cluster.send(early).outcome, "left");
-    let mut amid = cluster.chat_request("amid", "booking");
-    amid.disconnect = DisconnectAt::EventCount(3);
-    assert_eq!(cluster.send(amid).outcome, "left");
+    let mut in_prefill = cluster.chat_request("early", "chat");
+    in_prefill.disconnect = DisconnectAt::WaitingFor(0.2);
+    assert_eq!(cluster.send(in_prefill).outcome, "left");
+    let mut in_decode = cluster.chat_request("amid", "booking");
+    in_decode.disconnect = DisconnectAt::EventCount(3);
+    assert_eq!(cluster.send(in_decode).outcome, "left");
     cluster.wait_for_event("dropped", "amid");
     cluster.assert_engines_idle(&["r0a", "w0a"]);
     assert_eq!(cluster.count_events("send", "early"), 1);
@@ -141,7 +144,7 @@
         assert_eq!(cluster.send(cluster.chat_request(&format!("q{n}"), "chat")).outcome, "completed");
     }
     assert_eq!((cluster.count_events_at("send", "w0a"), cluster.count_events_at("send", "w1a")), (0, 6));
-    // A new process under the old id, at another address.
+    // A new process with the old id at another address.
     let entry =
         cluster.start_engine(engine_config::EngineConfig { slow_start: false, ..engine_config("w0a") });
     cluster.control("list", json!({"line": entry}));
@@ -152,12 +155,12 @@
     thread::sleep(Duration::from_millis(50));
     assert_eq!(cluster.send(cluster.chat_request("back", "chat")).outcome, "completed");
     assert_eq!(cluster.count_events_at("send", "w0a"), 1);
-    let verdict = cluster.audit();
+    let report = cluster.audit();
     assert!(
-        verdict.violations.is_empty() && verdict.checked["drain"] > 0,
+        report.violations.is_empty() && report.checked["drain"] > 0,
         "{:?} {:?}",
-        verdict.violations,
-        verdict.checked
+        report.violations,
+        report.checked
     );
 }
 
@@ -187,14 +190,15 @@
     let dir = std::env::temp_dir().join(format!("nickelgw-last-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let path = dir.join("node0.list");
-    let mut cluster =
-        TestCluster::with_options(engines(&["r0a", "w0a"]), |s| s.endpoint_cache = Some(path.clone()));
-    let from = std::time::Instant::now();
+    let mut cluster = TestCluster::with_options(engines(&["r0a", "w0a"]), |options| {
+        options.endpoint_cache = Some(path.clone())
+    });
+    let started_at = std::time::Instant::now();
     while !path.exists() {
-        assert!(from.elapsed() < Duration::from_secs(10));
+        assert!(started_at.elapsed() < Duration::from_secs(10));
         thread::sleep(Duration::from_millis(5));
     }
-    // A second process of the node, whose endpoint list is unreachable.
+    // A second process of the node, which cannot reach the endpoint list service.
     let (closed, unreachable) = common::listener();
     drop(closed);
     let mut options = common::node_options(&unreachable);
@@ -212,7 +216,7 @@
     cluster.assert_audit_passes();
 }
 
-/// A fake node that breaks a rule on purpose: the audit notices.
+/// A fake node violates a rule on purpose, and the audit has to report it.
 #[test]
 fn the_audit_catches_an_attempt_after_the_final_answer() {
     let cluster = TestCluster::new(engines(&["r0a", "w0a"]));
@@ -235,8 +239,8 @@
         let _ = stream.read(&mut buffer).unwrap();
         assert_eq!(client::response_status(&prefill("bad-0")), 200);
         let body = "{\"error\":{\"code\":\"shed\"}}";
-        let answer = format!("HTTP/1.1 503 x\r\ncontent-length: {}\r\n\r\n{body}", body.len());
-        stream.write_all(answer.as_bytes()).unwrap();
+        let response = format!("HTTP/1.1 503 x\r\ncontent-length: {}\r\n\r\n{body}", body.len());
+        stream.write_all(response.as_bytes()).unwrap();
         thread::sleep(Duration::from_millis(500));
         prefill("bad-1");
     });
@@ -244,16 +248,17 @@
     assert_eq!(response.outcome, "shed");
     faulty.join().unwrap();
     thread::sleep(Duration::from_millis(500));
-    let verdict = cluster.audit();
-    // Its reservations, never released, leak too.
+    let report = cluster.audit();
+    // The fake node never releases its reservations, which the audit reports as well.
     assert!(
-        verdict.count(Rule::DroppedRequest) == 1 && verdict.count(Rule::UnattendedReservation) >= 1,
+        report.count(Rule::DroppedRequest) == 1 && report.count(Rule::UnattendedReservation) >= 1,
         "{:#?}",
-        verdict.violations
+        report.violations
     );
 }
 
-/// Over the limit of connections the node closed over the unread request, by which the system resets the connection.
+/// Guards against a fault of the connection limit: the node closed a connection over the limit before it had
+/// read the request, so that the system reset the connection.
 #[test_case(0; "that sends at once")]
 #[test_case(50; "that sends later")]
 fn client_over_the_limit_of_connections_can_send_its_whole_request(pause_ms: u64) {
@@ -261,18 +266,18 @@
     let cluster = TestCluster::with_options(vec![engine_config("r0a"), engine_config("w0a")], |options| {
         options.limits.max_connections = 1;
     });
-    let mut only = TcpStream::connect(&cluster.node).unwrap();
-    only.write_all(b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
-    assert!(only.read(&mut [0; 512]).unwrap() > 0, "it is served");
+    let mut within_limit = TcpStream::connect(&cluster.node).unwrap();
+    within_limit.write_all(b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
+    assert!(within_limit.read(&mut [0; 512]).unwrap() > 0, "the connection within the limit got no response");
     let mut client = TcpStream::connect(&cluster.node).unwrap();
     client.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     thread::sleep(Duration::from_millis(pause_ms));
     let request = post(&"x".repeat(PIECES * 1024), "");
     for piece in request.as_bytes().chunks(1024) {
-        client.write_all(piece).expect("the connection is not reset under the request");
+        client.write_all(piece).expect("the connection was reset during the request");
         thread::sleep(Duration::from_millis(2));
     }
     let mut response = String::new();
-    client.read_to_string(&mut response).expect("the response is not lost");
+    client.read_to_string(&mut response).expect("the response was lost");
     assert!(response.starts_with("HTTP/1.1 503"), "{response}");
 }
--- a/crates/nickelgw-node/tests/idempotency.rs
+++ b/crates/nickelgw-node/tests/idempotency.rs
@@ -1,4 +1,5 @@
-//! Idempotency keys and retries on sockets: one run, whose response every client with the key receives.
+//! Tests idempotency keys and retries over sockets: a key has one run, and every client with the key receives
+//! its response.
 
 mod common;
 
@@ -19,7 +20,8 @@
     )
 }
 
-/// The response, or what arrived of it until `timeout_s` had passed without a byte.
+/// Sends a request and returns the response, or the part that arrived before `timeout_s` passed without a
+/// byte.
 fn send(node: &str, request_id: &str, headers: &str, body: &str, timeout_s: f64) -> String {
     let request = post(body, &format!("connection: close\r\nx-request-id: {request_id}\r\n{headers}"));
     let response = smol::block_on(send_raw(node, &[request.as_bytes()], 0.0, timeout_s));
@@ -30,6 +32,7 @@
     format!("idempotency-key: {key}\r\n")
 }
 
+/// Returns the contents of the events of a stream, without surrounding spaces.
 fn words(response: &str) -> Vec<String> {
     let contents = response.split("\"content\":\"").skip(1);
     let words = contents.filter_map(|content| content.split('"').next());
@@ -55,10 +58,10 @@
         let (key, request_body) = (idempotency_key(&format!("k{n}")), body(model, "pay the bill", true));
         let first = send_in_background(&cluster.node, "a", &key, &request_body, 2.0);
         cluster.wait_for_event("ran", "a");
-        // While it streams, from another connection.
+        // A repeat on another connection while the first stream is open.
         let second = send_in_background(&cluster.node, "b", &key, &request_body, 2.0);
         let (first, second) = (first.join().unwrap(), second.join().unwrap());
-        // After its end.
+        // A repeat after the end of the first stream.
         let third = send(&cluster.node, "c", &key, &request_body, 2.0);
         assert!(first.contains("[DONE]") && !words(&first).is_empty(), "{first}");
         assert_eq!((words(&first), words(&first)), (words(&second), words(&third)));
@@ -70,7 +73,7 @@
 fn a_reconnecting_client_joins_the_run_it_left() {
     let cluster = test_cluster(|_| {});
     let (key, request_body) = (idempotency_key("gone"), body("booking", "book it", true));
-    // Disconnects as soon as the stream has begun; reconnects.
+    // The client disconnects as soon as the stream has begun, and reconnects.
     let partial = send(&cluster.node, "a", &key, &request_body, 0.03);
     assert!(!partial.contains("[DONE]"));
     thread::sleep(Duration::from_millis(100));
@@ -174,7 +177,7 @@
         }
     }
     assert_eq!(rejected, 9);
-    // First tries are served all the same.
+    // Requests that are no retries are served nevertheless.
     assert_eq!(
         response_status(send(&cluster.node, "first", "", &body("chat", "new", false), 2.0).as_bytes()),
         200
--- a/crates/nickelgw-node/tests/malformed_input.rs
+++ b/crates/nickelgw-node/tests/malformed_input.rs
@@ -1,4 +1,4 @@
-//! Malformed input of clients and engines: a clear error, no panic, no reservation leaked.
+//! Malformed input from clients and engines causes a clear error, no panic and no leaked reservation.
 
 mod common;
 
@@ -13,6 +13,7 @@
     TestCluster::new(vec![engine_config("r0a"), engine_config("w0a")])
 }
 
+/// Returns a chat request whose content-length header has the given value.
 fn post(body: &[u8], length: usize) -> Vec<u8> {
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\nauthorization: Bearer {API_KEY}\r\n\
@@ -59,7 +60,8 @@
 #[test]
 fn malformed_http_and_unknown_paths_are_rejected() {
     let cluster = test_cluster();
-    // Half a request line: closed after the head timeout. A head of ten megabytes: rejected, not buffered.
+    // After half a request line the connection is closed at the head timeout. A head of ten megabytes is
+    // rejected and not buffered.
     assert!(matches!(status_of(&cluster, b"POST /v1/ch", 3.0), 0 | 408));
     let huge = format!("GET / HTTP/1.1\r\nhost: x\r\nx-long: {}\r\n\r\n", "y".repeat(10 << 20));
     assert!(matches!(status_of(&cluster, huge.as_bytes(), 2.0), 0 | 431));
@@ -82,8 +84,9 @@
 fn requests_over_the_open_limit_are_rejected_with_retry_after() {
     let slow =
         nickelgw_test_servers::engine_config::EngineConfig { prefill_base_s: 0.5, ..engine_config("r0a") };
-    let cluster =
-        TestCluster::with_options(vec![slow, engine_config("w0a")], |s| s.core_config.max_open_requests = 2);
+    let cluster = TestCluster::with_options(vec![slow, engine_config("w0a")], |options| {
+        options.core_config.max_open_requests = 2
+    });
     let first: Vec<_> =
         (0..2).map(|n| cluster.send_in_background(cluster.chat_request(&format!("q{n}"), "chat"))).collect();
     cluster.wait_for("both have started", |events| {
@@ -99,8 +102,8 @@
 
 #[test]
 fn a_full_event_queue_rejects_requests_and_loses_no_engine_event() {
-    let cluster = TestCluster::with_options(vec![engine_config("r0a"), engine_config("w0a")], |s| {
-        s.limits.max_queued = 1
+    let cluster = TestCluster::with_options(vec![engine_config("r0a"), engine_config("w0a")], |options| {
+        options.limits.max_queued = 1
     });
     let pending: Vec<_> =
         (0..60).map(|n| cluster.send_in_background(cluster.chat_request(&format!("q{n}"), "chat"))).collect();
@@ -117,7 +120,8 @@
     cluster.assert_audit_passes();
 }
 
-/// An engine that responds to every call with the same bytes, then closes.
+/// Starts an engine that responds to every call with the same bytes and then closes the connection. Returns
+/// its address.
 fn fixed_response_engine(response: Vec<u8>) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -133,6 +137,7 @@
     address
 }
 
+/// Head that replaces the word STREAM in the responses below.
 const STREAM: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\n";
 
 #[test_case("r0a", "complete nonsense\r\n\r\n"; "prefill, no HTTP")]
@@ -160,7 +165,7 @@
     let response = cluster.send(cluster.chat_request("q", "booking"));
     assert!(response.outcome == "errored" || response.outcome == "shed", "{response:?}");
     assert!(response.code.is_some() && response.duration_s < 4.5, "{response:?}");
-    // With a working engine in its place, requests complete again.
+    // After a working engine replaces the faulty one, requests complete again.
     let working = cluster.start_engine(engine_config(id));
     let published = cluster.count_events("told", "");
     cluster.control("list", serde_json::json!({"line": working}));
--- a/crates/nickelgw-node/tests/request_path.rs
+++ b/crates/nickelgw-node/tests/request_path.rs
@@ -1,4 +1,4 @@
-//! The path of a request from client to engines and back, with each of its faults injected.
+//! Tests the path of a request from the client to the engines and back, with a fault injected at each step.
 
 mod common;
 
@@ -21,11 +21,11 @@
     TestCluster::with_options(ids.iter().map(|id| engine_config(id)).collect(), configure)
 }
 
-/// The engine that holds a request's reservation, and the name of the prefill attempt.
+/// Returns the engine that holds a request's reservation, and the id of the prefill attempt.
 fn reservation_of(cluster: &TestCluster, request: &str) -> (String, String) {
     cluster.wait_for_event("read", request);
-    let lines = cluster.record.entries();
-    let event = lines.iter().find(|event| event["ev"] == "read" && event["req"] == request).unwrap();
+    let events = cluster.recorder.entries();
+    let event = events.iter().find(|event| event["ev"] == "read" && event["req"] == request).unwrap();
     (event["who"].as_str().unwrap().into(), event["send"].as_str().unwrap().into())
 }
 
@@ -63,45 +63,44 @@
     cluster.assert_audit_passes();
 }
 
-/// Disconnected in each phase of its request: nothing stays reserved or running.
+/// A client disconnects in one phase of its request; nothing stays reserved or running after that.
 #[test_case("queued"; "queued")]
-#[test_case("reading"; "reading")]
-#[test_case("held"; "held")]
+#[test_case("prefilling"; "prefilling")]
+#[test_case("reserved"; "reserved")]
 #[test_case("fetching"; "fetching")]
 #[test_case("streaming"; "streaming")]
-fn a_client_disconnects(at: &str) {
+fn a_client_disconnect_leaves_nothing_reserved_or_running(phase: &str) {
     let prefill_engine = engine_config::EngineConfig {
         slots: 1,
-        prefill_base_s: if at == "queued" { 0.4 } else { 0.1 },
+        prefill_base_s: if phase == "queued" { 0.4 } else { 0.1 },
         ..engine_config("r0a")
     };
     let decode_engine = engine_config::EngineConfig { decode_step_s: 0.03, ..engine_config("w0a") };
     let cluster = TestCluster::new(vec![prefill_engine, decode_engine]);
-    let others = if at == "queued" { 6 } else { 0 };
+    let others = if phase == "queued" { 6 } else { 0 };
     let others: Vec<_> = (0..others)
         .map(|n| cluster.send_in_background(cluster.chat_request(&format!("o{n}"), "chat")))
         .collect();
-    match at {
-        "held" => drop(cluster.control("w0a", json!({"fault": "silence", "for_s": 0.6}))),
+    match phase {
+        "reserved" => drop(cluster.control("w0a", json!({"fault": "silence", "for_s": 0.6}))),
         "fetching" => drop(cluster.control("w0a", json!({"fault": "silence", "for_s": 0.2}))),
         _ => {}
     }
-    let leave = match at {
+    let disconnect = match phase {
         "streaming" => DisconnectAt::EventCount(2),
         "queued" => DisconnectAt::WaitingFor(0.1),
-        "reading" => DisconnectAt::WaitingFor(0.06),
+        "prefilling" => DisconnectAt::WaitingFor(0.06),
         _ => DisconnectAt::WaitingFor(0.35),
     };
-    let pending =
-        cluster.send_in_background(ChatCall { disconnect: leave, ..cluster.chat_request("q", "booking") });
-    if at == "fetching" {
+    let pending = cluster.send_in_background(ChatCall { disconnect, ..cluster.chat_request("q", "booking") });
+    if phase == "fetching" {
         let (prefill_engine, _) = reservation_of(&cluster, "q");
         cluster.control(&prefill_engine, json!({"fault": "silence", "for_s": 0.6}));
     }
     assert_eq!(pending.join().unwrap().outcome, "left");
     others.into_iter().for_each(|other| drop(other.join()));
     thread::sleep(Duration::from_millis(700));
-    assert_eq!(cluster.count_events("done", "q"), 0, "it ran on without a client");
+    assert_eq!(cluster.count_events("done", "q"), 0, "the request ran to its end without a client");
     cluster.assert_engines_idle(&["r0a", "w0a"]);
     cluster.assert_audit_passes();
 }
@@ -141,7 +140,7 @@
 }
 
 #[test]
-fn bodies_of_eight_megabytes_and_prompts_of_one_token() {
+fn eight_megabyte_bodies_and_one_token_prompts_are_served() {
     let big = |id| engine_config::EngineConfig {
         memory_tokens: 1e7,
         prefill_tokens_per_s: 1e8,
@@ -163,7 +162,8 @@
     let mut over = cluster.chat_request("over", "chat");
     over.prompt = "word ".repeat(9_000_000 / 5);
     let response = cluster.send(over);
-    // Rejected by its length alone; a client that is still writing may see its connection end instead.
+    // The body is rejected by its length alone. A client that is still writing may see the connection end
+    // instead of the response.
     assert!(response.status == 413 || response.outcome == "cut", "{response:?}");
     assert_eq!(cluster.count_events("send", "over"), 0);
 }
@@ -198,7 +198,8 @@
     let response = String::from_utf8_lossy(&response).to_string();
     let statuses: Vec<&str> = response.split("HTTP/1.1 ").skip(1).map(|response| &response[..3]).collect();
     assert_eq!(statuses, ["200", "400", "200"], "{response}");
-    // One that closes its sending side has disconnected: the API's clients keep it open.
+    // Closing the sending side counts as a disconnect: clients of the API keep it open until the response
+    // ends.
     cluster.control("w0a", json!({"fault": "silence", "for_s": 0.5}));
     let mut stream = TcpStream::connect(&cluster.node).unwrap();
     let id = "x-request-id: half\r\n";
@@ -228,7 +229,7 @@
     assert_eq!(cluster.send(cluster.chat_request("d", "chat")).outcome, "completed");
 }
 
-/// The status of a decode engine's fetch of a reservation.
+/// Fetches a reservation as a decode engine does; returns the status of the response.
 fn fetch_status(prefill_engine: &str, reservation: &str, grant: &str, decode_engine: &str) -> u16 {
     let request = format!(
         "GET /v1/states/{reservation} HTTP/1.1\r\nhost: x\r\nx-engine-id: {decode_engine}\r\n\
@@ -278,7 +279,7 @@
     assert_eq!(fetch(&good, "w9a"), 200);
     assert_eq!(fetch(&good, "w9a"), 403, "replayed");
     let reasons: Vec<String> = cluster
-        .record
+        .recorder
         .entries()
         .iter()
         .filter(|event| event["ev"] == "not_granted")
@@ -286,7 +287,8 @@
         .collect();
     assert_eq!(reasons.len(), 8, "{reasons:?}");
     assert!(reasons[4].contains("Expired") && reasons[7].contains("Replayed"), "{reasons:?}");
-    // Its reservation was served to the fetch above: the decode engine finds none, and it is prefilled again.
+    // The fetch above has taken the reservation: the decode engine finds none, and the request is prefilled
+    // again.
     assert_eq!(pending.join().unwrap().outcome, "completed");
     assert_eq!(cluster.count_events("read", "q"), 2);
 }
@@ -308,11 +310,12 @@
         let response = smol::block_on(client::send_raw(node, &[text.as_bytes()], 0.0, 2.0));
         assert_eq!(response_status(&response), 200);
     }
-    // Once for the first node's two, once for the other.
+    // One run for both requests to the first node, and one for the request to the other node.
     assert_eq!(cluster.count_events("ran", ""), 2);
 }
 
-/// A request that was sent behind an open one on its connection had its whole time from the end of that one.
+/// Guards against a fault of pipelined requests: the timeout of a request that was sent behind an open one
+/// started only when the open one had ended.
 #[test]
 fn time_behind_an_open_request_counts_against_the_timeout() {
     let slow = engine_config::EngineConfig { decode_step_s: 0.1, ..engine_config("w0a") };
@@ -329,6 +332,9 @@
     let statuses: Vec<&str> = text.split("HTTP/1.1 ").skip(1).map(|response| &response[..3]).collect();
     assert_eq!(statuses.len(), 2, "{text}");
     assert_eq!(statuses[0], "200", "{text}");
-    assert_ne!(statuses[1], "200", "its time was over before the first had ended: {text}");
-    assert_eq!(cluster.count_events("read", "second"), 0, "it reached an engine");
+    assert_ne!(
+        statuses[1], "200",
+        "the timeout of the second request had passed before the first ended: {text}"
+    );
+    assert_eq!(cluster.count_events("read", "second"), 0, "the second request reached an engine");
 }
--- a/crates/nickelgw-node/tests/shutdown.rs
+++ b/crates/nickelgw-node/tests/shutdown.rs
@@ -1,4 +1,5 @@
-//! Shutdown: open requests finish or end in one error, and no reservation stays behind. The admin port.
+//! Shutdown: open requests finish or end in one error, and no reservation is leaked. Also tests the admin
+//! port.
 
 mod common;
 
@@ -31,12 +32,12 @@
 #[test]
 fn a_drain_finishes_open_requests_and_closes_connections() {
     let mut cluster = test_cluster(5.0);
-    // It is healthy once it has fetched a list, which a busy machine delays.
+    // The node is healthy once it has fetched an endpoint list, which can take a while on a busy machine.
     let until = Instant::now() + Duration::from_secs(10);
     while health_status(&cluster) != 200 {
-        assert!(Instant::now() < until, "not healthy");
+        assert!(Instant::now() < until, "the node is not healthy after 10 s");
     }
-    // An idle connection, kept open by its client.
+    // An idle connection that its client keeps open.
     let mut idle = TcpStream::connect(&cluster.node).unwrap();
     let stream = cluster.send_in_background(cluster.chat_request("stream", "booking"));
     cluster.wait_for_event("first", "stream");
@@ -45,7 +46,8 @@
     while health_status(&cluster) == 200 {
         assert!(started_at.elapsed() < Duration::from_secs(2));
     }
-    // While it announces its shutdown it accepts requests, each the last of its connection.
+    // While the node announces its shutdown it still accepts requests, and closes each connection after the
+    // response.
     let body = r#"{"model":"chat","max_tokens":2,"messages":[{"role":"user","content":"hi"}]}"#;
     idle.write_all(post(body, "").as_bytes()).unwrap();
     let mut response = String::new();
@@ -53,7 +55,7 @@
     assert!(response.starts_with("HTTP/1.1 200") && response.contains("connection: close"), "{response}");
     assert_eq!(stream.join().unwrap().outcome, "completed");
     assert_eq!(cluster.exit.take().unwrap().join().unwrap(), Exit::Clean);
-    assert!(TcpStream::connect(&cluster.node).is_err(), "it still listens");
+    assert!(TcpStream::connect(&cluster.node).is_err(), "the node still listens");
     cluster.assert_engines_idle(&["r0a", "w0a"]);
     cluster.assert_audit_passes();
 }
@@ -72,7 +74,7 @@
         ..cluster.chat_request("whole", "chat")
     });
     cluster.wait_for_event("ran", "whole");
-    // One whose reservation waits while a silent decode engine is called.
+    // A request whose reservation waits because the decode engine does not respond.
     cluster.control("w0a", json!({"fault": "silence", "for_s": 0.9}));
     let held = cluster.send_in_background(cluster.chat_request("held", "chat"));
     cluster.wait_for_event("read", "held");
@@ -140,7 +142,8 @@
 
 const SHORT_REQUEST: &str = r#"{"model":"chat","max_tokens":2,"messages":[{"role":"user","content":"hi"}]}"#;
 
-/// The response to a request on this connection; empty: it was closed or reset with none.
+/// Sends a request on this connection and returns the response; empty if the connection was closed or reset
+/// without one.
 fn response_on(mut connection: TcpStream, request_id: &str) -> String {
     let request = post(SHORT_REQUEST, &format!("x-request-id: {request_id}\r\nconnection: close\r\n"));
     let sent_at = Instant::now();
@@ -153,7 +156,8 @@
     String::from_utf8_lossy(&response).to_string()
 }
 
-/// hyper's graceful shutdown closed a new connection at once, before its first request had come.
+/// Guards against a fault of the shutdown: hyper's graceful shutdown closed a new connection at once, before
+/// its first request had arrived.
 #[test]
 fn first_request_on_a_new_connection_is_answered_during_shutdown() {
     let mut cluster = test_cluster(5.0);
@@ -161,11 +165,12 @@
     send_signal(&cluster, ProcessSignal::Drain);
     thread::sleep(Duration::from_millis(350));
     let response = response_on(connection, "late");
-    assert!(response.starts_with("HTTP/1.1 "), "closed with no answer: {response:?}");
+    assert!(response.starts_with("HTTP/1.1 "), "connection closed without a response: {response:?}");
     assert_eq!(cluster.exit.take().unwrap().join().unwrap(), Exit::Clean);
 }
 
-/// The listener was closed over connections in its backlog, which were reset with their requests.
+/// Guards against a fault of the shutdown: the listener was closed while connections waited in its backlog,
+/// which reset them and lost their requests.
 #[test]
 fn connections_accepted_by_the_system_are_answered_before_the_listener_closes() {
     let cluster = test_cluster(5.0);
@@ -186,5 +191,5 @@
     thread::sleep(Duration::from_millis(200));
     send_signal(&cluster, ProcessSignal::Drain);
     let unanswered: usize = clients.into_iter().map(|client| client.join().unwrap()).sum();
-    assert_eq!(unanswered, 0, "connected, and closed with no answer");
+    assert_eq!(unanswered, 0, "connections closed without a response");
 }
--- a/crates/nickelgw-node/tests/stalled.rs
+++ b/crates/nickelgw-node/tests/stalled.rs
@@ -1,4 +1,5 @@
-//! Clients that read nothing of their response, many at once. Alone in its binary: it fills the machine.
+//! Tests many clients at the same time that do not read their responses. The test has its own binary, as it
+//! uses the whole machine.
 
 mod common;
 
@@ -10,11 +11,11 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Clients that connect together.
+/// Number of clients that connect at the same time.
 const BATCH: usize = 20;
 const ENGINES: [&str; 4] = ["r0a", "r1a", "w0a", "w1a"];
 
-/// Raises the limit of open files; returns how many clients it allows, within reason.
+/// Raises the limit of open files; returns the number of clients that it allows, at most 250.
 fn max_clients() -> usize {
     let (soft, hard) = rlimit::Resource::NOFILE.get().unwrap();
     let wanted = hard.min(16_384);
@@ -24,7 +25,7 @@
     (wanted as usize / 10).min(250)
 }
 
-/// Engines that are never full. The node's admin port is returned as well.
+/// Starts a cluster whose engines are never full; returns it with the address of the node's admin port.
 fn wide_cluster() -> (TestCluster, String) {
     let (admin_listener, admin) = common::listener();
     let wide = |id| engine_config::EngineConfig {
@@ -49,7 +50,7 @@
     (cluster, admin)
 }
 
-/// A client that asks for a stream and has a small receive buffer.
+/// Connects a client that requests a stream and has a small receive buffer.
 fn connect(cluster: &TestCluster, number: usize) -> TcpStream {
     let body =
         r#"{"model":"chat","stream":true,"max_tokens":240,"messages":[{"role":"user","content":"hi"}]}"#;
@@ -62,8 +63,8 @@
     stream
 }
 
-/// Clients whose stream has begun. They connect a few at a time, and one that is shed is replaced: hundreds at once are
-/// more than a slow machine accepts in time, whose engines then look unreachable.
+/// Returns clients whose stream has begun. They connect in batches, and a client that is shed is replaced: a
+/// slow machine does not accept hundreds at once in time, so that its engines seem unreachable.
 fn begin_streams(cluster: &TestCluster, admin: &str, clients: usize) -> Vec<TcpStream> {
     let mut begun: Vec<TcpStream> = Vec::new();
     let started_at = Instant::now();
@@ -75,7 +76,7 @@
             let trace = || http_get(admin, &format!("/why/s{number}"), 5.0);
             let mut status = [0; 12];
             if let Err(error) = stream.read_exact(&mut status) {
-                panic!("s{number} has not begun: {error}\n{}", trace());
+                panic!("stream s{number} has not begun: {error}\n{}", trace());
             }
             if status == *b"HTTP/1.1 200" {
                 begun.push(stream);
@@ -83,7 +84,11 @@
                 println!("s{number}: {}\n{}", String::from_utf8_lossy(&status), trace());
             }
         }
-        assert!(started_at.elapsed() < Duration::from_secs(60), "only {} have begun", begun.len());
+        assert!(
+            started_at.elapsed() < Duration::from_secs(60),
+            "only {} of {clients} streams have begun after 60 s",
+            begun.len()
+        );
     }
     begun
 }
@@ -93,21 +98,22 @@
     let mut received = Vec::new();
     let end = stream.read_to_end(&mut received);
     let is_open = end.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock);
-    assert!(!is_open, "it was not disconnected");
+    assert!(!is_open, "the stalled client was not disconnected");
     let is_whole = String::from_utf8_lossy(&received).contains("[DONE]");
-    assert!(!is_whole, "it did not stall: {} bytes", received.len());
+    assert!(!is_whole, "the client received its whole response and did not stall: {} bytes", received.len());
 }
 
 #[test]
 fn hundreds_of_stalled_clients_are_disconnected_and_delay_nobody() {
     let clients = max_clients();
     let (cluster, admin) = wide_cluster();
-    // A stream is longer than what the system buffers for a client that reads nothing.
+    // Padding makes a stream longer than what the system buffers for a client that reads nothing.
     for engine in ["w0a", "w1a"] {
         cluster.control(engine, json!({"fault": "pad", "bytes": 32_768}));
     }
     let stalled = begin_streams(&cluster, &admin, clients);
-    // A client that does not stall is served meanwhile; then each of the others times out.
+    // A client that reads its response is served meanwhile. After that the stall timeout of all others
+    // passes.
     let request = ChatCall {
         timeout_s: 20.0,
         ttft_target_s: 20.0,
@@ -119,10 +125,15 @@
     let trace = || http_get(&admin, "/why/quick", 5.0);
     assert_eq!(outcome, "completed", "after {:?}: {}", started_at.elapsed(), trace());
     let health = b"GET /healthz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-    wait_until("all connections but this one are closed", 60.0, Duration::from_millis(50), || {
-        let response = smol::block_on(client::send_raw(&cluster.node, &[health], 0.0, 5.0));
-        String::from_utf8_lossy(&response).contains("\"connections\":1")
-    });
+    wait_until(
+        "all connections except the one of this health check are closed",
+        60.0,
+        Duration::from_millis(50),
+        || {
+            let response = smol::block_on(client::send_raw(&cluster.node, &[health], 0.0, 5.0));
+            String::from_utf8_lossy(&response).contains("\"connections\":1")
+        },
+    );
     cluster.assert_engines_idle(&ENGINES);
     stalled.into_iter().for_each(assert_disconnected);
 }
--- a/crates/nickelgw-node/tests/stored_records.rs
+++ b/crates/nickelgw-node/tests/stored_records.rs
@@ -1,4 +1,4 @@
-//! Values stored by an earlier release are understood by the modules that own them. The files are those of
+//! Tests that the modules read the values that an earlier release stored. The files are those in
 //! `crates/nickelgw-store/tests/fixtures/32b5283`.
 
 use nickelgw_deferred::core::record::{DeferredRecord, DeferredState};
@@ -9,14 +9,14 @@
 use nickelgw_store::Store;
 use std::path::{Path, PathBuf};
 
-/// A moment after the last write of the fixtures, in seconds since 1970.
+/// Time shortly after the last write of the fixtures, in seconds since 1970.
 const SHORTLY_AFTER_UNIX_S: f64 = 1_796_219_380.0;
 
 fn fixture(file: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../nickelgw-store/tests/fixtures/32b5283").join(file)
 }
 
-/// The records of a fixture; a copy is opened, as opening a store may write to it.
+/// Returns the records of a fixture. Opens a copy of the file, as opening a store may write to it.
 fn restore(file: &str) -> Vec<RestoredRecord> {
     let copy = std::env::temp_dir().join(format!("nickelgw-stored-records-{}-{file}", std::process::id()));
     std::fs::copy(fixture(file), &copy).unwrap();
@@ -26,7 +26,7 @@
     WriteBuffer::new(Default::default()).restore(0.0, SHORTLY_AFTER_UNIX_S, records)
 }
 
-/// A JSON text with each number outside strings replaced by `#`, and the numbers.
+/// Returns a JSON text with each number outside strings replaced by `#`, and the list of these numbers.
 fn split_numbers(json: &str) -> (String, Vec<f64>) {
     let (mut text, mut numbers, mut in_string) = (String::new(), Vec::new(), false);
     let mut rest = json;
@@ -58,8 +58,9 @@
     assert_eq!(learned.engines[0].started_at, None);
     assert_eq!(learned.engines[0].recent_failures, 2.6532131490676205);
     assert_eq!(learned.engines[0].last_failure_at, 1796219370.6095526);
-    // Written again it has the same fields in the same order: an earlier release could read it too. The numbers are
-    // compared by value, as serde_json reads a float only to its last digit or so.
+    // The state that is written again has the same fields in the same order, so that an earlier release could
+    // read it too. The numbers are compared by value, as serde_json may read a float with a small error in
+    // its last digit.
     let written = String::from_utf8(warm_state::encode(&learned, 0.0)).unwrap();
     let stored = String::from_utf8(stored.value.clone()).unwrap();
     let (written_text, written_numbers) = split_numbers(&written);
@@ -67,7 +68,10 @@
     assert_eq!(written_text, stored_text);
     assert_eq!(written_numbers.len(), stored_numbers.len());
     for (number, expected) in written_numbers.iter().zip(&stored_numbers) {
-        assert!((number - expected).abs() <= 4.0 * f64::EPSILON * expected.abs(), "{number} {expected}");
+        assert!(
+            (number - expected).abs() <= 4.0 * f64::EPSILON * expected.abs(),
+            "{number} is not {expected}"
+        );
     }
 }
 
@@ -85,7 +89,7 @@
     assert_eq!(answer.status, 200);
     assert!(std::str::from_utf8(&answer.body).unwrap().contains("w0 w1 w2 w3 w4 w5 w6 w7"));
     for (record, request) in records.iter().zip(&requests) {
-        assert_eq!(request.encode(), record.value, "written again it is the same");
+        assert_eq!(request.encode(), record.value, "the encoded request differs from the stored record");
     }
 }
 
--- a/crates/nickelgw-node/tests/tls/certs.rs
+++ b/crates/nickelgw-node/tests/tls/certs.rs
@@ -1,4 +1,4 @@
-//! Certificates of an authority made for one test, in a folder of its own.
+//! Issues certificates of an authority that is created for one test, in its own directory.
 
 use super::common::engine_config;
 use nickelgw_node::TlsOptions;
@@ -7,6 +7,7 @@
 use nickelgw_tls::{Client, Files, Versions};
 use std::path::PathBuf;
 
+/// The authority of a test and the directory of its files.
 pub struct Certs {
     pub dir: PathBuf,
     pub authority: Authority,
@@ -24,6 +25,7 @@
         certs
     }
 
+    /// Issues a certificate for a name; returns the paths of its chain and key.
     pub fn issue(&self, file: &str, name: &str, fault: CertificateFault) -> [PathBuf; 2] {
         self.authority.write(&self.dir, file, name, fault).unwrap()
     }
@@ -32,6 +34,8 @@
         self.dir.join(file)
     }
 
+    /// Returns the configuration of an engine with its own certificate. `mutual` makes it require a client
+    /// certificate.
     pub fn engine(&self, id: &str, mutual: bool) -> EngineConfig {
         let name = format!("{id}.example.org");
         let [chain, key] = self.issue(id, &name, CertificateFault::None);
@@ -52,6 +56,7 @@
         client
     }
 
+    /// Returns the TLS options of a node, with a client certificate if `has_certificate` is true.
     pub fn options(&self, has_certificate: bool) -> TlsOptions {
         TlsOptions {
             engines: Some(self.client(has_certificate)),
--- a/crates/nickelgw-node/tests/tls/main.rs
+++ b/crates/nickelgw-node/tests/tls/main.rs
@@ -1,4 +1,5 @@
-//! TLS on sockets: rotations that interrupt no stream, and invalid peers that get no byte of a request.
+//! Tests TLS over sockets: rotations interrupt no stream, and peers with an invalid certificate receive no
+//! byte of a request.
 
 mod certs;
 #[path = "../common/mod.rs"]
@@ -21,19 +22,21 @@
     TestCluster::with_options(engines, |options| options.tls = certs.options(has_certificate))
 }
 
-/// Handshakes of an engine that are marked by a field: "ok" or "resumed".
+/// Counts the handshakes of an engine in whose events `field` ("ok" or "resumed") is true; of all engines if
+/// the id is empty.
 fn handshakes(cluster: &TestCluster, engine: &str, field: &str) -> usize {
     let is_counted = |event: &&serde_json::Value| {
         event["ev"] == "handshake" && (engine.is_empty() || event["who"] == engine) && event[field] == true
     };
-    cluster.record.entries().iter().filter(is_counted).count()
+    cluster.recorder.entries().iter().filter(is_counted).count()
 }
 
+/// Counts the attempts at an engine.
 fn attempts(cluster: &TestCluster, engine: &str) -> usize {
     cluster.count_events_at("send", engine)
 }
 
-/// Streams of some seconds, held open across what the test does.
+/// Opens streams that last some seconds, so that they are open while the test changes certificates.
 fn open_streams(cluster: &TestCluster, count: usize) -> Vec<thread::JoinHandle<CallResult>> {
     let open = |number: usize| {
         let mut request = cluster.chat_request(&format!("open{number}"), "chat");
@@ -53,7 +56,7 @@
         assert_eq!(response.outcome, "completed", "{response:?}");
         let words = response.text.split_whitespace().count() as u64;
         let last_word = format!("w{} ", words.wrapping_sub(1));
-        assert!(words >= 20 && response.text.ends_with(&last_word), "not whole: {}", response.text);
+        assert!(words >= 20 && response.text.ends_with(&last_word), "incomplete response: {}", response.text);
     }
 }
 
@@ -102,7 +105,8 @@
     match rotated {
         "engine" => rotate_engines(&certs.authority),
         "node" => drop(certs.issue("node0", "node0.example.org", CertificateFault::None)),
-        // Trust of both first, as a rollout goes; then one side's certificates, then the other's.
+        // As in a rollout, all peers trust both authorities first. Then one side gets certificates of the new
+        // authority, and after that the other side.
         "engines first" | "nodes first" => {
             replace_file(&certs.path("root.pem"), both.as_bytes(), 0o644).unwrap();
             settle();
@@ -162,15 +166,15 @@
         assert_eq!(cluster.send(cluster.chat_request(&format!("q{n}"), "booking")).outcome, "completed");
     }
     assert_eq!((attempts(&cluster, "w1a"), attempts(&cluster, "w0a")), (0, 20));
-    // It backs off between tries, not one with each request.
+    // The node backs off between handshakes instead of trying one with each request.
     let failed = cluster
-        .record
+        .recorder
         .entries()
         .iter()
         .filter(|event| event["ev"] == "handshake" && event["ok"] == false)
         .count();
-    assert!((1..=12).contains(&failed), "{failed} handshakes");
-    // With a valid certificate it is used again.
+    assert!((1..=12).contains(&failed), "{failed} failed handshakes");
+    // The engine is used again once it has a valid certificate.
     let [chain, key] = certs.issue("good", "w1a.example.org", CertificateFault::None);
     cluster.control("w1a", json!({"fault": "cert", "chain": chain, "key": key}));
     cluster.control("w0a", json!({"fault": "drain"}));
@@ -184,20 +188,20 @@
         }
         thread::sleep(Duration::from_millis(250));
     }
-    assert!(is_used_again, "never used again");
+    assert!(is_used_again, "the engine with a valid certificate was never used again");
     cluster.assert_audit_passes();
 }
 
 #[test]
 fn an_unknown_authority_or_a_missing_client_certificate_sends_no_request() {
     let certs = Certs::new("unknown");
-    let stranger = Certs::new("stranger");
+    let other_authority = Certs::new("stranger");
     let mut unknown = certs.engine("w1a", false);
-    let [chain, key] = stranger.issue("w1a", "w1a.example.org", CertificateFault::None);
+    let [chain, key] = other_authority.issue("w1a", "w1a.example.org", CertificateFault::None);
     unknown.tls = unknown.tls.map(|tls| TlsFiles { chain, key, ..tls });
-    // This one requires a client certificate, which the node does not have.
-    let strict = certs.engine("w2a", true);
-    let engines = vec![certs.engine("r0a", false), certs.engine("w0a", false), unknown, strict];
+    // This engine requires a client certificate, which the node does not have.
+    let mutual = certs.engine("w2a", true);
+    let engines = vec![certs.engine("r0a", false), certs.engine("w0a", false), unknown, mutual];
     let cluster = test_cluster(&certs, engines, false);
     for n in 0..16 {
         assert_eq!(cluster.send(cluster.chat_request(&format!("q{n}"), "booking")).outcome, "completed");
@@ -213,7 +217,7 @@
     let issued = certs.authority.issue("node0.example.org", CertificateFault::None).unwrap();
     replace_file(&certs.path("node0.pem"), issued.chain_pem.as_bytes(), 0o644).unwrap();
     thread::sleep(Duration::from_millis(300));
-    // The chain is new, the key is not: the previous configuration stays in force.
+    // The chain is new but the key is not, so that the previous configuration stays in use.
     assert_eq!(cluster.send(cluster.chat_request("half", "chat")).outcome, "completed");
     replace_file(&certs.path("node0.key"), issued.key_pem.as_bytes(), 0o600).unwrap();
     thread::sleep(Duration::from_millis(300));
@@ -224,14 +228,14 @@
     cluster.assert_audit_passes();
 }
 
-/// A peer that reads the client hello, then runs `then`.
-fn broken_tls_peer(then: fn(std::net::TcpStream)) -> String {
+/// Starts a peer that reads the client hello and then runs `after_hello`. Returns its address.
+fn broken_tls_peer(after_hello: fn(std::net::TcpStream)) -> String {
     let (listener, address) = common::listener();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             thread::spawn(move || {
                 let _ = stream.read(&mut [0; 4096]);
-                then(stream);
+                after_hello(stream);
             });
         }
     });
@@ -242,22 +246,24 @@
 #[test_case(|mut stream| drop(stream.write_all(b"HTTP/1.1 400 Bad Request\r\n\r\n")); "speaks no TLS")]
 #[test_case(|mut stream| drop(stream.write_all(&[0x16, 3, 3, 0xff, 0xff, 1, 2, 3])); "garbage in a record")]
 #[test_case(drop; "closes after the hello")]
-fn a_failed_handshake_is_retried_on_another_engine(then: fn(std::net::TcpStream)) {
+fn a_failed_handshake_is_retried_on_another_engine(after_hello: fn(std::net::TcpStream)) {
     let certs = Certs::new(&format!("peer-{:?}", thread::current().name().map(|n| n.replace(':', "-"))));
-    // The probe beside it times out before the handshake does: an attempt cancelled then has not run either.
+    // The probe timeout is shorter than the connect timeout: an attempt that is cancelled after the failed
+    // probe has not run either.
     let cluster =
         TestCluster::with_options(vec![certs.engine("r0a", false), certs.engine("w0a", false)], |options| {
             options.tls = certs.options(false);
             (options.limits.connect_timeout_s, options.limits.probe_timeout_s) = (0.6, 0.15);
         });
-    let mut entry = common::endpoint_entry(&certs.engine("w1a", false), &broken_tls_peer(then));
+    let mut entry = common::endpoint_entry(&certs.engine("w1a", false), &broken_tls_peer(after_hello));
     entry.tls_name = Some("w1a.example.org".into());
     cluster.control("list", json!({"line": entry}));
-    cluster.wait_for("it is listed", |events| {
+    cluster.wait_for("the broken peer is listed", |events| {
         events.iter().any(|event| event["ev"] == "told" && event["in"] == json!(["r0a", "w0a", "w1a"]))
     });
     thread::sleep(Duration::from_millis(50));
-    // Non-idempotent ones too: no byte of the request was sent, so another engine may be tried.
+    // This holds for non-idempotent requests too: no byte of the request was sent, so that another engine may
+    // be tried.
     for n in 0..8 {
         assert_eq!(cluster.send(cluster.chat_request(&format!("q{n}"), "booking")).outcome, "completed");
     }
@@ -275,14 +281,14 @@
     thread::sleep(Duration::from_millis(700));
     assert_eq!(cluster.send(cluster.chat_request("second", "chat")).outcome, "completed");
     assert!(handshakes(&cluster, "w0a", "resumed") >= 1);
-    // Tickets are not valid across generations.
+    // A session ticket is not valid after the node's certificate has changed.
     certs.issue("node0", "node0.example.org", CertificateFault::None);
     thread::sleep(Duration::from_millis(700));
-    let full =
+    let full_handshakes =
         |cluster: &TestCluster| handshakes(cluster, "w0a", "ok") - handshakes(cluster, "w0a", "resumed");
-    let before = full(&cluster);
+    let before = full_handshakes(&cluster);
     assert_eq!(cluster.send(cluster.chat_request("third", "chat")).outcome, "completed");
-    assert!(full(&cluster) > before);
+    assert!(full_handshakes(&cluster) > before);
     cluster.assert_audit_passes();
 }
 
@@ -292,13 +298,14 @@
     let mut cluster =
         test_cluster(&certs, vec![certs.engine("r0a", false), certs.engine("w0a", false)], false);
     assert_eq!(cluster.send(cluster.chat_request("first", "chat")).outcome, "completed");
-    // A new process at the same name: another ticket key.
+    // A new process with the same certificate name has another ticket key.
     cluster.control("w0a", json!({"fault": "die"}));
-    cluster.record.for_source("w0a").record("died", json!({}));
+    cluster.recorder.for_source("w0a").record("died", json!({}));
     let entry = cluster.start_engine(certs.engine("w0a", false));
     cluster.control("list", json!({"line": entry}));
-    cluster
-        .wait_for("it is listed", |events| events.iter().filter(|event| event["ev"] == "told").count() >= 2);
+    cluster.wait_for("the new process is listed", |events| {
+        events.iter().filter(|event| event["ev"] == "told").count() >= 2
+    });
     thread::sleep(Duration::from_millis(100));
     assert_eq!(cluster.send(cluster.chat_request("second", "chat")).outcome, "completed");
     cluster.assert_audit_passes();
@@ -341,6 +348,7 @@
     assert!(!String::from_utf8_lossy(&plain).contains("200 OK"));
 }
 
+/// Sends a chat request over TLS and returns the whole response.
 async fn https(address: &str, root: &Path, name: &str, body: &[u8]) -> String {
     use futures_lite::{AsyncReadExt, AsyncWriteExt};
     let mut client =
@@ -357,7 +365,7 @@
         body.len()
     );
     stream.write_all(&[head.as_bytes(), body].concat()).await.unwrap();
-    let mut out = Vec::new();
-    let _ = stream.read_to_end(&mut out).await;
-    String::from_utf8_lossy(&out).into_owned()
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response).await;
+    String::from_utf8_lossy(&response).into_owned()
 }
