--- a/crates/nickelgw-node/src/admin/mod.rs
+++ b/crates/nickelgw-node/src/admin/mod.rs
@@ -34,7 +34,7 @@
 const CONNECTION_TIMEOUT_S: f64 = 30.0;
 /// Delay before a failed bind is retried.
 const BIND_RETRY_S: f64 = 0.5;
-/// Delay after a failed accept before the next one.
+/// Delay between a failed accept and the next attempt.
 const ACCEPT_RETRY_S: f64 = 0.05;
 /// Longest request id that is looked up; longer ones are cut.
 const MAX_REQUEST_ID_CHARS: usize = 64;
--- a/crates/nickelgw-node/src/discovery/membership.rs
+++ b/crates/nickelgw-node/src/discovery/membership.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Requests a lease, or renews the one that the node has.
+    /// Requests a lease, or renews the node's lease if it has one.
     async fn keep_alive(&mut self) {
         let sent_at = self.now();
         match self.call_lease().await {
--- a/crates/nickelgw-node/tests/failures.rs
+++ b/crates/nickelgw-node/tests/failures.rs
@@ -218,7 +218,7 @@
 
 /// A fake node violates a rule on purpose, and the audit has to report it.
 #[test]
-fn the_audit_catches_an_attempt_after_the_final_answer() {
+fn the_audit_reports_an_attempt_after_the_final_response() {
     let cluster = TestCluster::new(engines(&["r0a", "w0a"]));
     let request = cluster.chat_request("q", "chat");
     let prefill_engine = cluster.engines["r0a"].clone();
--- a/crates/nickelgw-node/tests/shutdown.rs
+++ b/crates/nickelgw-node/tests/shutdown.rs
@@ -151,7 +151,7 @@
     let mut response = Vec::new();
     let read = connection.read_to_end(&mut response);
     if response.is_empty() {
-        println!("{request_id} unanswered after {:?}: {written:?}, {read:?}", sent_at.elapsed());
+        println!("no response to {request_id} after {:?}: {written:?}, {read:?}", sent_at.elapsed());
     }
     String::from_utf8_lossy(&response).to_string()
 }
