--- a/crates/nickelgw-chat/src/core/grant.rs
+++ b/crates/nickelgw-chat/src/core/grant.rs
@@ -1,26 +1,28 @@
-//! Grants for KV cache states: a decode engine may fetch only a state that a node granted it, unaltered, not expired, and
-//! once. A grant is authenticated by keyed BLAKE3; while keys rotate, several are valid at once.
+//! Grants for KV cache states: a decode engine may fetch a state only with a grant from a node. Each grant is
+//! valid for one use until it expires. Grants are authenticated with keyed BLAKE3; during a key rotation
+//! several keys are valid at once.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use zeroize::Zeroize;
 
-/// Separates these keys from others derived from the same secret; part of the wire format.
+/// Context string of the key derivation, which separates these keys from others derived from the same secret.
+/// It is part of the wire format.
 const KEY_CONTEXT: &str = "nickelgw state tickets v1";
-/// Bytes of a secret, at least.
+/// Minimum length of a secret.
 const MIN_SECRET_BYTES: usize = 16;
-/// Used grants that are remembered, at most; each is until it would have expired.
+/// Maximum number of used grants that are remembered. Each is remembered until its expiry.
 const MAX_USED_GRANTS: usize = 65_536;
 
-/// A key and its public number.
+/// A secret key that authenticates grants, and its public number.
 #[derive(Clone)]
 pub struct GrantKey {
-    /// Names the key in the grants that are made with it.
+    /// Number that identifies the key in the grants made with it.
     pub number: u32,
     secret: [u8; 32],
 }
 
 impl GrantKey {
-    /// Derives the key from the secret in the settings. None: the secret is shorter than 16 bytes.
+    /// Derives the key from the secret in the settings. `None` if the secret is shorter than 16 bytes.
     pub fn of(number: u32, secret: &str) -> Option<GrantKey> {
         (secret.len() >= MIN_SECRET_BYTES)
             .then(|| GrantKey { number, secret: blake3::derive_key(KEY_CONTEXT, secret.as_bytes()) })
@@ -29,7 +31,7 @@
     fn authentication_code(&self, claims: &GrantClaims, expires_at_ms: u64) -> blake3::Hash {
         let mut hasher = blake3::Hasher::new_keyed(&self.secret);
         for claim in [claims.reservation, claims.prefill_engine, claims.decode_engine] {
-            // With its length before each claim, no two sets of claims have the same bytes.
+            // The length before each claim ensures that no two sets of claims hash the same bytes.
             hasher.update(&(claim.len() as u64).to_le_bytes());
             hasher.update(claim.as_bytes());
         }
@@ -45,47 +47,49 @@
     }
 }
 
-/// What is granted.
+/// Content of a grant: which engine may fetch which state, and until when.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GrantClaims<'a> {
-    /// Name of the reservation, and so of the state.
+    /// Name of the reservation, which also names the state.
     pub reservation: &'a str,
-    /// The engine that holds the state.
+    /// Engine that holds the state.
     pub prefill_engine: &'a str,
-    /// The engine that may fetch it.
+    /// Engine that may fetch the state.
     pub decode_engine: &'a str,
-    /// Unix time, in seconds.
+    /// Expiry of the grant, as Unix time in seconds.
     pub expires_at: f64,
 }
 
-/// Why a grant is not accepted.
+/// Reason why a grant is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GrantError {
-    /// It does not have the form of a grant.
+    /// The text does not have the form of a grant.
     #[error("malformed grant")]
     Malformed,
-    /// The key that it names is not valid here.
+    /// The grant names a key that this checker does not accept.
     #[error("grant of an unknown key")]
     UnknownKey,
-    /// The authentication code does not fit: altered, forged, or for another state or engine.
+    /// The authentication code does not match: the grant was altered or forged, or is for another state or
+    /// engine.
     #[error("altered grant")]
     Altered,
-    /// Its time has passed.
+    /// The grant has expired.
     #[error("expired grant")]
     Expired,
-    /// It was used before.
+    /// The grant was used before.
     #[error("replayed grant")]
     Replayed,
 }
 
-/// Makes a grant: `KEY.EXPIRY.CODE`, the number of the key, Unix milliseconds, and 64 hexadecimal digits.
+/// Creates a grant of the form `KEY.EXPIRY.CODE`: the number of the key, the expiry in Unix milliseconds, and
+/// the authentication code as 64 hexadecimal digits.
 pub fn grant(key: &GrantKey, claims: &GrantClaims) -> String {
     let expires_at_ms = to_ms(claims.expires_at);
     let code = key.authentication_code(claims, expires_at_ms);
     format!("{}.{expires_at_ms}.{}", key.number, code.to_hex())
 }
 
-/// A grant taken apart.
+/// Fields of a grant, parsed from its text.
 struct ParsedGrant {
     key_number: u32,
     expires_at_ms: u64,
@@ -109,23 +113,23 @@
 }
 
 impl GrantChecker {
-    /// Accepts grants made with any of these keys.
+    /// Creates a checker that accepts grants made with any of these keys.
     pub fn new(keys: impl IntoIterator<Item = GrantKey>) -> Self {
         GrantChecker { keys: by_number(keys), used: UsedGrants::default() }
     }
 
-    /// Replaces the keys. Old and new ones are given together while they rotate; grants of one that is left out are rejected
-    /// from now on.
+    /// Replaces the set of keys. During a rotation it contains the old key and the new one. Grants made with
+    /// a key that is no longer in the set are rejected from now on.
     pub fn rotate(&mut self, keys: impl IntoIterator<Item = GrantKey>) {
         self.keys = by_number(keys);
     }
 
-    /// Checks the grant that came with a request for a state, and marks it as used. `now`: Unix seconds;
-    /// `claims.expires_at` is ignored, the expiry is in the grant.
+    /// Checks the grant that came with a request for a state, and marks it as used. `now` is Unix time in
+    /// seconds. `claims.expires_at` is ignored, because the grant itself contains the expiry.
     pub fn check(&mut self, now: f64, text: &str, claims: &GrantClaims) -> Result<(), GrantError> {
         let grant = ParsedGrant::parse(text).ok_or(GrantError::Malformed)?;
         let key = self.keys.get(&grant.key_number).ok_or(GrantError::UnknownKey)?;
-        // The comparison of hashes takes constant time.
+        // `blake3::Hash` compares in constant time.
         if key.authentication_code(claims, grant.expires_at_ms) != grant.code {
             return Err(GrantError::Altered);
         }
@@ -136,17 +140,17 @@
         self.used.insert(now_ms, &grant)
     }
 
-    /// Used grants that are remembered.
+    /// Number of used grants that are remembered.
     pub fn remembered(&self) -> usize {
         self.used.by_arrival.len()
     }
 }
 
-/// Codes of the grants that were used and would not have expired yet.
+/// Authentication codes of grants that were used and have not expired yet.
 #[derive(Default)]
 struct UsedGrants {
     codes: BTreeSet<[u8; 32]>,
-    /// Expiry and code, in the order of use.
+    /// Expiry in Unix milliseconds and code of each grant, in the order of use.
     by_arrival: VecDeque<(u64, [u8; 32])>,
 }
 
--- a/crates/nickelgw-chat/src/core/grant_tests.rs
+++ b/crates/nickelgw-chat/src/core/grant_tests.rs
@@ -23,14 +23,14 @@
     assert_eq!(checker.check(50.0, &text, &CLAIMS), Ok(()));
     assert_eq!(checker.check(50.0, &text, &CLAIMS), Err(GrantError::Replayed));
     assert_eq!(checker.check(101.0, &grant(&key(1), &CLAIMS), &CLAIMS), Err(GrantError::Expired));
-    // The same bytes divided otherwise between the claims are another grant.
+    // Claims whose concatenation is the same do not share an authentication code.
     let moved = GrantClaims { reservation: "s", prefill_engine: "1r1", ..CLAIMS };
     assert_eq!(checker.check(50.0, &grant(&key(1), &moved), &CLAIMS), Err(GrantError::Altered));
     assert!(GrantKey::of(1, "short").is_none());
 }
 
 #[test]
-fn old_and_new_keys_are_valid_while_they_rotate() {
+fn old_and_new_keys_are_valid_during_a_rotation() {
     let mut checker = GrantChecker::new([key(1)]);
     let second = GrantClaims { reservation: "s2", ..CLAIMS };
     let (old, new) = (grant(&key(1), &CLAIMS), grant(&key(2), &second));
@@ -52,7 +52,7 @@
     }
 }
 
-/// Engines of other releases check the grants of this one.
+/// Engines of other releases check the grants of this release, so the encoding must not change.
 #[test]
 fn grants_are_encoded_as_by_earlier_releases() {
     let claims = GrantClaims { expires_at: 100.5, ..CLAIMS };
--- a/crates/nickelgw-chat/src/core/idempotency.rs
+++ b/crates/nickelgw-chat/src/core/idempotency.rs
@@ -1,21 +1,21 @@
-//! The table of idempotency keys: a request with the key of one that still runs joins it, and one with the key of a finished
-//! request gets the recorded answer. A request that may have had an effect is never run again by a duplicate. Bounded in
-//! entries, bytes and time.
+//! Table of idempotency keys. A request with the key of a running request joins that request, and a request
+//! with the key of a finished request gets the recorded answer. A request that may have had an effect is
+//! never run again by a duplicate. The number of entries, their bytes and their retention time are bounded.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bounds of the table.
+/// Limits of an [`IdempotencyTable`].
 #[derive(Clone, Debug)]
 pub struct IdempotencyConfig {
-    /// Keys remembered.
+    /// Maximum number of keys that are remembered.
     pub max_entries: usize,
-    /// Bytes of all recorded answers.
+    /// Maximum size of all recorded answers together.
     pub max_bytes: usize,
-    /// Bytes of one recorded answer.
+    /// Maximum size of one recorded answer.
     pub max_bytes_per_entry: usize,
-    /// How long an entry is kept after its end.
+    /// Time for which an entry is kept after its request has finished.
     pub retention_s: f64,
-    /// How long a request goes on without a client: a duplicate may be on its way.
+    /// Time for which a request continues without a client, since a duplicate may arrive and join it.
     pub takeover_s: f64,
 }
 
@@ -31,12 +31,12 @@
     }
 }
 
-/// Digest of a tenant and its key: of fixed size, and the key itself is not kept.
+/// Digest of a tenant and its idempotency key. It has a fixed size, and the key itself is not stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdempotencyKey(pub [u8; 32]);
 
 impl IdempotencyKey {
-    /// The key as this tenant sent it.
+    /// Hashes the key that this tenant sent.
     pub fn new(tenant: &str, key: &str) -> IdempotencyKey {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&(tenant.len() as u64).to_le_bytes());
@@ -46,24 +46,24 @@
     }
 }
 
-/// Identifies an entry; never used twice.
+/// Identifies an entry of the table; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EntryId(pub u64);
 
-/// What is to be done with a request that has a key.
+/// Outcome of [`IdempotencyTable::look_up`]: how to handle a request that has an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyLookup {
-    /// The key is new: the request runs, as this entry.
+    /// The key is new: the request runs and is recorded as this entry.
     New(EntryId),
-    /// The first request still runs: this one gets the same answer, from its beginning.
+    /// The first request is still running: the duplicate gets the same answer from its beginning.
     Join(EntryId),
     /// The first request has finished, and its answer is recorded.
     Recorded(EntryId),
     /// The first request may have had its effect, and its answer was not recorded.
     NotRecorded,
-    /// The key was used with another body.
+    /// The key was used before with a different body.
     Mismatch,
-    /// The table is full, so that a duplicate of the request would not be recognized.
+    /// The table is full: a duplicate of the request could not be recognized, so the request must not run.
     Full,
     /// The request may run again, and runs without being recorded.
     Unrecorded,
@@ -72,22 +72,22 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// It has its whole answer.
+    /// The answer is complete.
     Completed,
-    /// It was rejected before it ran: a duplicate runs.
+    /// The request was rejected before it ran, so a duplicate runs.
     Rejected,
-    /// It failed, and may have run.
+    /// The request failed and may have had an effect.
     Failed,
-    /// It was cancelled, since no client was left.
+    /// The request was cancelled because no client was left.
     Cancelled,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum EntryState {
     Running {
-        /// Clients that receive the answer.
+        /// Number of clients that receive the answer.
         listeners: usize,
-        /// When the last of them left.
+        /// Time at which the last of these clients disconnected.
         unattended_since: f64,
     },
     Finished {
@@ -99,44 +99,45 @@
 struct Entry {
     key: IdempotencyKey,
     body: [u8; 32],
+    /// Whether the request may run again, as its model route is idempotent.
     may_repeat: bool,
     state: EntryState,
-    /// Bytes recorded of the answer.
+    /// Number of bytes of the answer that are recorded.
     bytes: usize,
-    /// All of the answer so far is recorded.
+    /// Whether the answer is recorded from its beginning up to now.
     is_recorded: bool,
 }
 
-/// What the caller has to do.
+/// Command to the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum IdempotencyCommand {
-    /// Cancel the run: no client has come for it.
+    /// Cancel the request, because it has had no client for the takeover time.
     Cancel(EntryId),
-    /// Drop what is recorded of the answer.
+    /// Delete the recorded answer.
     Forget(EntryId),
 }
 
-/// The table of a node.
+/// Table of a node's idempotency keys.
 pub struct IdempotencyTable {
     config: IdempotencyConfig,
     by_key: BTreeMap<IdempotencyKey, EntryId>,
     entries: BTreeMap<EntryId, Entry>,
-    /// When entries are to be forgotten or cancelled, in microseconds.
+    /// Times at which entries are to be forgotten or cancelled, in microseconds.
     timers: BTreeSet<(i64, EntryId)>,
     /// Finished entries that may be forgotten early, since their requests may run again.
     evictable: BTreeSet<EntryId>,
-    /// Bytes of all recorded answers.
+    /// Size of all recorded answers together.
     bytes: usize,
     last_id: u64,
     pending_commands: Vec<IdempotencyCommand>,
-    /// Requests that joined a running one, since the start.
+    /// Number of requests that joined a running one, since the start.
     pub joined: u64,
-    /// Requests that got a recorded answer, since the start.
+    /// Number of requests that got a recorded answer, since the start.
     pub replayed: u64,
 }
 
 impl IdempotencyTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(config: IdempotencyConfig) -> Self {
         IdempotencyTable {
             config,
@@ -152,22 +153,23 @@
         }
     }
 
-    /// Keys remembered.
+    /// Number of keys that are remembered.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is remembered.
+    /// Returns whether no key is remembered.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Bytes of all recorded answers.
+    /// Size of all recorded answers together, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// A request with a key has come. `body`: digest of the request; `may_repeat`: its model route is idempotent.
+    /// Decides how to handle a request that arrived with a key. `body` is the digest of the request;
+    /// `may_repeat` tells whether its model route is idempotent.
     pub fn look_up(&mut self, now: f64, key: IdempotencyKey, body: [u8; 32], may_repeat: bool) -> KeyLookup {
         self.expire(now);
         let known = self.by_key.get(&key).copied();
@@ -187,7 +189,8 @@
             return Some(KeyLookup::Mismatch);
         }
         if !entry.is_recorded {
-            // Its answer cannot be sent from the beginning. Where it may, the duplicate runs separately.
+            // The answer cannot be sent from its beginning. If the route is idempotent, the duplicate runs
+            // separately.
             let may_repeat = entry.may_repeat;
             return Some(if may_repeat { KeyLookup::Unrecorded } else { KeyLookup::NotRecorded });
         }
@@ -204,8 +207,8 @@
         })
     }
 
-    /// A request that an earlier process accepted at this time, on a route that is not idempotent. Whether and how it ended is
-    /// not known, so that a duplicate does not run.
+    /// Restores the entry of a request that an earlier process accepted at time `at`, on a route that is not
+    /// idempotent. Whether and how that request ended is not known, so a duplicate does not run.
     pub fn restore(&mut self, at: f64, key: IdempotencyKey, body: [u8; 32]) {
         if self.entries.len() >= self.config.max_entries || self.by_key.contains_key(&key) {
             return;
@@ -223,15 +226,17 @@
         id
     }
 
-    /// Forgets the oldest finished entry whose request may run again: that costs work, never a second effect. The others stay
-    /// until their time is up.
+    /// Evicts the oldest finished entry whose request may run again: a duplicate then costs work, but never
+    /// has a second effect. Other entries stay until their retention time has passed. Returns whether an
+    /// entry was evicted.
     fn make_room(&mut self) -> bool {
         let Some(oldest) = self.evictable.first().copied() else { return false };
         self.forget(oldest);
         true
     }
 
-    /// When an entry is to be forgotten or cancelled; never while it has listeners.
+    /// Time at which an entry is to be forgotten or cancelled, in microseconds. `None` while a running entry
+    /// has listeners.
     fn timer_of(&self, entry: &Entry) -> Option<i64> {
         let at = match entry.state {
             EntryState::Running { listeners: 0, unattended_since } => {
@@ -243,7 +248,8 @@
         Some(to_micros(at))
     }
 
-    /// Adds an entry to the timers and the evictable ones, after its state has changed.
+    /// Adds an entry to `timers` and, if it may be forgotten early, to `evictable`. Called after its state
+    /// has changed.
     fn schedule(&mut self, id: EntryId) {
         let Some(entry) = self.entries.get(&id) else { return };
         let Some(timer) = self.timer_of(entry) else { return };
@@ -255,7 +261,7 @@
         }
     }
 
-    /// Removes an entry from the timers and the evictable ones, before its state changes.
+    /// Removes an entry from `timers` and `evictable`. Called before its state changes.
     fn unschedule(&mut self, id: EntryId) {
         let Some(entry) = self.entries.get(&id) else { return };
         let Some(timer) = self.timer_of(entry) else { return };
@@ -273,7 +279,8 @@
         self.pending_commands.push(IdempotencyCommand::Forget(id));
     }
 
-    /// More of an answer has come. False: it is not recorded, and what was recorded of it is dropped.
+    /// Counts further bytes of an answer towards the limits. Returns `false` if the answer exceeds a limit:
+    /// it is no longer recorded, and the caller drops what was recorded of it.
     pub fn record(&mut self, id: EntryId, bytes: usize) -> bool {
         let Some(entry) = self.entries.get_mut(&id).filter(|entry| entry.is_recorded) else { return false };
         let exceeds_entry = entry.bytes + bytes > self.config.max_bytes_per_entry;
@@ -288,7 +295,7 @@
         true
     }
 
-    /// A client that received the answer has disconnected.
+    /// Notes that a client that received the answer has disconnected.
     pub fn listener_left(&mut self, now: f64, id: EntryId) {
         self.change_listeners(now, id, -1);
     }
@@ -305,7 +312,8 @@
         self.schedule(id);
     }
 
-    /// A request has ended. Where it may run again, its entry is kept only if its answer is recorded and complete.
+    /// Notes that a request has ended. If it may run again, its entry is kept only if its answer is complete
+    /// and recorded.
     pub fn response_ended(&mut self, now: f64, id: EntryId, outcome: RunOutcome) {
         self.unschedule(id);
         let Some(entry) = self.entries.get_mut(&id) else { return };
@@ -325,7 +333,7 @@
         }
     }
 
-    /// How a request ended; none while it runs.
+    /// Returns how a request ended. `None` if it is still running or unknown.
     pub fn outcome(&self, id: EntryId) -> Option<RunOutcome> {
         match self.entries.get(&id)?.state {
             EntryState::Finished { outcome, .. } => Some(outcome),
@@ -333,7 +341,7 @@
         }
     }
 
-    /// Runs the timers that have passed. This looks at nothing else, since every request comes through here.
+    /// Handles the timers that have expired. Visits no other entries, since this runs for every request.
     fn expire(&mut self, now: f64) {
         let now = to_micros(now);
         while let Some(&(_, id)) = self.timers.first().filter(|timer| timer.0 <= now) {
@@ -347,7 +355,7 @@
         }
     }
 
-    /// What to do now, and when to poll again.
+    /// Returns the pending commands, and the time at which to poll again.
     pub fn poll_commands(&mut self, now: f64) -> (Vec<IdempotencyCommand>, Option<f64>) {
         self.expire(now);
         let next_timer = self.timers.first().map(|timer| timer.0 as f64 / MICROS_PER_SECOND);
--- a/crates/nickelgw-chat/src/core/idempotency_tests.rs
+++ b/crates/nickelgw-chat/src/core/idempotency_tests.rs
@@ -34,9 +34,12 @@
     table.response_ended(2.0, id, RunOutcome::Completed);
     assert_eq!(table.look_up(3.0, key(1), [1; 32], true), KeyLookup::Recorded(id));
     assert_eq!(table.look_up(3.0, key(1), [9; 32], true), KeyLookup::Mismatch);
-    // The same text is another key for another tenant.
+    // The same key text from another tenant is a different key.
     assert!(matches!(table.look_up(3.0, IdempotencyKey::new("u", "1"), [1; 32], true), KeyLookup::New(_)));
-    assert!(matches!(table.look_up(12.1, key(1), [1; 32], true), KeyLookup::New(_)), "its retention is over");
+    assert!(
+        matches!(table.look_up(12.1, key(1), [1; 32], true), KeyLookup::New(_)),
+        "the retention time has passed"
+    );
 }
 
 #[test_case(RunOutcome::Rejected, false, true; "a rejected request has not run")]
@@ -83,7 +86,7 @@
     all.iter().for_each(|&id| table.response_ended(2.0, id, RunOutcome::Completed));
     assert!(matches!(table.look_up(3.0, key(9), [9; 32], false), KeyLookup::New(_)));
     assert!(matches!(table.look_up(3.0, key(8), [8; 32], false), KeyLookup::New(_)));
-    // The others may not run again.
+    // The remaining requests may not run again, so their entries are not evicted.
     assert_eq!(table.look_up(3.0, key(7), [7; 32], false), KeyLookup::Full);
     assert_eq!(table.look_up(3.0, key(1), [1; 32], false), KeyLookup::Recorded(all[1]));
 }
@@ -97,7 +100,7 @@
         let config = config();
         let mut table = IdempotencyTable::new(config.clone());
         let mut now = 0.0;
-        // By key: the run that may have had an effect, and when it ended.
+        // For each key: the run that may have had an effect, and when it ended.
         let mut ran: std::collections::BTreeMap<u8, (EntryId, Option<f64>)> = Default::default();
         let mut running: Vec<(u8, EntryId)> = Vec::new();
         let mut known: BTreeSet<EntryId> = BTreeSet::new();
@@ -144,11 +147,11 @@
     table.restore(-20.0, IdempotencyKey::new("t", "k"), [1; 32]);
     assert_eq!(table.look_up(0.0, IdempotencyKey::new("t", "k"), [1; 32], false), KeyLookup::NotRecorded);
     assert_eq!(table.look_up(0.0, IdempotencyKey::new("t", "k"), [2; 32], false), KeyLookup::Mismatch);
-    // Its retention counts from when it was accepted.
+    // The retention time counts from when the request was accepted.
     assert!(matches!(table.look_up(41.0, IdempotencyKey::new("t", "k"), [1; 32], false), KeyLookup::New(_)));
 }
 
-/// Keys are stored on disk while a node is upgraded.
+/// Keys are stored on disk while a node is upgraded, so both releases must hash them alike.
 #[test]
 fn keys_are_hashed_as_by_earlier_releases() {
     let digits: String = IdempotencyKey::new("t", "k").0.iter().map(|byte| format!("{byte:02x}")).collect();
--- a/crates/nickelgw-chat/src/core/recent_bodies.rs
+++ b/crates/nickelgw-chat/src/core/recent_bodies.rs
@@ -1,4 +1,4 @@
-//! Request bodies that came lately, by which an unmarked retry is recognized.
+//! Digests of recent request bodies, by which a retry that carries no retry count is recognized.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -15,7 +15,7 @@
 /// Digests of bodies in the order of their arrival, bounded in time and number.
 #[derive(Default)]
 pub(super) struct RecentBodies {
-    /// A body that came twice is here twice, with the numbers of its arrivals.
+    /// Digest and arrival number of each body. A body that arrived twice has two entries.
     bodies: BTreeSet<(BodyDigest, u64)>,
     arrivals: VecDeque<Arrival>,
     last_number: u64,
@@ -30,7 +30,7 @@
         self.bodies.range((*body, 0)..=(*body, u64::MAX)).next().is_some()
     }
 
-    /// Adds a body, and drops those that came longer ago than the window, or are too many.
+    /// Adds a body, and drops the oldest ones that are outside the time window or exceed `max_len`.
     pub(super) fn insert(&mut self, now: f64, body: BodyDigest, window_s: f64, max_len: usize) {
         while let Some(oldest) = self.arrivals.front() {
             if now - oldest.at < window_s && self.arrivals.len() < max_len {
--- a/crates/nickelgw-chat/src/core/retry_budget.rs
+++ b/crates/nickelgw-chat/src/core/retry_budget.rs
@@ -1,32 +1,33 @@
-//! A retry budget for each tenant and model route: retries may make up no more than a share of the requests answered, or a
-//! brief overload keeps itself going. A rejected client is given a randomized time to retry after.
+//! Retry budget for each tenant and model route. Retries are limited to a share of the requests answered, as
+//! otherwise a brief overload would sustain itself. A rejected client is told a randomized time after which
+//! to retry.
 
 pub use super::recent_bodies::BodyDigest;
 use super::recent_bodies::RecentBodies;
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 
-/// Rejections in a row that are counted, at most.
+/// Maximum to which consecutive rejections are counted.
 const MAX_CONSECUTIVE_REJECTIONS: u32 = 1 << 20;
 
 /// Settings of the retry budget.
 #[derive(Clone, Debug)]
 pub struct RetryBudgetConfig {
-    /// Retries admitted for each request answered, on average. Not for each that arrives: in an overload, when most are shed,
-    /// retries must fall with what is served.
+    /// Average number of retries admitted per request answered. Requests that merely arrive do not count: in
+    /// an overload most of them are shed, and retries must decrease with the number of requests served.
     pub retry_ratio: f64,
-    /// Retries that are admitted at once, without requests answered before.
+    /// Number of retries that are admitted at once, without requests answered before.
     pub burst: f64,
     /// Shortest retry-after time.
     pub min_retry_after_s: f64,
     /// Longest retry-after time.
     pub max_retry_after_s: f64,
-    /// Whether an unmarked request counts as a retry if its body came lately. Not where clients have good reasons to send the
-    /// same body again.
+    /// Whether a request without a retry count is treated as a retry if its body arrived recently. Must be
+    /// off where clients have good reasons to send the same body again.
     pub detect_by_body: bool,
-    /// How long a body is remembered for that.
+    /// Time for which a body is remembered for `detect_by_body`.
     pub body_window_s: f64,
-    /// Bodies remembered, at most.
+    /// Maximum number of bodies that are remembered.
     pub max_bodies: usize,
 }
 
@@ -44,16 +45,16 @@
     }
 }
 
-/// Whether a request is admitted.
+/// Outcome of [`RetryBudget::admit`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetryVerdict {
-    /// It is no retry.
+    /// The request is not a retry and is admitted.
     FirstAttempt,
-    /// It is a retry within the budget.
+    /// The request is a retry within the budget and is admitted.
     Retry,
-    /// It is a retry beyond the budget.
+    /// The request is a retry that exceeds the budget.
     Rejected {
-        /// When the client may retry.
+        /// Time after which the client may retry.
         retry_after_s: f64,
     },
 }
@@ -64,29 +65,30 @@
     route: usize,
 }
 
-/// The token bucket of a tenant and route.
+/// Token bucket of a tenant and route.
 struct Bucket {
     tokens: f64,
-    /// The more there are, the longer the retry-after times.
+    /// Retry-after times grow with this count.
     consecutive_rejections: u32,
 }
 
-/// The budgets of all tenants and routes at a node.
+/// Retry budgets of all tenants and routes at a node.
 pub struct RetryBudget {
     config: RetryBudgetConfig,
     buckets: BTreeMap<BudgetKey, Bucket>,
     recent_bodies: RecentBodies,
     rng: WyRand,
-    /// Requests admitted since the start, retries included.
+    /// Number of requests admitted since the start, including retries.
     pub admitted: u64,
-    /// Retries admitted since the start.
+    /// Number of retries admitted since the start.
     pub retries: u64,
-    /// Retries rejected since the start.
+    /// Number of retries rejected since the start.
     pub rejected: u64,
 }
 
 impl RetryBudget {
-    /// `seed`: differs from node to node, and with it the retry-after times.
+    /// Creates budgets with full buckets. `seed` must differ between nodes, so that their retry-after times
+    /// differ.
     pub fn new(config: RetryBudgetConfig, seed: u64) -> Self {
         RetryBudget {
             config,
@@ -99,8 +101,8 @@
         }
     }
 
-    /// Admits or rejects a request. `retry_count`: the client's own count, where it sends one; `body`: digest of the tenant,
-    /// the route and the request.
+    /// Admits or rejects a request. `retry_count` is the retry count that the client sent, if any. `body` is
+    /// the digest of the tenant, the route and the request.
     pub fn admit(
         &mut self,
         now: f64,
@@ -142,8 +144,9 @@
         }
     }
 
-    /// Grows with the clients that wait already, since the budget admits them one by one; drawn over the whole time, so that
-    /// they do not return together.
+    /// Draws a random retry-after time. Its upper bound grows with the number of clients already waiting,
+    /// since the budget admits them one by one. It is drawn from the whole range, so that they do not return
+    /// at the same time.
     fn draw_retry_after_s(&mut self, consecutive_rejections: u32) -> f64 {
         let shortest = self.config.min_retry_after_s;
         let grown = shortest * (1.0 + f64::from(consecutive_rejections).sqrt());
@@ -152,14 +155,14 @@
         shortest + fraction * (longest - shortest).max(0.0)
     }
 
-    /// The answer to a request has begun.
+    /// Refills the bucket by the retry ratio, when the answer to a request has begun.
     pub fn response_started(&mut self, tenant: usize, route: usize) {
         if let Some(bucket) = self.buckets.get_mut(&BudgetKey { tenant, route }) {
             bucket.tokens = (bucket.tokens + self.config.retry_ratio).min(self.config.burst);
         }
     }
 
-    /// Bodies that are remembered.
+    /// Number of bodies that are remembered.
     pub fn remembered_bodies(&self) -> usize {
         self.recent_bodies.len()
     }
--- a/crates/nickelgw-chat/src/core/retry_budget_tests.rs
+++ b/crates/nickelgw-chat/src/core/retry_budget_tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn few_retries_are_never_rejected() {
+fn retries_below_the_ratio_are_never_rejected() {
     let config = RetryBudgetConfig { detect_by_body: true, ..RetryBudgetConfig::default() };
     let mut budget = RetryBudget::new(config, 1);
     for request in 0..1000u64 {
@@ -65,11 +65,15 @@
     let late = &times[500..];
     let in_second = |second: usize| late.iter().filter(|time| **time as usize == second).count();
     let most_in_a_second = (0..8).map(in_second).max().unwrap();
-    assert!(most_in_a_second < late.len() / 4, "{most_in_a_second} of {} at once", late.len());
+    assert!(
+        most_in_a_second < late.len() / 4,
+        "{most_in_a_second} of {} clients return within one second",
+        late.len()
+    );
 }
 
 #[test]
-fn bodies_are_remembered_up_to_a_time_and_a_number() {
+fn remembered_bodies_are_bounded_in_age_and_number() {
     let config = RetryBudgetConfig {
         max_bodies: 100,
         body_window_s: 5.0,
@@ -82,7 +86,11 @@
     }
     assert_eq!(budget.remembered_bodies(), 100);
     assert_eq!(budget.admit(1.0, 0, 0, None, body(499)), RetryVerdict::Retry);
-    assert_eq!(budget.admit(1.0, 0, 0, None, body(0)), RetryVerdict::FirstAttempt, "forgotten");
+    assert_eq!(
+        budget.admit(1.0, 0, 0, None, body(0)),
+        RetryVerdict::FirstAttempt,
+        "dropped beyond max_bodies"
+    );
     budget.admit(9.0, 0, 0, None, body(1000));
-    assert_eq!(budget.admit(9.0, 0, 0, None, body(499)), RetryVerdict::FirstAttempt, "too long ago");
+    assert_eq!(budget.admit(9.0, 0, 0, None, body(499)), RetryVerdict::FirstAttempt, "older than the window");
 }
