--- a/crates/nickelgw-tls/src/core/generation.rs
+++ b/crates/nickelgw-tls/src/core/generation.rs
@@ -1,31 +1,32 @@
-//! Generations of key, chain and trust. New key material is checked whole before it comes into force; if it is refused, the
-//! generation in force stays.
+//! Generations of key, certificate chain and trust bundle. New key material is checked as a whole before it
+//! comes into force; if it is refused, the generation in force stays.
 
 pub use super::key_check::{Certificate, KeyMaterial, KeyMaterialError};
 
-/// How long the leaf certificate lasts.
+/// Remaining validity of the leaf certificate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Validity {
-    /// No certificate of one's own.
+    /// There is no own certificate.
     None,
-    /// Far from its end.
+    /// The certificate expires later than the first warning step.
     Valid {
         /// Seconds until it expires.
         remaining_s: f64,
     },
-    /// Within the first warning step of its end.
+    /// The certificate expires within the first warning step.
     Expiring {
         /// Seconds until it expires.
         remaining_s: f64,
     },
-    /// It is still presented: the other side verifies, and the clock that is wrong may be ours.
+    /// The certificate has expired. It is still presented: the peer verifies it, and our own clock may be the
+    /// wrong one.
     Expired {
         /// Seconds since it expired.
         since_s: f64,
     },
 }
 
-/// A warning for operators, given once for each step passed.
+/// Warning for operators, issued once for each warning step passed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
     /// The leaf certificate expires soon.
@@ -47,46 +48,47 @@
         /// Seconds until it expires.
         remaining_s: f64,
     },
-    /// Roots that a new bundle had left out are no longer trusted.
+    /// The overlap of roots that a new bundle omitted has ended: they are no longer trusted.
     OverlapEnded {
-        /// Their number.
+        /// Number of these roots.
         roots: usize,
     },
 }
 
 const HOUR_S: f64 = 3_600.0;
 const DAY_S: f64 = 86_400.0;
-/// Remaining lifetimes at which a warning is given.
+/// Remaining lifetimes at which a warning is issued.
 const WARNING_STEPS_S: [f64; 4] = [30.0 * DAY_S, 7.0 * DAY_S, DAY_S, HOUR_S];
-/// Interval of checks if nothing is due before.
+/// Maximum time between two checks.
 const MAX_CHECK_INTERVAL_S: f64 = HOUR_S;
-/// Roots trusted at most, those in their overlap included.
+/// Maximum number of trusted roots, including those in their overlap.
 const MAX_ROOTS: usize = 512;
 
-/// A root of an earlier bundle that is trusted for a while still.
+/// Root of an earlier bundle that is still trusted during its overlap.
 #[derive(Clone, Debug)]
 pub struct RetiringRoot {
-    /// The root.
+    /// Certificate of the root.
     pub certificate: Certificate,
-    /// When it ceases to be trusted.
+    /// Time from which the root is no longer trusted.
     pub trusted_until: f64,
 }
 
-/// The generation in force.
+/// Generation of key material.
 #[derive(Clone, Debug)]
 pub struct KeyGeneration {
-    /// Counts from 1.
+    /// Number of the generation, from 1.
     pub number: u64,
-    /// What it consists of.
+    /// Key material of the generation.
     pub material: KeyMaterial,
     /// Roots of earlier bundles in their overlap.
     pub retiring_roots: Vec<RetiringRoot>,
-    /// Warning steps already passed.
+    /// Number of warning steps already passed.
     warned_steps: usize,
     warned_of_expiry: bool,
 }
 
-/// Keys and trust of one side: what is in force, what was refused, which warnings are due.
+/// Key material of a TLS client or server: the generation in force, the last refusal, and the warnings that
+/// are due.
 pub struct Keyring {
     current: Option<KeyGeneration>,
     overlap_s: f64,
@@ -96,22 +98,24 @@
 }
 
 impl Keyring {
-    /// `overlap_s`: how long roots that a new bundle leaves out stay trusted. `needs_trust`: this side verifies.
+    /// Creates a keyring without a generation. `overlap_s` is the time for which roots that a new bundle
+    /// omits stay trusted. `needs_trust` tells whether the peer is verified.
     pub fn new(overlap_s: f64, needs_trust: bool) -> Self {
         Keyring { current: None, overlap_s, needs_trust, last_number: 0, refusal: None }
     }
 
-    /// The generation in force.
+    /// Returns the generation in force. `None` before the first valid material.
     pub fn current(&self) -> Option<&KeyGeneration> {
         self.current.as_ref()
     }
 
-    /// Why the newest files are not in force, if they are not.
+    /// Returns why the newest material was refused. `None` if it is in force.
     pub fn refusal(&self) -> Option<&KeyMaterialError> {
         self.refusal.as_ref()
     }
 
-    /// Puts new material into force, or refuses it and leaves all as it is. `Ok(false)`: nothing has changed.
+    /// Puts new material into force, or refuses it and keeps the generation in force. Returns `Ok(false)` if
+    /// the material is that of the generation in force.
     pub fn offer(&mut self, now: f64, material: KeyMaterial) -> Result<bool, KeyMaterialError> {
         self.refusal = None;
         if self.current.as_ref().is_some_and(|current| current.material.digest == material.digest) {
@@ -136,8 +140,8 @@
         Ok(true)
     }
 
-    /// Roots of the previous generation that the new bundle leaves out, for their overlap. A root that had been left out
-    /// earlier keeps its earlier end.
+    /// Returns the roots of the previous generation that the new bundle omits; they stay trusted for their
+    /// overlap. A root that an earlier bundle already omitted keeps its earlier end.
     fn retire_roots(&self, now: f64, previous: KeyGeneration, next: &KeyMaterial) -> Vec<RetiringRoot> {
         let trusted_until = now + self.overlap_s;
         let newly_retired = previous.material.roots.into_iter();
@@ -156,7 +160,7 @@
         retiring
     }
 
-    /// How long the leaf certificate in force lasts.
+    /// Returns the remaining validity of the leaf certificate in force.
     pub fn validity(&self, now: f64) -> Validity {
         let leaf = self.current.as_ref().and_then(|current| current.material.chain.first());
         match leaf.map(|leaf| leaf.not_after - now) {
@@ -167,7 +171,7 @@
         }
     }
 
-    /// Digests of the roots trusted now: the bundle's, and earlier ones in their overlap.
+    /// Returns the digests of the roots trusted now: those of the bundle, and earlier ones in their overlap.
     pub fn roots(&self, now: f64) -> Vec<[u8; 32]> {
         let Some(current) = &self.current else { return Vec::new() };
         let retiring = current.retiring_roots.iter().filter(|root| root.trusted_until > now);
@@ -175,8 +179,8 @@
         bundle.chain(retiring.map(|root| root.certificate.id)).collect()
     }
 
-    /// The warnings that are due, and when to poll again. After [`Notice::OverlapEnded`] the trust in use is to be
-    /// rebuilt.
+    /// Returns the warnings that are due, and the time at which to poll again. After [`Notice::OverlapEnded`]
+    /// the caller must rebuild its root store.
     pub fn poll_notices(&mut self, now: f64) -> (Vec<Notice>, f64) {
         let mut notices = Vec::new();
         let mut poll_at = now + MAX_CHECK_INTERVAL_S;
@@ -230,7 +234,8 @@
     WARNING_STEPS_S.iter().filter(|&&step_s| certificate.not_after - now <= step_s).count()
 }
 
-/// Within the first hour of each whole day left: a root is not so urgent as to warn hourly.
+/// Returns whether the time left is within the first hour of a remaining whole day. An expiring root is not
+/// urgent enough for hourly warnings.
 fn is_daily_warning(remaining_s: f64) -> bool {
     remaining_s % DAY_S > DAY_S - HOUR_S
 }
--- a/crates/nickelgw-tls/src/core/generation_tests.rs
+++ b/crates/nickelgw-tls/src/core/generation_tests.rs
@@ -26,17 +26,17 @@
     }
 }
 
-#[test_case(|material| material.key_matches = Some(false), KeyMaterialError::KeyMismatch; "a key of another")]
+#[test_case(|material| material.key_matches = Some(false), KeyMaterialError::KeyMismatch; "key of another certificate")]
 #[test_case(|material| material.key_matches = None, KeyMaterialError::Incomplete; "chain written, key not yet")]
 #[test_case(|material| material.chain.clear(), KeyMaterialError::Incomplete; "key written, chain not yet")]
-#[test_case(|material| material.key_readable_by_others = true, KeyMaterialError::KeyReadableByOthers; "mode")]
+#[test_case(|material| material.key_readable_by_others = true, KeyMaterialError::KeyReadableByOthers; "key file readable by other users")]
 #[test_case(|material| material.chain[0].not_after = 9.0 * DAY_S, KeyMaterialError::Expired { subject: "CN=2".into(), since_s: DAY_S }; "expired")]
 #[test_case(|material| material.chain[0].not_before = 11.0 * DAY_S, KeyMaterialError::NotYetValid { subject: "CN=2".into(), in_s: DAY_S }; "not yet valid")]
 #[test_case(|material| material.chain[0].signature_valid = Some(false), KeyMaterialError::BrokenChain { subject: "CN=2".into() }; "not signed by the next")]
 #[test_case(|material| material.chain[0].names.clear(), KeyMaterialError::NoNames { subject: "CN=2".into() }; "no names")]
 #[test_case(|material| material.chain[1].is_ca = false, KeyMaterialError::NotAnAuthority { subject: "CN=100".into() }; "an intermediate that may not sign")]
 #[test_case(|material| material.roots.clear(), KeyMaterialError::NoTrust; "empty bundle")]
-#[test_case(|material| material.roots[0].not_after = 9.0 * DAY_S, KeyMaterialError::Expired { subject: "CN=200".into(), since_s: DAY_S }; "only ended roots")]
+#[test_case(|material| material.roots[0].not_after = 9.0 * DAY_S, KeyMaterialError::Expired { subject: "CN=200".into(), since_s: DAY_S }; "only expired roots")]
 fn invalid_material_is_refused_and_the_current_generation_stays(
     make_invalid: fn(&mut KeyMaterial),
     error: KeyMaterialError,
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn expiry_is_warned_of_in_steps_and_once_each() {
+fn each_warning_step_before_expiry_is_reported_once() {
     let mut keyring = Keyring::new(0.0, true);
     keyring.offer(0.0, material(1)).unwrap();
     let (mut now, mut warned) = (0.0, Vec::new());
@@ -94,7 +94,7 @@
     assert_eq!(days, vec![30.0, 7.0, 1.0, 0.0, 0.0]);
     assert!(matches!(warned.last().unwrap().1, Notice::Expired { .. }));
     assert!(matches!(keyring.validity(101.0 * DAY_S), Validity::Expired { .. }));
-    // Still in force: the other side decides.
+    // An expired certificate stays in force, as the peer decides whether to accept it.
     assert_eq!(keyring.current().unwrap().number, 1);
 }
 
--- a/crates/nickelgw-tls/src/core/key_check.rs
+++ b/crates/nickelgw-tls/src/core/key_check.rs
@@ -1,54 +1,54 @@
-//! Facts of certificates and keys as read from files, and the check that they may come into force. Times are seconds
-//! since 1970.
+//! Facts about certificates and keys that were read from files, and the check whether they may come into
+//! force. Times are in seconds since 1970.
 
 use std::fmt;
 
-/// What is known of a certificate.
+/// Facts about a certificate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Certificate {
-    /// Digest of its bytes.
+    /// Digest of the certificate's bytes.
     pub id: [u8; 32],
-    /// Its subject's distinguished name.
+    /// Distinguished name of the subject.
     pub subject: String,
-    /// Its issuer's distinguished name.
+    /// Distinguished name of the issuer.
     pub issuer: String,
-    /// Start of its validity.
+    /// Start of the validity period.
     pub not_before: f64,
-    /// End of its validity.
+    /// End of the validity period.
     pub not_after: f64,
-    /// DNS names and addresses that it is for.
+    /// DNS names and IP addresses for which the certificate is issued.
     pub names: Vec<String>,
-    /// Whether it may sign others.
+    /// Whether the certificate may sign other certificates.
     pub is_ca: bool,
-    /// Whether its signature is by the key of the next one in the chain, or (the last one's) of a trusted root; `None`
-    /// where no issuer was found.
+    /// Whether the signature is verified by the key of the next certificate in the chain or, for the last
+    /// certificate, of a trusted root. `None` if no issuer was found.
     pub signature_valid: Option<bool>,
 }
 
-/// What was read from the files at one time.
+/// Facts about the content of a set of files that were read together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyMaterial {
-    /// Leaf first; empty where no certificate of one's own is used.
+    /// Own certificate chain, leaf first. Empty if no own certificate is used.
     pub chain: Vec<Certificate>,
-    /// Whether the key belongs to the leaf; `None` without a key.
+    /// Whether the private key matches the leaf. `None` if there is no key.
     pub key_matches: Option<bool>,
-    /// Whether the key's file can be read by other users.
+    /// Whether users other than the owner can read the key's file.
     pub key_readable_by_others: bool,
-    /// Trusted roots; empty where nobody is verified.
+    /// Trusted roots. Empty if the peer is not verified.
     pub roots: Vec<Certificate>,
-    /// Digest of all files: material with the same digest is no new generation.
+    /// Digest of all files. Material with the digest of the current generation does not start a new one.
     pub digest: [u8; 32],
 }
 
-/// A certificate may begin this much later than now by our clock: clocks differ.
+/// Tolerated clock difference: a certificate is accepted this long before its validity period begins.
 const CLOCK_SKEW_S: f64 = 60.0;
 
-/// Why key material is refused.
+/// Reason why key material is refused.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyMaterialError {
-    /// A chain without its key, or a key without its chain.
+    /// The chain or the key is missing.
     Incomplete,
-    /// The key is not the leaf's.
+    /// The key does not match the leaf certificate.
     KeyMismatch,
     /// Other users can read the key's file.
     KeyReadableByOthers,
@@ -63,7 +63,7 @@
     NotYetValid {
         /// Subject of the certificate.
         subject: String,
-        /// Seconds until it is.
+        /// Seconds until it is valid.
         in_s: f64,
     },
     /// A certificate is not signed by the next one in the chain.
@@ -71,12 +71,12 @@
         /// Subject of the certificate.
         subject: String,
     },
-    /// The leaf is for no name.
+    /// The leaf certificate is issued for no DNS name or IP address.
     NoNames {
         /// Subject of the leaf.
         subject: String,
     },
-    /// An intermediate or a root may not sign.
+    /// An intermediate or a root is not a certificate authority.
     NotAnAuthority {
         /// Subject of the certificate.
         subject: String,
@@ -89,34 +89,46 @@
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
             KeyMaterialError::Incomplete => {
-                write!(formatter, "a key and a chain belong together, one of them is missing")
+                write!(
+                    formatter,
+                    "incomplete key material: the private key or the certificate chain is missing"
+                )
             }
             KeyMaterialError::KeyMismatch => {
-                write!(formatter, "the key does not fit the certificate: rotated by half?")
+                write!(
+                    formatter,
+                    "the private key does not match the leaf certificate; \
+                     a rotation may have replaced only one of the two files"
+                )
             }
             KeyMaterialError::KeyReadableByOthers => {
-                write!(formatter, "the key's file can be read by others; wanted: mode 0600")
+                write!(formatter, "the private key file can be read by other users; expected mode 0600")
             }
             KeyMaterialError::Expired { subject, since_s } => {
-                write!(formatter, "{subject} ended {since_s:.0} s ago")
+                write!(formatter, "certificate {subject} expired {since_s:.0} s ago")
             }
             KeyMaterialError::NotYetValid { subject, in_s } => {
-                write!(formatter, "{subject} begins in {in_s:.0} s only")
+                write!(formatter, "certificate {subject} is not valid for another {in_s:.0} s")
             }
             KeyMaterialError::BrokenChain { subject } => {
-                write!(formatter, "{subject} is not signed by what follows it")
+                write!(formatter, "certificate {subject} is not signed by the next certificate in the chain")
+            }
+            KeyMaterialError::NoNames { subject } => {
+                write!(formatter, "leaf certificate {subject} is issued for no DNS name or IP address")
             }
-            KeyMaterialError::NoNames { subject } => write!(formatter, "{subject} stands for no name"),
             KeyMaterialError::NotAnAuthority { subject } => {
-                write!(formatter, "{subject} is trusted or signs, but is no authority")
+                write!(
+                    formatter,
+                    "certificate {subject} is a root or an intermediate, but not a certificate authority"
+                )
             }
-            KeyMaterialError::NoTrust => write!(formatter, "the trust bundle holds no certificate"),
+            KeyMaterialError::NoTrust => write!(formatter, "the trust bundle contains no certificate"),
         }
     }
 }
 
 impl KeyMaterial {
-    /// Whether it may come into force now. `needs_trust`: this side verifies the other.
+    /// Checks whether the material may come into force now. `needs_trust` tells whether the peer is verified.
     pub(super) fn check(&self, now: f64, needs_trust: bool) -> Result<(), KeyMaterialError> {
         self.check_key()?;
         for position in 0..self.chain.len() {
@@ -167,7 +179,8 @@
         if let Some(root) = self.roots.iter().find(|root| !root.is_ca) {
             return Err(KeyMaterialError::NotAnAuthority { subject: root.subject.clone() });
         }
-        // A bundle may hold expired roots beside valid ones, as real bundles do; not only those.
+        // A bundle may contain expired roots beside valid ones, as real bundles do, but not only expired
+        // ones.
         match self.roots.iter().map(|root| root.not_after).reduce(f64::max) {
             Some(last_end) if last_end < now => {
                 let subject = self.roots[0].subject.clone();
--- a/crates/nickelgw-tls/src/core/mod.rs
+++ b/crates/nickelgw-tls/src/core/mod.rs
@@ -1,4 +1,5 @@
-//! State machines of keys, trust, tickets and connections. No I/O: times and facts come in, commands go out.
+//! State machines of keys, trust, session tickets and connections, without I/O: times and facts are passed
+//! in, commands are returned.
 
 pub mod generation;
 mod key_check;
--- a/crates/nickelgw-tls/src/core/pool.rs
+++ b/crates/nickelgw-tls/src/core/pool.rs
@@ -1,52 +1,55 @@
-//! Connections to engines as a budgeted resource: when to reuse one, open one, wait, or close one. Handshakes are costly to
-//! both sides: after a rotation, a zone's recovery or a node's start every engine would otherwise be asked for one at once.
+//! Connection pool with a budget of handshakes: decides when to reuse, open or close a connection to an
+//! engine, and when to wait for one. Handshakes are costly to both sides; without the budget, a node would
+//! start one with every engine at once after a rotation, the recovery of a zone or its own start.
 
 pub use super::pool_config::PoolConfig;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Failures in a row after which the backoff grows no further.
+/// Maximum to which consecutive failures are counted; the backoff grows no further.
 const MAX_COUNTED_FAILURES: u32 = 16;
-/// An untrusted certificate is not replaced within moments: its backoff is longer by this factor.
+/// Factor by which the backoff is longer if a certificate is not trusted, as it is not replaced within
+/// moments.
 const UNTRUSTED_BACKOFF_FACTOR: f64 = 4.0;
-/// Engines are spread over this many phases of the retire interval.
+/// Number of phases of the retire interval over which engines are spread.
 const RETIRE_PHASES: usize = 16;
 
 /// Identifies an established connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// Identifies who wants a connection.
+/// Identifies a caller that wants a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WaiterId(pub u64);
 
-/// The answer to [`Pool::checkout`].
+/// Outcome of [`Pool::checkout`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Checkout {
     /// Use this connection.
     Reuse(ConnectionId),
-    /// Make a handshake, and report how it ended.
+    /// Open a connection, and report whether its handshake succeeded.
     Open,
-    /// A [`PoolCommand::Notify`] follows.
+    /// Wait for a [`PoolCommand::Notify`].
     Wait,
-    /// The engine is in backoff, or too many wait.
+    /// The engine is in backoff, or there are too many waiters.
     Rejected,
 }
 
-/// What the caller does next.
+/// Command to the caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PoolCommand {
-    /// The answer for one that was told to wait.
+    /// Pass this outcome to a waiter that was told to wait.
     Notify(WaiterId, Checkout),
     /// Close an idle connection.
     Close(ConnectionId),
 }
 
-/// Why a handshake failed.
+/// Reason why a handshake failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectFailure {
-    /// Not reached, or not in time: the router judges that by itself, a short backoff is enough.
+    /// The engine was not reached, or not in time. A short backoff is enough, as the router judges such
+    /// failures itself.
     Unreachable,
-    /// A certificate is not accepted.
+    /// A certificate was not accepted, or no common TLS protocol was found.
     Untrusted,
 }
 
@@ -56,17 +59,17 @@
     since: f64,
 }
 
-/// The connections of one engine.
+/// Connections to one engine.
 #[derive(Default)]
 struct EngineConnections {
-    /// Most recently used last.
+    /// Idle connections, the most recently used last.
     idle: Vec<IdleConnection>,
-    /// Checked out, and of which generation.
+    /// Generations of the connections that are checked out.
     in_use: BTreeMap<ConnectionId, u64>,
     handshakes: usize,
     consecutive_failures: u32,
     backoff_until: f64,
-    /// When the next older connection may be closed after a rotation.
+    /// Earliest time at which the next connection of an older generation may be closed.
     retire_at: f64,
 }
 
@@ -86,28 +89,28 @@
     engine: String,
 }
 
-/// The node's connections to all engines.
+/// Pool of the node's connections to all engines.
 pub struct Pool {
     config: PoolConfig,
     generation: u64,
     engines: BTreeMap<String, EngineConnections>,
     handshakes_in_flight: usize,
-    /// First come first served, but for engines at their own limit.
+    /// Waiters in the order of arrival. Those for an engine at its own limit are passed over.
     waiting: VecDeque<Waiter>,
-    /// Who makes a handshake, and with which engine.
+    /// Engine of each handshake in flight, by the waiter that makes it.
     opening: BTreeMap<WaiterId, String>,
     commands: Vec<PoolCommand>,
     last_connection: u64,
-    /// Checkouts that were rejected.
+    /// Number of checkouts that were rejected.
     pub rejected: u64,
-    /// Handshakes begun.
+    /// Number of handshakes started.
     pub handshakes: u64,
-    /// Checkouts served by an idle connection.
+    /// Number of checkouts served with an idle connection.
     pub reuses: u64,
 }
 
 impl Pool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     pub fn new(config: PoolConfig) -> Self {
         Pool {
             config,
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Handshakes in flight.
+    /// Number of handshakes in flight.
     pub fn opening(&self) -> usize {
         self.handshakes_in_flight
     }
@@ -143,7 +146,7 @@
         self.waiting.iter().any(|waiter| waiter.engine == engine)
     }
 
-    /// A connection is wanted. An idle one is used before any handshake is made.
+    /// Requests a connection for a waiter. An idle connection is preferred to a handshake.
     pub fn checkout(&mut self, now: f64, engine: &str, waiter: WaiterId) -> Checkout {
         if let Some(connection) = self.reuse(now, engine) {
             return Checkout::Reuse(connection);
@@ -165,7 +168,8 @@
         Checkout::Wait
     }
 
-    /// The most recently used idle connection, one of the current generation before older ones.
+    /// Checks out the most recently used idle connection. Connections of the current generation are
+    /// preferred.
     fn reuse(&mut self, now: f64, engine: &str) -> Option<ConnectionId> {
         let (generation, idle_timeout_s) = (self.generation, self.config.idle_timeout_s);
         let connections = self.engines.get_mut(engine)?;
@@ -186,7 +190,8 @@
         let Some(connections) = self.engines.get(engine) else {
             return now >= 0.0 && self.config.max_handshakes_per_engine > 0;
         };
-        // An engine that failed is tried by one handshake at a time, and takes no more of the node's budget.
+        // An engine whose last handshake failed gets one handshake at a time, so that it takes no more of the
+        // node's budget.
         let has_failed = connections.consecutive_failures > 0;
         let max_handshakes = if has_failed { 1 } else { self.config.max_handshakes_per_engine };
         now >= connections.backoff_until && connections.handshakes < max_handshakes
@@ -208,7 +213,7 @@
         Some(engine)
     }
 
-    /// The waiter's handshake succeeded; the connection is checked out by it.
+    /// Notes that a waiter's handshake succeeded. The waiter has the new connection checked out.
     pub fn handshake_succeeded(
         &mut self,
         now: f64,
@@ -226,7 +231,7 @@
         Some(connection)
     }
 
-    /// The waiter's handshake failed. Others that wait for that engine are rejected.
+    /// Notes that a waiter's handshake failed. All other waiters for that engine are rejected.
     pub fn handshake_failed(&mut self, now: f64, waiter: WaiterId, failure: ConnectFailure) {
         let Some(engine) = self.end_handshake(waiter) else { return };
         self.back_off(now, &engine, failure);
@@ -239,7 +244,8 @@
         self.serve_waiters(now);
     }
 
-    /// An engine rejected an established connection: in TLS 1.3 the far side verifies our certificate last.
+    /// Notes that an engine rejected an established connection. In TLS 1.3 the server verifies the client's
+    /// certificate last, when the handshake has already succeeded for the client.
     pub fn connection_failed(&mut self, now: f64, engine: &str, failure: ConnectFailure) {
         self.back_off(now, engine, failure);
     }
@@ -257,7 +263,7 @@
         connections.backoff_until = connections.backoff_until.max(until);
     }
 
-    /// A waiter no longer wants a connection, whether it waited or made a handshake.
+    /// Removes a waiter that no longer wants a connection, whether it was waiting or making a handshake.
     pub fn abandon(&mut self, now: f64, waiter: WaiterId) {
         self.waiting.retain(|waiting| waiting.id != waiter);
         if self.end_handshake(waiter).is_some() {
@@ -265,7 +271,7 @@
         }
     }
 
-    /// A connection is no longer used; its last response was read to the end.
+    /// Returns a connection that is no longer used. Its last response must have been read to the end.
     pub fn returned(&mut self, now: f64, engine: &str, connection: ConnectionId) {
         let is_wanted = self.has_waiter_for(engine);
         let Some(connections) = self.engines.get_mut(engine) else {
@@ -273,7 +279,8 @@
             return;
         };
         let Some(generation) = connections.in_use.remove(&connection) else { return };
-        // One of an older generation is kept only for a waiter that would need a handshake otherwise.
+        // A connection of an older generation is kept only for a waiter that would otherwise need a
+        // handshake.
         let is_outdated = generation != self.generation && !is_wanted;
         if is_outdated || connections.idle.len() >= self.config.max_idle {
             self.commands.push(PoolCommand::Close(connection));
@@ -283,7 +290,7 @@
         self.serve_waiters(now);
     }
 
-    /// A connection was closed, checked out or not.
+    /// Notes that a connection was closed, whether it was checked out or idle.
     pub fn closed(&mut self, now: f64, engine: &str, connection: ConnectionId) {
         if let Some(connections) = self.engines.get_mut(engine) {
             connections.in_use.remove(&connection);
@@ -292,14 +299,15 @@
         self.serve_waiters(now);
     }
 
-    /// New keys or trust: new connections are of this generation at once, older idle ones are closed step by step.
+    /// Starts a new generation of keys or trust. New connections belong to it at once; idle connections of
+    /// older generations are closed step by step.
     pub fn rotate(&mut self, now: f64, generation: u64) {
         self.generation = generation;
         for (n, connections) in self.engines.values_mut().enumerate() {
-            // Engines begin at different times, so that their new handshakes do not coincide.
+            // Engines start at different phases, so that their new handshakes do not coincide.
             let phase = (n % RETIRE_PHASES) as f64;
             connections.retire_at = now + self.config.retire_interval_s * phase / RETIRE_PHASES as f64;
-            // What was not accepted before may be now.
+            // A certificate that was rejected before may be accepted with the new keys or trust.
             connections.reset_backoff();
         }
     }
@@ -311,7 +319,7 @@
             let Some(connections) = self.engines.get_mut(&engine) else { continue };
             let idle = connections.idle.drain(..);
             self.commands.extend(idle.map(|idle| PoolCommand::Close(idle.id)));
-            // One that is in use or in a handshake is removed when that has ended.
+            // An engine with a connection in use or a handshake in flight is kept; a later call removes it.
             let is_unused = connections.is_unused();
             if is_unused && !self.has_waiter_for(&engine) {
                 self.engines.remove(&engine);
@@ -319,7 +327,7 @@
         }
     }
 
-    /// Gives free connections and handshakes to waiters, first come first served.
+    /// Assigns idle connections and free handshakes to waiters in the order of their arrival.
     fn serve_waiters(&mut self, now: f64) {
         let mut n = 0;
         while n < self.waiting.len() {
@@ -341,22 +349,22 @@
         }
     }
 
-    /// Nothing is left for any waiter.
+    /// Returns whether neither an idle connection nor a handshake is left for any waiter.
     fn is_exhausted(&self) -> bool {
         self.handshakes_in_flight >= self.config.max_handshakes
             && self.engines.values().all(|connections| connections.idle.is_empty())
     }
 
-    /// Commands that earlier calls left, without applying timeouts.
+    /// Returns the commands that earlier calls queued, without applying timeouts.
     pub fn take_commands(&mut self) -> Vec<PoolCommand> {
         std::mem::take(&mut self.commands)
     }
 
-    /// Applies the timeouts; gives what to do now, and when to poll again.
+    /// Applies the timeouts. Returns the pending commands, and the time at which to poll again.
     pub fn poll_commands(&mut self, now: f64) -> (Vec<PoolCommand>, Option<f64>) {
         let mut timers: Vec<f64> = Vec::new();
         self.close_expired(now, &mut timers);
-        // Who waits while an engine is in backoff is served after it.
+        // Waiters for an engine in backoff are served after the backoff.
         for waiter in &self.waiting {
             let backoff_until = self.engines.get(&waiter.engine).map_or(0.0, |engine| engine.backoff_until);
             if backoff_until > now {
@@ -367,7 +375,8 @@
         (self.take_commands(), timers.into_iter().reduce(f64::min))
     }
 
-    /// Closes connections that were idle for too long, and after a rotation one older one in each interval.
+    /// Closes connections that were idle for too long and, after a rotation, one connection of an older
+    /// generation per engine in each retire interval.
     fn close_expired(&mut self, now: f64, timers: &mut Vec<f64>) {
         let (generation, config) = (self.generation, &self.config);
         for connections in self.engines.values_mut() {
--- a/crates/nickelgw-tls/src/core/pool_config.rs
+++ b/crates/nickelgw-tls/src/core/pool_config.rs
@@ -3,21 +3,22 @@
 /// Limits of a [`super::pool::Pool`].
 #[derive(Clone, Debug)]
 pub struct PoolConfig {
-    /// Handshakes in flight of the whole node.
+    /// Maximum number of handshakes in flight on the whole node.
     pub max_handshakes: usize,
-    /// Handshakes in flight towards one engine.
+    /// Maximum number of handshakes in flight to one engine.
     pub max_handshakes_per_engine: usize,
-    /// Waiters for a connection; further ones are rejected.
+    /// Maximum number of waiters for a connection; further ones are rejected.
     pub max_waiting: usize,
-    /// Idle connections kept to an engine.
+    /// Maximum number of idle connections kept to one engine.
     pub max_idle: usize,
-    /// How long an idle connection is kept.
+    /// Time after which an idle connection is closed.
     pub idle_timeout_s: f64,
-    /// After a rotation: interval between two closings of an engine's older idle connections.
+    /// Interval at which an engine's idle connections of older generations are closed, one by one, after a
+    /// rotation.
     pub retire_interval_s: f64,
-    /// Backoff after the first failed handshake with an engine; doubles with each further one.
+    /// Backoff after the first failed handshake with an engine. It doubles with each consecutive failure.
     pub initial_backoff_s: f64,
-    /// Longest backoff.
+    /// Maximum backoff.
     pub max_backoff_s: f64,
 }
 
--- a/crates/nickelgw-tls/src/core/pool_tests.rs
+++ b/crates/nickelgw-tls/src/core/pool_tests.rs
@@ -53,7 +53,7 @@
     let mut pool = Pool::new(config());
     let mut attempts = 0;
     let mut now = 0.0;
-    // Asked for a hundred times a second, for ten seconds.
+    // 100 checkouts per second for 10 s.
     for n in 0..1000 {
         now += 0.01;
         if pool.checkout(now, "bad", WaiterId(n)) == Checkout::Open {
@@ -63,7 +63,7 @@
         assert_eq!(pool.opening(), 0);
     }
     assert!((3..=8).contains(&attempts), "{attempts}");
-    // Put right by a rotation it is tried at once.
+    // After a rotation the engine is tried again at once.
     pool.rotate(now, 1);
     assert_eq!(pool.checkout(now, "bad", WaiterId(5000)), Checkout::Open);
 }
@@ -86,17 +86,17 @@
     let all: Vec<ConnectionId> = (0..3).map(|n| open_connection(&mut pool, 0.0, "e", n)).collect();
     all.iter().for_each(|&connection| pool.returned(0.0, "e", connection));
     pool.rotate(1.0, 1);
-    // Still good for work at once.
+    // Connections of the older generation are still used.
     assert!(matches!(pool.checkout(1.0, "e", WaiterId(9)), Checkout::Reuse(_)));
     let (mut now, mut closed) = (1.0, Vec::new());
     while closed.len() < 2 {
         let (commands, poll_at) = pool.poll_commands(now);
-        assert!(commands.len() <= 1, "one at a time");
+        assert!(commands.len() <= 1, "at most one connection closed at a time");
         closed.extend(commands.iter().map(|_| now));
         now = poll_at.unwrap_or(now).max(now + 1e-3);
     }
     assert!(closed[1] - closed[0] >= 0.19, "{closed:?}");
-    // The one in use is closed when it is returned.
+    // The connection in use is closed when it is returned.
     let used = all[2];
     pool.returned(now, "e", used);
     assert_eq!(pool.poll_commands(now).0, [PoolCommand::Close(used)]);
@@ -132,16 +132,16 @@
                       waiting: &mut Vec<(WaiterId, usize)>, in_use: &mut Vec<(ConnectionId, usize)>| {
             for command in pool.poll_commands(now).0 {
                 if let PoolCommand::Notify(waiter, answer) = command {
-                    let n = waiting.iter().position(|pending| pending.0 == waiter).expect("only who waits is told");
+                    let n = waiting.iter().position(|pending| pending.0 == waiter).expect("notified a waiter that was not waiting");
                     let (_, engine) = waiting.remove(n);
                     match answer {
                         Checkout::Open => opening.push((waiter, engine)),
                         Checkout::Reuse(connection) => {
-                            assert!(!in_use.iter().any(|checked_out| checked_out.0 == connection), "handed out twice");
+                            assert!(!in_use.iter().any(|checked_out| checked_out.0 == connection), "connection checked out twice");
                             in_use.push((connection, engine));
                         }
                         Checkout::Rejected => {}
-                        Checkout::Wait => panic!("told to wait"),
+                        Checkout::Wait => panic!("a waiter was told to wait again"),
                     }
                 }
             }
@@ -196,7 +196,7 @@
             prop_assert_eq!(pool.waiting(), waiting.len());
             prop_assert!(waiting.len() <= limits.max_waiting);
         }
-        // Handshakes that end let all who wait through, in a bounded time.
+        // Once handshakes complete, all waiters are served in a bounded time.
         for _ in 0..200 {
             while let Some((waiter, engine)) = opening.pop() {
                 let connection = pool.handshake_succeeded(now, waiter, generation).unwrap();
--- a/crates/nickelgw-tls/src/core/tickets.rs
+++ b/crates/nickelgw-tls/src/core/tickets.rs
@@ -1,13 +1,14 @@
-//! TLS session tickets: bounded in number and age, never used across names or generations, each used once.
+//! TLS session tickets, bounded in number and age. A ticket is used once, and only for its server name and
+//! generation.
 
 use std::collections::{BTreeMap, VecDeque};
 
 /// Bounds of a [`Tickets`] store.
 #[derive(Clone, Copy, Debug)]
 pub struct TicketLimits {
-    /// Tickets for one name.
+    /// Maximum number of tickets for one server name.
     pub max_per_name: usize,
-    /// Tickets for all names.
+    /// Maximum number of tickets for all server names.
     pub max_tickets: usize,
     /// Age beyond which a ticket is not used.
     pub max_age_s: f64,
@@ -18,22 +19,23 @@
     ticket: T,
 }
 
-/// Tickets by the name of their server.
+/// Session tickets by server name.
 pub struct Tickets<T> {
     limits: TicketLimits,
     generation: u64,
-    /// Newest last.
+    /// Tickets of each server name, the newest last.
     by_name: BTreeMap<String, VecDeque<StoredTicket<T>>>,
     count: usize,
 }
 
 impl<T> Tickets<T> {
-    /// An empty store of generation 0.
+    /// Creates an empty store of generation 0.
     pub fn new(limits: TicketLimits) -> Self {
         Tickets { limits, generation: 0, by_name: BTreeMap::new(), count: 0 }
     }
 
-    /// Drops all tickets of an earlier generation: what was agreed under its keys and trust is not resumed.
+    /// Starts a new generation and drops all tickets of the earlier one: sessions agreed under its keys and
+    /// trust are not resumed.
     pub fn rotate(&mut self, generation: u64) {
         if generation != self.generation {
             self.generation = generation;
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Stores a ticket, unless it is of another generation.
+    /// Stores a ticket, unless it belongs to another generation.
     pub fn insert(&mut self, now: f64, generation: u64, name: &str, ticket: T) {
         if generation != self.generation || self.limits.max_per_name == 0 {
             return;
@@ -59,7 +61,8 @@
         }
     }
 
-    /// Removes and gives the newest ticket for the name: a ticket used twice would link two connections.
+    /// Removes and returns the newest ticket for the name. Tickets are not reused, as a ticket used twice
+    /// would link two connections. `None` if there is no ticket that may be used.
     pub fn take(&mut self, now: f64, generation: u64, name: &str) -> Option<T> {
         if generation != self.generation {
             return None;
@@ -68,7 +71,7 @@
         self.count -= usize::from(newest.is_some());
         match newest {
             Some(stored) if now - stored.received_at < self.limits.max_age_s => Some(stored.ticket),
-            // The newest is too old: so are the others.
+            // If the newest ticket is too old, all others are too.
             _ => {
                 self.remove(name);
                 None
@@ -76,7 +79,7 @@
         }
     }
 
-    /// Drops the tickets for a name: a server that refused one has lost its keys.
+    /// Drops the tickets for a name. A server that refused one ticket has lost the keys of all of them.
     pub fn remove(&mut self, name: &str) {
         self.count -= self.by_name.remove(name).map_or(0, |stored| stored.len());
     }
@@ -86,7 +89,7 @@
         self.count
     }
 
-    /// Whether there are no tickets.
+    /// Returns whether there are no tickets.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
--- a/crates/nickelgw-tls/src/core/tickets_tests.rs
+++ b/crates/nickelgw-tls/src/core/tickets_tests.rs
@@ -6,11 +6,11 @@
     tickets.rotate(1);
     (0..3).for_each(|number| tickets.insert(number as f64, 1, "a", number));
     assert_eq!((tickets.len(), tickets.take(3.0, 1, "b")), (2, None));
-    assert_eq!(tickets.take(3.0, 1, "a"), Some(2), "the newest, once");
-    assert_eq!(tickets.take(20.0, 1, "a"), None, "too old");
+    assert_eq!(tickets.take(3.0, 1, "a"), Some(2), "the newest ticket");
+    assert_eq!(tickets.take(20.0, 1, "a"), None, "ticket too old");
     tickets.insert(20.0, 1, "a", 7);
     tickets.insert(20.0, 2, "a", 8);
-    assert_eq!(tickets.take(20.0, 2, "a"), None, "another generation's");
+    assert_eq!(tickets.take(20.0, 2, "a"), None, "ticket of another generation");
     tickets.rotate(2);
     assert!(tickets.is_empty() && tickets.take(20.0, 1, "a").is_none());
     for number in 0..20 {
--- a/crates/nickelgw-tls/src/failure.rs
+++ b/crates/nickelgw-tls/src/failure.rs
@@ -1,23 +1,26 @@
-//! What a failed handshake, or a broken connection, says of the other side.
+//! Classification of failed handshakes and broken connections.
 
 use crate::core::pool::ConnectFailure;
 use rustls::{AlertDescription, Error};
 
-/// Why a connection in TLS failed.
+/// Reason why a TLS connection failed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TlsFailure {
-    /// Its certificate is not accepted here: expired, wrong name, unknown authority, not yet valid, self-signed.
+    /// The peer's certificate was not accepted here: expired, wrong name, unknown authority, not yet valid,
+    /// self-signed.
     PeerCertificate(String),
-    /// It does not accept our certificate, or wants one: it ended the handshake with a certificate alert.
+    /// The peer did not accept our certificate, or requires one: it ended the handshake with a certificate
+    /// alert.
     OwnCertificate(String),
-    /// It speaks no TLS that fits.
+    /// The peer does not speak a compatible version of TLS, or none at all.
     Protocol(String),
-    /// Closed, reset or silent.
+    /// The connection was closed or reset, or the peer did not respond.
     Connection(String),
 }
 
 impl TlsFailure {
-    /// What it means to the pool: a matter of certificates does not mend within moments.
+    /// Returns the failure as the connection pool counts it. Certificate and protocol failures count as
+    /// `Untrusted`, since their causes are not removed within moments.
     pub fn connect_failure(&self) -> ConnectFailure {
         match self {
             TlsFailure::PeerCertificate(_) | TlsFailure::OwnCertificate(_) | TlsFailure::Protocol(_) => {
@@ -28,7 +31,8 @@
     }
 }
 
-/// Finds the error of TLS in a chain of errors; without one it is a failure of the connection.
+/// Classifies the TLS error in a chain of error sources. Without a TLS error it is a failure of the
+/// connection.
 pub fn classify_error(error: &(dyn std::error::Error + 'static)) -> TlsFailure {
     let mut next = Some(error);
     while let Some(current) = next {
--- a/crates/nickelgw-tls/src/key_material.rs
+++ b/crates/nickelgw-tls/src/key_material.rs
@@ -1,4 +1,5 @@
-//! Files of keys, chains and trust: read at one time, parsed whole, or rejected with file and reason.
+//! Files of private keys, certificate chains and trust bundles. They are read together, and either all are
+//! parsed or the load is rejected with file and reason.
 
 use crate::core::generation::{Certificate, KeyMaterial};
 use rustls::crypto::ring::sign::any_supported_type;
@@ -11,18 +12,18 @@
 use x509_parser::prelude::*;
 use zeroize::{Zeroize, Zeroizing};
 
-/// Paths of one side's files, in PEM.
+/// Paths of the PEM files of a TLS client or server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Files {
-    /// Its certificate chain, leaf first.
+    /// Own certificate chain, leaf first.
     pub chain: Option<PathBuf>,
-    /// The leaf's private key.
+    /// Private key of the leaf.
     pub key: Option<PathBuf>,
-    /// Roots by which the other side is verified.
+    /// Trust bundle: roots against which the peer is verified.
     pub trust: Option<PathBuf>,
 }
 
-/// One of the three files.
+/// One of the three files in [`Files`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyFile {
     /// The certificate chain.
@@ -33,42 +34,42 @@
     Trust,
 }
 
-/// Why the bytes of a file are rejected. Never holds bytes of a key.
+/// Error returned when the content of a file is rejected. Never contains bytes of a key.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{reason}")]
 pub struct ParseError {
-    /// The file that is wrong.
+    /// File whose content is invalid.
     pub file: KeyFile,
-    /// What is wrong with it.
+    /// Description of what is invalid.
     pub reason: String,
 }
 
-/// Why a file was not read.
+/// Error returned when a file could not be read or its content is rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{file}: {reason}")]
 pub struct KeyFileError {
-    /// The file's path.
+    /// Path of the file.
     pub file: String,
-    /// What is wrong with it.
+    /// Description of the failure.
     pub reason: String,
 }
 
-/// What the files hold: facts for the check, and what rustls needs if they pass it.
+/// Content of the files: the facts that are checked before use, and the values that rustls needs after that.
 #[derive(Debug)]
 pub struct LoadedKeyMaterial {
-    /// The facts.
+    /// Facts about the certificates and the key.
     pub material: KeyMaterial,
-    /// Chain and key, if they belong together.
+    /// Chain and key. `None` if there is no key or it does not match the leaf certificate.
     pub certified_key: Option<Arc<CertifiedKey>>,
-    /// The trust bundle.
+    /// Certificates of the trust bundle.
     pub roots: Vec<CertificateDer<'static>>,
 }
 
-/// Larger files are not certificates.
+/// Maximum size of a file; no file of certificates is larger.
 const MAX_FILE_BYTES: u64 = 4 << 20;
-/// Certificates in one file.
+/// Maximum number of certificates in one file.
 const MAX_CERTIFICATES: usize = 512;
-/// Permissions of users other than the owner.
+/// Mode bits that give access to users other than the owner.
 const OTHERS_MODE: u32 = 0o077;
 
 struct FileContent {
@@ -80,7 +81,7 @@
     let failed = |reason: String| KeyFileError { file: path.display().to_string(), reason };
     let metadata = std::fs::metadata(path).map_err(|error| failed(error.to_string()))?;
     if metadata.len() > MAX_FILE_BYTES {
-        return Err(failed(format!("over {MAX_FILE_BYTES} bytes")));
+        return Err(failed(format!("file too large: {} bytes, limit {MAX_FILE_BYTES}", metadata.len())));
     }
     let bytes = std::fs::read(path).map_err(|error| failed(error.to_string()))?;
     Ok(FileContent { bytes: Zeroizing::new(bytes), mode: metadata.mode() })
@@ -118,7 +119,7 @@
     }
 }
 
-/// Parses the files' bytes. No I/O.
+/// Parses the contents of the files, without I/O.
 pub fn parse(
     chain: Option<&[u8]>,
     key: Option<&[u8]>,
@@ -157,24 +158,24 @@
 
 fn parse_key(pem: &[u8]) -> Result<Arc<dyn SigningKey>, ParseError> {
     let failed = |reason: String| ParseError { file: KeyFile::Key, reason };
-    let mut der =
-        PrivateKeyDer::from_pem_slice(pem).map_err(|error| failed(format!("is no private key: {error}")))?;
+    let mut der = PrivateKeyDer::from_pem_slice(pem)
+        .map_err(|error| failed(format!("holds no private key: {error}")))?;
     let signing_key = any_supported_type(&der);
     der.zeroize();
     // The error of rustls is dropped, as it might quote the key.
-    signing_key.map_err(|_| failed("is a key of a kind that is not supported".to_string()))
+    signing_key.map_err(|_| failed("holds a private key of a type that is not supported".to_string()))
 }
 
 fn parse_certificates(file: KeyFile, pem: Option<&[u8]>) -> Result<Vec<CertificateDer<'static>>, ParseError> {
     let failed = |reason: String| ParseError { file, reason };
     let Some(pem) = pem else { return Ok(Vec::new()) };
     let certificates: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(pem).collect();
-    let certificates = certificates.map_err(|error| failed(format!("is not PEM: {error}")))?;
+    let certificates = certificates.map_err(|error| failed(format!("is not valid PEM: {error}")))?;
     if certificates.is_empty() {
         return Err(failed("holds no certificate".into()));
     }
     if certificates.len() > MAX_CERTIFICATES {
-        return Err(failed(format!("holds over {MAX_CERTIFICATES} certificates")));
+        return Err(failed(format!("holds {} certificates, limit {MAX_CERTIFICATES}", certificates.len())));
     }
     Ok(certificates)
 }
@@ -183,14 +184,14 @@
     let failed = |reason: String| ParseError { file, reason };
     match X509Certificate::from_der(der) {
         Ok((rest, _)) if !rest.is_empty() => {
-            Err(failed(format!("certificate {number} has bytes after its end")))
+            Err(failed(format!("certificate {number} is followed by {} extra bytes", rest.len())))
         }
         Ok((_, certificate)) => Ok(certificate),
         Err(error) => Err(failed(format!("certificate {number} cannot be read: {error}"))),
     }
 }
 
-/// The facts of a file's certificates, the last of which may be signed by a trusted root.
+/// Returns the facts of each certificate in a file. The last one may be signed by a trusted root.
 fn describe(
     file: KeyFile,
     ders: &[CertificateDer],
@@ -213,7 +214,8 @@
     Ok(chain.iter().enumerate().map(describe_one).collect())
 }
 
-/// By the next certificate of the chain, or without one by a trusted root; `None` if there is no such root.
+/// Verifies the signature of a certificate with the next certificate of the chain or, for the last
+/// certificate, with the trusted root that issued it. `None` if there is no such root.
 fn verify_signature(
     certificate: &X509Certificate,
     next: Option<&X509Certificate>,
--- a/crates/nickelgw-tls/src/lib.rs
+++ b/crates/nickelgw-tls/src/lib.rs
@@ -1,5 +1,5 @@
-//! TLS towards engines and on the chat port. [`core`] decides, without I/O; the other modules read files and configure
-//! rustls.
+//! TLS for connections to engines and on the chat port. [`core`] decides without I/O; the other modules read
+//! files and configure rustls.
 
 pub mod core;
 mod failure;
--- a/crates/nickelgw-tls/src/peer_config.rs
+++ b/crates/nickelgw-tls/src/peer_config.rs
@@ -1,4 +1,4 @@
-//! The two sides of TLS: their key material and the configuration of rustls made from it.
+//! TLS client and server: their key material and the rustls configurations built from it.
 
 use crate::core::generation::{KeyMaterialError, Validity};
 use crate::core::tickets::{TicketLimits, Tickets};
@@ -13,12 +13,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// The protocol spoken within TLS.
+/// Protocol negotiated within TLS.
 const ALPN_HTTP_1_1: &[u8] = b"http/1.1";
 
 const TICKET_LIMITS: TicketLimits = TicketLimits { max_per_name: 8, max_tickets: 4096, max_age_s: 3600.0 };
 
-/// Versions of TLS that are spoken; 1.2 only where a deployment allows it.
+/// Accepted versions of TLS. Version 1.2 is accepted only where the settings allow it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Versions {
     /// TLS 1.3 only.
@@ -37,21 +37,22 @@
     }
 }
 
-/// The side towards engines.
+/// TLS client for connections to engines.
 pub struct Client {
     keys: ReloadingKeys,
     versions: Versions,
     config: Option<Arc<ClientConfig>>,
     started_at: Instant,
     tickets: SharedTickets,
-    /// Number of the present configuration; also that of its tickets.
+    /// Number of the current configuration and of its session tickets.
     generation: u64,
-    /// Whether sessions are resumed. Counts from the next generation on.
+    /// Whether sessions are resumed. A change takes effect with the next generation.
     pub resume: bool,
 }
 
 impl Client {
-    /// `overlap_s`: how long roots that a new bundle leaves out stay trusted.
+    /// Creates a client that has not read its files yet. `overlap_s` is the time for which roots that a new
+    /// trust bundle omits stay trusted.
     pub fn new(files: Files, versions: Versions, overlap_s: f64) -> Self {
         Client {
             keys: ReloadingKeys::new(files, overlap_s, true),
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Reads the files; `now` in seconds since 1970.
+    /// Reads the files, and rebuilds the configuration if they have changed. `now` is Unix time in seconds.
     pub fn reload_if_changed(&mut self, now: f64) -> Vec<TlsEvent> {
         let mut events = Vec::new();
         if self.keys.reload_if_changed(now, &mut events) {
@@ -85,7 +86,7 @@
             Some(key) => builder.with_client_cert_resolver(Arc::new(SingleCertAndKey::from(key.clone()))),
         };
         config.alpn_protocols = vec![ALPN_HTTP_1_1.to_vec()];
-        // No prompt is sent before the engine is verified, and none that could be replayed: no early data.
+        // Early data could be replayed and would send a prompt before the engine is verified.
         config.enable_early_data = false;
         config.resumption = self.resumption();
         Some(Arc::new(config))
@@ -99,44 +100,46 @@
         Resumption::store(Arc::new(SessionStore { generation, started_at, tickets: self.tickets.clone() }))
     }
 
-    /// The configuration of new connections, and its number; none before the first valid files.
+    /// Returns the configuration of new connections and its generation. `None` before valid files were first
+    /// read.
     pub fn config(&self) -> Option<(Arc<ClientConfig>, u64)> {
         self.config.clone().map(|config| (config, self.generation))
     }
 
-    /// How long the own certificate lasts.
+    /// Returns how long the own certificate remains valid.
     pub fn validity(&self, now: f64) -> Validity {
         self.keys.keyring.validity(now)
     }
 
-    /// Why the newest files are not in force, if they are not.
+    /// Returns why the newest files were refused. `None` if they are in force.
     pub fn refusal(&self) -> Option<&KeyMaterialError> {
         self.keys.keyring.refusal()
     }
 
-    /// Number of session tickets.
+    /// Number of session tickets stored.
     pub fn tickets(&self) -> usize {
         lock(&self.tickets).len()
     }
 }
 
-/// The side of a port that is served.
+/// TLS server for a listening port.
 pub struct Server {
     keys: ReloadingKeys,
     versions: Versions,
-    /// Clients must present a certificate of the trust bundle.
+    /// Whether clients must present a certificate that the trust bundle verifies.
     mutual: bool,
     config: Option<Arc<ServerConfig>>,
 }
 
 impl Server {
-    /// `overlap_s`: how long roots that a new bundle leaves out stay trusted. `mutual`: clients must present a
-    /// certificate of the trust bundle.
+    /// Creates a server that has not read its files yet. `overlap_s` is the time for which roots that a new
+    /// trust bundle omits stay trusted. With `mutual`, clients must present a certificate that the trust
+    /// bundle verifies.
     pub fn new(files: Files, versions: Versions, overlap_s: f64, mutual: bool) -> Self {
         Server { keys: ReloadingKeys::new(files, overlap_s, mutual), versions, mutual, config: None }
     }
 
-    /// Reads the files; `now` in seconds since 1970.
+    /// Reads the files, and rebuilds the configuration if they have changed. `now` is Unix time in seconds.
     pub fn reload_if_changed(&mut self, now: f64) -> Vec<TlsEvent> {
         let mut events = Vec::new();
         if self.keys.reload_if_changed(now, &mut events) {
@@ -159,17 +162,17 @@
         };
         let mut config = builder.with_cert_resolver(Arc::new(SingleCertAndKey::from(key)));
         config.alpn_protocols = vec![ALPN_HTTP_1_1.to_vec()];
-        // A new ticketer refuses tickets of an earlier generation: a full handshake follows.
+        // A new ticketer refuses tickets of earlier generations, so that a full handshake follows.
         config.ticketer = ring::Ticketer::new().ok()?;
         Some(Arc::new(config))
     }
 
-    /// The configuration of new connections; none before the first valid files.
+    /// Returns the configuration of new connections. `None` before valid files were first read.
     pub fn config(&self) -> Option<Arc<ServerConfig>> {
         self.config.clone()
     }
 
-    /// How long the own certificate lasts.
+    /// Returns how long the own certificate remains valid.
     pub fn validity(&self, now: f64) -> Validity {
         self.keys.keyring.validity(now)
     }
--- a/crates/nickelgw-tls/src/reload.rs
+++ b/crates/nickelgw-tls/src/reload.rs
@@ -1,4 +1,4 @@
-//! One side's files and the generation in force that is made of them.
+//! Key material that is reloaded from its files, and the generation in force.
 
 use crate::core::generation::{KeyMaterialError, Keyring, Notice};
 use crate::key_material::{Files, KeyFileError, LoadedKeyMaterial};
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What a reload of the files brought.
+/// Event of a reload of the files.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TlsEvent {
     /// New key material is in force.
@@ -16,18 +16,18 @@
         /// Number of its generation.
         generation: u64,
     },
-    /// A file could not be read; what was in force stays.
+    /// A file could not be read or parsed. The generation in force stays.
     Unreadable(KeyFileError),
-    /// The files are not valid key material; what was in force stays.
+    /// The files are not valid key material. The generation in force stays.
     Refused(KeyMaterialError),
-    /// A warning of an expiry.
+    /// A notice about an expiry or the end of a root's overlap.
     Notice(Notice),
 }
 
-/// Roots by their digest: the bundle's and, in their overlap, earlier ones.
+/// Trusted roots by their digest: those of the current bundle, and earlier ones during their overlap.
 type Roots = BTreeMap<[u8; 32], CertificateDer<'static>>;
 
-/// Key material that follows its files.
+/// Key material of a TLS client or server, reloaded when its files change.
 pub(crate) struct ReloadingKeys {
     files: Files,
     pub(crate) keyring: Keyring,
@@ -42,7 +42,7 @@
         ReloadingKeys { files, keyring, certified_key: None, roots: Roots::new(), poll_notices_at: 0.0 }
     }
 
-    /// Reads the files and checks for expiry. True: the configuration of rustls is to be rebuilt.
+    /// Reads the files and checks for expiry. Returns whether the rustls configuration must be rebuilt.
     pub(crate) fn reload_if_changed(&mut self, now: f64, events: &mut Vec<TlsEvent>) -> bool {
         let mut changed = match self.files.read() {
             Ok(loaded) => self.offer(now, loaded, events),
@@ -64,7 +64,7 @@
         changed
     }
 
-    /// True: the material came into force.
+    /// Offers the material to the keyring. Returns whether it came into force.
     fn offer(&mut self, now: f64, loaded: LoadedKeyMaterial, events: &mut Vec<TlsEvent>) -> bool {
         let LoadedKeyMaterial { material, certified_key, roots } = loaded;
         let ids: Vec<[u8; 32]> = material.roots.iter().map(|root| root.id).collect();
@@ -80,7 +80,7 @@
             }
             Ok(false) => false,
             Err(error) => {
-                // Reported once, not at each reload.
+                // A refusal is reported once, not at each reload.
                 if previous_refusal.as_ref() != Some(&error) {
                     events.push(TlsEvent::Refused(error));
                 }
@@ -91,7 +91,7 @@
 
     pub(crate) fn root_store(&self) -> Arc<RootCertStore> {
         let mut store = RootCertStore::empty();
-        // One that cannot be a trust anchor was reported by the check already.
+        // A certificate that cannot be a trust anchor was already reported by the check.
         self.roots.values().for_each(|root| drop(store.add(root.clone())));
         Arc::new(store)
     }
--- a/crates/nickelgw-tls/src/session_store.rs
+++ b/crates/nickelgw-tls/src/session_store.rs
@@ -1,4 +1,4 @@
-//! Session tickets of this node towards engines, as rustls asks for them.
+//! Store of this node's session tickets for engines, as an implementation of the rustls trait.
 
 use crate::core::tickets::Tickets;
 use rustls::client::{ClientSessionStore, Tls12ClientSessionValue, Tls13ClientSessionValue};
@@ -15,7 +15,7 @@
     tickets.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// The tickets of one generation.
+/// Session store of one generation, on the shared tickets.
 pub(crate) struct SessionStore {
     pub(crate) generation: u64,
     pub(crate) started_at: Instant,
@@ -43,7 +43,7 @@
     fn kx_hint(&self, _: &ServerName<'_>) -> Option<NamedGroup> {
         None
     }
-    // Sessions of TLS 1.2 are not resumed: their tickets may be used twice.
+    // TLS 1.2 sessions are not resumed, as their tickets may be used twice.
     fn set_tls12_session(&self, _: ServerName<'static>, _: Tls12ClientSessionValue) {}
     fn tls12_session(&self, _: &ServerName<'_>) -> Option<Tls12ClientSessionValue> {
         None
--- a/crates/nickelgw-tls/tests/files.rs
+++ b/crates/nickelgw-tls/tests/files.rs
@@ -1,4 +1,4 @@
-//! Files of keys and trust: valid ones, invalid ones, and arbitrary bytes.
+//! Loading of key and trust files: valid ones, invalid ones, and arbitrary bytes.
 
 use nickelgw_tls::core::generation::KeyMaterialError;
 use nickelgw_tls::{parse, Client, Files, TlsEvent, Versions};
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Root, chain, key.
+/// Returns the root, the chain and the key as PEM texts.
 fn new_pem_files(name: &str) -> [String; 3] {
     let mut root = CertificateParams::new(Vec::<String>::new()).unwrap();
     root.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
@@ -69,7 +69,7 @@
     assert_eq!(client.reload_if_changed(now()), vec![TlsEvent::InForce { generation: 1 }]);
     fs::write(folder.0.join("own.key"), &second[2]).unwrap();
     assert_eq!(refused(&client.reload_if_changed(now())), Some(&KeyMaterialError::KeyMismatch));
-    // Reported once, not at each reload.
+    // The refusal is reported once, not at each reload.
     assert_eq!(
         (client.reload_if_changed(now()), client.refusal()),
         (vec![], Some(&KeyMaterialError::KeyMismatch))
@@ -150,7 +150,7 @@
             bytes.extend(&junk);
             let file = |n: usize| if n == which { &bytes[..] } else { valid[n].as_bytes() };
             if let Ok(loaded) = parse(Some(file(1)), Some(file(2)), Some(file(0))) {
-                // What was accepted is complete: a matching key comes with its chain.
+                // Accepted files are complete: a matching key comes with its chain.
                 assert_eq!(loaded.certified_key.is_some(), loaded.material.key_matches == Some(true));
                 assert!(!loaded.material.chain.is_empty() && !loaded.roots.is_empty());
             }
