--- a/crates/nickelgw-tenants/src/core/concurrency_limit.rs
+++ b/crates/nickelgw-tenants/src/core/concurrency_limit.rs
@@ -1,23 +1,23 @@
-//! The number of open requests that the fleet serves in time, found by additive increase and multiplicative decrease: it
-//! grows by one for each round of requests while first tokens come in time and it is used, and falls by a share when
-//! they do not.
+//! Adaptive limit of open requests that the fleet can serve in time, by additive increase and multiplicative
+//! decrease. The limit grows by one per round of requests while it is used and first tokens are in time, and
+//! is reduced by a share when too many first tokens are late.
 
-/// Bounds and steps of a [`ConcurrencyLimit`], and the reserve of [`super::fair_share::FairShare`].
+/// Limits and step sizes of a [`ConcurrencyLimit`], and the reserve of [`super::fair_share::FairShare`].
 #[derive(Clone, Copy, Debug)]
 pub struct FairShareLimits {
-    /// Lowest limit.
+    /// Lower bound of the limit.
     pub min_limit: f64,
-    /// Highest limit.
+    /// Upper bound of the limit.
     pub max_limit: f64,
-    /// Share of late first tokens in a window above which the limit falls.
+    /// Share of late first tokens in a window above which the limit is decreased.
     pub max_late_share: f64,
-    /// The share by which it falls.
+    /// Share by which the limit is decreased.
     pub decrease: f64,
-    /// First tokens in a window, at least.
+    /// Number of first tokens after which a window ends.
     pub window: u32,
-    /// Shortest time between two decreases: one overload counts once.
+    /// Minimum time between two decreases, so that one overload counts once.
     pub min_decrease_interval_s: f64,
-    /// Share of the limit beyond it, for tenants below their fair share.
+    /// Extra capacity for tenants below their fair share, as a share of the limit.
     pub reserve: f64,
 }
 
@@ -38,7 +38,7 @@
 /// Share of the limit that must be in use for it to grow.
 const MIN_USE_TO_GROW: f64 = 0.8;
 
-/// A limit that follows what is served in time.
+/// Limit of open requests that adapts to the share of first tokens that are in time.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     limits: FairShareLimits,
@@ -49,21 +49,22 @@
 }
 
 impl ConcurrencyLimit {
-    /// Begins at `initial`, within the bounds.
+    /// Creates a limit that starts at `initial`, clamped to its bounds.
     pub fn new(limits: FairShareLimits, initial: f64) -> ConcurrencyLimit {
         let limit = initial.clamp(limits.min_limit, limits.max_limit);
         let decreased_at = f64::NEG_INFINITY;
         ConcurrencyLimit { limits, limit, answers_in_window: 0, late_in_window: 0, decreased_at }
     }
 
-    /// The present limit.
+    /// Returns the current limit.
     pub fn get(&self) -> f64 {
         self.limit
     }
 
-    /// A request had its first token, in time or late, or failed, which counts as late. One that comes near its objective
-    /// is best reported as late: a limit that waits for missed objectives has had them. `open`: requests that are open,
-    /// as a limit that is not used says nothing about itself.
+    /// Records that a request got its first token, in time or late, or failed, which counts as late. A first
+    /// token close to its objective should be reported as late: a limit that reacts only to missed objectives
+    /// reacts after the fact. `open` is the number of open requests; the limit does not grow while it is not
+    /// used.
     pub fn record_answer(&mut self, now: f64, open: usize, late: bool) {
         self.answers_in_window += 1;
         self.late_in_window += u32::from(late);
@@ -79,7 +80,8 @@
         let late_share = f64::from(self.late_in_window) / f64::from(self.answers_in_window);
         let may_decrease = now >= self.decreased_at + self.limits.min_decrease_interval_s;
         if late_share > self.limits.max_late_share && may_decrease {
-            // Down from what was really open: a limit far above it would fall for long without any effect.
+            // Decreases from the number of requests actually open: a limit far above it would take long to
+            // have an effect.
             let from = self.limit.min(open as f64 + 1.0);
             self.limit = (from * (1.0 - self.limits.decrease)).max(self.limits.min_limit);
             self.decreased_at = now;
--- a/crates/nickelgw-tenants/src/core/fair_share.rs
+++ b/crates/nickelgw-tenants/src/core/fair_share.rs
@@ -1,5 +1,6 @@
-//! Fair admission when there is not enough for all. Below the concurrency limit every request is admitted; at it, a tenant
-//! whose open requests are below its weighted share still is, within a reserve beyond the limit.
+//! Fair admission under overload. Below the concurrency limit every request is admitted. At the limit, only
+//! requests of tenants whose open requests are below their weighted share are admitted, up to a reserve above
+//! the limit.
 
 pub use super::concurrency_limit::{ConcurrencyLimit, FairShareLimits};
 use std::collections::BTreeMap;
@@ -10,31 +11,33 @@
     weight: f64,
 }
 
-/// Smaller sums of weights are rounding errors.
+/// Sums of weights below this are treated as rounding errors.
 const MIN_WEIGHT_SUM: f64 = 1e-9;
 
-/// Open requests by tenant.
+/// Number of open requests by tenant.
 #[derive(Default)]
 pub struct FairShare {
-    /// Only tenants with open requests.
+    /// Tenants that have open requests.
     tenants: BTreeMap<usize, TenantUse>,
     open: usize,
     weight_sum: f64,
 }
 
 impl FairShare {
-    /// Open requests of all tenants.
+    /// Number of open requests of all tenants.
     pub fn open(&self) -> usize {
         self.open
     }
 
-    /// Whether one more request of a tenant is admitted. Its share is of the tenants with open requests and itself.
-    /// `reserve`: share of the limit beyond it, for tenants below their share.
+    /// Returns whether one more request of a tenant is admitted. Its fair share is relative to the weights of
+    /// all tenants with open requests and its own. `reserve` is the extra capacity for tenants below their
+    /// fair share, as a share of the limit.
     pub fn admits(&self, limit: f64, reserve: f64, tenant: usize, weight: f64) -> bool {
         let known = self.tenants.get(&tenant).copied();
         let known_weight = known.map_or(0.0, |known| known.weight);
         let has_others = self.weight_sum - known_weight > MIN_WEIGHT_SUM;
-        // A lone tenant has nobody to be fair to: what is too much is rejected by the router, which knows the engines.
+        // A single tenant competes with no other. The router, which knows the engines, rejects what exceeds
+        // their capacity.
         if (self.open as f64) < limit || !has_others {
             return true;
         }
@@ -46,7 +49,7 @@
         own_open + 1.0 <= fair_share && (self.open as f64) < limit * (1.0 + reserve)
     }
 
-    /// A request of a tenant was admitted.
+    /// Counts a request of a tenant that was admitted.
     pub fn request_opened(&mut self, tenant: usize, weight: f64) {
         let known = self.tenants.entry(tenant).or_default();
         self.weight_sum += weight - known.weight;
@@ -54,7 +57,7 @@
         self.open += 1;
     }
 
-    /// A request of a tenant ended.
+    /// Removes a request of a tenant that has ended.
     pub fn request_closed(&mut self, tenant: usize) {
         let Some(known) = self.tenants.get_mut(&tenant) else { return };
         known.open -= 1;
@@ -64,7 +67,7 @@
             self.tenants.remove(&tenant);
         }
         if self.tenants.is_empty() {
-            // Rounding errors do not accumulate.
+            // Prevents rounding errors from accumulating.
             self.weight_sum = 0.0;
         }
     }
--- a/crates/nickelgw-tenants/src/core/fair_share_tests.rs
+++ b/crates/nickelgw-tenants/src/core/fair_share_tests.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// Requests that the simulated fleet serves at once, and seconds that each takes.
+/// Number of requests that the simulated fleet serves at once, and the mean service time of each.
 const SLOTS: usize = 40;
 const SERVICE_S: f64 = 0.5;
 /// Objective of the time to first token.
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Policy {
     FairShare,
-    /// A token bucket for each tenant, of half the fleet's capacity.
+    /// A token bucket for each tenant, with half the fleet's capacity.
     PlainBuckets,
 }
 
@@ -30,7 +30,7 @@
     bucket_tokens: [f64; 2],
     refilled_at: f64,
     random: WyRand,
-    /// Ends in microseconds, least first, and whose they are.
+    /// End time in microseconds and tenant of each running request, the earliest first.
     running: BinaryHeap<Reverse<(u64, usize)>>,
     queue: VecDeque<(f64, usize)>,
     wanted: f64,
@@ -78,7 +78,7 @@
             let Some((since, tenant)) = self.queue.pop_front() else { break };
             let waited_s = now - since;
             self.limit.record_answer(now, self.admission.open(), waited_s > 0.4 * OBJECTIVE_S);
-            // What has waited too long is rejected.
+            // A request that has waited beyond the objective is rejected.
             if waited_s > OBJECTIVE_S {
                 self.admission.request_closed(tenant);
                 continue;
@@ -86,7 +86,7 @@
             if tenant == QUIET && since > WARMUP_S {
                 self.served += 1.0;
             }
-            // The noisy tenant's requests take longer than its quota was meant for.
+            // The noisy tenant's requests take twice as long as its quota assumes.
             let service_s = if tenant == QUIET { SERVICE_S } else { 2.0 * SERVICE_S };
             let service_s = (0.5 + self.uniform()) * service_s;
             self.running.push(Reverse((((now + service_s) * 1e6) as u64, tenant)));
@@ -94,8 +94,8 @@
     }
 }
 
-/// A quiet tenant at 20% of the fleet's capacity, a noisy one at `noise` times that; rejected requests of the noisy one
-/// come again at once. Gives the part of the quiet one's requests that are served within the objective.
+/// Simulates a quiet tenant at 20% of the fleet's capacity and a noisy tenant at `noise` times that rate.
+/// Returns the share of the quiet tenant's requests that are served within the objective.
 fn simulate(noise: f64, policy: Policy) -> f64 {
     let mut simulation = Simulation::new(policy);
     let rates = [QUIET_RATE, QUIET_RATE * noise];
@@ -126,7 +126,7 @@
         let (with, without) = (simulate(noise, Policy::FairShare), simulate(noise, Policy::PlainBuckets));
         assert!(with >= 0.99 * alone, "{noise} times: {with}, plain buckets {without}");
     }
-    // Work that costs more than its quota says gets past plain buckets.
+    // Plain buckets admit requests that cost more than the quota assumes.
     assert!(simulate(20.0, Policy::PlainBuckets) < 0.9);
 }
 
@@ -134,9 +134,9 @@
 fn shares_follow_the_weights_of_tenants_with_open_requests() {
     let mut admission = FairShare::default();
     (0..80).for_each(|_| admission.request_opened(1, 1.0));
-    assert!(admission.admits(100.0, 0.25, 1, 1.0), "below the limit all come in");
+    assert!(admission.admits(100.0, 0.25, 1, 1.0), "all requests are admitted below the limit");
     (0..20).for_each(|_| admission.request_opened(1, 1.0));
-    // At it, another has room up to its part, and no further than the reserve.
+    // At the limit, another tenant is admitted up to its share, but not beyond the reserve.
     let mut n = 0;
     while admission.admits(100.0, 0.25, 2, 3.0) {
         admission.request_opened(2, 3.0);
--- a/crates/nickelgw-tenants/src/core/mod.rs
+++ b/crates/nickelgw-tenants/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! Permissions, quotas and fair admission of tenants. No I/O.
+//! Permissions, quotas and fair admission of tenants, without I/O.
 
 pub mod concurrency_limit;
 pub mod fair_share;
--- a/crates/nickelgw-tenants/src/core/permissions.rs
+++ b/crates/nickelgw-tenants/src/core/permissions.rs
@@ -1,28 +1,30 @@
-//! Tenants, their keys and permissions, as one immutable version: a request sees the same from start to end. Keys are kept
-//! as keyed hashes only; two keys of a tenant are valid at once while they rotate.
+//! Tenants, their keys and their permissions as an immutable version, so that a request sees the same
+//! permissions from start to end. Keys are stored only as keyed hashes. A tenant may have two valid keys at
+//! once, for rotation.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use zeroize::Zeroize;
 
-/// Longest name of a tenant, in bytes.
+/// Maximum length of a tenant's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
-/// Keys of a tenant.
+/// Maximum number of keys of a tenant.
 pub const MAX_KEYS: usize = 2;
-/// Model routes of a tenant.
+/// Maximum number of model routes of a tenant.
 pub const MAX_ROUTES: usize = 256;
 
-/// Shortest secret of a pepper, in bytes.
+/// Minimum length of the secret from which a pepper is derived, in bytes.
 const MIN_SECRET_BYTES: usize = 16;
-/// Names the use of the derived key; the hashes depend on it.
+/// Context string of the pepper's key derivation. All key hashes depend on it.
 const PEPPER_CONTEXT: &str = "nickelgw tenant keys v1";
 
-/// The secret with which tenants' keys are hashed: the same at every node, and another for each deployment.
+/// Secret with which tenants' keys are hashed: the same at every node of a deployment, and different for each
+/// deployment.
 #[derive(Clone)]
 pub struct Pepper([u8; 32]);
 
 impl Pepper {
-    /// None if the secret is too short.
+    /// Derives the pepper from a secret. `None` if the secret is shorter than 16 bytes.
     pub fn from_secret(secret: &str) -> Option<Pepper> {
         if secret.len() < MIN_SECRET_BYTES {
             return None;
@@ -30,7 +32,8 @@
         Some(Pepper(blake3::derive_key(PEPPER_CONTEXT, secret.as_bytes())))
     }
 
-    /// The hash by which a key is looked up: of equal length for all keys, so that the lookup leaks nothing of the key.
+    /// Returns the hash by which a key is looked up. All hashes have the same length, so the lookup reveals
+    /// nothing about the key.
     pub fn hash(&self, key: &str) -> KeyHash {
         KeyHash(*blake3::keyed_hash(&self.0, key.as_bytes()).as_bytes())
     }
@@ -42,7 +45,7 @@
     }
 }
 
-/// The keyed hash of a tenant's key.
+/// Keyed hash of a tenant's key.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct KeyHash(pub [u8; 32]);
 
@@ -52,19 +55,19 @@
     }
 }
 
-/// What may be used of all nodes together; infinite: not limited.
+/// Limits for the use of all nodes together. Infinite values mean no limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Requests in a second.
+    /// Maximum number of requests per second.
     pub requests_per_s: f64,
-    /// Prompt tokens in a second.
+    /// Maximum number of prompt tokens per second.
     pub prompt_tokens_per_s: f64,
-    /// Requests open at once.
+    /// Maximum number of requests open at once.
     pub max_open: usize,
 }
 
 impl Quota {
-    /// No limit.
+    /// Quota without limits.
     pub const UNLIMITED: Quota =
         Quota { requests_per_s: f64::INFINITY, prompt_tokens_per_s: f64::INFINITY, max_open: usize::MAX };
 
@@ -73,24 +76,24 @@
     }
 }
 
-/// A tenant.
+/// Tenant with its keys, permissions and quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Unique among the tenants.
+    /// Name, unique among the tenants.
     pub name: String,
-    /// Hashes of its keys.
+    /// Hashes of the tenant's keys.
     pub keys: Vec<KeyHash>,
-    /// Model routes that it may use; none: all.
+    /// Model routes that the tenant may use. `None` if it may use all.
     pub routes: Option<BTreeSet<String>>,
-    /// What it may use.
+    /// Quota of the tenant.
     pub quota: Quota,
-    /// Its weight beside others when there is not enough for all.
+    /// Weight relative to other tenants in fair admission.
     pub weight: f64,
-    /// The group whose quota it shares.
+    /// Group whose quota the tenant shares. `None` if it belongs to no group.
     pub group: Option<String>,
-    /// Start of its validity, in seconds since 1970.
+    /// Start of the validity period, in seconds since 1970.
     pub valid_from: f64,
-    /// End of its validity, in seconds since 1970.
+    /// End of the validity period, in seconds since 1970.
     pub valid_until: f64,
 }
 
@@ -109,38 +112,38 @@
     }
 }
 
-/// Why an entry, or a key of it, is left out. The first string names the entry.
+/// Reason why an entry, or one of its keys, is left out. The first string is the name of the entry.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TenantError {
-    /// Its name is missing, too long, or another entry's too.
+    /// The name is empty, too long, or used by another entry.
     #[error("tenant {0:?}: its name is empty, too long or not unique")]
     InvalidName(String),
-    /// Quota, weight or validity make no sense.
+    /// The quota, the weight or the validity period is not valid.
     #[error("tenant {0:?}: its quota, weight or validity is not valid")]
     InvalidValues(String),
-    /// It has too many keys or routes, or there are too many tenants.
+    /// The entry has too many keys or routes, or there are too many tenants.
     #[error("tenant {0:?}: too many keys, routes or tenants")]
     TooMany(String),
-    /// A key of two tenants is valid for neither.
+    /// Two tenants have the same key. It is valid for neither of them.
     #[error("tenants {0:?} and {1:?} have the same key")]
     SharedKey(String, String),
 }
 
-/// Why a request is denied.
+/// Reason why a request is denied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DenialReason {
     /// No tenant has the key.
     UnknownKey,
-    /// The tenant is not valid yet, or no longer.
+    /// The tenant's validity period has not begun or has ended.
     OutsideValidity,
     /// The tenant may not use the route.
     RouteNotAllowed,
 }
 
-/// A version of all tenants.
+/// Immutable version of all tenants.
 #[derive(Debug, Default)]
 pub struct Permissions {
-    /// Identifies the version.
+    /// Number of the version.
     pub version: u64,
     tenants: Vec<Rc<Tenant>>,
     by_key: BTreeMap<KeyHash, usize>,
@@ -150,7 +153,8 @@
 }
 
 impl Permissions {
-    /// Entries that are not valid are left out, each with its error; the others stand.
+    /// Builds a version from its entries. Entries that are not valid are left out, each with an error; the
+    /// others are kept.
     pub fn new(
         version: u64,
         entries: Vec<Tenant>,
@@ -166,7 +170,7 @@
                 Err(error) => errors.push(error),
             }
         }
-        // The two tenants of a shared key cannot be told apart.
+        // A shared key does not identify one tenant.
         permissions.by_key.retain(|key, _| !key_owners.shared.contains(key));
         (permissions, errors)
     }
@@ -202,22 +206,22 @@
         self.tenants.len()
     }
 
-    /// Whether there are no tenants.
+    /// Returns whether there are no tenants.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
 
-    /// The tenant of an index that [`Permissions::authorize`] gave.
+    /// Returns the tenant with an index that [`Permissions::authorize`] returned.
     pub fn get(&self, index: usize) -> Option<&Rc<Tenant>> {
         self.tenants.get(index)
     }
 
-    /// The tenant of a name.
+    /// Returns the tenant with this name.
     pub fn by_name(&self, name: &str) -> Option<&Rc<Tenant>> {
         self.tenants.get(*self.by_name.get(name)?)
     }
 
-    /// The index of the tenant that has this key, if it may use the route now.
+    /// Returns the index of the tenant that has this key, if it may use the route now.
     pub fn authorize(&self, now_unix_s: f64, key: KeyHash, route: &str) -> Result<usize, DenialReason> {
         let index = *self.by_key.get(&key).ok_or(DenialReason::UnknownKey)?;
         let tenant = &self.tenants[index];
@@ -231,7 +235,7 @@
     }
 }
 
-/// Names of the tenants that have a key.
+/// Names of the tenants to which the keys belong.
 #[derive(Default)]
 struct KeyOwners {
     by_key: BTreeMap<KeyHash, String>,
@@ -250,35 +254,36 @@
     }
 }
 
-/// How the last known tenants are served once their source is lost: for `serve_stale_s` as known, then with halved quotas
-/// for as long again, then no new requests.
+/// Policy for serving the last known tenants after their source was lost: unchanged for `serve_stale_s`, then
+/// with halved quotas for the same time again, then no new requests are admitted.
 #[derive(Clone, Copy, Debug)]
 pub struct StalePolicy {
     /// Duration of each of the two stages.
     pub serve_stale_s: f64,
 }
 
-/// How far the source of the tenants is trusted.
+/// State of the source of the tenants, which decides how requests are admitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SourceState {
-    /// The source is there.
+    /// The source is connected.
     Connected,
-    /// The source is lost; everything is served as known.
+    /// The source is lost. The last known tenants are served unchanged.
     Stale {
-        /// When the next stage begins.
+        /// Time at which the next stage begins.
         until: f64,
     },
-    /// Quotas are halved.
+    /// The source is lost. Quotas are halved.
     HalvedQuotas {
-        /// When the next stage begins.
+        /// Time at which the next stage begins.
         until: f64,
     },
-    /// No new requests are admitted.
+    /// The source is lost. No new requests are admitted.
     Closed,
 }
 
 impl StalePolicy {
-    /// `confirmed_at`: when the source last confirmed what is known, by a monotonic clock.
+    /// Returns the state of the source. `confirmed_at` is the time at which the source last confirmed the
+    /// known tenants, by a monotonic clock.
     pub fn state(&self, now: f64, confirmed_at: f64, is_lost: bool) -> SourceState {
         if !is_lost {
             return SourceState::Connected;
--- a/crates/nickelgw-tenants/src/core/permissions_tests.rs
+++ b/crates/nickelgw-tenants/src/core/permissions_tests.rs
@@ -33,7 +33,7 @@
         (authorize(99.0, "old", "chat"), authorize(200.0, "old", "chat")),
         (Err(DenialReason::OutsideValidity), Err(DenialReason::OutsideValidity))
     );
-    // Of another deployment, the same key is unknown.
+    // The same key is unknown in another deployment.
     let other = Pepper::from_secret("the secret of another one").unwrap();
     assert_eq!(permissions.authorize(150.0, other.hash("old"), "chat"), Err(DenialReason::UnknownKey));
     assert!(!format!("{permissions:?}").contains("old") && Pepper::from_secret("short").is_none());
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn lost_source_is_served_stale_then_halved_then_closed() {
+fn lost_source_is_served_stale_then_with_halved_quotas_then_closed() {
     let policy = StalePolicy { serve_stale_s: 600.0 };
     assert_eq!(policy.state(5000.0, 0.0, false), SourceState::Connected);
     assert_eq!(policy.state(599.0, 0.0, true), SourceState::Stale { until: 600.0 });
--- a/crates/nickelgw-tenants/src/core/token_buckets.rs
+++ b/crates/nickelgw-tenants/src/core/token_buckets.rs
@@ -1,19 +1,20 @@
-//! Token buckets of tenant, group and route, each for requests and for prompt tokens: a request is admitted only if every
-//! bucket that applies has enough, and then takes from all of them. A bucket holds this node's fraction of the whole quota.
+//! Token buckets of tenants, groups and routes, each for requests and for prompt tokens. A request is
+//! admitted only if every bucket that applies has enough tokens, and then takes from all of them. A bucket
+//! has this node's fraction of the fleet-wide quota.
 
 use super::permissions::Quota;
 use std::collections::BTreeMap;
 
-/// A bucket holds this many seconds of its rate.
+/// Capacity of a bucket, in seconds of its rate.
 const BURST_S: f64 = 2.0;
-/// Smallest capacity, so that requests that arrive together by chance pass.
+/// Minimum capacity, so that requests that happen to arrive together pass even at a low rate.
 const MIN_CAPACITY: f64 = 1.0;
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     tokens: f64,
     refilled_at: f64,
-    /// Of all nodes.
+    /// Rate of all nodes together, in tokens per second.
     rate: f64,
     /// This node's fraction of the rate, from 0 to 1.
     fraction: f64,
@@ -34,13 +35,14 @@
     }
 
     fn refill(&mut self, now: f64) {
-        // A clock that is set back neither adds nor removes tokens.
+        // A clock that goes backwards neither adds nor removes tokens.
         let elapsed_s = (now - self.refilled_at).max(0.0);
         self.tokens = (self.tokens + self.rate * self.fraction * elapsed_s).min(self.capacity());
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Tokens above the new capacity are removed, so that the sum over nodes stays below the whole.
+    /// Changes rate and fraction. Tokens above the new capacity are removed, so that the sum over all nodes
+    /// stays within the quota.
     fn set_rate(&mut self, now: f64, rate: f64, fraction: f64) {
         self.refill(now);
         self.rate = rate;
@@ -52,13 +54,14 @@
         self.rate.is_finite()
     }
 
-    /// One larger than the capacity passes when the bucket is full, and leaves it in debt.
+    /// Returns whether the bucket has enough tokens. A request larger than the capacity passes when the
+    /// bucket is full, and leaves it with a negative number of tokens.
     fn has(&self, wanted: f64) -> bool {
         let capacity = self.capacity();
         self.tokens >= wanted.min(capacity) && capacity != 0.0
     }
 
-    /// Seconds until there are so many tokens, or the bucket is full.
+    /// Returns the seconds until the bucket has enough tokens, or is full.
     fn wait_s(&self, wanted: f64) -> f64 {
         let refill_rate = self.rate * self.fraction;
         if refill_rate > 0.0 {
@@ -68,42 +71,42 @@
     }
 }
 
-/// Whose quota it is; the number is that of the tenant, group or route.
+/// Owner of a quota, with the number of the tenant, group or route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum QuotaOwner {
-    /// Of a tenant.
+    /// A tenant.
     Tenant(usize),
-    /// Of a group of tenants.
+    /// A group of tenants.
     Group(usize),
-    /// Of a model route.
+    /// A model route.
     Route(usize),
 }
 
-/// The answer to [`TokenBuckets::admit`].
+/// Outcome of [`TokenBuckets::admit`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// The request was admitted, and taken from all buckets.
+    /// The request was admitted, and its tokens were taken from all buckets.
     Admitted,
-    /// A bucket had not enough; nothing was taken.
+    /// A bucket did not have enough tokens. Nothing was taken from any bucket.
     Rejected {
-        /// The bucket with the longest wait.
+        /// Owner of the bucket with the longest wait.
         by: QuotaOwner,
-        /// When it may have enough.
+        /// Time after which that bucket may have enough tokens. Infinite if its quota is zero.
         retry_after_s: f64,
     },
 }
 
-/// Buckets of a quota: of requests, and of prompt tokens.
+/// Buckets of a quota: one of requests, and one of prompt tokens.
 type QuotaBuckets = [Bucket; 2];
 
-/// The buckets of all quotas.
+/// Token buckets of all quotas.
 #[derive(Default)]
 pub struct TokenBuckets {
     by_owner: BTreeMap<QuotaOwner, QuotaBuckets>,
 }
 
 impl TokenBuckets {
-    /// A quota is new, or has changed, or this node's fraction of it has.
+    /// Adds a quota, or changes an existing quota or this node's fraction of it.
     pub fn set_quota(&mut self, now: f64, owner: QuotaOwner, quota: &Quota, fraction: f64) {
         let rates = [quota.requests_per_s, quota.prompt_tokens_per_s];
         match self.by_owner.get_mut(&owner) {
@@ -118,12 +121,12 @@
         }
     }
 
-    /// A quota no longer applies.
+    /// Removes a quota that no longer applies.
     pub fn remove(&mut self, owner: QuotaOwner) {
         self.by_owner.remove(&owner);
     }
 
-    /// Admits one request with so many prompt tokens, if all quotas of `owners` allow it.
+    /// Admits one request with `prompt_tokens` tokens if all quotas of `owners` allow it.
     pub fn admit(&mut self, now: f64, owners: &[QuotaOwner], prompt_tokens: f64) -> Admission {
         let wanted = [1.0, prompt_tokens];
         let mut longest_wait: Option<(QuotaOwner, f64)> = None;
--- a/crates/nickelgw-tenants/src/core/token_buckets_tests.rs
+++ b/crates/nickelgw-tenants/src/core/token_buckets_tests.rs
@@ -22,27 +22,30 @@
         }
         other => panic!("{other:?}"),
     }
-    // The tenant's own bucket has lost eight of its twenty, not thirty.
+    // The tenant's own bucket has lost 8 of its 20 tokens, not 30: the rejected requests took none.
     assert_eq!((0..30).filter(|_| buckets.admit(0.0, &OWNERS[..1], 1.0) == Admission::Admitted).count(), 12);
-    // A prompt larger than the bucket passes when it is full, and is paid for.
+    // A prompt larger than the bucket passes when the bucket is full, and leaves it in debt.
     assert_eq!(buckets.admit(10.0, &OWNERS[2..], 9000.0), Admission::Admitted);
     assert!(
         matches!(buckets.admit(11.0, &OWNERS[2..], 1.0), Admission::Rejected { retry_after_s, .. } if retry_after_s > 5.0)
     );
-    // Quota zero, and back.
+    // The quota is set to zero and back.
     buckets.set_quota(20.0, QuotaOwner::Group(0), &quota(0.0, f64::INFINITY), 1.0);
     assert!(
         matches!(buckets.admit(30.0, &OWNERS, 1.0), Admission::Rejected { retry_after_s, .. } if retry_after_s.is_infinite())
     );
     buckets.set_quota(31.0, QuotaOwner::Group(0), &quota(4.0, f64::INFINITY), 1.0);
-    assert!(matches!(buckets.admit(31.0, &OWNERS, 1.0), Admission::Rejected { .. }), "no credit from before");
+    assert!(
+        matches!(buckets.admit(31.0, &OWNERS, 1.0), Admission::Rejected { .. }),
+        "tokens from before the zero quota are not kept"
+    );
     assert_eq!(buckets.admit(31.5, &OWNERS, 1.0), Admission::Admitted);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: RngSeed::Fixed(101), failure_persistence: None, ..ProptestConfig::default() })]
-    /// Over nodes whose fractions sum to one at each moment, whatever the traffic, changes and steps of the clock: what
-    /// is admitted never exceeds the quota and its bursts.
+    /// While the nodes' fractions sum to one at each moment, the requests admitted by all nodes never exceed
+    /// the quota and its bursts, whatever the traffic, the changes of fractions and the steps of the clock.
     #[test]
     fn sum_over_nodes_stays_within_the_quota(
         steps in prop::collection::vec((0usize..4, 0.0..0.3f64, 0.0..1.0f64, any::<bool>()), 1..300), rate in 0.5..50.0f64,
@@ -54,7 +57,7 @@
         for (n, pause_s, first_fraction, clock_back) in steps {
             now += pause_s;
             if first_fraction < 0.05 {
-                // The fractions shift at all nodes at once.
+                // The fractions change at all nodes at once.
                 let fractions = [first_fraction * 10.0, 0.5 - first_fraction * 10.0, 0.25, 0.25].map(|fraction| fraction.clamp(0.0, 1.0));
                 for (node, fraction) in nodes.iter_mut().zip(fractions) {
                     node.set_quota(now, QuotaOwner::Tenant(0), &quota_of_tenant, fraction);
--- a/crates/nickelgw-tenants/src/core/weights.rs
+++ b/crates/nickelgw-tenants/src/core/weights.rs
@@ -1,31 +1,33 @@
-//! A node's fraction of a fleet-wide quota, following where the traffic arrives. Nodes publish their demand; each computes its
-//! fraction from the demands it has read. Nodes read at different times, so a node uses the least fraction by any demands read
-//! within the last span: whenever some revision is in every node's span, the fractions sum to no more than one.
+//! Division of a fleet-wide quota among the nodes according to where the traffic arrives. Each node publishes
+//! its demand and computes its fraction of the quota from the published demands. Nodes read the demands at
+//! different times, so a node uses the least of the fractions computed from all demands that it read within
+//! the last time span. Whenever some revision is in every node's span, the fractions sum to no more than one.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Part of the quota that is distributed evenly: a node without a fraction could show no demand.
+/// Share of the quota that is distributed evenly, as a node with a fraction of zero could never show any
+/// demand.
 const EVEN_PART: f64 = 0.1;
 
-/// Bounds of a [`NodeQuota`].
+/// Limits of a [`NodeQuota`].
 #[derive(Clone, Copy, Debug)]
 pub struct NodeQuotaConfig {
-    /// How long demands may be in use at some node after they were read here.
+    /// Time for which demands may still be in use at some node after they were read here.
     pub span_s: f64,
-    /// Revisions remembered; beyond it the two oldest are merged.
+    /// Maximum number of revisions that are remembered. Beyond it the two oldest are merged.
     pub max_revisions: usize,
 }
 
 /// Demands of all nodes for one quota, at one revision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demands {
-    /// The revision.
+    /// Number of the revision.
     pub revision: u64,
-    /// Demand by the node's number.
+    /// Demand of each node, by node number.
     pub by_node: BTreeMap<u32, f64>,
 }
 
-/// A node's fraction by one revision of the demands.
+/// Computes a node's fraction of the quota from one revision of the demands.
 pub fn fraction_of_node(demands: &Demands, node: u32) -> f64 {
     let Some(own_demand) = demands.by_node.get(&node) else { return 0.0 };
     let node_count = demands.by_node.len() as f64;
@@ -42,7 +44,7 @@
     fraction: f64,
 }
 
-/// This node's fraction of one quota.
+/// This node's fraction of one quota, from the demands that it read recently.
 pub struct NodeQuota {
     config: NodeQuotaConfig,
     node: u32,
@@ -50,12 +52,13 @@
 }
 
 impl NodeQuota {
-    /// A node that has read no demands.
+    /// Creates the fraction of a node that has not read any demands.
     pub fn new(config: NodeQuotaConfig, node: u32) -> NodeQuota {
         NodeQuota { config, node, recent: VecDeque::new() }
     }
 
-    /// Demands were read. `requested_at` tells how old they may be.
+    /// Records demands that were read. `requested_at` is the time of the read request, from which their age
+    /// is counted.
     pub fn update_demands(&mut self, requested_at: f64, demands: &Demands) {
         let expires_at = requested_at + self.config.span_s;
         let revision = demands.revision;
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Keeps the list bounded: the lesser fraction stands for both.
+    /// Merges the two oldest revisions to bound the list. The lesser of their fractions is kept.
     fn merge_oldest(&mut self) {
         let Some(oldest) = self.recent.pop_front() else { return };
         if let Some(next) = self.recent.front_mut() {
@@ -79,7 +82,7 @@
         }
     }
 
-    /// What the node may use now; nothing once all demands it knows are too old.
+    /// Returns the fraction that the node may use now. Zero once all known demands are too old.
     pub fn current(&mut self, now: f64) -> f64 {
         self.recent.retain(|known| now < known.expires_at);
         self.recent.iter().map(|known| known.fraction).reduce(f64::min).unwrap_or(0.0)
@@ -89,7 +92,7 @@
 /// Half-life of the arrivals in a [`DemandRate`].
 const HALF_LIFE_S: f64 = 5.0;
 
-/// This node's own demand: an exponentially weighted rate of arrivals, admitted or not.
+/// This node's own demand: the exponentially weighted rate of arrivals, whether admitted or not.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DemandRate {
     rate: f64,
@@ -97,13 +100,13 @@
 }
 
 impl DemandRate {
-    /// So much has arrived.
+    /// Records an arrival of this amount.
     pub fn record(&mut self, now: f64, amount: f64) {
         self.rate = self.per_s(now) + amount * std::f64::consts::LN_2 / HALF_LIFE_S;
         self.at = self.at.max(now);
     }
 
-    /// Arrivals in a second.
+    /// Returns the rate of arrivals per second.
     pub fn per_s(&self, now: f64) -> f64 {
         self.rate * 0.5f64.powf((now - self.at).max(0.0) / HALF_LIFE_S)
     }
--- a/crates/nickelgw-tenants/src/core/weights_tests.rs
+++ b/crates/nickelgw-tenants/src/core/weights_tests.rs
@@ -3,8 +3,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Nodes read the published demands at their own times, up to a second late; traffic shifts. Gives the largest sum of
-/// fractions, and the mean part of the demand that could be used, when the demand is the quota itself.
+/// Simulates nodes that read the published demands at different times, up to 1 s late, while the traffic
+/// shifts between them. The total demand equals the quota. Returns the largest sum of fractions, and the mean
+/// share of the demand that the fractions allowed.
 fn simulate(nodes: u32, seed: u64, shift_s: f64) -> (f64, f64) {
     let mut random = WyRand::new_seed(seed);
     let mut uniform = move || random.generate::<u32>() as f64 / u32::MAX as f64;
@@ -21,7 +22,7 @@
             weights.iter_mut().for_each(|weight| *weight = uniform().powi(3));
         }
         let sum: f64 = weights.iter().sum();
-        // One node publishes what it sees.
+        // One node publishes its demand.
         let n = (uniform() * f64::from(nodes)) as usize % nodes as usize;
         published.revision += 1;
         published.by_node.insert(n as u32, weights[n] / sum);
@@ -55,7 +56,7 @@
 #[test]
 fn fraction_follows_steady_traffic() {
     let (_, used) = simulate(6, 7, 1e9);
-    // Even fractions would serve, of such a split, what an even sixth allows each.
+    // With even fractions each of the 6 nodes could serve at most one sixth of the quota.
     assert!(used > 0.75, "{used}");
 }
 
--- a/crates/nickelgw-tenants/src/lib.rs
+++ b/crates/nickelgw-tenants/src/lib.rs
@@ -1,3 +1,4 @@
-//! Which tenant may use which model route, and how much of it. [`core`] decides; where tenants come from is for the caller.
+//! Permissions and quotas of tenants: which model routes a tenant may use, and how much of them. [`core`]
+//! decides; the caller provides the tenants.
 
 pub mod core;
