--- a/crates/nickelgw-ldap/src/core/filter.rs
+++ b/crates/nickelgw-ldap/src/core/filter.rs
@@ -1,25 +1,26 @@
-//! Search filters (RFC 4515) as a type: a value cannot change the structure of the filter.
+//! Search filters (RFC 4515) as a type, so that a value cannot change the structure of a filter.
 
 use std::fmt;
 
-/// A search filter; its `Display` is the published text form. Attribute names are constants of the program.
+/// Search filter. `Display` writes the text form of RFC 4515. Attribute names are constants of the program.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Filter {
-    /// All of these match.
+    /// Matches if all of these filters match.
     And(Vec<Filter>),
-    /// One of these matches.
+    /// Matches if at least one of these filters matches.
     Or(Vec<Filter>),
-    /// This does not match.
+    /// Matches if this filter does not match.
     Not(Box<Filter>),
-    /// The attribute has the value.
+    /// Matches if the attribute has this value.
     Equal(&'static str, String),
-    /// The attribute is the value or greater.
+    /// Matches if the attribute is this value or greater.
     GreaterOrEqual(&'static str, String),
-    /// The attribute has any value.
+    /// Matches if the attribute has any value.
     Present(&'static str),
 }
 
-/// Escapes what must not stand bare in a value: the filter's own characters, NUL, and bytes beyond ASCII.
+/// Escapes the bytes of a value that must not occur unescaped: special characters of filters, NUL, and
+/// non-ASCII bytes.
 pub fn escape(value: &[u8]) -> String {
     let mut escaped = String::with_capacity(value.len());
     for &byte in value {
--- a/crates/nickelgw-ldap/src/core/mod.rs
+++ b/crates/nickelgw-ldap/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! Search filters, and the state of content synchronization. No I/O.
+//! Search filters, and the state machine of content synchronization, without I/O.
 
 pub mod filter;
 pub mod sync;
--- a/crates/nickelgw-ldap/src/core/sync.rs
+++ b/crates/nickelgw-ldap/src/core/sync.rs
@@ -1,6 +1,6 @@
-//! Content synchronization (RFC 4533) as state: what a refresh, or a stream of changes, makes of the known entries. A
-//! refresh counts only if it ended as it should: an aborted one removes nothing. One that would remove more than a share
-//! of the entries must be confirmed by a later one.
+//! Content synchronization (RFC 4533) as a state machine: applies refreshes and streamed changes to the known
+//! entries. A refresh is applied only if it was completed; an aborted refresh removes nothing. A refresh that
+//! would remove more than a share of the entries must be confirmed by a later one.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,23 +8,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Uuid(pub [u8; 16]);
 
-/// Attributes by name in lower case; values as they were received.
+/// Attributes of an entry, by name in lower case. Values are stored as received.
 pub type Attributes = BTreeMap<String, Vec<Vec<u8>>>;
 
-/// Bounds of a [`ContentSync`].
+/// Limits of a [`ContentSync`].
 #[derive(Clone, Copy, Debug)]
 pub struct SyncConfig {
-    /// Entries of the directory.
+    /// Maximum number of entries.
     pub max_entries: usize,
-    /// Attributes of an entry.
+    /// Maximum number of attributes of an entry.
     pub max_attributes: usize,
-    /// Bytes of a value.
+    /// Maximum size of a value.
     pub max_value_bytes: usize,
     /// Share of the entries that one refresh may remove without confirmation.
     pub max_removal_share: f64,
     /// Number of entries that one refresh may always remove.
     pub max_unconfirmed_removals: usize,
-    /// How much later a refresh must report the same to confirm it.
+    /// Time after a suspected refresh from which a further refresh that removes too many entries confirms the
+    /// removal.
     pub confirmation_interval_s: f64,
 }
 
@@ -41,7 +42,7 @@
     }
 }
 
-/// What the directory reports of its entries.
+/// Message from the directory about its entries.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SyncMessage {
     /// An entry is unchanged.
@@ -50,11 +51,11 @@
     Put(Uuid, Attributes),
     /// An entry was deleted.
     Delete(Uuid),
-    /// Many entries at once are present, or were deleted.
+    /// Several entries are unchanged, or were deleted.
     IdSet {
-        /// Whether they were deleted.
+        /// Whether the entries were deleted.
         deleted: bool,
-        /// The entries.
+        /// Ids of the entries.
         ids: Vec<Uuid>,
     },
 }
@@ -62,33 +63,36 @@
 /// How a refresh ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefreshResult {
-    /// Everything was reported.
+    /// The directory reported all entries or changes.
     Complete {
-        /// True: deleted entries were named. False: what was not named is deleted.
+        /// Whether the directory named the deleted entries. Otherwise every entry that it did not name is
+        /// deleted.
         names_deleted: bool,
     },
-    /// The cookie is too old for the directory: everything is read again, and what is known stands meanwhile.
+    /// The cookie is too old for the directory. All entries are read again, and the known entries are kept
+    /// meanwhile.
     RefreshRequired,
-    /// Broken off, refused, or over the directory's own limit.
+    /// The refresh was interrupted, refused, or exceeded a limit of the directory.
     Aborted,
 }
 
-/// What became of a refresh.
+/// Outcome of [`ContentSync::refresh_finished`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefreshOutcome {
-    /// It was applied.
+    /// The refresh was applied.
     Applied {
-        /// Entries added or changed.
+        /// Number of entries added or changed.
         changed: usize,
-        /// Entries removed.
+        /// Number of entries removed.
         removed: usize,
     },
-    /// It would remove too many entries, and must be confirmed; additions and changes were applied.
+    /// The refresh would remove too many entries and must be confirmed. Its additions and changes were
+    /// applied.
     Suspected {
-        /// Entries that it would remove.
+        /// Number of entries that the refresh would remove.
         removed: usize,
     },
-    /// It does not count.
+    /// The refresh was discarded, and no entry has changed.
     Discarded,
 }
 
@@ -123,22 +127,23 @@
     }
 }
 
-/// The known entries of a directory.
+/// Known entries of a directory, and the state of their synchronization.
 pub struct ContentSync {
     config: SyncConfig,
     entries: BTreeMap<Uuid, Attributes>,
     cookie: Option<Vec<u8>>,
     refresh: Option<Refresh>,
-    /// Since when refreshes would remove too many entries.
+    /// Time of the first of consecutive refreshes that would remove too many entries. `None` if the last
+    /// applied refresh did not.
     suspected_since: Option<f64>,
-    /// Counts changes of the entries.
+    /// Number that increases when the entries change.
     pub version: u64,
-    /// Entries left as they were because the new ones are too large.
+    /// Number of updates that were ignored because the entry was too large.
     pub oversized: u64,
 }
 
 impl ContentSync {
-    /// No entries are known.
+    /// Creates a state without entries.
     pub fn new(config: SyncConfig) -> ContentSync {
         ContentSync {
             config,
@@ -151,17 +156,17 @@
         }
     }
 
-    /// The known entries.
+    /// Returns the known entries.
     pub fn entries(&self) -> &BTreeMap<Uuid, Attributes> {
         &self.entries
     }
 
-    /// From where to resume; none: from the beginning.
+    /// Returns the cookie with which to resume. `None` if the next refresh must report all entries.
     pub fn cookie(&self) -> Option<&[u8]> {
         self.cookie.as_deref()
     }
 
-    /// A refresh begins.
+    /// Begins a refresh.
     pub fn begin_refresh(&mut self) {
         self.refresh = Some(Refresh::default());
     }
@@ -171,7 +176,7 @@
         attributes.len() > self.config.max_attributes || attributes.values().flatten().any(is_long)
     }
 
-    /// A message of a refresh, or after it of a change as it happens.
+    /// Handles a message of a refresh, or a streamed change after it.
     pub fn message(&mut self, message: SyncMessage) {
         if let SyncMessage::Put(id, attributes) = &message {
             if self.is_oversized(attributes) {
@@ -188,7 +193,7 @@
         }
     }
 
-    /// An entry that grew too large stays as it was known: that is no reason to reject its owner.
+    /// Keeps the known version of an entry that has become too large, so that its owner is not rejected.
     fn keep_oversized(&mut self, id: Uuid) {
         self.oversized += 1;
         if let Some(refresh) = &mut self.refresh {
@@ -196,7 +201,7 @@
         }
     }
 
-    /// Whether an entry has changed.
+    /// Applies a streamed change. Returns whether an entry has changed.
     fn apply_change(&mut self, message: SyncMessage) -> bool {
         match message {
             SyncMessage::Present(_) => false,
@@ -217,14 +222,15 @@
         ids.iter().filter(|id| self.entries.remove(id).is_some()).count()
     }
 
-    /// A cookie came with a message. During a refresh it does not count: what it stands for is not applied yet.
+    /// Stores the cookie that came with a message. During a refresh it is ignored, as the changes up to it
+    /// are not applied yet.
     pub fn update_cookie(&mut self, cookie: Vec<u8>) {
         if self.refresh.is_none() {
             self.cookie = Some(cookie);
         }
     }
 
-    /// The refresh ended.
+    /// Ends the refresh and applies or discards it. `cookie` is the cookie that came with its end, if any.
     pub fn refresh_finished(
         &mut self,
         now: f64,
@@ -243,7 +249,7 @@
         };
         let removed = self.removed_by(&refresh, names_deleted);
         if self.needs_confirmation(now, removed.len()) {
-            // The next refresh begins from the start, to report everything again.
+            // Without a cookie, the next refresh reports all entries again.
             self.apply_puts(refresh.puts);
             self.cookie = None;
             return RefreshOutcome::Suspected { removed: removed.len() };
@@ -273,7 +279,7 @@
         now < since + self.config.confirmation_interval_s
     }
 
-    /// The number of entries added or changed.
+    /// Adds or replaces entries. Returns the number of entries added or changed.
     fn apply_puts(&mut self, puts: BTreeMap<Uuid, Attributes>) -> usize {
         let mut changed = 0;
         for (id, attributes) in puts {
--- a/crates/nickelgw-ldap/src/core/sync_tests.rs
+++ b/crates/nickelgw-ldap/src/core/sync_tests.rs
@@ -10,7 +10,7 @@
     [("cn".to_string(), vec![vec![value]])].into()
 }
 
-fn full(sync: &mut ContentSync, now: f64, numbers: impl Iterator<Item = u8>) -> RefreshOutcome {
+fn full_refresh(sync: &mut ContentSync, now: f64, numbers: impl Iterator<Item = u8>) -> RefreshOutcome {
     sync.begin_refresh();
     numbers.for_each(|n| sync.message(SyncMessage::Put(id(n), entry(n))));
     sync.refresh_finished(now, RefreshResult::Complete { names_deleted: false }, Some(vec![1]))
@@ -19,7 +19,7 @@
 #[test]
 fn aborted_refresh_removes_no_entry() {
     let mut sync = ContentSync::new(SyncConfig::default());
-    assert_eq!(full(&mut sync, 0.0, 0..100), RefreshOutcome::Applied { changed: 100, removed: 0 });
+    assert_eq!(full_refresh(&mut sync, 0.0, 0..100), RefreshOutcome::Applied { changed: 100, removed: 0 });
     sync.begin_refresh();
     (0..50).for_each(|n| sync.message(SyncMessage::Put(id(n), entry(n + 1))));
     sync.update_cookie(vec![9]);
@@ -28,7 +28,7 @@
         (sync.entries().len(), sync.entries()[&id(3)] == entry(3), sync.cookie()),
         (100, true, Some(&[1][..]))
     );
-    // A cookie that is refused: all is read again, and what is known stands meanwhile.
+    // If the cookie is refused, all entries are read again, and the known entries are kept meanwhile.
     sync.begin_refresh();
     assert_eq!(sync.refresh_finished(2.0, RefreshResult::RefreshRequired, None), RefreshOutcome::Discarded);
     assert_eq!((sync.entries().len(), sync.cookie()), (100, None));
@@ -37,15 +37,15 @@
 #[test]
 fn large_removal_must_be_confirmed_and_a_small_one_applies_at_once() {
     let mut sync = ContentSync::new(SyncConfig::default());
-    full(&mut sync, 0.0, 0..100);
-    assert_eq!(full(&mut sync, 10.0, 4..100), RefreshOutcome::Applied { changed: 0, removed: 4 });
-    // A wrong base, or lost rights.
-    assert_eq!(full(&mut sync, 20.0, 0..0), RefreshOutcome::Suspected { removed: 96 });
-    assert_eq!(full(&mut sync, 50.0, 0..0), RefreshOutcome::Suspected { removed: 96 });
-    assert_eq!(full(&mut sync, 60.0, 4..100), RefreshOutcome::Applied { changed: 0, removed: 0 });
-    assert_eq!(full(&mut sync, 100.0, 0..0), RefreshOutcome::Suspected { removed: 96 });
+    full_refresh(&mut sync, 0.0, 0..100);
+    assert_eq!(full_refresh(&mut sync, 10.0, 4..100), RefreshOutcome::Applied { changed: 0, removed: 4 });
+    // No entry is reported, as after a wrong search base or a loss of access rights.
+    assert_eq!(full_refresh(&mut sync, 20.0, 0..0), RefreshOutcome::Suspected { removed: 96 });
+    assert_eq!(full_refresh(&mut sync, 50.0, 0..0), RefreshOutcome::Suspected { removed: 96 });
+    assert_eq!(full_refresh(&mut sync, 60.0, 4..100), RefreshOutcome::Applied { changed: 0, removed: 0 });
+    assert_eq!(full_refresh(&mut sync, 100.0, 0..0), RefreshOutcome::Suspected { removed: 96 });
     assert_eq!(
-        (sync.entries().len(), full(&mut sync, 161.0, 0..0)),
+        (sync.entries().len(), full_refresh(&mut sync, 161.0, 0..0)),
         (96, RefreshOutcome::Applied { changed: 0, removed: 96 })
     );
 }
@@ -53,7 +53,7 @@
 #[test]
 fn named_deletes_and_live_changes_are_applied() {
     let mut sync = ContentSync::new(SyncConfig::default());
-    full(&mut sync, 0.0, 0..10);
+    full_refresh(&mut sync, 0.0, 0..10);
     sync.begin_refresh();
     sync.message(SyncMessage::IdSet { deleted: true, ids: vec![id(1), id(2), id(77)] });
     sync.message(SyncMessage::Put(id(20), entry(20)));
@@ -67,15 +67,15 @@
     sync.message(SyncMessage::Put(id(4), entry(99)));
     sync.update_cookie(vec![3]);
     assert_eq!((sync.entries().len(), sync.version, sync.cookie()), (8, version + 2, Some(&[3][..])));
-    // An entry that becomes too large stays as it was.
+    // An entry that becomes too large keeps its last accepted version.
     sync.message(SyncMessage::Put(id(4), [("cn".to_string(), vec![vec![0; 5000]])].into()));
     assert_eq!((sync.entries()[&id(4)] == entry(99), sync.oversized), (true, 1));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, rng_seed: RngSeed::Fixed(131), failure_persistence: None, ..ProptestConfig::default() })]
-    /// A directory that changes, and refreshes that break anywhere: once one has come through twice, what is known is the
-    /// directory; until then nothing vanishes by a break.
+    /// The directory changes, and refreshes are interrupted at arbitrary points. Interrupted refreshes remove
+    /// no entry, and after two complete refreshes the known entries equal the directory.
     #[test]
     fn entries_equal_the_directory_after_a_complete_refresh(
         steps in prop::collection::vec((0u8..5, 0u8..20, any::<u8>(), any::<bool>()), 1..60),
--- a/crates/nickelgw-ldap/src/lib.rs
+++ b/crates/nickelgw-ldap/src/lib.rs
@@ -1,3 +1,4 @@
-//! Entries of an LDAP directory, kept in sync. [`core`] decides; the connection is for the caller.
+//! Synchronization with the entries of an LDAP directory. [`core`] decides; the caller provides the
+//! connection.
 
 pub mod core;
