--- a/crates/nickelgw-settings/src/error.rs
+++ b/crates/nickelgw-settings/src/error.rs
@@ -20,7 +20,7 @@
         reason: String,
     },
     /// A field has a value that cannot work.
-    #[error("{file}:{line}: {field}: {found}; wanted: {wanted}")]
+    #[error("{file}:{line}: {field}: {found}; expected: {expected}")]
     Field {
         /// Path of the file.
         file: String,
@@ -31,6 +31,6 @@
         /// What was found.
         found: String,
         /// What is expected.
-        wanted: String,
+        expected: String,
     },
 }
--- a/crates/nickelgw-settings/src/tests.rs
+++ b/crates/nickelgw-settings/src/tests.rs
@@ -39,17 +39,18 @@
 #[test_case("limits {", "accord { listen: 'h:1' key: 'a secret of 16 bytes' wait_ms: 9 longest_wait_ms: 5 }\nlimits {", "accord.longest_wait_ms", "wait_ms or more"; "a longest wait below the first")]
 #[test_case("limits {", "parked { file: '' }\nlimits {", "parked.file", "a name"; "nowhere to park")]
 #[test_case("limits {", "parked { file: 'p' most_bytes: 999999999 }\nlimits {", "parked.most_bytes", "or less"; "more than a file holds")]
-fn invalid_field_is_reported_with_its_line(good: &str, bad: &str, field: &str, wanted: &str) {
+fn invalid_field_is_reported_with_its_line(good: &str, bad: &str, field: &str, expected: &str) {
     assert!(NODE.contains(good), "the example has no {good}");
     let text = NODE.replacen(good, bad, 1);
     let errors = parse_node("n.txtpb", &text).unwrap_err();
-    let SettingsError::Field { line, field: reported_field, wanted: reported_wanted, .. } = &errors[0] else {
+    let SettingsError::Field { line, field: reported_field, expected: reported_expected, .. } = &errors[0]
+    else {
         panic!("{errors:?}")
     };
-    assert!(reported_field == field && reported_wanted.contains(wanted), "{errors:?}");
+    assert!(reported_field == field && reported_expected.contains(expected), "{errors:?}");
     let reported_line = text.lines().nth(line - 1).unwrap();
-    let expected = bad.lines().next().unwrap_or("");
-    assert!(bad.is_empty() || reported_line.contains(expected), "line {line} is: {reported_line}");
+    let bad_line = bad.lines().next().unwrap_or("");
+    assert!(bad.is_empty() || reported_line.contains(bad_line), "line {line} is: {reported_line}");
 }
 
 #[test]
@@ -63,8 +64,8 @@
 
 #[test_case("target: \"read-south0\"", "target: \"ghost\"", "an engine"; "unknown engine")]
 #[test_case("kind: KILL_NODE", "kind: CUT_ZONE", "one of zones"; "a node is no zone")]
-fn invalid_day_is_rejected(good: &str, bad: &str, wanted: &str) {
+fn invalid_day_is_rejected(good: &str, bad: &str, expected: &str) {
     assert!(DAY.contains(good), "the example has no {good}");
     let errors = parse_day("d.txtpb", &DAY.replacen(good, bad, 1)).unwrap_err();
-    assert!(errors.iter().any(|error| error.to_string().contains(wanted)), "{errors:?}");
+    assert!(errors.iter().any(|error| error.to_string().contains(expected)), "{errors:?}");
 }
--- a/crates/nickelgw-settings/src/validation.rs
+++ b/crates/nickelgw-settings/src/validation.rs
@@ -59,13 +59,13 @@
         Section { validator: self, path: vec![step.into()] }
     }
 
-    fn report(&mut self, path: &[FieldStep], found: String, wanted: &str) {
+    fn report(&mut self, path: &[FieldStep], found: String, expected: &str) {
         self.errors.push(SettingsError::Field {
             file: self.file.into(),
             line: line_of(self.text, path),
             field: path_text(path),
             found,
-            wanted: wanted.into(),
+            expected: expected.into(),
         });
     }
 
@@ -106,10 +106,10 @@
         Section { validator: self.validator, path }
     }
 
-    fn report(&mut self, field: impl Into<FieldStep<'static>>, found: impl ToString, wanted: &str) {
+    fn report(&mut self, field: impl Into<FieldStep<'static>>, found: impl ToString, expected: &str) {
         let mut path = self.path.clone();
         path.push(field.into());
-        self.validator.report(&path, found.to_string(), wanted);
+        self.validator.report(&path, found.to_string(), expected);
     }
 
     fn above_zero(&mut self, field: &'static str, value: f64) {
@@ -131,9 +131,9 @@
     }
 
     /// Not a number fails as well.
-    fn at_least(&mut self, field: &'static str, value: f64, minimum: f64, wanted: &str) {
+    fn at_least(&mut self, field: &'static str, value: f64, minimum: f64, expected: &str) {
         if value.is_nan() || value < minimum {
-            self.report(field, format!("is {value}"), wanted);
+            self.report(field, format!("is {value}"), expected);
         }
     }
 
--- a/crates/nickelgw-settings/src/validation/day.rs
+++ b/crates/nickelgw-settings/src/validation/day.rs
@@ -36,8 +36,8 @@
         root.not_empty("name", &day.name);
         root.above_zero("length_s", day.length_s);
         if day.length_s > MAX_LENGTH_S {
-            let wanted = "600 or less: a rehearsal ends by itself";
-            root.report("length_s", format!("is {}", day.length_s), wanted);
+            let expected = "600 or less: a rehearsal ends by itself";
+            root.report("length_s", format!("is {}", day.length_s), expected);
         }
         if !(1..=MAX_NODES).contains(&day.nodes()) {
             root.report("nodes", format!("is {}", day.nodes()), "1 to 64");
--- a/crates/nickelgw-settings/src/validation/fault.rs
+++ b/crates/nickelgw-settings/src/validation/fault.rs
@@ -21,7 +21,7 @@
         section.fraction("part", fault.part());
         let target = TargetKind::of(fault.kind());
         if !target.matches(day, fault.target()) {
-            section.report("target", format!("is '{}'", fault.target()), target.wanted());
+            section.report("target", format!("is '{}'", fault.target()), target.expected());
         }
     }
 }
@@ -74,7 +74,7 @@
         }
     }
 
-    fn wanted(self) -> &'static str {
+    fn expected(self) -> &'static str {
         match self {
             TargetKind::Unused => "none",
             TargetKind::Zone => "one of zones",
--- a/crates/nickelgw-settings/src/validation/routing.rs
+++ b/crates/nickelgw-settings/src/validation/routing.rs
@@ -35,8 +35,8 @@
         let shortest_timeout_ms =
             routes.iter().map(|route| route.route_timeout_ms).fold(f64::INFINITY, f64::min);
         if rules.hold_limit_ms() >= shortest_timeout_ms {
-            let wanted = "less than the shortest route timeout: a state outliving it serves nobody";
-            section.report("hold_limit_ms", format!("is {}", rules.hold_limit_ms()), wanted);
+            let expected = "less than the shortest route timeout: a state outliving it serves nobody";
+            section.report("hold_limit_ms", format!("is {}", rules.hold_limit_ms()), expected);
         }
     }
 }
