--- a/crates/nickelgw-settings/build.rs
+++ b/crates/nickelgw-settings/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the settings' messages without an external compiler.
+//! Compiles the messages of the settings without an external protobuf compiler.
 
 use std::{env, error::Error, fs, path::PathBuf};
 
--- a/crates/nickelgw-settings/src/day_layout.rs
+++ b/crates/nickelgw-settings/src/day_layout.rs
@@ -1,8 +1,9 @@
-//! What follows from a day's settings: the names of its engines and the zones of its nodes.
+//! Names and zones that are derived from a day's settings.
 
 use crate::proto::Day;
 
-/// Names of a day's engines, in the order of its groups: the group's name and a number from 0.
+/// Returns the names of a day's engines in the order of its groups. A name is the group's name followed by a
+/// number from 0.
 pub fn engine_names(day: &Day) -> Vec<String> {
     day.engines
         .iter()
@@ -10,7 +11,7 @@
         .collect()
 }
 
-/// Zone of a day's node: nodes are placed in the zones round-robin.
+/// Returns the zone of a day's node. Nodes are assigned to the zones round-robin.
 pub fn node_zone(day: &Day, number: u32) -> &str {
     &day.zones[number as usize % day.zones.len()]
 }
--- a/crates/nickelgw-settings/src/deployment.rs
+++ b/crates/nickelgw-settings/src/deployment.rs
@@ -1,12 +1,13 @@
-//! The router's deployment, from a node's settings.
+//! Conversion of a node's settings to the router's deployment.
 
 use crate::proto::{Group, ModelRoute, Node, Repeat};
 use nickelgw::interface;
 
-/// How late timers of a loaded machine may be: decisions keep this distance from a client's deadline.
+/// Delay by which timers may be late on a loaded machine. Decisions keep this distance from a client's
+/// deadline.
 const TICK_S: f64 = 0.005;
 
-/// A node's settings as the deployment of its router. The settings have to be validated.
+/// Converts a node's settings to the deployment of its router. The settings must have been validated.
 pub fn deployment(node: &Node) -> interface::Deployment {
     let rules = node.rules.unwrap_or_default();
     interface::Deployment {
--- a/crates/nickelgw-settings/src/error.rs
+++ b/crates/nickelgw-settings/src/error.rs
@@ -1,6 +1,6 @@
-//! What can be wrong with a settings file.
+//! Errors in settings files.
 
-/// One thing that is wrong with a settings file, with its location and what is expected instead.
+/// Error in a settings file, with its location and what is expected instead.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// The file cannot be read.
@@ -8,29 +8,29 @@
     Unreadable {
         /// Path of the file.
         file: String,
-        /// The operating system's reason.
+        /// Error of the operating system.
         reason: String,
     },
-    /// The text is not of the message's form.
+    /// The text cannot be parsed as the message.
     #[error("{file}: {reason}")]
     Syntax {
         /// Path of the file.
         file: String,
-        /// The parser's reason, with line and column.
+        /// Error of the parser, with line and column.
         reason: String,
     },
-    /// A field has a value that cannot work.
+    /// A field has a value that is not valid.
     #[error("{file}:{line}: {field}: {found}; expected: {expected}")]
     Field {
         /// Path of the file.
         file: String,
-        /// Line of the field, or of the message that lacks it.
+        /// Line of the field, or of the enclosing message if the field is missing.
         line: usize,
         /// Path of the field, such as `model_route[1].model`.
         field: String,
-        /// What was found.
+        /// Description of the value that was found.
         found: String,
-        /// What is expected.
+        /// Description of the value that is expected.
         expected: String,
     },
 }
--- a/crates/nickelgw-settings/src/field_location.rs
+++ b/crates/nickelgw-settings/src/field_location.rs
@@ -1,12 +1,12 @@
-//! The line of a field in a text-format file. The parser reports locations of syntax errors only; whoever corrects a
-//! value needs its line too.
+//! Finds the line of a field in a text-format file. The protobuf parser reports locations of syntax errors
+//! only, but errors about values need a line too.
 
 /// One step of a path to a field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FieldStep<'a> {
     /// Name of the field.
     pub(crate) name: &'a str,
-    /// Which of the repeated fields of that name, from 0.
+    /// Index among the repeated fields of that name, from 0.
     pub(crate) index: usize,
 }
 
@@ -34,13 +34,13 @@
 }
 
 impl Token<'_> {
-    /// Whether the token may stand between a field's name and its value.
+    /// Returns whether the token may occur between a field's name and its value.
     fn follows_field_name(&self) -> bool {
         matches!(self.kind, TokenKind::Punctuation(':' | '{' | '<'))
     }
 }
 
-/// Splits a text into words, quoted strings and punctuation, without its comments.
+/// Splits a text into words, quoted strings and punctuation, and skips comments.
 struct Lexer<'a> {
     text: &'a str,
     position: usize,
@@ -79,14 +79,14 @@
         self.tokens.push(Token { line, kind });
     }
 
-    /// Stops at the last byte of the line, before its newline.
+    /// Skips a comment and stops at the last byte of its line, before the newline.
     fn skip_comment(&mut self) {
         while self.byte_at(self.position + 1).is_some_and(|byte| byte != b'\n') {
             self.position += 1;
         }
     }
 
-    /// Stops at the closing quote.
+    /// Reads a quoted string and stops at its closing quote.
     fn quoted(&mut self, quote: u8) {
         let (start, start_line) = (self.position, self.line);
         self.position += 1;
@@ -98,7 +98,7 @@
         self.push(start_line, TokenKind::Word(&self.text[start..end]));
     }
 
-    /// Stops at the last byte of the word.
+    /// Reads a word and stops at its last byte.
     fn word(&mut self) {
         let start = self.position;
         while self.byte_at(self.position + 1).is_some_and(is_word_byte) {
@@ -108,7 +108,8 @@
     }
 }
 
-/// Position of a step's token from `from` on, in the message that is open there.
+/// Returns the position of the token that names the step's field, in the message that encloses position
+/// `from`. `None` if that message has no such field.
 fn find_step(tokens: &[Token], from: usize, step: FieldStep) -> Option<usize> {
     let (mut depth, mut occurrences) = (0i32, 0);
     for (position, token) in tokens.iter().enumerate().skip(from) {
@@ -131,14 +132,15 @@
     None
 }
 
-/// The line of a field, or of the nearest enclosing message that is present; 1 where none is.
+/// Returns the line of a field, or of the nearest enclosing message that is present. Returns 1 if none is
+/// present.
 pub(crate) fn line_of(text: &str, path: &[FieldStep]) -> usize {
     let tokens = Lexer::tokenize(text);
     let (mut position, mut line) = (0, 1);
     for &step in path {
         let Some(found) = find_step(&tokens, position, step) else { break };
         line = tokens[found].line;
-        // Past the opening of the message, where the next step is searched for.
+        // Skips the opening of the message; the next step is searched for inside it.
         position = found + 1;
         while tokens.get(position).is_some_and(Token::follows_field_name) {
             position += 1;
--- a/crates/nickelgw-settings/src/lib.rs
+++ b/crates/nickelgw-settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings of a node and of a rehearsal day in protobuf text format: parsed, validated as a whole, and converted to
-//! the router's deployment.
+//! Settings of a node and of a rehearsal day in protobuf text format: parsing, validation as a whole, and
+//! conversion to the router's deployment.
 
 mod day_layout;
 mod deployment;
@@ -11,7 +11,7 @@
 use std::fmt;
 use std::path::Path;
 
-/// The messages of `proto/node.proto` and `proto/day.proto`, generated at build time.
+/// Messages of `proto/node.proto` and `proto/day.proto`, generated at build time.
 #[allow(clippy::all, clippy::min_ident_chars, missing_docs)]
 pub mod proto {
     include!(concat!(env!("OUT_DIR"), "/nickelgw.settings.rs"));
@@ -23,15 +23,15 @@
 pub use proto::{Day, Node};
 pub use validation::{validate_day, validate_node};
 
-/// Everything that is wrong with a settings file, in the order of its sections.
+/// All errors in a settings file, in the order of its sections.
 pub type SettingsErrors = Vec<SettingsError>;
 
-/// What a settings file describes.
+/// Kind of a settings file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingsKind {
-    /// A rehearsal day.
+    /// Settings of a rehearsal day.
     Day,
-    /// A node.
+    /// Settings of a node.
     Node,
 }
 
@@ -50,7 +50,7 @@
     parse_node(&path.display().to_string(), &text)
 }
 
-/// Reads and validates a day, after the base file that it names, if any.
+/// Reads and validates the settings of a day. The base file that they name, if any, is read before them.
 pub fn load_day(path: &Path) -> Result<Day, SettingsErrors> {
     let file = path.display().to_string();
     let text = read_file(path)?;
@@ -62,24 +62,26 @@
     let base = path.with_file_name(base);
     let base_text = read_file(&base)?;
     // Line numbers in errors count from the first line of the base file.
-    parse_day(&format!("{} and then {file}", base.display()), &format!("{base_text}\n{text}"))
+    parse_day(&format!("{} followed by {file}", base.display()), &format!("{base_text}\n{text}"))
 }
 
-/// Like [`load_node`], from text in memory; `file` names it in errors.
+/// Like [`load_node`], but from text in memory. `file` is the name of the text in errors.
 pub fn parse_node(file: &str, text: &str) -> Result<Node, SettingsErrors> {
     let node = text_format::parse(file, text).map_err(|error| vec![error])?;
     validate_node(file, text, &node)?;
     Ok(node)
 }
 
-/// Like [`load_day`], from text in memory, without a base file; `file` names it in errors.
+/// Like [`load_day`], but from text in memory and without a base file. `file` is the name of the text in
+/// errors.
 pub fn parse_day(file: &str, text: &str) -> Result<Day, SettingsErrors> {
     let day = text_format::parse(file, text).map_err(|error| vec![error])?;
     validate_day(file, text, &day)?;
     Ok(day)
 }
 
-/// Reads and validates a file that is either a node's settings or a day, told apart by the fields that only a day has.
+/// Reads and validates a file with the settings of a node or of a day. A file with a field that only a day
+/// has is read as a day.
 pub fn load_any(path: &Path) -> Result<SettingsKind, SettingsErrors> {
     let text = std::fs::read_to_string(path).unwrap_or_default();
     let has_field = |field: &'static str| {
@@ -91,12 +93,12 @@
     load_node(path).map(|_| SettingsKind::Node)
 }
 
-/// Text that [`parse_day`] reads back.
+/// Formats a day as text that [`parse_day`] accepts.
 pub fn day_to_text(day: &Day) -> String {
     text_format::write(day)
 }
 
-/// Text that [`parse_node`] reads back.
+/// Formats a node's settings as text that [`parse_node`] accepts.
 pub fn node_to_text(node: &Node) -> String {
     text_format::write(node)
 }
--- a/crates/nickelgw-settings/src/text_format.rs
+++ b/crates/nickelgw-settings/src/text_format.rs
@@ -1,4 +1,4 @@
-//! Protobuf text format to and from the messages of [`crate::proto`].
+//! Conversion between protobuf text format and the messages of [`crate::proto`].
 
 use crate::error::SettingsError;
 use crate::proto::{Day, Node};
@@ -7,7 +7,7 @@
 use prost_reflect::text_format::ParseError;
 use prost_reflect::{DescriptorPool, DynamicMessage, MessageDescriptor};
 
-/// A message that a settings file may hold.
+/// Message that a settings file may contain.
 pub(crate) trait SettingsMessage: Message + Default {
     /// Full name of the message in the descriptors.
     const FULL_NAME: &'static str;
@@ -26,27 +26,27 @@
     DescriptorPool::decode(descriptors).ok()?.get_message_by_name(T::FULL_NAME)
 }
 
-/// The message as text; empty where the descriptors do not know it.
+/// Formats the message as text. Returns an empty text if the descriptors do not contain the message.
 pub(crate) fn write<T: SettingsMessage>(message: &T) -> String {
     let dynamic = descriptor::<T>()
         .and_then(|descriptor| DynamicMessage::decode(descriptor, &message.encode_to_vec()[..]).ok());
     dynamic.map(|dynamic| dynamic.to_text_format()).unwrap_or_default()
 }
 
-/// The message that the text holds. Required fields that are missing come out empty: validation reports them.
+/// Parses the message from text. Missing required fields are left empty; validation reports them.
 pub(crate) fn parse<T: SettingsMessage>(file: &str, text: &str) -> Result<T, SettingsError> {
     let syntax = |reason: String| SettingsError::Syntax { file: file.into(), reason };
-    let descriptor =
-        descriptor::<T>().ok_or_else(|| syntax(format!("no message {} is known", T::FULL_NAME)))?;
+    let descriptor = descriptor::<T>()
+        .ok_or_else(|| syntax(format!("message {} is not in the descriptors", T::FULL_NAME)))?;
     let dynamic = DynamicMessage::parse_text_format(descriptor, text)
         .map_err(|error| syntax(with_location(text, &error)))?;
     T::decode(&dynamic.encode_to_vec()[..]).map_err(|error| syntax(error.to_string()))
 }
 
-/// The parser's error after its line and column.
+/// Formats the parser's error with its line and column.
 fn with_location(text: &str, error: &ParseError) -> String {
     let Some(span) = error.labels().and_then(|mut labels| labels.next()) else {
-        return format!("at the end: {error}");
+        return format!("at the end of the text: {error}");
     };
     let before = &text[..span.offset().min(text.len())];
     let line = before.matches('\n').count() + 1;
--- a/crates/nickelgw-settings/src/validation.rs
+++ b/crates/nickelgw-settings/src/validation.rs
@@ -1,6 +1,7 @@
-//! Validation of settings: what cannot work is rejected with its location before anything listens.
+//! Validation of settings. Invalid values are rejected with their location before a node listens on any port.
 //!
-//! Each section of the settings has a function of its own; all errors of a file are reported at once.
+//! Each section of the settings is validated by a function of its own. All errors of a file are reported at
+//! once.
 
 mod admission;
 mod day;
@@ -15,14 +16,16 @@
 use crate::proto::{Day, Node};
 use std::collections::BTreeSet;
 
-/// Validates a node's settings against each other; `text` is where errors find their lines.
+/// Validates a node's settings, each and against each other. `text` is the text of the file, for line numbers
+/// in errors.
 pub fn validate_node(file: &str, text: &str, node: &Node) -> Result<(), Vec<SettingsError>> {
     let mut validator = Validator::new(file, text);
     validator.node(node);
     validator.finish()
 }
 
-/// Validates a day's settings against each other; `text` is where errors find their lines.
+/// Validates a day's settings, each and against each other. `text` is the text of the file, for line numbers
+/// in errors.
 pub fn validate_day(file: &str, text: &str, day: &Day) -> Result<(), Vec<SettingsError>> {
     let mut validator = Validator::new(file, text);
     validator.day(day);
@@ -49,12 +52,12 @@
         }
     }
 
-    /// The fields of the file's own message.
+    /// Returns the checks for the fields of the file's top-level message.
     fn root(&mut self) -> Section<'_, 'a> {
         Section { validator: self, path: Vec::new() }
     }
 
-    /// The fields of a message, or of one of a repeated message.
+    /// Returns the checks for the fields of a message, or of one element of a repeated message.
     fn section(&mut self, step: impl Into<FieldStep<'static>>) -> Section<'_, 'a> {
         Section { validator: self, path: vec![step.into()] }
     }
@@ -69,14 +72,14 @@
         });
     }
 
-    /// Reports each name in a field of a repeated message that an earlier one has already.
+    /// Reports each element of a repeated message whose name occurs in an earlier element.
     fn unique(&mut self, message: &'static str, field: &'static str, names: impl Iterator<Item = String>) {
         let mut seen = BTreeSet::new();
         for (index, name) in names.enumerate() {
             if !seen.insert(name.clone()) {
                 self.section((message, index)).report(
                     field,
-                    format!("'{name}' stands twice"),
+                    format!("'{name}' is given more than once"),
                     "each name once",
                 );
             }
@@ -92,14 +95,14 @@
     path.iter().map(step_text).collect::<Vec<_>>().join(".")
 }
 
-/// Checks of the fields of one message.
+/// Checks for the fields of one message.
 struct Section<'v, 'a> {
     validator: &'v mut Validator<'a>,
     path: Vec<FieldStep<'static>>,
 }
 
 impl<'a> Section<'_, 'a> {
-    /// The fields of a message within this one.
+    /// Returns the checks for the fields of a message within this one.
     fn section(&mut self, step: impl Into<FieldStep<'static>>) -> Section<'_, 'a> {
         let mut path = self.path.clone();
         path.push(step.into());
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Not a number fails as well.
+    /// Reports a value below the minimum, or one that is not a number.
     fn at_least(&mut self, field: &'static str, value: f64, minimum: f64, expected: &str) {
         if value.is_nan() || value < minimum {
             self.report(field, format!("is {value}"), expected);
@@ -139,13 +142,13 @@
 
     fn fraction(&mut self, field: &'static str, value: f64) {
         if !(0.0..=1.0).contains(&value) {
-            self.report(field, format!("is {value}"), "a part from 0 to 1");
+            self.report(field, format!("is {value}"), "a fraction from 0 to 1");
         }
     }
 
     fn not_empty(&mut self, field: &'static str, value: &str) {
         if value.is_empty() {
-            self.report(field, "is empty or missing", "a name");
+            self.report(field, "is empty or missing", "a value that is not empty");
         }
     }
 
--- a/crates/nickelgw-settings/src/validation/admission.rs
+++ b/crates/nickelgw-settings/src/validation/admission.rs
@@ -1,12 +1,12 @@
-//! What is admitted: tenants, limits, idempotency keys and the retry budget.
+//! Validation of the settings for admission: tenants, limits, idempotency keys and the retry budget.
 
 use super::Validator;
 use crate::proto::{Limits, Repeats, Retries, Tenant};
 use std::collections::BTreeSet;
 
-/// Shorter secrets can be guessed.
+/// Minimum length of a tenant's key, as shorter secrets can be guessed.
 const MIN_TENANT_KEY_BYTES: usize = 8;
-/// Length of the queue in front of the core.
+/// Maximum length of the queue of requests that wait for the core.
 const MAX_WAITING: u32 = 1024;
 
 impl Validator<'_> {
@@ -26,7 +26,11 @@
         for (index, tenant) in tenants.iter().enumerate() {
             if !keys.insert(&tenant.key) {
                 // The key itself is not shown.
-                self.section(("tenant", index)).report("key", "is another tenant's too", "a key of its own");
+                self.section(("tenant", index)).report(
+                    "key",
+                    "is also the key of another tenant",
+                    "a different key for each tenant",
+                );
             }
         }
     }
@@ -60,7 +64,9 @@
         section.above_zero("keep_ms", repeats.keep_ms());
         section.not_negative("takeover_ms", repeats.takeover_ms());
         if repeats.most_bytes_each() > repeats.most_bytes() {
-            section.report("most_bytes_each", "is above most_bytes", "most_bytes or less");
+            let found =
+                format!("is {}, above most_bytes ({})", repeats.most_bytes_each(), repeats.most_bytes());
+            section.report("most_bytes_each", found, "most_bytes or less");
         }
     }
 
@@ -71,7 +77,8 @@
         section.above_zero("first_come_back_ms", retries.first_come_back_ms());
         let (first_ms, longest_ms) = (retries.first_come_back_ms(), retries.longest_come_back_ms());
         if longest_ms.is_nan() || longest_ms < first_ms {
-            section.report("longest_come_back_ms", "is below the first", "first_come_back_ms or more");
+            let found = format!("is {longest_ms}, below first_come_back_ms ({first_ms})");
+            section.report("longest_come_back_ms", found, "first_come_back_ms or more");
         }
     }
 }
--- a/crates/nickelgw-settings/src/validation/day.rs
+++ b/crates/nickelgw-settings/src/validation/day.rs
@@ -1,9 +1,9 @@
-//! A rehearsal day: its length, engines and traffic.
+//! Validation of a rehearsal day: its length, engines and traffic.
 
 use super::{Section, Validator};
 use crate::proto::{Day, EngineGroup, Traffic};
 
-/// A rehearsal ends by itself within ten minutes.
+/// Maximum length of a day, as a rehearsal has to end by itself within ten minutes.
 const MAX_LENGTH_S: f64 = 600.0;
 const MAX_NODES: u32 = 64;
 const MAX_ENGINES: u32 = 256;
@@ -36,18 +36,18 @@
         root.not_empty("name", &day.name);
         root.above_zero("length_s", day.length_s);
         if day.length_s > MAX_LENGTH_S {
-            let expected = "600 or less: a rehearsal ends by itself";
+            let expected = "600 or less, as a rehearsal has to end by itself";
             root.report("length_s", format!("is {}", day.length_s), expected);
         }
         if !(1..=MAX_NODES).contains(&day.nodes()) {
-            root.report("nodes", format!("is {}", day.nodes()), "1 to 64");
+            root.report("nodes", format!("is {}", day.nodes()), "a number from 1 to 64");
         }
     }
 
     fn engine_groups(&mut self, day: &Day) {
         let total: u32 = day.engines.iter().map(|group| group.count()).sum();
         if !(1..=MAX_ENGINES).contains(&total) {
-            self.root().report("engines", format!("{total} in all"), "1 to 256 engines");
+            self.root().report("engines", format!("{total} engines in total"), "1 to 256 engines");
         }
         for (index, group) in day.engines.iter().enumerate() {
             engine_group(&mut self.section(("engines", index)), day, group);
@@ -75,11 +75,11 @@
 
 fn traffic_names(section: &mut Section, day: &Day, traffic: &Traffic) {
     if !day.model_route.iter().any(|route| route.model == traffic.model) {
-        section.report("model", format!("is '{}'", traffic.model), "a model_route's model");
+        section.report("model", format!("is '{}'", traffic.model), "the model of a model_route");
     }
     let is_known = day.tenant.iter().any(|tenant| tenant.name == traffic.tenant());
     if (traffic.tenant.is_some() || !day.tenant.is_empty()) && !is_known {
-        section.report("tenant", format!("is '{}'", traffic.tenant()), "a tenant's name");
+        section.report("tenant", format!("is '{}'", traffic.tenant()), "the name of a tenant");
     }
 }
 
@@ -95,8 +95,9 @@
     ] {
         section.fraction(field, value);
     }
-    // Added in this order: a sum of parts that is 1 on paper may not be in floating point.
+    // The order of the additions matters: shares that sum to 1 exactly may sum to more in floating point.
     if traffic.leave_waiting_share() + traffic.leave_streaming_share() + traffic.malformed_share() > 1.0 {
-        section.report("malformed_share", "the parts sum to over 1", "a sum of 1 or less");
+        let found = "leave_waiting_share, leave_streaming_share and malformed_share sum to more than 1";
+        section.report("malformed_share", found, "a sum of 1 or less");
     }
 }
--- a/crates/nickelgw-settings/src/validation/fault.rs
+++ b/crates/nickelgw-settings/src/validation/fault.rs
@@ -1,4 +1,4 @@
-//! The faults of a rehearsal day: their kinds and targets.
+//! Validation of the faults of a rehearsal day: their kinds and targets.
 
 use super::Validator;
 use crate::day_layout::engine_names;
@@ -13,10 +13,14 @@
         section.fraction("share", fault.share());
         section.above_zero("factor", fault.factor());
         if fault.kind() as i32 >= Kind::RegistryRestart as i32 && !day.registry() {
-            section.report("kind", "is a fault of the registry", "registry: true in the day");
+            section.report(
+                "kind",
+                "is a fault of the registry, but the day has none",
+                "registry: true in the day",
+            );
         }
         if needs_tls(fault.kind()) && !day.tls() {
-            section.report("kind", "is a fault of TLS", "tls: true in the day");
+            section.report("kind", "is a fault of TLS, but the day does not use TLS", "tls: true in the day");
         }
         section.fraction("part", fault.part());
         let target = TargetKind::of(fault.kind());
@@ -31,10 +35,10 @@
     [CaRotate, CertExpire, CertRotate, CertWrongName, HandshakeCut, HandshakeSlow].contains(&kind)
 }
 
-/// What a fault's target names.
+/// What the target of a fault refers to.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum TargetKind {
-    /// The fault has no target, or none that matters.
+    /// The target is ignored.
     Unused,
     Zone,
     Node,
@@ -78,9 +82,11 @@
         match self {
             TargetKind::Unused => "none",
             TargetKind::Zone => "one of zones",
-            TargetKind::Node => "node0 and so on",
-            TargetKind::Engine => "an engine: its group's name and number",
-            TargetKind::EngineSet => "an engine, a group, a zone, readers, writers, or none for all",
+            TargetKind::Node => "a node: node0, node1 and so on",
+            TargetKind::Engine => "an engine: the name of its group and a number",
+            TargetKind::EngineSet => {
+                "an engine, a group, a zone, readers, writers, or no target for all engines"
+            }
         }
     }
 }
--- a/crates/nickelgw-settings/src/validation/fleet.rs
+++ b/crates/nickelgw-settings/src/validation/fleet.rs
@@ -1,27 +1,28 @@
-//! What nodes of a fleet share: zones, gossip, and deferred requests.
+//! Validation of the settings for a fleet: zones, gossip, and deferred requests.
 
 use super::Validator;
 use crate::proto::{Accord, Node, Parked};
 use std::collections::BTreeSet;
 
-/// Shorter secrets can be guessed.
+/// Minimum length of the gossip key, as shorter secrets can be guessed.
 const MIN_GOSSIP_KEY_BYTES: usize = 16;
-/// Records that the file of deferred requests holds.
+/// Maximum number of records in the file of deferred requests.
 const MAX_DEFERRED_RECORDS: f64 = 65_536.0;
-/// Bytes that the file of deferred requests holds.
+/// Maximum size of the file of deferred requests.
 const MAX_DEFERRED_BYTES: f64 = 48.0 * 1024.0 * 1024.0;
-/// Two weeks.
+/// Maximum time for which a deferred request or its answer is kept: two weeks.
 const MAX_DEFERRED_MS: f64 = 14.0 * 86_400e3;
+/// Maximum number of deferred requests that run at once.
 const MAX_DEFERRED_RUNNING: f64 = 1024.0;
 
 impl Validator<'_> {
     pub(super) fn zones(&mut self, zones: &[String]) {
         if zones.is_empty() {
-            self.root().report("zones", "none is given", "the deployment's zones");
+            self.root().report("zones", "is missing", "the zones of the deployment");
         }
         let distinct: BTreeSet<_> = zones.iter().collect();
         if distinct.len() < zones.len() {
-            self.root().report("zones", "a zone stands twice", "each zone once");
+            self.root().report("zones", "a zone is given more than once", "each zone once");
         }
     }
 
@@ -50,7 +51,7 @@
         let mut section = self.section("parked");
         section.not_empty("file", &deferred.file);
         if Some(&deferred.file) == node.store.as_ref() {
-            section.report("file", "is the store's too", "a file of its own");
+            section.report("file", "is also the file of the store", "a file that is used for nothing else");
         }
         for (field, value, maximum) in deferred_limits(deferred) {
             section.above_zero(field, value);
@@ -61,7 +62,7 @@
     }
 }
 
-/// Each field with its value and the maximum that a file of records allows for.
+/// Returns each field with its value and its maximum.
 fn deferred_limits(deferred: &Parked) -> [(&'static str, f64, f64); 7] {
     let max_bytes = deferred.most_bytes() as f64;
     [
--- a/crates/nickelgw-settings/src/validation/node.rs
+++ b/crates/nickelgw-settings/src/validation/node.rs
@@ -1,9 +1,9 @@
-//! A node's settings: identity, source of the endpoint list, and shutdown.
+//! Validation of a node's settings: identity, source of the endpoint list, and shutdown.
 
 use super::Validator;
 use crate::proto::{Leaving, Node, Registry};
 
-/// The registry cannot renew shorter leases reliably.
+/// Minimum lifetime of a registry lease, as shorter leases cannot be renewed reliably.
 const MIN_LEASE_MS: f64 = 3000.0;
 
 impl Validator<'_> {
@@ -31,7 +31,7 @@
         self.root().not_empty("name", &node.name);
         if node.nodes() == 0 || node.number() >= node.nodes() {
             let found = format!("is {} of {} nodes", node.number(), node.nodes());
-            self.root().report("number", found, "a number below nodes, which count from 0");
+            self.root().report("number", found, "a number below nodes, counted from 0");
         }
         self.zones(&node.zones);
         if !node.zones.contains(&node.zone) {
@@ -42,8 +42,8 @@
     fn endpoint_source(&mut self, node: &Node) {
         let sources = [node.list.is_some(), node.list_file.is_some(), node.registry.is_some()];
         if sources.iter().filter(|is_given| **is_given).count() != 1 {
-            let found = "engine lines come from no place, or from several";
-            self.root().report("list", found, "one of list, list_file and registry");
+            let found = "no source of the endpoint list is given, or several are given";
+            self.root().report("list", found, "exactly one of list, list_file and registry");
         }
         if let Some(list) = &node.list {
             self.root().address("list", list);
@@ -60,7 +60,7 @@
     fn registry(&mut self, registry: &Registry) {
         let mut section = self.section("registry");
         if registry.endpoint.is_empty() {
-            section.report("endpoint", "none is given", "host:port of an endpoint at least");
+            section.report("endpoint", "is missing", "host:port of at least one endpoint");
         }
         for (index, endpoint) in registry.endpoint.iter().enumerate() {
             section.address(("endpoint", index), endpoint);
@@ -68,7 +68,7 @@
         section.not_empty("engines_prefix", registry.engines_prefix());
         section.at_least("lease_ms", registry.lease_ms(), MIN_LEASE_MS, "3000 or more");
         if registry.user.is_some() != registry.password.is_some() {
-            section.report("user", "user and password belong together", "both, or neither");
+            section.report("user", "only one of user and password is given", "both, or neither");
         }
     }
 
--- a/crates/nickelgw-settings/src/validation/routing.rs
+++ b/crates/nickelgw-settings/src/validation/routing.rs
@@ -1,15 +1,15 @@
-//! What requests are routed by: model routes and the rules of dispatch.
+//! Validation of the settings for routing: model routes and dispatch rules.
 
 use super::{Section, Validator};
 use crate::proto::{ModelRoute, Repeat, Rules};
 
-/// One attempt each for prefill and decode.
+/// Minimum number of attempts of a request: one each for prefill and decode.
 const MIN_ATTEMPTS: u32 = 2;
 
 impl Validator<'_> {
     pub(super) fn model_routes(&mut self, routes: &[ModelRoute]) {
         if routes.is_empty() {
-            self.root().report("model_route", "none is given", "a model route at least");
+            self.root().report("model_route", "is missing", "at least one model route");
         }
         for (index, route) in routes.iter().enumerate() {
             model_route(&mut self.section(("model_route", index)), route);
@@ -21,7 +21,7 @@
         let mut section = self.section("rules");
         if rules.most_sends() < MIN_ATTEMPTS {
             let found = format!("is {}", rules.most_sends());
-            section.report("most_sends", found, "2 or more: a read and a write");
+            section.report("most_sends", found, "2 or more: one attempt each for prefill and decode");
         }
         section.above_zero("hold_limit_ms", rules.hold_limit_ms());
         section.fraction("cold_share", rules.cold_share());
@@ -35,7 +35,7 @@
         let shortest_timeout_ms =
             routes.iter().map(|route| route.route_timeout_ms).fold(f64::INFINITY, f64::min);
         if rules.hold_limit_ms() >= shortest_timeout_ms {
-            let expected = "less than the shortest route timeout: a state outliving it serves nobody";
+            let expected = "less than the shortest route timeout, as a state held for longer is of no use";
             section.report("hold_limit_ms", format!("is {}", rules.hold_limit_ms()), expected);
         }
     }
@@ -48,22 +48,34 @@
     section.above_zero("pace_ms", route.pace_ms());
     section.above_zero("route_timeout_ms", route.route_timeout_ms);
     if route.route_timeout_ms < route.first_token_target_ms {
-        section.report("route_timeout_ms", "is below the first-token target", "the target or more");
+        let found = format!(
+            "is {}, below first_token_target_ms ({})",
+            route.route_timeout_ms, route.first_token_target_ms
+        );
+        section.report("route_timeout_ms", found, "first_token_target_ms or more");
     }
     let whole_timeout_ms = route.whole_timeout_ms();
     section.at_least(
         "whole_timeout_ms",
         whole_timeout_ms,
         route.route_timeout_ms,
-        "the route timeout or more",
+        "route_timeout_ms or more",
     );
     match (route.repeat(), route.dedupe_memory_ms) {
         (Repeat::Deduped, None) => {
-            section.report("dedupe_memory_ms", "is missing", "how long engines remember a repeat");
+            section.report(
+                "dedupe_memory_ms",
+                "is missing",
+                "the time for which engines remember a repeated request",
+            );
         }
         (Repeat::Deduped, Some(memory_ms)) => section.above_zero("dedupe_memory_ms", memory_ms),
         (_, Some(_)) => {
-            section.report("dedupe_memory_ms", "means nothing here", "repeat: DEDUPED, or no such line");
+            section.report(
+                "dedupe_memory_ms",
+                "is only used with repeat: DEDUPED",
+                "repeat: DEDUPED, or no such field",
+            );
         }
         (_, None) => {}
     }
--- a/crates/nickelgw-settings/src/validation/tls.rs
+++ b/crates/nickelgw-settings/src/validation/tls.rs
@@ -1,9 +1,9 @@
-//! Keys and certificates: grants for KV state, and TLS towards engines and clients.
+//! Validation of keys and certificates: grants for KV cache states, and TLS to engines and clients.
 
 use super::{Section, Validator};
 use crate::proto::{EngineTls, GrantKey, Node, StateGrants};
 
-/// Shorter secrets can be guessed.
+/// Minimum length of a grant key's secret, as shorter secrets can be guessed.
 const MIN_GRANT_SECRET_BYTES: usize = 16;
 
 impl Validator<'_> {
@@ -11,7 +11,7 @@
         let Some(grants) = grants else { return };
         let mut section = self.section("state_grants");
         if grants.key.is_empty() {
-            section.report("key", "none is given", "a key at least");
+            section.report("key", "is missing", "at least one key");
         }
         section.above_zero("lifetime_ms", grants.lifetime_ms());
         for (index, key) in grants.key.iter().enumerate() {
@@ -37,17 +37,17 @@
         section.report("secret", "is too short", "16 bytes or more");
     }
     if earlier.iter().any(|other| other.number == key.number) {
-        section.report("number", "stands twice", "each number once");
+        section.report("number", format!("{} is given more than once", key.number), "each number once");
     }
     if earlier.last().is_some_and(|previous| previous.sign_from() > key.sign_from()) {
-        section.report("sign_from", "is before the key above", "keys in the order of their times");
+        section.report("sign_from", "is before that of the preceding key", "keys in the order of sign_from");
     }
 }
 
 fn engine_tls(section: &mut Section, tls: &EngineTls) {
     section.not_empty("trust", &tls.trust);
     if tls.chain.is_some() != tls.key.is_some() {
-        section.report("chain", "chain and key belong together", "both, or neither");
+        section.report("chain", "only one of chain and key is given", "both, or neither");
     }
     section.not_negative("trust_overlap_ms", tls.trust_overlap_ms());
     section.above_zero("reload_ms", tls.reload_ms());
@@ -55,6 +55,11 @@
     section.above_zero("handshakes_at_once", f64::from(tls.handshakes_at_once()));
     section.above_zero("handshakes_at_once_engine", f64::from(tls.handshakes_at_once_engine()));
     if tls.handshakes_at_once_engine() > tls.handshakes_at_once() {
-        section.report("handshakes_at_once_engine", "is above the node's", "handshakes_at_once or less");
+        let found = format!(
+            "is {}, above handshakes_at_once ({})",
+            tls.handshakes_at_once_engine(),
+            tls.handshakes_at_once()
+        );
+        section.report("handshakes_at_once_engine", found, "handshakes_at_once or less");
     }
 }
