--- a/crates/nickelgw-protocol/src/chat.rs
+++ b/crates/nickelgw-protocol/src/chat.rs
@@ -1,5 +1,5 @@
-//! The chat API: decoding of requests as far as routing needs, errors in OpenAI's shape, and assembly of unary
-//! responses from streamed chunks.
+//! Chat API: decoding of requests as far as routing needs it, error responses in the format of the OpenAI
+//! API, and assembly of unary responses from streamed chunks.
 
 mod chunk;
 mod error;
--- a/crates/nickelgw-protocol/src/chat/chunk.rs
+++ b/crates/nickelgw-protocol/src/chat/chunk.rs
@@ -5,13 +5,13 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// What a chunk adds to the message.
+/// Part of the message that a chunk adds.
 #[derive(Debug, Default, Deserialize)]
 pub struct Delta {
-    /// Text.
+    /// Text that is appended to the content.
     #[serde(default)]
     pub content: Option<String>,
-    /// Text of a refusal.
+    /// Text that is appended to the refusal.
     #[serde(default)]
     pub refusal: Option<String>,
     /// Pieces of tool calls.
@@ -19,7 +19,7 @@
     pub tool_calls: Vec<ToolCallDelta>,
 }
 
-/// A piece of a tool call; the pieces of one call have the same index.
+/// Piece of a tool call. All pieces of one call have the same index.
 #[derive(Debug, Default, Deserialize)]
 pub struct ToolCallDelta {
     /// Index of the call within the message.
@@ -44,21 +44,21 @@
     pub arguments: Option<String>,
 }
 
-/// One choice of a chunk.
+/// Choice of a chunk.
 #[derive(Debug, Deserialize)]
 pub struct Choice {
     /// Log probabilities of the tokens.
     #[serde(default)]
     pub logprobs: Option<Value>,
-    /// What the chunk adds.
+    /// Part of the message that the chunk adds.
     #[serde(default)]
     pub delta: Delta,
-    /// Why generation ended, in the last chunk with text.
+    /// Reason why generation ended. Present in the last chunk with a choice.
     #[serde(default)]
     pub finish_reason: Option<String>,
 }
 
-/// One streamed chunk.
+/// Chunk of a streamed response.
 #[derive(Debug, Deserialize)]
 pub struct Chunk {
     /// Id of the completion.
@@ -67,27 +67,27 @@
     /// Time of the completion in seconds since 1970.
     #[serde(default)]
     pub created: u64,
-    /// Choices; empty in the chunk with the token counts.
+    /// Choices. Empty in the chunk with the token counts.
     #[serde(default)]
     pub choices: Vec<Choice>,
-    /// Token counts.
+    /// Token counts of the request. `None` if the chunk has none.
     #[serde(default)]
     pub usage: Option<Usage>,
-    /// Configuration of the engine that generated it.
+    /// Fingerprint of the configuration of the engine that generated the chunk.
     #[serde(default)]
     pub system_fingerprint: Option<String>,
-    /// An error in place of a choice.
+    /// Error that the engine sent instead of a choice.
     #[serde(default)]
     pub error: Option<Value>,
 }
 
 impl Chunk {
-    /// Decodes the data of an event.
+    /// Decodes a chunk from the data of a server-sent event.
     pub fn parse(data: &[u8]) -> Result<Chunk, Malformed> {
         Ok(serde_json::from_slice(data)?)
     }
 
-    /// Whether the chunk has the token counts and nothing else.
+    /// Returns whether the chunk has token counts and no choices.
     pub fn is_usage_only(&self) -> bool {
         self.choices.is_empty() && self.usage.is_some()
     }
--- a/crates/nickelgw-protocol/src/chat/prompt.rs
+++ b/crates/nickelgw-protocol/src/chat/prompt.rs
@@ -1,22 +1,23 @@
-//! What routing needs to know of a prompt: its length, and names for its beginning that are equal at every node.
+//! Properties of a prompt that routing needs: its length, and names for its prefix that are equal at every
+//! node.
 
 use crate::Malformed;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::borrow::Cow;
 
-/// Bytes per token, by the published rule of thumb.
+/// Average number of bytes per token, by the published rule of thumb.
 const BYTES_PER_TOKEN: f64 = 4.0;
-/// Tokens that a message's role and markup add.
+/// Number of tokens that the role and the markup of a message add.
 const TOKENS_PER_MESSAGE: f64 = 4.0;
 /// Length of a prefix name in hexadecimal digits.
 const NAME_LEN: usize = 24;
 /// Roles that a message may have.
 const ROLES: [&str; 6] = ["developer", "system", "user", "assistant", "tool", "function"];
-/// Seed of the rolling hash.
+/// Seed of the prefix hash.
 const HASH_SEED: &str = "messages";
 
-/// A message of the request.
+/// Message of a request.
 #[derive(Deserialize)]
 pub(super) struct Message<'a> {
     #[serde(borrow)]
@@ -25,14 +26,14 @@
     content: Option<&'a RawValue>,
 }
 
-/// One part of a message's content, where the content is a list.
+/// Part of a message's content, if the content is a list.
 #[derive(Deserialize)]
 struct ContentPart {
     #[serde(default)]
     text: String,
 }
 
-/// Estimated tokens of a text. The one place to put a tokenizer.
+/// Estimates the number of tokens of a text. A tokenizer would replace only this function.
 pub fn estimate_tokens(text: &str) -> f64 {
     (text.len() as f64 / BYTES_PER_TOKEN).ceil()
 }
@@ -56,8 +57,8 @@
     }
 }
 
-/// A rolling hash over messages. Each step includes the steps before it, so that equal beginnings have equal names at
-/// every node and a longer beginning never has the name of a shorter one.
+/// Chained hash over messages. Each step includes the previous steps, so that equal prefixes have equal names
+/// at every node and a longer prefix never has the name of a shorter one.
 #[derive(Clone, Copy)]
 struct PrefixHash(blake3::Hash);
 
@@ -80,15 +81,15 @@
     }
 }
 
-/// Length and beginning of a prompt.
+/// Length and prefix of a prompt.
 pub(super) struct Prompt {
-    /// Estimated tokens of all messages.
+    /// Estimated number of tokens of all messages.
     pub tokens: f64,
-    /// Estimated tokens of the instructions at the beginning.
+    /// Estimated number of tokens of the instructions at the beginning.
     pub prefix_tokens: f64,
     /// Hash of the instructions at the beginning.
     prefix: PrefixHash,
-    /// Hash of the instructions and the first message after them.
+    /// Hash of the instructions and the first message after them. `None` if there are only instructions.
     conversation: Option<PrefixHash>,
 }
 
@@ -127,12 +128,14 @@
         Ok(())
     }
 
-    /// Name of the instructions at the beginning, which sessions may share; none without instructions.
+    /// Returns the name of the instructions at the beginning, which sessions may share. `None` if there are
+    /// no instructions.
     pub fn prefix_name(&self) -> Option<String> {
         (self.prefix_tokens > 0.0).then(|| self.prefix.name())
     }
 
-    /// Name of the session: equal for requests of one user that begin with the same conversation.
+    /// Returns the name of the session. It is equal for requests of one user that begin with the same
+    /// instructions and first message.
     pub fn session_name(&self, user: Option<&str>) -> String {
         let beginning = self.conversation.unwrap_or(self.prefix);
         beginning.with_message("", user.unwrap_or("")).name()
--- a/crates/nickelgw-protocol/src/chat/request.rs
+++ b/crates/nickelgw-protocol/src/chat/request.rs
@@ -7,38 +7,38 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Stop sequences that a request may have.
+/// Maximum number of stop sequences of a request.
 const MAX_STOP_SEQUENCES: usize = 4;
 
-/// A request's fields, each as the client wrote it.
+/// Fields of a request as JSON text, exactly as the client sent them.
 type RawFields = BTreeMap<String, Box<RawValue>>;
 
-/// A chat request. The fields are kept as the client wrote them, to be passed on to engines.
+/// Decoded chat request. The original fields are kept, to be forwarded to engines.
 #[derive(Clone, Debug)]
 pub struct ChatRequest {
-    /// All fields as the client wrote them.
+    /// All fields, as the client sent them.
     pub fields: RawFields,
-    /// Model asked for.
+    /// Name of the requested model.
     pub model: String,
-    /// Whether the client wants a streamed response.
+    /// Whether the client requests a streamed response.
     pub stream: bool,
     /// Whether a streamed response ends with the token counts.
     pub include_usage: bool,
-    /// Limit of generated tokens.
+    /// Maximum number of generated tokens. `None` if the client sets no limit.
     pub max_tokens: Option<u64>,
-    /// Sequences before which generation stops.
+    /// Sequences at which generation stops.
     pub stop: Vec<String>,
-    /// Estimated tokens of the prompt.
+    /// Estimated number of tokens of the prompt.
     pub prompt_tokens: f64,
-    /// Estimated tokens of the instructions at the beginning, which other sessions share.
+    /// Estimated number of tokens of the instructions at the beginning, which other sessions may share.
     pub prefix_tokens: f64,
-    /// Name of the instructions at the beginning, if there are any.
+    /// Name of the instructions at the beginning. `None` if there are no instructions.
     pub prefix: Option<String>,
-    /// Name of the session that the request belongs to.
+    /// Name of the session to which the request belongs.
     pub session: String,
 }
 
-/// The `stop` field: one sequence or several.
+/// Value of the `stop` field: one sequence or a list of sequences.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum Stop {
@@ -80,7 +80,7 @@
     }
 }
 
-/// Decodes a field; one that is missing or null is none.
+/// Decodes a field. Returns `None` if the field is missing or null.
 fn optional_field<T: for<'a> Deserialize<'a>>(
     fields: &RawFields,
     name: &'static str,
@@ -113,7 +113,8 @@
     Ok(sequences)
 }
 
-/// The limit of generated tokens: the newer field, or else the older.
+/// Decodes the limit of generated tokens from the newer field `max_completion_tokens` or, if that is missing,
+/// from the older field `max_tokens`.
 fn max_tokens(fields: &RawFields) -> Result<Option<u64>, Malformed> {
     let newer: Option<u64> = optional_field(fields, "max_completion_tokens", "a whole number")?;
     let older: Option<u64> = optional_field(fields, "max_tokens", "a whole number")?;
--- a/crates/nickelgw-protocol/src/chat/tests.rs
+++ b/crates/nickelgw-protocol/src/chat/tests.rs
@@ -6,7 +6,7 @@
         {"role":"user","content":[{"type":"text","text":"Hi \"there\""}]}],"max_tokens":7,"top_k":3}"#;
 
 #[test]
-fn equal_beginnings_have_equal_prefix_names_and_sessions_differ() {
+fn equal_instructions_have_equal_prefix_names_and_sessions_differ() {
     let request = ChatRequest::parse(REQUEST.as_bytes()).unwrap();
     let other = ChatRequest::parse(REQUEST.replace("Hi ", "Ho ").as_bytes()).unwrap();
     assert_eq!(request.prefix, other.prefix);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn engine_requests_carry_the_clients_fields_and_the_kv_state() {
+fn engine_requests_carry_the_clients_fields_and_the_kv_transfer_parameters() {
     let request = ChatRequest::parse(REQUEST.as_bytes()).unwrap();
     let prefill: Value = serde_json::from_slice(&prefill_request_body(&request).unwrap()).unwrap();
     assert_eq!((&prefill["max_tokens"], &prefill["top_k"]), (&json!(1), &json!(3)));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn invalid_requests_are_rejected_with_400_and_the_field_at_fault() {
+fn invalid_requests_are_rejected_with_400_and_the_invalid_field() {
     for (text, field) in [
         (r#"{"messages":[]}"#, Some("model")),
         (r#"{"model":"m","messages":[]}"#, Some("messages")),
--- a/crates/nickelgw-protocol/src/chat/unary_response.rs
+++ b/crates/nickelgw-protocol/src/chat/unary_response.rs
@@ -5,10 +5,10 @@
 use bytes::Bytes;
 use serde_json::{json, Value};
 
-/// Tool calls of one response; those that an engine sends beyond them are dropped.
+/// Maximum number of tool calls of one response. Further ones that an engine sends are dropped.
 const MAX_TOOL_CALLS: usize = 128;
 
-/// A tool call, as far as its pieces have arrived.
+/// Tool call, assembled from the pieces that have arrived.
 #[derive(Clone, Default)]
 struct ToolCall {
     id: String,
@@ -32,7 +32,7 @@
     }
 }
 
-/// A unary response, as far as its chunks have arrived.
+/// Unary response, assembled from the chunks that have arrived.
 #[derive(Default)]
 pub struct UnaryResponse {
     id: String,
@@ -84,7 +84,7 @@
         self.tool_calls[delta.index].append(delta);
     }
 
-    /// The response body.
+    /// Returns the response body.
     pub fn body(self, model: &str) -> Bytes {
         let mut choice = json!({"index": 0, "message": self.message(), "finish_reason": self.finish_reason});
         if !self.logprobs.is_empty() {
--- a/crates/nickelgw-protocol/src/engine.rs
+++ b/crates/nickelgw-protocol/src/engine.rs
@@ -1,5 +1,6 @@
-//! Requests to engines. A prefill request is a chat completion that asks for a remote decode, and its response names
-//! the KV state that the engine holds; a decode request carries those parameters back and streams.
+//! Requests to engines. A prefill request is a chat completion that asks for a remote decode; its response
+//! names the KV state that the prefill engine holds. A decode request carries these parameters to the decode
+//! engine, and its response is streamed.
 
 use crate::chat::ChatRequest;
 use crate::usage::Usage;
@@ -8,26 +9,28 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::{to_raw_value, RawValue};
 
-/// Error code of an engine whose queue or memory is full; the attempt has not run.
+/// Error code of an engine whose queue or memory is full. The attempt has not run.
 pub const ENGINE_FULL: &str = "engine_full";
-/// Error code of an engine that is draining; the attempt has not run.
+/// Error code of an engine that is draining. The attempt has not run.
 pub const ENGINE_DRAINING: &str = "engine_draining";
-/// Error code of a decode engine that could not fetch the KV state; the attempt has not run.
+/// Error code of a decode engine that could not fetch the KV state. The attempt has not run.
 pub const STATE_NOT_FOUND: &str = "state_not_found";
 
-/// Tokens that a prefill request asks for: the prefill engine generates no answer, and engines of this kind are asked
-/// for one token.
+/// Number of tokens that a prefill request asks for. A prefill engine generates no answer; by convention,
+/// such engines are asked for one token.
 const PREFILL_MAX_TOKENS: u64 = 1;
 
 /// Field of a request or response that holds a [`KvTransfer`].
 const KV_TRANSFER_FIELD: &str = "kv_transfer_params";
 
-/// Where a KV state is held, as in the published disaggregated-prefill requests.
+/// Transfer parameters of a KV state, in the format of the published disaggregated-prefill requests.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct KvTransfer {
-    /// In a prefill request: another engine decodes, so hold the KV state for it.
+    /// Whether another engine decodes, so that this engine must hold the KV state for it. Set in a prefill
+    /// request.
     pub do_remote_decode: bool,
-    /// In a prefill response and a decode request: another engine has prefilled and holds the KV state.
+    /// Whether another engine has prefilled and holds the KV state. Set in a prefill response and in a decode
+    /// request.
     pub do_remote_prefill: bool,
     /// Id of the KV state at the prefill engine.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -38,27 +41,28 @@
     /// host:port of the prefill engine.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub remote_host: Option<String>,
-    /// Name to verify the prefill engine's certificate against, where the fetch uses TLS.
+    /// Name to verify the prefill engine's certificate against, if the fetch uses TLS.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub remote_tls_name: Option<String>,
-    /// The node's grant that authorizes this decode engine to fetch the KV state; it is sent with the fetch.
+    /// Grant from the node that authorizes this decode engine to fetch the KV state. It is sent with the
+    /// fetch.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub remote_grant: Option<String>,
 }
 
 impl KvTransfer {
-    /// The parameters of a prefill request: another engine will decode.
+    /// Returns the parameters of a prefill request, which say that another engine will decode.
     pub fn remote_decode() -> Self {
         KvTransfer { do_remote_decode: true, ..KvTransfer::default() }
     }
 }
 
-/// A prefill engine's response.
+/// Response of a prefill engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PrefillResponse {
     /// Id of the completion.
     pub id: String,
-    /// Where the KV state is held.
+    /// Transfer parameters of the KV state.
     pub kv_transfer_params: KvTransfer,
     /// Token counts of the prompt.
     #[serde(default)]
@@ -66,19 +70,19 @@
 }
 
 impl PrefillResponse {
-    /// Decodes a response body; one that names no KV state to fetch is an error.
+    /// Decodes a response body. Returns an error if the response does not name a KV state to fetch.
     pub fn parse(bytes: &[u8]) -> Result<PrefillResponse, Malformed> {
         let response: PrefillResponse = serde_json::from_slice(bytes)?;
         let transfer = &response.kv_transfer_params;
         let names_state = transfer.remote_request_id.is_some() && transfer.remote_host.is_some();
         if !transfer.do_remote_prefill || !names_state {
-            return Err(Malformed::field(KV_TRANSFER_FIELD, "names no state that waits"));
+            return Err(Malformed::field(KV_TRANSFER_FIELD, "does not name a KV state to fetch"));
         }
         Ok(response)
     }
 }
 
-/// The body of a prefill request.
+/// Returns the body of a prefill request.
 pub fn prefill_request_body(chat: &ChatRequest) -> Result<Bytes, Malformed> {
     let mut fields = chat.fields.clone();
     fields.insert("stream".into(), raw_value(&false)?);
@@ -89,7 +93,7 @@
     Ok(serde_json::to_vec(&fields)?.into())
 }
 
-/// The body of a decode request. Without a KV state the decode engine prefills the prompt itself.
+/// Returns the body of a decode request. Without a KV state, the decode engine prefills the prompt itself.
 pub fn decode_request_body(chat: &ChatRequest, state: Option<&KvTransfer>) -> Result<Bytes, Malformed> {
     let mut fields = chat.fields.clone();
     fields.insert("stream".into(), raw_value(&true)?);
--- a/crates/nickelgw-protocol/src/fuzz_tests.rs
+++ b/crates/nickelgw-protocol/src/fuzz_tests.rs
@@ -1,4 +1,4 @@
-//! Round trips of the codecs, and arbitrary bytes.
+//! Property tests of the codecs: round trips, and arbitrary bytes as input.
 
 use crate::chat::{error_code, ApiError, ChatRequest, Chunk, UnaryResponse};
 use crate::engine::{decode_request_body, prefill_request_body, KvTransfer, PrefillResponse};
@@ -39,7 +39,8 @@
         prop_assert_eq!(received, sent);
     }
 
-    /// The client's fields reach the engine, save for those that the node sets; equal messages have equal names.
+    /// The client's fields reach the engine, except for those that the node sets. Equal messages have equal
+    /// session and prefix names.
     #[test]
     fn engine_requests_preserve_the_clients_fields(
         system in prop::option::of(text()), user in text(), extra in text(), max in prop::option::of(1u64..9999), stop in prop::collection::vec("[a-z]{1,5}", 0..4),
--- a/crates/nickelgw-protocol/src/list.rs
+++ b/crates/nickelgw-protocol/src/list.rs
@@ -1,13 +1,13 @@
-//! The endpoint list: `GET /v1/engines?after=REVISION&node=N` is a long poll that answers when the list has changed,
-//! or after a while.
+//! Endpoint list. `GET /v1/engines?after=REVISION&node=N` is a long poll that is answered when the list has
+//! changed or the waiting time has passed.
 
 use crate::Malformed;
 use serde::{Deserialize, Serialize};
 
-/// Largest list accepted, because the tables built from it are bounded.
+/// Maximum number of entries of an accepted list, as the tables built from it are bounded.
 pub const MAX_ENTRIES: usize = 16_384;
 
-/// Which phases of a request an engine runs.
+/// Phases of a request that an engine runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
@@ -22,28 +22,28 @@
     Unified,
 }
 
-/// Lifecycle of an engine.
+/// Lifecycle state of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineState {
-    /// Accepts requests.
+    /// The engine accepts requests.
     #[serde(rename = "in")]
     Active,
-    /// Finishes what it has and accepts nothing new.
+    /// The engine finishes its running requests and accepts no new ones.
     Draining,
-    /// Has left the fleet.
+    /// The engine has left the fleet.
     #[serde(rename = "gone")]
     Removed,
 }
 
-/// One engine of the list.
+/// Entry of an engine in the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointEntry {
-    /// Id, unique within the list.
+    /// Id of the engine, unique within the list.
     pub id: String,
-    /// host:port.
+    /// Address of the engine as host:port.
     pub address: String,
-    /// Name to verify its certificate against; by default the host in the address.
+    /// Name to verify the engine's certificate against. `None` for the host in the address.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tls_name: Option<String>,
     /// Availability zone.
@@ -51,13 +51,13 @@
     /// Cell within the zone.
     #[serde(default)]
     pub cell: u32,
-    /// Phases that it runs.
+    /// Phases that the engine runs.
     pub role: EngineRole,
-    /// Memory for KV states, in tokens.
+    /// Capacity of the memory for KV states, in tokens.
     pub memory_tokens: f64,
     /// Lifecycle state.
     pub state: EngineState,
-    /// Start time in seconds since 1970; without it, the engine counts as warmed up.
+    /// Start time in seconds since 1970. `None` if the engine counts as warmed up.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_at: Option<f64>,
 }
@@ -69,12 +69,12 @@
     }
 }
 
-/// The whole list at one revision; an engine that is missing from it has been removed.
+/// Whole list at one revision. An engine that is missing from it has been removed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EndpointList {
-    /// Increases with every change.
+    /// Revision, which increases with every change.
     pub revision: u64,
-    /// All engines.
+    /// Entries of all engines.
     pub engines: Vec<EndpointEntry>,
 }
 
@@ -83,15 +83,19 @@
     pub fn parse(bytes: &[u8]) -> Result<EndpointList, Malformed> {
         let list: EndpointList = serde_json::from_slice(bytes)?;
         if list.engines.len() > MAX_ENTRIES {
-            return Err(Malformed::field("engines", format!("over {MAX_ENTRIES} lines")));
+            let count = list.engines.len();
+            return Err(Malformed::field(
+                "engines",
+                format!("list has {count} entries, limit {MAX_ENTRIES}"),
+            ));
         }
         let mut ids: Vec<&str> = list.engines.iter().map(|entry| entry.id.as_str()).collect();
         ids.sort_unstable();
         if ids.windows(2).any(|pair| pair[0] == pair[1]) {
-            return Err(Malformed::field("engines", "an id stands twice"));
+            return Err(Malformed::field("engines", "two entries have the same id"));
         }
         if !list.engines.iter().all(EndpointEntry::is_valid) {
-            return Err(Malformed::field("engines", "an id is empty or a number is not usable"));
+            return Err(Malformed::field("engines", "an entry has an empty id or an invalid number"));
         }
         Ok(list)
     }
--- a/crates/nickelgw-protocol/src/load.rs
+++ b/crates/nickelgw-protocol/src/load.rs
@@ -1,4 +1,4 @@
-//! Load reports of engines: the ORCA load report in its JSON form, in the header `endpoint-load-metrics`.
+//! Load reports of engines: ORCA load reports in JSON format, in the header `endpoint-load-metrics`.
 
 use crate::Malformed;
 use serde::{Deserialize, Serialize};
@@ -7,23 +7,23 @@
 #[cfg(test)]
 mod tests;
 
-/// Named metric: requests that wait for a slot.
+/// Named metric: number of requests that wait for a slot.
 pub const QUEUED_REQUESTS_METRIC: &str = "num_requests_waiting";
-/// Named metric: requests that wait or run.
+/// Named metric: number of requests that wait or run.
 pub const INFLIGHT_REQUESTS_METRIC: &str = "num_requests_present";
-/// Named metric: prompt tokens that wait for their prefill.
+/// Named metric: number of prompt tokens that wait for their prefill.
 pub const PENDING_PROMPT_TOKENS_METRIC: &str = "num_prompt_tokens_waiting";
 
-/// Format of a load report in its header.
+/// Name of the format at the beginning of the header's value.
 const JSON_FORMAT: &str = "JSON";
 
-/// An engine's load; a field without a value was not measured.
+/// Load of an engine. A field is `None` if it was not measured.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Share of memory in use, 0 to 1.
+    /// Share of the memory in use, from 0 to 1.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub mem_utilization: Option<f64>,
-    /// Share of slots in use, 0 and up.
+    /// Share of the slots in use, 0 or more.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub application_utilization: Option<f64>,
     /// Further metrics by name.
@@ -32,17 +32,17 @@
 }
 
 impl LoadReport {
-    /// The header's value.
+    /// Encodes the report as the value of the header.
     pub fn to_header(&self) -> String {
-        // Encoding cannot fail: the report has only numbers and fixed names.
+        // Encoding cannot fail, as the report consists of numbers and texts only.
         let json = serde_json::to_string(self).unwrap_or_else(|_| "{}".into());
         format!("{JSON_FORMAT} {json}")
     }
 
-    /// Decodes a header's value; numbers must be finite and not negative.
+    /// Decodes the value of the header. Numbers must be finite and not negative.
     pub fn parse(header: &str) -> Result<LoadReport, Malformed> {
         let json = header.trim().strip_prefix(JSON_FORMAT);
-        let json = json.ok_or_else(|| Malformed::Load("only JSON is read".into()))?;
+        let json = json.ok_or_else(|| Malformed::Load("only the JSON format is supported".into()))?;
         let report: LoadReport =
             serde_json::from_str(json).map_err(|error| Malformed::Load(error.to_string()))?;
         let utilizations = [report.mem_utilization, report.application_utilization];
@@ -54,7 +54,7 @@
         Ok(report)
     }
 
-    /// A named metric, if it was reported.
+    /// Returns a named metric. `None` if it was not reported.
     pub fn named_metric(&self, name: &str) -> Option<f64> {
         self.named_metrics.get(name).copied()
     }
--- a/crates/nickelgw-protocol/src/sse.rs
+++ b/crates/nickelgw-protocol/src/sse.rs
@@ -1,4 +1,5 @@
-//! Server-sent events as engines stream them: `data:` lines, a blank line after each event, `[DONE]` last.
+//! Server-sent events as engines stream them: `data:` lines, a blank line after each event, and `[DONE]` as
+//! the last event.
 
 use crate::Malformed;
 use bytes::{Buf, Bytes, BytesMut};
@@ -6,34 +7,35 @@
 #[cfg(test)]
 mod tests;
 
-/// Largest event accepted. The limit bounds the buffer against a peer that never ends an event.
+/// Maximum size of an event. It bounds the buffer if a peer never ends an event.
 pub const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 /// Data of the last event of a stream.
 const DONE_DATA: &[u8] = b"[DONE]";
 
-/// The longest boundary has four bytes, so up to three of them may be in the part already searched.
+/// Number of bytes that are searched again when more bytes arrive: the longest boundary has four bytes, so up
+/// to three of them may be in the part already searched.
 const BOUNDARY_OVERLAP: usize = 3;
 
-/// An event of a stream.
+/// Event of a stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// An event with data.
     Data {
-        /// The event with its framing, byte for byte as received.
+        /// Event with its framing, byte for byte as received.
         frame: Bytes,
-        /// The data alone.
+        /// Data of the event without the framing.
         data: Bytes,
     },
-    /// The end of the stream.
+    /// End of the stream.
     Done,
 }
 
-/// Splits a byte stream into events. The bytes of an event are passed on as received.
+/// Splits a byte stream into events. The bytes of an event are returned as received.
 #[derive(Default)]
 pub struct EventDecoder {
     buffer: BytesMut,
-    /// Length of the buffer's beginning that is known to hold no boundary.
+    /// Length of the part at the beginning of the buffer that contains no boundary.
     searched: usize,
 }
 
@@ -51,12 +53,14 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether bytes of an incomplete event are buffered; at the end of a stream, this means it was truncated.
+    /// Returns whether bytes of an incomplete event are buffered. At the end of a stream, this means that it
+    /// was truncated.
     pub fn has_incomplete_event(&self) -> bool {
         !self.buffer.iter().all(|byte| byte.is_ascii_whitespace())
     }
 
-    /// The next complete event; comments and empty events are skipped.
+    /// Returns the next complete event. Comments and empty events are skipped. `None` if more bytes are
+    /// needed.
     pub fn next_event(&mut self) -> Result<Option<Event>, Malformed> {
         while let Some(Boundary { end, gap }) = self.find_boundary() {
             let frame = self.buffer.split_to(end + gap).freeze();
@@ -68,7 +72,7 @@
             }
         }
         if self.buffer.len() > MAX_EVENT_BYTES {
-            return Err(Malformed::Stream("an event is too long"));
+            return Err(Malformed::Stream("an event exceeds the maximum size"));
         }
         Ok(None)
     }
@@ -92,7 +96,8 @@
     }
 }
 
-/// Data of the event that ends at `end` of its frame; several data lines are joined by line feeds.
+/// Returns the data of the event that ends at offset `end` of its frame. Several data lines are joined by
+/// line feeds. `None` if the event has no data line.
 fn event_data(frame: &Bytes, end: usize) -> Result<Option<Bytes>, Malformed> {
     let mut data: Option<Bytes> = None;
     let mut offset = 0;
@@ -108,7 +113,7 @@
                 Some(before) => [&before[..], &piece[..]].join(&b'\n').into(),
             });
         } else if !(line.is_empty() || line.contains(&b':')) {
-            return Err(Malformed::Stream("a line is not a field"));
+            return Err(Malformed::Stream("a line has no field name"));
         }
     }
     Ok(data)
@@ -123,7 +128,7 @@
     frame.freeze()
 }
 
-/// The encoded event that ends a stream.
+/// Returns the encoded event that ends a stream.
 pub fn done_event() -> Bytes {
     Bytes::from_static(b"data: [DONE]\n\n")
 }
--- a/crates/nickelgw-protocol/src/sse/tests.rs
+++ b/crates/nickelgw-protocol/src/sse/tests.rs
@@ -20,12 +20,12 @@
     assert!(matches!(&events[1], Event::Data { data, .. } if &data[..] == b"two\nlines"));
     assert_eq!(events[2], Event::Done);
     for piece_len in 1..text.len() {
-        assert_eq!(decode_in_pieces(text, piece_len).unwrap(), events, "split every {piece_len}");
+        assert_eq!(decode_in_pieces(text, piece_len).unwrap(), events, "split every {piece_len} bytes");
     }
 }
 
 #[test]
-fn bytes_that_are_no_event_stream_are_rejected() {
+fn invalid_and_oversized_events_are_rejected_and_truncated_ones_are_detected() {
     assert!(decode_in_pieces(b"<html>nope</html>\n\n", 5).is_err());
     assert!(decode_in_pieces(&vec![b'x'; MAX_EVENT_BYTES + 9], 4096).is_err());
     let mut truncated = EventDecoder::default();
--- a/crates/nickelgw-protocol/src/usage.rs
+++ b/crates/nickelgw-protocol/src/usage.rs
@@ -5,7 +5,7 @@
 /// Breakdown of the prompt's tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PromptTokensDetails {
-    /// Prompt tokens found in the engine's prefix cache.
+    /// Number of prompt tokens found in the engine's prefix cache.
     #[serde(default)]
     pub cached_tokens: u64,
 }
@@ -13,16 +13,16 @@
 /// Token counts of one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     #[serde(default)]
     pub prompt_tokens: u64,
-    /// Tokens generated.
+    /// Number of generated tokens.
     #[serde(default)]
     pub completion_tokens: u64,
-    /// Prompt and generated tokens together.
+    /// Number of prompt tokens and generated tokens together.
     #[serde(default)]
     pub total_tokens: u64,
-    /// Breakdown of the prompt's tokens, where the engine gives one.
+    /// Breakdown of the prompt's tokens. `None` if the engine reports none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub prompt_tokens_details: Option<PromptTokensDetails>,
 }
