--- a/crates/nickelgw-tls/src/peer_config.rs
+++ b/crates/nickelgw-tls/src/peer_config.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Reads the files, and rebuilds the configuration if they have changed. `now` is Unix time in seconds.
+    /// Reads the files, and rebuilds the configuration if they have changed. `now` is in seconds since 1970.
     pub fn reload_if_changed(&mut self, now: f64) -> Vec<TlsEvent> {
         let mut events = Vec::new();
         if self.keys.reload_if_changed(now, &mut events) {
@@ -139,7 +139,7 @@
         Server { keys: ReloadingKeys::new(files, overlap_s, mutual), versions, mutual, config: None }
     }
 
-    /// Reads the files, and rebuilds the configuration if they have changed. `now` is Unix time in seconds.
+    /// Reads the files, and rebuilds the configuration if they have changed. `now` is in seconds since 1970.
     pub fn reload_if_changed(&mut self, now: f64) -> Vec<TlsEvent> {
         let mut events = Vec::new();
         if self.keys.reload_if_changed(now, &mut events) {
