--- a/crates/nickelgw-audit/src/lib.rs
+++ b/crates/nickelgw-audit/src/lib.rs
@@ -1,5 +1,6 @@
-//! Audits a run of the system against its five rules, from the records that test engines and scripted clients wrote of
-//! what crossed the sockets. A node's own logs are never read. The records' format is in docs/rehearsal.md.
+//! Checks a run of the system against its five rules. The input is the records in which the test engines, the
+//! endpoint list server and the scripted clients logged what crossed their sockets; a node's own logs are
+//! never read. The format of the records is described in docs/rehearsal.md.
 
 mod record;
 mod report;
--- a/crates/nickelgw-audit/src/route_stats.rs
+++ b/crates/nickelgw-audit/src/route_stats.rs
@@ -1,48 +1,49 @@
-//! Results by model route, as the clients recorded them.
+//! Results of requests by model route, as the clients recorded them.
 
 use crate::RecordEntry;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Results of one model route.
+/// Results of the requests of one model route.
 #[derive(Clone, Debug, Default)]
 pub struct RouteStats {
-    /// Requests sent, retries by clients included.
+    /// Number of requests sent, including retries by clients.
     pub requests: u64,
-    /// Requests with a complete answer.
+    /// Number of requests with a complete answer.
     pub completed: u64,
-    /// Requests rejected for want of capacity.
+    /// Number of requests rejected for lack of capacity.
     pub rejected: u64,
-    /// Requests answered with another error.
+    /// Number of requests answered with any other error.
     pub failed: u64,
-    /// Requests whose client disconnected.
+    /// Number of requests whose client disconnected.
     pub client_disconnects: u64,
-    /// Requests whose connection broke without an answer: their node died.
+    /// Number of requests whose connection broke before an answer, as it does when the node dies.
     pub connection_failures: u64,
-    /// Completed requests with their first token in target.
+    /// Number of completed requests whose first token arrived within the target time.
     pub completed_in_target: u64,
-    /// Requests, each counted once however often its client retried.
+    /// Number of requests without the retries by clients.
     pub distinct_requests: u64,
-    /// Of these, the requests completed with their first token in target.
+    /// Number of [`RouteStats::distinct_requests`] that were completed, at any try, with the first token
+    /// within the target.
     pub distinct_in_target: u64,
-    /// Seconds to the first token, sorted.
+    /// Times to the first token in seconds, sorted.
     pub ttft_s: Vec<f64>,
 }
 
 impl RouteStats {
-    /// Quantile of the time to the first token; none without one.
+    /// Returns a quantile of [`RouteStats::ttft_s`]. `None` if it is empty.
     pub fn ttft_quantile(&self, quantile: f64) -> Option<f64> {
         let last = self.ttft_s.len().checked_sub(1)?;
         self.ttft_s.get((quantile * last as f64).round() as usize).copied()
     }
 }
 
-/// A request whose end is not recorded yet.
+/// Request of which the call has been read.
 struct OpenRequest<'a> {
     call: &'a RecordEntry,
     in_target: bool,
 }
 
-/// Results by model. The time to the first token counts from the request's intended start.
+/// Returns the results by model. The time to the first token counts from the intended start of the request.
 pub fn route_stats(entries: &[RecordEntry]) -> BTreeMap<String, RouteStats> {
     let mut routes: BTreeMap<String, RouteStats> = BTreeMap::new();
     let mut requests: BTreeMap<&str, OpenRequest> = BTreeMap::new();
--- a/crates/nickelgw-audit/src/rules.rs
+++ b/crates/nickelgw-audit/src/rules.rs
@@ -1,4 +1,4 @@
-//! The audit: one module for each rule.
+//! Entry point of the audit, with one submodule for each rule.
 
 mod dropped_requests;
 mod duplicate_runs;
@@ -10,18 +10,23 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Limits of the rules, from the record's own `rules` entry.
+/// Limits of the rules, as stated in the `rules` entry of the records.
 struct Limits<'a> {
+    /// Time after a removal from the list during which attempts may still arrive at the engine.
     drain_grace_s: f64,
+    /// Time for which a KV state may be held without an attempt that fetches it.
     reservation_limit_s: f64,
-    /// Time allowed between an action and its record, which is scheduling delay and not policy.
+    /// Tolerance for the scheduling delay between an action and its record. It is not part of the limits
+    /// themselves.
     slack_s: f64,
-    /// When a removal may wait for confirmation; none: never.
+    /// Condition under which a node may wait for confirmation of a removal. `None` if it may never wait.
     removal_confirmation: Option<RemovalConfirmation>,
+    /// JSON object with the settings of each model route, by model.
     routes: &'a Value,
 }
 
-/// A list that removes more than this share, and this number, of the engines at once may be disbelieved for a time.
+/// Condition under which a node may wait for confirmation of a removal: a list that removes more than this
+/// share and more than this number of the engines at once may be ignored for `wait_s`.
 struct RemovalConfirmation {
     share: f64,
     engines: f64,
@@ -45,14 +50,14 @@
     }
 }
 
-/// The entries under audit, with what several rules need of them.
+/// Entries under audit, with values derived from them that several rules use.
 struct AuditInput<'a> {
     entries: &'a [RecordEntry],
     limits: Limits<'a>,
     node_kills: Vec<&'a RecordEntry>,
 }
 
-/// Everything recorded of one request.
+/// All entries that concern one request.
 #[derive(Default)]
 struct RequestHistory<'a> {
     id: &'a str,
@@ -81,7 +86,7 @@
         }
     }
 
-    /// The first decode attempt that its engine has not rejected, so that it may have run.
+    /// Returns the first decode attempt that its engine has not rejected, and that may therefore have run.
     fn first_possible_run(&self) -> Option<&'a RecordEntry> {
         let not_rejected = |attempt: &&&RecordEntry| !self.rejected_attempts.contains(&attempt.text("send"));
         self.attempts.iter().filter(|attempt| is_decode(attempt)).find(not_rejected).copied()
@@ -92,11 +97,11 @@
     attempt.text("role") == "write"
 }
 
-/// Checks all rules on entries that are sorted by time.
+/// Checks all rules. `entries` have to be sorted by time.
 pub fn audit(entries: &[RecordEntry]) -> AuditReport {
     let mut report = AuditReport::default();
     let Some(rules) = entries.iter().find(|entry| entry.event == "rules") else {
-        let description = "the record has no line of rules: nothing can be judged".into();
+        let description = "the records have no `rules` entry, so no rule can be checked".into();
         report.add(Rule::DroppedRequest, description, &[]);
         return report;
     };
--- a/crates/nickelgw-audit/src/rules/dropped_requests.rs
+++ b/crates/nickelgw-audit/src/rules/dropped_requests.rs
@@ -1,9 +1,11 @@
-//! Each request gets one final answer in time, and no attempt is made after its end.
+//! Rule: each request gets exactly one final answer before its deadline, and no attempt is made after its
+//! end.
 
 use super::{AuditInput, RequestHistory};
 use crate::{AuditReport, RecordEntry, Rule};
 
-/// A node that died at most so long before a call may still have had the connection.
+/// A call without an answer is excused if its node died up to this long before the call: the client may have
+/// sent it on a connection that the node still held.
 const NODE_KILL_LOOKBACK_S: f64 = 5.0;
 
 pub(super) fn check(
@@ -15,7 +17,8 @@
     report.count_checked(Rule::DroppedRequest);
     let answers = &history.final_answers;
     if answers.len() > 1 {
-        let description = format!("{} got {} final answers", history.id, answers.len());
+        let description =
+            format!("request {} got {} final answers instead of one", history.id, answers.len());
         report.add(Rule::DroppedRequest, description, answers);
     }
     match answers.first() {
@@ -35,16 +38,17 @@
 ) {
     let slack_s = input.limits.slack_s;
     let deadline = call.time_s + call.number("timeout_s") + slack_s;
-    // The deadline applies to the first token: a stream that has begun has none.
+    // The deadline applies to the first token only. A stream that has begun may take longer.
     let answered = history.first_token.map_or(answer.time_s, |first| first.time_s);
     if answered > deadline {
         let late_s = answered - deadline + slack_s;
-        let description = format!("{} was answered {late_s:.3} s after the client's time", history.id);
+        let description =
+            format!("request {} was answered {late_s:.3} s after the client's deadline", history.id);
         report.add(Rule::DroppedRequest, description, &[call, answer]);
     }
 }
 
-/// A request without an answer is excused only if its node died.
+/// Adds a violation for a request without an answer unless its node died.
 fn check_node_died(
     report: &mut AuditReport,
     input: &AuditInput,
@@ -60,7 +64,7 @@
     });
     if !node_died {
         let evidence: Vec<&RecordEntry> = [call].into_iter().chain(failure).collect();
-        let description = format!("{} got no final answer though its node lived", history.id);
+        let description = format!("request {} got no final answer although its node did not die", history.id);
         report.add(Rule::DroppedRequest, description, &evidence);
     }
 }
@@ -71,7 +75,8 @@
     let Some(end) = first else { return };
     let limit = end.time_s + input.limits.slack_s;
     for late in history.attempts.iter().filter(|attempt| attempt.time_s > limit) {
-        let description = format!("{} was sent after it was over", history.id);
+        let description =
+            format!("an attempt of request {} was sent after the request had ended", history.id);
         report.add(Rule::DroppedRequest, description, &[end, late]);
     }
 }
--- a/crates/nickelgw-audit/src/rules/sends_to_draining.rs
+++ b/crates/nickelgw-audit/src/rules/sends_to_draining.rs
@@ -1,22 +1,24 @@
-//! No attempt goes to an engine after the node has received a list in which the engine drains or is missing.
+//! Rule: no attempt is sent to an engine later than the grace period after the node received an endpoint list
+//! in which the engine is draining or missing.
 
 use super::{AuditInput, Limits};
 use crate::{AuditReport, RecordEntry, Rule};
 use std::collections::BTreeMap;
 
-/// The list by which a node learned that an engine is not active.
+/// Removal of an engine from the active engines of a node.
 struct Removal<'a> {
+    /// Endpoint list from which the node learned of the removal.
     list: &'a RecordEntry,
-    /// The list removed so many engines at once that the node may wait for confirmation.
+    /// Whether the list removed so many engines at once that the node may wait for confirmation.
     unconfirmed: bool,
 }
 
-/// What each node has learned from its lists.
+/// Engines that each node has learned of from its endpoint lists.
 #[derive(Default)]
 struct NodeViews<'a> {
     /// Active engines by node.
     active: BTreeMap<&'a str, Vec<&'a str>>,
-    /// Engines that are not active, by node and engine.
+    /// Removals of engines that are not active, by node and engine.
     removals: BTreeMap<(&'a str, &'a str), Removal<'a>>,
 }
 
@@ -26,7 +28,7 @@
         match entry.event.as_str() {
             "told" => views.apply_list(report, &input.limits, entry),
             "send" => views.check_attempt(report, &input.limits, entry),
-            // A restarted process knows only what it receives after its start.
+            // A restarted node knows only the lists that it receives after its start.
             "killed" => views.removals.retain(|(node, _), _| *node != entry.text("node")),
             _ => {}
         }
@@ -48,7 +50,8 @@
         }
     }
 
-    /// Whether the node may wait for confirmation of this list's removals. Drains need none.
+    /// Returns whether the node may wait for confirmation of the removals in `list`. A drain needs no
+    /// confirmation.
     fn needs_confirmation(
         &self,
         limits: &Limits,
@@ -79,8 +82,10 @@
         }
         if attempt.time_s > list.time_s + wait_s + limits.drain_grace_s + limits.slack_s {
             let late_s = attempt.time_s - list.time_s;
-            let state = if list.contains("draining", engine) { "drained" } else { "was gone" };
-            let description = format!("{engine} got a send {late_s:.3} s after {node} heard it {state}");
+            let state = if list.contains("draining", engine) { "draining" } else { "removed" };
+            let description = format!(
+                "engine {engine} got an attempt {late_s:.3} s after node {node} received a list with it {state}"
+            );
             report.add(Rule::SendToDraining, description, &[list, attempt]);
         }
     }
--- a/crates/nickelgw-audit/src/rules/slow_start_overload.rs
+++ b/crates/nickelgw-audit/src/rules/slow_start_overload.rs
@@ -1,27 +1,30 @@
-//! No engine in slow start is overloaded. The engine itself records that it was.
+//! Rule: no engine in slow start is overloaded. A test engine records an overload itself, as the event
+//! `fell`.
 
 use super::AuditInput;
 use crate::{AuditReport, RecordEntry, Rule};
 use std::collections::BTreeMap;
 
-/// Smallest capacity by which a load is divided.
+/// Lower bound of the capacity by which work is divided; it prevents a division by zero.
 const MIN_CAPACITY: f64 = 1e-9;
 
-/// Work that an engine received at a time.
+/// Arrival of an attempt at an engine, with the work that it brings.
 struct Arrival {
     time_s: f64,
     work: f64,
 }
 
-/// An engine in slow start.
+/// State of an engine that started cold.
 struct SlowStart<'a> {
+    /// Entry of the engine's start, with its slow-start parameters.
     start: &'a RecordEntry,
-    /// What arrived within the engine's overload window.
+    /// Arrivals within the engine's overload window.
     arrivals: Vec<Arrival>,
 }
 
 impl SlowStart<'_> {
-    /// Load with this attempt as a share of the load that overloads the engine; none when it has warmed up.
+    /// Adds an attempt and returns the resulting load, as a share of the load that overloads the engine.
+    /// `None` if the engine has warmed up.
     fn load_with(&mut self, attempt: &RecordEntry) -> Option<f64> {
         let start = self.start;
         let (age_s, window_s) = (attempt.time_s - start.time_s, start.number("tip_window_s"));
@@ -54,7 +57,7 @@
             "fell" => {
                 let start = engines.get(engine).map(|slow_start| slow_start.start);
                 let evidence: Vec<&RecordEntry> = start.into_iter().chain([entry]).collect();
-                let description = format!("{engine} was pushed over while cold");
+                let description = format!("engine {engine} was overloaded during slow start");
                 report.add(Rule::SlowStartOverload, description, &evidence);
             }
             _ => {}
--- a/crates/nickelgw-audit/src/rules/unattended_reservations.rs
+++ b/crates/nickelgw-audit/src/rules/unattended_reservations.rs
@@ -1,18 +1,22 @@
-//! No prefill engine holds a KV state for too long with no attempt that would fetch it.
+//! Rule: no prefill engine holds a KV state longer than the limit while no decode attempt is under way that
+//! would fetch it. Such a state is called unattended.
 
 use super::AuditInput;
 use crate::{AuditReport, RecordEntry, Rule};
 use std::collections::BTreeMap;
 
-/// A KV state held by a prefill engine.
+/// KV state held by a prefill engine.
 struct Reservation<'a> {
+    /// Entry of the finished prefill.
     prefill: &'a RecordEntry,
+    /// Node that sent the prefill.
     node: &'a str,
-    /// Since when no attempt would fetch it; none while one would.
+    /// Time since which no attempt is under way that would fetch the state. `None` if there is such an
+    /// attempt.
     unattended_since: Option<f64>,
 }
 
-/// A time in which no attempt would fetch a KV state.
+/// Time span in which no attempt was under way that would fetch a KV state.
 struct UnattendedSpan<'a> {
     prefill: &'a RecordEntry,
     node: &'a str,
@@ -20,7 +24,7 @@
     until: f64,
 }
 
-/// Follows reservations through the record.
+/// Tracks reservations from entry to entry.
 #[derive(Default)]
 struct ReservationTracker<'a> {
     nodes_by_attempt: BTreeMap<&'a str, &'a str>,
@@ -30,7 +34,7 @@
 }
 
 impl<'a> Reservation<'a> {
-    /// Ends the time in which it was unattended, if it was.
+    /// Ends the current unattended span and returns it. `None` if the reservation was attended.
     fn end_unattended(&mut self, until: f64) -> Option<UnattendedSpan<'a>> {
         let since = self.unattended_since.take()?;
         Some(UnattendedSpan { prefill: self.prefill, node: self.node, since, until })
@@ -68,7 +72,7 @@
         }
     }
 
-    /// The engine's process has ended, and all that it held with it.
+    /// Releases all reservations of an engine whose process has ended.
     fn engine_ended(&mut self, engine: &str, time_s: f64) {
         let is_lost = |reservation: &Reservation| reservation.prefill.source == engine;
         let reservations = self.reservations.iter();
@@ -121,7 +125,9 @@
     }
     report.unattended_s.push(held_s);
     let (state, engine) = (span.prefill.text("send"), &span.prefill.source);
-    let description = format!("{state} was held at {engine} for {held_s:.3} s");
+    let description = format!(
+        "KV state {state} was held at engine {engine} for {held_s:.3} s without an attempt that would fetch it"
+    );
     report.add(Rule::UnattendedReservation, description, &[span.prefill]);
 }
 
@@ -133,17 +139,19 @@
         .any(|kill| kill.text("node") == span.node && kill.time_s >= earliest && kill.time_s <= limit)
 }
 
-/// Whether a fault kept the node's release call from the engine until shortly before the state was released.
+/// Returns whether a fault kept the node's release call from the engine until shortly before the state was
+/// released.
 fn engine_was_unreachable(input: &AuditInput, span: &UnattendedSpan, limit: f64) -> bool {
     let engine = &span.prefill.source;
     let faults = input.entries.iter().filter(|entry| entry.event == "fault" && entry.source == *engine);
-    faults.filter(|fault| cuts_off(fault)).any(|fault| {
+    faults.filter(|fault| makes_unreachable(fault)).any(|fault| {
         let end = fault.time_s + fault.number("for_s");
         let released_in_time = span.until <= end + input.limits.reservation_limit_s + input.limits.slack_s;
         fault.time_s <= limit && end >= span.since && released_in_time
     })
 }
 
-fn cuts_off(fault: &RecordEntry) -> bool {
+/// Returns whether the fault makes its engine unreachable.
+fn makes_unreachable(fault: &RecordEntry) -> bool {
     matches!(fault.text("fault"), "cut" | "silence" | "handshake_cut" | "handshake_slow")
 }
--- a/crates/nickelgw-audit/src/tests.rs
+++ b/crates/nickelgw-audit/src/tests.rs
@@ -2,7 +2,8 @@
 use serde_json::json;
 use test_case::test_case;
 
-/// A run that keeps all rules: a prefill, its KV state fetched, an answer; an engine that drains and one in slow start.
+/// Records of a run that keeps all rules. They include a prefill whose KV state is fetched, a draining engine
+/// and an engine in slow start.
 const GOOD: &str = r#"
 {"t":0,"who":"driver","ev":"rules","drain_grace_s":0.5,"hold_limit_s":0.5,"slack_s":0.1,"routes":{"chat":{"repeat":"retriable"},"book":{"repeat":"non_retriable"},"mark":{"repeat":"deduped","group":"zone","memory_s":2}}}
 {"t":0,"who":"r0","ev":"start","zone":"a","cell":0,"role":"read","cold":false}
@@ -59,19 +60,19 @@
     assert!((stats.ttft_quantile(0.5).unwrap() - 0.2).abs() < 1e-9);
 }
 
-// Each violation is made by one change to the correct run.
+// One change to the correct run causes each violation.
 #[test_case(Rule::DroppedRequest, "\"ev\":\"final\",\"req\":\"q1\"", "\"ev\":\"none\",\"req\":\"q1\""; "no final answer")]
-#[test_case(Rule::DroppedRequest, "{\"t\":1.2,\"who\":\"client\",\"ev\":\"first\"", "{\"t\":3.2,\"who\":\"client\",\"ev\":\"first\""; "begun too late")]
-#[test_case(Rule::DroppedRequest, "{\"t\":4.3,\"who\":\"w0\"", "{\"t\":4.51,\"who\":\"w0\""; "sent after the final answer")]
-#[test_case(Rule::DuplicateRun, "\"ev\":\"turned\",\"req\":\"q2\"", "\"ev\":\"none\",\"req\":\"q2\""; "non-retriable sent again")]
+#[test_case(Rule::DroppedRequest, "{\"t\":1.2,\"who\":\"client\",\"ev\":\"first\"", "{\"t\":3.2,\"who\":\"client\",\"ev\":\"first\""; "first token after the deadline")]
+#[test_case(Rule::DroppedRequest, "{\"t\":4.3,\"who\":\"w0\"", "{\"t\":4.51,\"who\":\"w0\""; "attempt after the final answer")]
+#[test_case(Rule::DuplicateRun, "\"ev\":\"turned\",\"req\":\"q2\"", "\"ev\":\"none\",\"req\":\"q2\""; "non-retriable request sent again")]
 #[test_case(Rule::DuplicateRun, "\"req\":\"q2\",\"how\":\"errored\"", "\"req\":\"q2\",\"how\":\"shed\""; "shed though it may have run")]
-#[test_case(Rule::DuplicateRun, "{\"t\":3.5,\"who\":\"w2\"", "{\"t\":3.5,\"who\":\"w1\""; "deduped outside its zone")]
-#[test_case(Rule::DuplicateRun, "{\"t\":3.01,\"who\":\"w0\"", "{\"t\":1.2,\"who\":\"w0\""; "deduped after the memory span")]
-#[test_case(Rule::SendToDraining, "{\"t\":4.0,\"who\":\"list\"", "{\"t\":3.61,\"who\":\"list\""; "sent after the grace")]
-#[test_case(Rule::SlowStartOverload, "{\"t\":9.0,\"who\":\"driver\",\"ev\":\"end\"}", "{\"t\":9.0,\"who\":\"w2\",\"ev\":\"fell\"}"; "pushed over")]
-#[test_case(Rule::UnattendedReservation, "\"ev\":\"send\",\"req\":\"q1\",\"send\":\"s1-1\",\"node\":\"n0\",\"role\":\"write\",\"state\":\"s1-0\"", "\"ev\":\"none\",\"state\":\"x\",\"req\":\"q1\",\"send\":\"s1-1\""; "a state held")]
+#[test_case(Rule::DuplicateRun, "{\"t\":3.5,\"who\":\"w2\"", "{\"t\":3.5,\"who\":\"w1\""; "deduped request sent outside its zone")]
+#[test_case(Rule::DuplicateRun, "{\"t\":3.01,\"who\":\"w0\"", "{\"t\":1.2,\"who\":\"w0\""; "deduped request sent after its key expired")]
+#[test_case(Rule::SendToDraining, "{\"t\":4.0,\"who\":\"list\"", "{\"t\":3.61,\"who\":\"list\""; "attempt after the drain grace period")]
+#[test_case(Rule::SlowStartOverload, "{\"t\":9.0,\"who\":\"driver\",\"ev\":\"end\"}", "{\"t\":9.0,\"who\":\"w2\",\"ev\":\"fell\"}"; "overloaded during slow start")]
+#[test_case(Rule::UnattendedReservation, "\"ev\":\"send\",\"req\":\"q1\",\"send\":\"s1-1\",\"node\":\"n0\",\"role\":\"write\",\"state\":\"s1-0\"", "\"ev\":\"none\",\"state\":\"x\",\"req\":\"q1\",\"send\":\"s1-1\""; "state held past the limit")]
 fn each_violation_is_detected(rule: Rule, good: &str, bad: &str) {
-    assert!(GOOD.contains(good), "the run has no {good}");
+    assert!(GOOD.contains(good), "the correct run does not contain {good}");
     let mut text = GOOD.replacen(good, bad, 1);
     if rule == Rule::UnattendedReservation {
         text = text.replace(
--- a/crates/nickelgw-audit/tests/compatibility.rs
+++ b/crates/nickelgw-audit/tests/compatibility.rs
@@ -1,4 +1,5 @@
-//! Records written by an earlier release are read, with the same verdict. `fixtures/e7de451/README.md` says how they were made.
+//! Guards against a change that misreads records of an earlier release, or judges them differently.
+//! `fixtures/e7de451/README.md` says how they were made.
 
 use nickelgw_audit::{audit, read_records, route_stats};
 use std::path::Path;
@@ -8,7 +9,7 @@
     let records = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/e7de451/records");
     let entries = read_records(&records).unwrap();
 
-    // The figures of the report that the earlier release wrote.
+    // Expected values come from the report that the earlier release wrote.
     let report = audit(&entries);
     assert!(report.violations.is_empty(), "{:?}", report.violations);
     let checked: Vec<(&str, usize)> = report.checked.iter().map(|(rule, cases)| (*rule, *cases)).collect();
