--- a/crates/nickelgw-rehearsal/src/report.rs
+++ b/crates/nickelgw-rehearsal/src/report.rs
@@ -93,8 +93,7 @@
         let checked = report.verdict.checked.get(rule.name()).copied().unwrap_or(0);
         let result =
             if violations == 0 { "kept".to_string() } else { format!("<b>broken {violations} times</b>") };
-        let _ =
-            write!(html, "<li>{}: {result} ({checked} judged): {}</li>", rule.name(), rule.description());
+        let _ = write!(html, "<li>{}: {result} ({checked} judged): {}</li>", rule.name(), rule.description());
     }
     for violation in report.verdict.violations.iter().take(MAX_LISTED_VIOLATIONS) {
         let _ = write!(
