--- a/crates/nickelgw-test-servers/src/authority.rs
+++ b/crates/nickelgw-test-servers/src/authority.rs
@@ -1,4 +1,5 @@
-//! A test certificate authority: root, intermediate, and valid and invalid certificates of engines and nodes.
+//! Test certificate authority with a root and an intermediate certificate. It issues valid and faulty
+//! certificates for engines and nodes.
 
 use rcgen::{BasicConstraints, CertificateParams, DnType, IsCa, Issuer, KeyPair, KeyUsagePurpose};
 use std::fs;
@@ -7,33 +8,33 @@
 use std::path::{Path, PathBuf};
 use time::{Duration, OffsetDateTime};
 
-/// Any error of the authority.
+/// Error of the authority: of key generation, signing or writing files.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// The name in certificates for a wrong name.
+/// Name in certificates with [`CertificateFault::WrongName`].
 pub const WRONG_NAME: &str = "wrong.brno.example.org";
 
-/// Validity of the authority's own certificates, in days from now.
+/// Validity of the root and intermediate certificates.
 const AUTHORITY_VALIDITY: Validity = Validity { from_day: -2, to_day: 3650 };
 const PUBLIC_MODE: u32 = 0o644;
 const PRIVATE_MODE: u32 = 0o600;
 
-/// What is wrong with a certificate.
+/// Fault of a certificate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CertificateFault {
-    /// Nothing.
+    /// The certificate is valid.
     None,
-    /// Its validity has ended.
+    /// The validity of the certificate has ended.
     Expired,
-    /// Its validity has not begun.
+    /// The validity of the certificate has not begun.
     NotYetValid,
-    /// It is for another name than asked for.
+    /// The certificate is for [`WRONG_NAME`] instead of the requested name.
     WrongName,
-    /// It is signed by itself.
+    /// The certificate is self-signed.
     SelfSigned,
 }
 
-/// Validity of a certificate, in days from now.
+/// Validity of a certificate, in days relative to now.
 #[derive(Clone, Copy)]
 struct Validity {
     from_day: i64,
@@ -50,24 +51,24 @@
     }
 }
 
-/// A root and an intermediate authority.
+/// Root and intermediate authority.
 pub struct Authority {
-    /// The root certificate in PEM.
+    /// Root certificate in PEM.
     pub root_pem: String,
     intermediate_pem: String,
     intermediate: Issuer<'static, KeyPair>,
 }
 
-/// A certificate chain and its private key in PEM.
+/// Certificate chain and its private key in PEM.
 pub struct IssuedCertificate {
-    /// The certificate and the intermediate's.
+    /// Certificate, followed by that of the intermediate authority unless the certificate is self-signed.
     pub chain_pem: String,
-    /// The private key.
+    /// Private key of the certificate.
     pub key_pem: String,
 }
 
 impl Authority {
-    /// A new authority with keys of its own.
+    /// Creates an authority with new keys.
     pub fn new(name: &str) -> Result<Authority, BoxError> {
         let (root, root_key) = (authority_params(&format!("{name} root"))?, KeyPair::generate()?);
         let root_pem = root.self_signed(&root_key)?.pem();
@@ -79,7 +80,7 @@
         Ok(Authority { root_pem, intermediate_pem, intermediate })
     }
 
-    /// Issues a certificate for a name.
+    /// Issues a certificate for a name, with a fault.
     pub fn issue(&self, name: &str, fault: CertificateFault) -> Result<IssuedCertificate, BoxError> {
         let name = if fault == CertificateFault::WrongName { WRONG_NAME } else { name };
         let mut params = certificate_params(name, fault.validity())?;
@@ -94,7 +95,8 @@
         Ok(IssuedCertificate { chain_pem, key_pem: key.serialize_pem() })
     }
 
-    /// Issues a certificate and writes `FILE.pem` and `FILE.key`; returns both paths.
+    /// Issues a certificate and writes it to `FILE.pem` and its private key to `FILE.key`. Returns both
+    /// paths.
     pub fn write(
         &self,
         dir: &Path,
@@ -126,7 +128,8 @@
     Ok(params)
 }
 
-/// Writes a file by a rename, so that a reader sees the old content or the new.
+/// Writes a file under a temporary name and renames it, so that a reader sees either the old or the new
+/// content.
 pub fn replace_file(path: &Path, bytes: &[u8], mode: u32) -> std::io::Result<()> {
     let temporary = path.with_extension("new");
     let _ = fs::remove_file(&temporary);
@@ -135,7 +138,8 @@
     fs::rename(temporary, path)
 }
 
-/// Writes everything that `nickelgw authority` makes: the root, a certificate for each name, and one with each fault.
+/// Writes the files of `nickelgw authority`: the root certificate, a valid certificate for each name, and one
+/// certificate with each fault. Returns the paths of all files.
 pub fn write_all(dir: &Path, names: &[String]) -> Result<Vec<PathBuf>, BoxError> {
     fs::create_dir_all(dir)?;
     let authority = Authority::new("test authority")?;
--- a/crates/nickelgw-test-servers/src/client.rs
+++ b/crates/nickelgw-test-servers/src/client.rs
@@ -1,4 +1,4 @@
-//! A scripted client of the chat API: sends one request, reads the response, and records what it saw.
+//! Scripted client of the chat API. It sends one request, reads the response and records what it received.
 
 mod call;
 mod raw;
@@ -12,82 +12,84 @@
 use nickelgw_protocol::REQUEST_ID_HEADER;
 use serde_json::{json, Value};
 
-/// When a client disconnects before the end of the response.
+/// Moment at which a client disconnects before the end of the response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum DisconnectAt {
-    /// It stays until the end.
+    /// The client reads the response to its end.
     #[default]
     Never,
-    /// After so many seconds without a response.
+    /// The client disconnects after this number of seconds without a response.
     WaitingFor(f64),
-    /// After so many events of a stream.
+    /// The client disconnects after this number of events of a stream.
     EventCount(usize),
 }
 
-/// A request, and how its client behaves.
+/// Request of a client, and the behaviour of the client.
 #[derive(Clone, Debug, Default)]
 pub struct ChatCall {
     /// Id of the request.
     pub request_id: String,
-    /// Name of the node, for the record.
+    /// Name of the node, for the records.
     pub node: String,
     /// Address of the node.
     pub address: String,
-    /// Model asked for.
+    /// Requested model.
     pub model: String,
-    /// API key.
+    /// API key. `None` if the client sends none.
     pub api_key: Option<String>,
-    /// System message; empty: none.
+    /// System message. Empty if there is none.
     pub system: String,
     /// User message.
     pub prompt: String,
-    /// Limit of generated tokens.
+    /// Limit of generated tokens. `None` if the request has none.
     pub max_tokens: Option<u32>,
-    /// Whether to ask for a stream.
+    /// Whether the request asks for a stream.
     pub stream: bool,
-    /// Time in which the first token must come.
+    /// Time in seconds within which the first token has to arrive.
     pub timeout_s: f64,
-    /// Objective for the time to the first token.
+    /// Objective for the time to the first token in seconds.
     pub ttft_target_s: f64,
-    /// When the request should have been sent; times count from here, so that a slow client hides no wait.
+    /// Unix time in seconds at which the request should have been sent. Latencies are measured from here, so
+    /// that the delay of a client that sends late is included.
     pub intended_start: f64,
-    /// When the client disconnects.
+    /// Moment at which the client disconnects.
     pub disconnect: DisconnectAt,
-    /// In a retry: id of the first request.
+    /// Id of the first request if this is a retry, otherwise `None`.
     pub retry_of: Option<String>,
-    /// Number of retries before this one, itself included.
+    /// Number of retries up to and including this call. 0 for the first request.
     pub retry_count: u32,
-    /// Delay after each event, of a client that reads slowly.
+    /// Delay in seconds after each event, for a client that reads slowly.
     pub read_delay_s: f64,
 }
 
-/// What the client saw.
+/// Result of a call, as the client saw it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CallResult {
-    /// `completed`, `shed`, `errored`, `left` or `cut`, as in the record; empty if nothing came in a long time.
+    /// `completed`, `shed`, `errored`, `left` or `cut`, as in the records. Empty if the client stopped
+    /// waiting for a response.
     pub outcome: String,
-    /// HTTP status.
+    /// HTTP status. 0 if no response arrived.
     pub status: u16,
-    /// Code of an error.
+    /// Code of the error, if the response is one.
     pub code: Option<String>,
-    /// Header `retry-after`.
+    /// Value of the header `retry-after`.
     pub retry_after: Option<String>,
-    /// Header `retry-after-ms`, in seconds.
+    /// Value of the header `retry-after-ms`, converted to seconds.
     pub retry_after_s: Option<f64>,
     /// Text of the answer.
     pub text: String,
-    /// Events of the stream.
+    /// Number of events of the stream.
     pub events: usize,
-    /// Time to the first token.
+    /// Time to the first token in seconds. `None` if there was none.
     pub ttft_s: Option<f64>,
-    /// Time to the end.
+    /// Time in seconds until the call ended.
     pub duration_s: f64,
-    /// Token counts.
+    /// Token counts of the response, if it has any.
     pub usage: Option<Value>,
 }
 
 impl ChatCall {
-    /// The request's body.
+    /// Returns the body of the request.
     pub fn body(&self) -> Bytes {
         let mut messages = Vec::new();
         if !self.system.is_empty() {
--- a/crates/nickelgw-test-servers/src/client/call.rs
+++ b/crates/nickelgw-test-servers/src/client/call.rs
@@ -1,4 +1,4 @@
-//! One call: the request is sent and its response read.
+//! Exchange of one request and its response.
 
 use super::{CallResult, ChatCall, DisconnectAt};
 use crate::recorder::{unix_now, Recorder};
@@ -14,17 +14,17 @@
 use smol::net::TcpStream;
 use smol_hyper::rt::FuturesIo;
 
-/// Time to connect.
+/// Time limit for connecting to the node.
 const CONNECT_TIMEOUT_S: f64 = 1.0;
-/// A client waits for the response so long after its timeout.
+/// Time for which a client still waits for the response after its own timeout.
 const RESPONSE_SLACK_S: f64 = 10.0;
-/// A client waits so long for more of a stream.
+/// Time for which a client waits for further bytes of a stream.
 const STREAM_TIMEOUT_S: f64 = 60.0;
-/// Codes of errors after which the request has certainly not run.
+/// Codes of errors that mean that the request has not run.
 const REJECTION_CODES: [&str; 6] =
     ["shed", "node_full", "retry_budget", "too_many_open", "fair_share", "node_draining"];
 
-/// How a call ended.
+/// Way in which a call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Outcome {
     Completed,
@@ -35,7 +35,7 @@
 }
 
 impl Outcome {
-    /// Name in the record.
+    /// Returns the name of the outcome in the records.
     fn name(self) -> &'static str {
         match self {
             Outcome::Completed => "completed",
@@ -47,9 +47,10 @@
     }
 }
 
-/// Sends the request; none if the node cannot be reached, so that nothing was sent.
+/// Sends a request and returns the result. `None` if the node could not be reached and nothing was sent.
 pub async fn call(call: &ChatCall, recorder: &Recorder) -> Option<CallResult> {
-    // A node closes a connection on which no head arrives in time: a long body is ready before there is one.
+    // A node closes a connection on which no head arrives in time. A long body takes time to build, so the
+    // request is built before the connection is opened.
     let request = call.request();
     let stream = timeout_s(CONNECT_TIMEOUT_S, TcpStream::connect(&call.address)).await?.ok()?;
     stream.set_nodelay(true).ok()?;
@@ -97,7 +98,7 @@
     }
 }
 
-/// A request and its response.
+/// Exchange of a request and its response.
 struct Exchange<'a> {
     call: &'a ChatCall,
     recorder: &'a Recorder,
@@ -105,17 +106,18 @@
 }
 
 impl Exchange<'_> {
-    /// The outcome; none if nothing came in so long a time that the audit has to judge it.
+    /// Sends the request, reads the response and returns the outcome. `None` if nothing arrived for so long
+    /// that the client stopped waiting; then no end is recorded, and the audit reports the request.
     async fn run(
         &mut self,
         mut sender: SendRequest<Full<Bytes>>,
         request: Option<Request<Full<Bytes>>>,
     ) -> Option<Outcome> {
-        let patience_s = match self.call.disconnect {
+        let response_timeout_s = match self.call.disconnect {
             DisconnectAt::WaitingFor(seconds) => seconds,
             _ => self.call.timeout_s + RESPONSE_SLACK_S,
         };
-        let response = match timeout_s(patience_s, sender.send_request(request?)).await {
+        let response = match timeout_s(response_timeout_s, sender.send_request(request?)).await {
             None if self.call.disconnect == DisconnectAt::Never => return None,
             None => return Some(Outcome::Disconnected),
             Some(Err(_)) => return Some(Outcome::ConnectionFailed),
@@ -174,7 +176,8 @@
         }
     }
 
-    /// The outcome, if this event ends the stream.
+    /// Handles an event of a stream. Returns the outcome if the event ends the stream or the client
+    /// disconnects after it.
     async fn handle_event(&mut self, event: Event) -> Option<Outcome> {
         let Event::Data { data, .. } = event else { return Some(Outcome::Completed) };
         let chunk: Value = serde_json::from_slice(&data).unwrap_or_default();
@@ -202,7 +205,7 @@
         self.recorder.record("first", json!({"req": self.call.request_id}));
     }
 
-    /// Whatever comes after the end counts as a second final answer.
+    /// Records an event after the end of the stream, which the audit counts as a second final answer.
     fn record_event_after_end(&self) {
         self.recorder.record("final", json!({"req": self.call.request_id, "how": "again"}));
     }
--- a/crates/nickelgw-test-servers/src/client/raw.rs
+++ b/crates/nickelgw-test-servers/src/client/raw.rs
@@ -1,19 +1,19 @@
-//! Bytes sent as they are, and control calls.
+//! Exchange of raw bytes, and control calls.
 
 use crate::timing::{sleep_s, timeout_s};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use serde_json::Value;
 use smol::net::TcpStream;
 
-/// A control call waits so long for its response.
+/// Time for which a control call waits for its response.
 const CONTROL_TIMEOUT_S: f64 = 2.0;
-/// The status line of a response is within so many bytes.
+/// Number of bytes at the beginning of a response within which the status is searched for.
 const STATUS_LINE_BYTES: usize = 64;
 /// Size of the read buffer.
 const BUFFER_BYTES: usize = 4096;
 
-/// Sends bytes as they are, in pieces with a pause between them, and returns the response. The response ends when
-/// nothing more comes for so many seconds.
+/// Sends raw bytes, in pieces with a pause between them, and returns the response. The response ends when no
+/// more bytes arrive for `timeout` seconds. It is empty if the server could not be reached.
 pub async fn send_raw(address: &str, pieces: &[&[u8]], pause_s: f64, timeout: f64) -> Vec<u8> {
     let exchange = async {
         let mut stream = TcpStream::connect(address).await?;
@@ -38,14 +38,15 @@
     exchange.await.unwrap_or_default()
 }
 
-/// Status of a raw response; 0 if there is none.
+/// Returns the status of a raw response, or 0 if there is none.
 pub fn response_status(response: &[u8]) -> u16 {
     let begin = &response[..response.len().min(STATUS_LINE_BYTES)];
     let text = String::from_utf8_lossy(begin);
     text.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
 }
 
-/// A control call to a test server; the body of its response.
+/// Sends a control call to a test server and returns the body of the response. `None` if there is no valid
+/// response.
 pub async fn control(address: &str, command: &Value) -> Option<Value> {
     let body = command.to_string();
     let request = format!(
--- a/crates/nickelgw-test-servers/src/engine.rs
+++ b/crates/nickelgw-test-servers/src/engine.rs
@@ -1,5 +1,5 @@
-//! A prefill or decode engine on sockets. Its work takes the time that its model says, KV states move as bytes, and
-//! faults are caused by `POST /control`.
+//! Prefill or decode engine that serves HTTP. Work takes the time given by the engine's model, KV states are
+//! transferred as bytes, and tests cause faults by `POST /control`.
 
 mod completion;
 mod control;
@@ -40,7 +40,7 @@
 /// Time between checks for expired reservations.
 const EXPIRY_INTERVAL_S: f64 = 0.25;
 
-/// A running engine.
+/// Running engine.
 struct Engine {
     model: RefCell<EngineModel>,
     slot_queue: RefCell<SlotQueue>,
@@ -48,16 +48,16 @@
     random: RefCell<WyRand>,
     recorder: Recorder,
     address: String,
-    /// Ends the engine.
+    /// Channel on which a message ends the engine.
     exit: Sender<()>,
     executor: LocalExecutor<'static>,
-    /// Streams begun so far.
+    /// Number of streams begun so far.
     streams: Cell<u64>,
     grants: Option<RefCell<GrantChecker>>,
     tls: Option<Rc<TlsEndpoint>>,
 }
 
-/// What a request to the engine asks for, completions and control calls aside.
+/// Route of a request to the engine, other than completions and control calls.
 enum Route<'a> {
     Health,
     ReleaseOrphans,
@@ -78,7 +78,7 @@
     }
 }
 
-/// Serves until a fault ends the engine, or until dropped.
+/// Runs an engine until a fault ends it or the future is dropped.
 pub async fn run(
     listener: TcpListener,
     config: EngineConfig,
@@ -156,7 +156,8 @@
         }
         let zone = header_text(request.headers(), ZONE_HEADER).to_string();
         let response = if method == Method::POST && path == "/v1/chat/completions" {
-            // A completion waits for the network itself, after it has recorded when it was sent.
+            // A completion first records the arrival of the attempt and waits for a network fault to end
+            // after that.
             self.clone().complete(request).await?
         } else {
             self.wait_until_reachable(&zone).await;
@@ -165,7 +166,7 @@
                 route => self.respond(&route, &request),
             }
         };
-        // A fault that began meanwhile holds up the response as well.
+        // A fault that began in the meantime delays the response as well.
         self.wait_until_reachable(&zone).await;
         Ok(self.with_load_report(response))
     }
@@ -221,7 +222,8 @@
         response
     }
 
-    /// Waits while a fault keeps everything from the caller: silence, a partition from its zone, or a pause.
+    /// Waits while a fault makes the engine unreachable for a caller in `zone`: silence, a partition between
+    /// the zones, or a pause.
     async fn wait_until_reachable(&self, zone: &str) {
         loop {
             let now = unix_now();
@@ -236,7 +238,7 @@
         }
     }
 
-    /// A random number from 0 to 1.
+    /// Draws a random number from 0 to 1.
     fn draw(&self) -> f64 {
         self.random.borrow_mut().generate::<u32>() as f64 / u32::MAX as f64
     }
--- a/crates/nickelgw-test-servers/src/engine/completion.rs
+++ b/crates/nickelgw-test-servers/src/engine/completion.rs
@@ -1,4 +1,4 @@
-//! Completion requests: what is recorded of them, and whether they are accepted.
+//! Completion requests: recording of attempts, and their acceptance or rejection.
 
 use super::model::Rejection;
 use super::Engine;
@@ -13,14 +13,14 @@
 use serde_json::{json, Value};
 use std::rc::Rc;
 
-/// A node's attempt to run a request here.
+/// Attempt of a node to run a request at this engine.
 pub(super) struct Attempt {
     pub request_id: String,
     pub id: String,
     pub node: String,
     pub zone: String,
     pub chat: ChatRequest,
-    /// Where the KV state is held, in a decode request.
+    /// Location of the KV state, in the request to a decode engine.
     pub kv_transfer: Option<KvTransfer>,
 }
 
@@ -72,22 +72,23 @@
         }
     }
 
-    /// Records when the attempt was sent, not when a fault that holds it up has ended.
+    /// Records the arrival of an attempt. It is called before the attempt waits for a network fault to end,
+    /// so that the recorded time is close to the time at which the node sent it.
     fn record_attempt(&self, attempt: &Attempt, work_s: f64) {
         let role = self.model.borrow().config.role;
         let state = attempt.kv_transfer.as_ref().and_then(|kv| kv.remote_request_id.as_ref());
         let fields = json!({"node": attempt.node, "role": role, "state": state, "work": work_s});
-        self.record_of(attempt, "send", fields);
+        self.record_event(attempt, "send", fields);
     }
 
     /// Records an event of an attempt.
-    pub(super) fn record_of(&self, attempt: &Attempt, event: &str, mut fields: Value) {
+    pub(super) fn record_event(&self, attempt: &Attempt, event: &str, mut fields: Value) {
         fields["req"] = json!(attempt.request_id);
         fields["send"] = json!(attempt.id);
         self.recorder.record(event, fields);
     }
 
-    /// The response to an attempt that is rejected or hit by a fault.
+    /// Returns the error response if the attempt is rejected or hit by a fault.
     fn reject(&self, attempt: &Attempt, work_s: f64) -> Option<HttpResponse> {
         if self.model.borrow_mut().record_arrival(unix_now(), work_s) {
             self.recorder.record("fell", json!({}));
@@ -96,23 +97,23 @@
         let is_fault = self.faults.borrow_mut().take_rejection();
         if let Err(rejection) = if is_fault { Err(Rejection::Full) } else { admitted } {
             let (status, code) = rejection.response();
-            self.record_of(attempt, "turned", json!({"code": code}));
+            self.record_event(attempt, "turned", json!({"code": code}));
             return Some(error_response(status, code));
         }
         let drawn = self.draw();
-        if self.faults.borrow().fail.hits(unix_now(), drawn) {
-            self.record_of(attempt, "failed", json!({}));
+        if self.faults.borrow().fail.affects(unix_now(), drawn) {
+            self.record_event(attempt, "failed", json!({}));
             return Some(error_response(500, "internal"));
         }
         None
     }
 
-    /// Whether a fault loses the response to this attempt.
+    /// Returns whether a fault drops the response to this attempt, and records it.
     pub(super) fn loses_response(&self, attempt: &Attempt) -> bool {
         let drawn = self.draw();
-        let is_lost = self.faults.borrow().lose_response.hits(unix_now(), drawn);
+        let is_lost = self.faults.borrow().lose_response.affects(unix_now(), drawn);
         if is_lost {
-            self.record_of(attempt, "lost", json!({}));
+            self.record_event(attempt, "lost", json!({}));
         }
         is_lost
     }
--- a/crates/nickelgw-test-servers/src/engine/control.rs
+++ b/crates/nickelgw-test-servers/src/engine/control.rs
@@ -1,4 +1,4 @@
-//! Control calls: tests cause faults and read the engine's state.
+//! Control calls, with which tests cause faults and read the state of the engine.
 
 use super::faults::fault_name;
 use super::model::Slowdown;
@@ -11,11 +11,12 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Values that a control call leaves out.
+/// Factor of a slowdown for which the control call gives none.
 const DEFAULT_SLOWDOWN: f64 = 4.0;
+/// Delay of handshakes for which the control call gives none.
 const DEFAULT_HANDSHAKE_DELAY_S: f64 = 1.0;
 
-/// Why a control call is rejected.
+/// Reason for which a control call is rejected.
 enum ControlError {
     UnknownFault,
     NoTls,
--- a/crates/nickelgw-test-servers/src/engine/decode.rs
+++ b/crates/nickelgw-test-servers/src/engine/decode.rs
@@ -1,4 +1,5 @@
-//! Decode: the KV state is fetched, or else the prompt prefilled here, and the answer streamed.
+//! Decode of a request: fetches the KV state, or prefills the prompt locally if there is none, and streams
+//! the answer.
 
 use super::completion::Attempt;
 use super::faults::StreamEnding;
@@ -17,20 +18,20 @@
 use serde_json::{json, Value};
 use std::rc::Rc;
 
-/// Frames of a stream that may be ahead of its client.
+/// Number of frames buffered for a client that reads more slowly than this engine writes.
 const STREAM_BUFFER_FRAMES: usize = 4;
-/// A prefill at a decode engine takes so many times as long as at a prefill engine.
+/// Factor by which a prefill takes longer at a decode engine than at a prefill engine.
 const LOCAL_PREFILL_FACTOR: f64 = 4.0;
 
-/// The client of a stream has disconnected.
+/// Error returned when the client of a stream has disconnected.
 struct ClientDisconnected;
 
-/// A stream to a node.
+/// Stream of tokens to a node.
 struct TokenStream {
     attempt: Attempt,
     created: u64,
     frames: Sender<Frame<Bytes>>,
-    /// Size of the pieces in which events are sent; 0: whole events.
+    /// Size of the pieces in which events are sent. 0 for whole events.
     piece_bytes: usize,
 }
 
@@ -68,7 +69,7 @@
         self.send_chunk(choices, Value::Null).await
     }
 
-    /// Sends the token counts, if the request asks for them, and the end of the stream.
+    /// Sends the token counts, if the request asks for them, and the final event or its faulty replacement.
     async fn send_end(&self, output_tokens: u64, ending: StreamEnding) {
         let prompt_tokens = self.attempt.chat.prompt_tokens as u64;
         if self.attempt.chat.include_usage {
@@ -100,11 +101,11 @@
         let prompt_tokens = attempt.chat.prompt_tokens;
         let slot = self.acquire_slot(prompt_tokens, prompt_tokens + output_tokens as f64).await;
         if self.prepare_kv_state(&attempt).await.is_none() {
-            self.record_of(&attempt, "turned", json!({"code": STATE_NOT_FOUND}));
+            self.record_event(&attempt, "turned", json!({"code": STATE_NOT_FOUND}));
             return Ok(error_response(409, STATE_NOT_FOUND));
         }
-        // From here on the request has run.
-        self.record_of(&attempt, "ran", json!({}));
+        // From here on, the request counts as run.
+        self.record_event(&attempt, "ran", json!({}));
         if self.loses_response(&attempt) {
             let step_s = self.model.borrow().decode_step_time_s(unix_now());
             sleep_s(drawn * step_s * output_tokens as f64).await;
@@ -123,7 +124,7 @@
         builder.body(channel_body(body)).map_err(|_| ConnectionClosed)
     }
 
-    /// The answer, of a length that depends on a number drawn from 0 to 1.
+    /// Generates the answer. `drawn` is a random number from 0 to 1 that decides its length.
     fn generate(&self, attempt: &Attempt, drawn: f64) -> Generation {
         let mean_tokens = self.model.borrow().config.mean_output_tokens as f64;
         let output_tokens = (mean_tokens * (0.5 + drawn)).round().max(1.0) as u64;
@@ -138,7 +139,8 @@
         Generation::new(tokens, &attempt.chat.stop, attempt.chat.max_tokens)
     }
 
-    /// Fetches the KV state, or else prefills here; none if the state cannot be fetched.
+    /// Fetches the KV state, or prefills the prompt locally if the request names no state. `None` if the
+    /// state cannot be fetched.
     async fn prepare_kv_state(&self, attempt: &Attempt) -> Option<()> {
         match &attempt.kv_transfer {
             Some(kv_transfer) => self.fetch_state(kv_transfer).await.map(drop),
@@ -167,7 +169,7 @@
         let output_tokens = generation.tokens.len();
         for index in 0..output_tokens {
             if stream.send_token(&generation, index).await.is_err() {
-                self.record_of(&stream.attempt, "dropped", json!({"tokens": index}));
+                self.record_event(&stream.attempt, "dropped", json!({"tokens": index}));
                 return;
             }
             let step_s = self.model.borrow().decode_step_time_s(unix_now());
@@ -178,7 +180,7 @@
         }
         stream.send_end(output_tokens as u64, ending).await;
         drop(slot);
-        self.record_of(&stream.attempt, "done", json!({"tokens": output_tokens}));
+        self.record_event(&stream.attempt, "done", json!({"tokens": output_tokens}));
         let mut trailers = HeaderMap::new();
         if let Ok(report) = self.load_report().to_header().parse() {
             trailers.insert(LOAD_METRICS_HEADER, report);
--- a/crates/nickelgw-test-servers/src/engine/faults.rs
+++ b/crates/nickelgw-test-servers/src/engine/faults.rs
@@ -2,13 +2,14 @@
 
 use serde_json::Value;
 
-/// Length and period of pauses that a control call leaves out.
+/// Length of pauses for which the control call gives none.
 const DEFAULT_PAUSE_S: f64 = 0.2;
+/// Period of pauses for which the control call gives none.
 const DEFAULT_PAUSE_PERIOD_S: f64 = 1.0;
-/// Shortest period of pauses.
+/// Shortest period of pauses; a period of zero would have no remainder.
 const MIN_PAUSE_PERIOD_S: f64 = 0.01;
 
-/// A fault that hits a share of the requests.
+/// Fault that affects a share of the requests, chosen at random.
 #[derive(Clone, Copy, Default)]
 pub(super) struct RandomFault {
     until: f64,
@@ -16,20 +17,20 @@
 }
 
 impl RandomFault {
-    /// Whether the fault hits a request for which this number from 0 to 1 was drawn.
-    pub fn hits(&self, now: f64, drawn: f64) -> bool {
+    /// Returns whether the fault affects a request. `drawn` is a random number from 0 to 1.
+    pub fn affects(&self, now: f64, drawn: f64) -> bool {
         now < self.until && drawn < self.share
     }
 }
 
-/// One zone cannot reach the others.
+/// Network partition: engines and nodes of a zone cannot reach those of other zones.
 #[derive(Default)]
 struct Partition {
     until: f64,
     zone: String,
 }
 
-/// The engine stops for a time in every period.
+/// Periodic pauses: the engine stops for `length_s` in every period.
 #[derive(Default)]
 struct Pauses {
     until: f64,
@@ -38,7 +39,7 @@
 }
 
 impl Pauses {
-    /// End of the pause that contains this time; zero outside pauses.
+    /// Returns the end of the pause that contains `now`, or zero outside pauses.
     fn end(&self, now: f64) -> f64 {
         if now < self.until && now % self.period_s < self.length_s {
             now - now % self.period_s + self.length_s
@@ -48,12 +49,12 @@
     }
 }
 
-/// How a stream ends.
+/// Way in which streams end.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(super) enum StreamEnding {
     #[default]
     Normal,
-    /// The final event comes twice.
+    /// The final event is sent twice.
     DoneTwice,
     /// The final event is missing.
     NoDone,
@@ -72,15 +73,15 @@
     }
 }
 
-/// How streams differ from ordinary ones.
+/// Faults of streams.
 #[derive(Clone, Default)]
 pub(super) struct StreamFaults {
     pub ending: StreamEnding,
-    /// Text to send in place of numbered words, one character for each token.
+    /// Text to send instead of numbered words, one character for each token. Empty for numbered words.
     pub text: String,
-    /// Size of the pieces in which streams are sent; 0: whole events.
+    /// Size of the pieces in which streams are sent. 0 for whole events.
     pub piece_bytes: usize,
-    /// Padding of each token, so that few fill a buffer.
+    /// Number of bytes added to each token, so that few tokens fill a buffer.
     pub padding_bytes: usize,
 }
 
@@ -90,19 +91,20 @@
     silent_until: f64,
     partition: Partition,
     pauses: Pauses,
-    /// Requests answered with an internal error.
+    /// Fault that answers requests with an internal error.
     pub fail: RandomFault,
-    /// Requests whose response is lost after the work is done.
+    /// Fault that drops the response after the work is done.
     pub lose_response: RandomFault,
-    /// Requests still to reject as if the engine were full.
+    /// Number of requests still to reject as if the engine were full.
     reject_next: u64,
-    /// The next fetch of a KV state ends halfway, and the process with it.
+    /// Whether the engine exits halfway through the next fetch of a KV state.
     pub exit_in_fetch: bool,
     pub stream: StreamFaults,
 }
 
 impl Faults {
-    /// Until when a caller in this zone is out of reach.
+    /// Returns the time until which the engine is unreachable for a caller in `zone`. It is in the past if
+    /// the engine is reachable.
     pub fn unreachable_until(&self, now: f64, zone: &str, own_zone: &str) -> f64 {
         let partition = &self.partition;
         let crosses_zones = !zone.is_empty() && zone != own_zone;
@@ -111,14 +113,14 @@
         self.silent_until.max(cut_until).max(self.pauses.end(now))
     }
 
-    /// Whether this request is one of those to reject.
+    /// Returns whether this request is to be rejected, and counts it.
     pub fn take_rejection(&mut self) -> bool {
         let rejects = self.reject_next > 0;
         self.reject_next = self.reject_next.saturating_sub(1);
         rejects
     }
 
-    /// Applies a control call; false if it asks for no fault of this kind.
+    /// Applies a control call. Returns `false` if it asks for a fault of another kind.
     pub fn apply(&mut self, command: &Value, until: f64, own_zone: &str) -> bool {
         self.apply_request_fault(command, until, own_zone) || self.apply_stream_fault(command)
     }
@@ -158,7 +160,7 @@
     }
 }
 
-/// The fault that a control call asks for.
+/// Returns the name of the fault that a control call asks for.
 pub(super) fn fault_name(command: &Value) -> &str {
     command["fault"].as_str().unwrap_or("")
 }
--- a/crates/nickelgw-test-servers/src/engine/generation.rs
+++ b/crates/nickelgw-test-servers/src/engine/generation.rs
@@ -1,13 +1,13 @@
-//! What a decode engine generates.
+//! Generated tokens of a decode engine.
 
-/// The tokens of an answer, and why it ends.
+/// Tokens of an answer and the reason for its end.
 pub(super) struct Generation {
     pub tokens: Vec<String>,
     pub finish_reason: &'static str,
 }
 
 impl Generation {
-    /// Ends the tokens before the first stop sequence, and after so many at most.
+    /// Cuts the tokens off before the first stop sequence and after `max_tokens`.
     pub fn new(all: Vec<String>, stop: &[String], max_tokens: Option<u64>) -> Generation {
         let mut text = String::new();
         let mut tokens: Vec<String> = Vec::new();
@@ -18,7 +18,7 @@
             let token_begin = text.len();
             text.push_str(&token);
             if let Some(stop_begin) = stop.iter().filter_map(|sequence| text.find(sequence)).min() {
-                // What this token has before the stop sequence still belongs to the answer.
+                // The part of this token before the stop sequence still belongs to the answer.
                 let before_stop = stop_begin.checked_sub(token_begin).filter(|length| *length > 0);
                 tokens.extend(before_stop.map(|length| token[..length].to_string()));
                 break;
--- a/crates/nickelgw-test-servers/src/engine/kv_fetch.rs
+++ b/crates/nickelgw-test-servers/src/engine/kv_fetch.rs
@@ -1,4 +1,4 @@
-//! Fetching of KV states from the prefill engines that hold them.
+//! Fetches of KV states from the prefill engines that hold them.
 
 use super::Engine;
 use crate::timing::timeout_s;
@@ -7,14 +7,14 @@
 use nickelgw_protocol::engine::KvTransfer;
 use nickelgw_protocol::{ENGINE_ID_HEADER, GRANT_HEADER, ZONE_HEADER};
 
-/// A fetch that takes longer has failed.
+/// Time after which a fetch fails.
 const FETCH_TIMEOUT_S: f64 = 2.0;
 /// Size of the read buffer.
 const BUFFER_BYTES: usize = 64 * 1024;
 /// End of the head of a response.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// The head of a response, and how many bytes of the body came with it.
+/// Head of a response, and the number of bytes of the body that were received with it.
 struct ResponseHead {
     text: String,
     body_bytes: usize,
@@ -32,7 +32,7 @@
 }
 
 impl Engine {
-    /// Fetches a KV state; its size, or none if it could not be fetched.
+    /// Fetches a KV state and returns its size in bytes. `None` if it could not be fetched.
     pub(super) async fn fetch_state(&self, kv_transfer: &KvTransfer) -> Option<usize> {
         let request = self.fetch_request(kv_transfer)?;
         let fetch = async {
@@ -84,7 +84,7 @@
     }
 }
 
-/// Reads what comes next; none at the end of the stream.
+/// Reads the next bytes and returns their number. `None` at the end of the stream or after an error.
 async fn read_some(stream: &mut dyn Stream, buffer: &mut [u8]) -> Option<usize> {
     stream.read(buffer).await.ok().filter(|&length| length > 0)
 }
--- a/crates/nickelgw-test-servers/src/engine/kv_serve.rs
+++ b/crates/nickelgw-test-servers/src/engine/kv_serve.rs
@@ -1,4 +1,4 @@
-//! Serving of KV states to the decode engines that fetch them.
+//! Transfer of KV states to the decode engines that fetch them.
 
 use super::Engine;
 use crate::http::{channel_body, error_response, header_text, ConnectionClosed, HttpResponse};
@@ -13,13 +13,13 @@
 use serde_json::json;
 use std::rc::Rc;
 
-/// Size of the pieces in which a KV state is sent.
-const PIECE_BYTES: usize = 64 * 1024;
-/// Pieces that may be ahead of the decode engine.
-const BUFFER_PIECES: usize = 4;
+/// Size of the frames in which a KV state is sent.
+const FRAME_BYTES: usize = 64 * 1024;
+/// Number of frames buffered for a decode engine that reads more slowly than this engine writes.
+const BUFFER_FRAMES: usize = 4;
 
 impl Engine {
-    /// Sends a KV state; its memory is free when all of its bytes are out.
+    /// Sends a KV state. Its memory becomes free when all of its bytes have been written.
     pub(super) fn serve_state(
         self: Rc<Self>,
         name: &str,
@@ -31,7 +31,7 @@
         let tokens = self.model.borrow().reservations.get(name).map(|reservation| reservation.tokens);
         let Some(tokens) = tokens else { return Ok(error_response(404, STATE_NOT_FOUND)) };
         let bytes = (tokens * self.model.borrow().config.kv_bytes_per_token) as usize;
-        let (frames, body) = async_channel::bounded(BUFFER_PIECES);
+        let (frames, body) = async_channel::bounded(BUFFER_FRAMES);
         let (engine, name) = (self.clone(), name.to_string());
         self.executor.spawn(async move { engine.send_state(&name, bytes, frames).await }).detach();
         let builder = Response::builder().header("content-length", bytes);
@@ -56,7 +56,7 @@
     }
 
     async fn send_state(&self, name: &str, bytes: usize, frames: Sender<Frame<Bytes>>) {
-        let piece = Bytes::from(vec![b'k'; PIECE_BYTES]);
+        let frame = Bytes::from(vec![b'k'; FRAME_BYTES]);
         let mut remaining = bytes;
         let exit_below = if self.faults.borrow().exit_in_fetch { bytes / 2 } else { 0 };
         while remaining > 0 {
@@ -65,8 +65,8 @@
                 let _ = self.exit.try_send(());
                 return;
             }
-            let length = remaining.min(piece.len());
-            if frames.send(Frame::data(piece.slice(..length))).await.is_err() {
+            let length = remaining.min(frame.len());
+            if frames.send(Frame::data(frame.slice(..length))).await.is_err() {
                 return;
             }
             remaining -= length;
--- a/crates/nickelgw-test-servers/src/engine/model.rs
+++ b/crates/nickelgw-test-servers/src/engine/model.rs
@@ -1,4 +1,4 @@
-//! State of a test engine, and how long its work takes. No I/O.
+//! State of a test engine and duration of its work, without I/O.
 
 use crate::engine_config::{EngineConfig, Role};
 use std::collections::{BTreeMap, VecDeque};
@@ -7,33 +7,33 @@
 #[path = "model_tests.rs"]
 mod tests;
 
-/// Texts in the prefix cache.
+/// Largest number of texts in the prefix cache.
 const MAX_CACHED_TEXTS: usize = 2048;
 
-/// A KV state held for a decode engine.
+/// KV state held for a decode engine.
 #[derive(Debug)]
 pub(super) struct Reservation {
     pub tokens: f64,
     created_at: f64,
-    /// Node for which it was prefilled.
+    /// Node that sent the prefill.
     node: String,
 }
 
-/// A text in the prefix cache.
+/// Text in the prefix cache.
 #[derive(Debug)]
 struct CachedText {
     name: String,
     tokens: f64,
 }
 
-/// Work that arrived at a time.
+/// Arrival of a request, with the work that it brings.
 #[derive(Debug)]
 struct Arrival {
     time: f64,
     work_s: f64,
 }
 
-/// A fault that makes all work take longer.
+/// Fault that makes all work take longer.
 #[derive(Debug)]
 pub(super) struct Slowdown {
     pub until: f64,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Why a request is rejected.
+/// Reason for which a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Rejection {
     Full,
@@ -63,11 +63,11 @@
     pub queued: usize,
     pub queued_prompt_tokens: f64,
     pub memory_used: f64,
-    /// KV states by their name.
+    /// Held KV states, by name.
     pub reservations: BTreeMap<String, Reservation>,
-    /// Texts in the prefix cache, the least recently used first.
+    /// Texts in the prefix cache, least recently used first.
     cached_texts: VecDeque<CachedText>,
-    /// Work that arrived within the overload window.
+    /// Arrivals within the overload window.
     arrivals: VecDeque<Arrival>,
     pub draining: bool,
     pub overloaded: bool,
@@ -80,14 +80,14 @@
         EngineModel { config, started_at, ..EngineModel::default() }
     }
 
-    /// Share of its full speed that the engine has.
+    /// Returns the current speed of the engine as a share of its full speed.
     fn speed(&self, now: f64) -> f64 {
         let config = &self.config;
         let warmup = (1.0 - config.slow_start_speed) * (now - self.started_at) / config.slow_start_s;
         (config.slow_start_speed + warmup).min(1.0)
     }
 
-    /// Factor by which all work takes longer than on a warm engine without faults.
+    /// Returns the factor by which all work takes longer than on a warm engine without faults.
     fn time_factor(&self, now: f64) -> f64 {
         let slowdown = if now < self.slowdown.until { self.slowdown.factor } else { 1.0 };
         slowdown / self.speed(now)
@@ -104,7 +104,7 @@
         step_s * self.time_factor(now)
     }
 
-    /// Time for which a request occupies a slot of a warm engine.
+    /// Returns the time in seconds for which a request occupies a slot of a warm engine.
     pub fn work_s(&self, prompt_tokens: f64) -> f64 {
         let config = &self.config;
         match config.role {
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Counts a request that has arrived, whether or not it is rejected. True if it overloads the engine, which then
-    /// rejects everything.
+    /// Counts the arrival of a request, whether or not it is rejected. Returns `true` if it overloads the
+    /// engine. An overloaded engine rejects all requests.
     pub fn record_arrival(&mut self, now: f64, work_s: f64) -> bool {
         let config = &self.config;
         self.arrivals.push_back(Arrival { time: now, work_s });
@@ -131,7 +131,7 @@
         self.overloaded
     }
 
-    /// Whether a request may wait for a slot.
+    /// Checks whether a request is accepted, either to run at once or to wait for a slot.
     pub fn admit(&self, prompt_tokens: f64) -> Result<(), Rejection> {
         let config = &self.config;
         if self.overloaded {
@@ -148,13 +148,13 @@
         Ok(())
     }
 
-    /// Whether a slot and so much memory are free.
+    /// Returns whether a slot and `memory_tokens` of memory are free.
     pub fn has_capacity(&self, memory_tokens: f64) -> bool {
         let memory_fits = self.memory_used + memory_tokens <= self.config.memory_tokens;
         self.running < self.config.slots && memory_fits
     }
 
-    /// Puts a prompt into the prefix cache, and returns how many of its tokens were cached before.
+    /// Puts a prompt into the prefix cache and returns the number of its tokens that were cached before.
     pub fn cache_prompt(&mut self, session: &str, prefix: Option<(&str, f64)>, prompt_tokens: f64) -> f64 {
         let mut cached_tokens = 0.0f64;
         if let Some((name, tokens)) = prefix {
@@ -167,7 +167,7 @@
         cached_tokens.min(prompt_tokens - 1.0).max(0.0)
     }
 
-    /// Puts a text into the prefix cache, and returns how many of its tokens were cached before.
+    /// Puts a text into the prefix cache and returns the number of its tokens that were cached before.
     fn cache_text(&mut self, name: &str, tokens: f64) -> f64 {
         let index = self.cached_texts.iter().position(|text| text.name == name);
         let before = index.and_then(|index| self.cached_texts.remove(index));
@@ -179,21 +179,22 @@
         self.cached_texts.clear();
     }
 
-    /// Holds the KV state of a prompt.
+    /// Holds the KV state of a prompt for a decode engine.
     pub fn reserve(&mut self, now: f64, name: &str, node: &str, tokens: f64) {
         let reservation = Reservation { tokens, created_at: now, node: node.to_string() };
         self.reservations.insert(name.to_string(), reservation);
         self.memory_used += tokens;
     }
 
-    /// Drops a KV state; false if there was none.
+    /// Drops a KV state. Returns `false` if it was not held.
     pub fn release(&mut self, name: &str) -> bool {
         let reservation = self.reservations.remove(name);
         self.memory_used -= reservation.as_ref().map_or(0.0, |reservation| reservation.tokens);
         reservation.is_some()
     }
 
-    /// KV states of a node whose names do not begin with that of its present process.
+    /// Returns the names of KV states that were left by earlier processes of a node: those that do not begin
+    /// with the name of its present process.
     pub fn orphans_of(&self, node: &str, present_process: &str) -> Vec<String> {
         let is_orphan = |(name, reservation): &(&String, &Reservation)| {
             reservation.node == node && !name.starts_with(present_process)
@@ -201,7 +202,7 @@
         self.reservations.iter().filter(is_orphan).map(|(name, _)| name.clone()).collect()
     }
 
-    /// KV states held for longer than their time to live.
+    /// Returns the names of KV states held for longer than their time to live.
     pub fn expired(&self, now: f64) -> Vec<String> {
         let is_expired = |(_, reservation): &(&String, &Reservation)| {
             now - reservation.created_at > self.config.reservation_ttl_s
--- a/crates/nickelgw-test-servers/src/engine/model_tests.rs
+++ b/crates/nickelgw-test-servers/src/engine/model_tests.rs
@@ -4,7 +4,7 @@
 fn an_overloaded_engine_in_slow_start_stays_overloaded() {
     let config = EngineConfig { slow_start: true, slots: 2, ..EngineConfig::default() };
     let mut model = EngineModel::new(config.clone(), 10.0);
-    // Three times 0.3 of two slots for two seconds: 3.6 slot seconds.
+    // The limit is 3 times a speed of 0.3 times 2 slots times 2 s, which is 3.6 s of work.
     assert!(!(0..35).any(|n| model.record_arrival(10.0 + n as f64 * 0.001, 0.1)));
     assert!((0..3).any(|n| model.record_arrival(10.1 + n as f64 * 0.001, 0.1)));
     assert_eq!(model.admit(1.0), Err(Rejection::Overloaded));
--- a/crates/nickelgw-test-servers/src/engine/prefill.rs
+++ b/crates/nickelgw-test-servers/src/engine/prefill.rs
@@ -1,4 +1,4 @@
-//! Prefill: the prompt is processed and its KV state held for a decode engine.
+//! Prefill of a prompt, after which its KV state is held for a decode engine.
 
 use super::completion::Attempt;
 use super::Engine;
@@ -21,7 +21,7 @@
         self.wait_until_reachable(&attempt.zone).await;
         drop(slot);
         self.model.borrow_mut().reserve(unix_now(), &attempt.id, &attempt.node, tokens);
-        self.record_of(attempt, "read", json!({"tokens": tokens, "kept": cached_tokens}));
+        self.record_event(attempt, "read", json!({"tokens": tokens, "kept": cached_tokens}));
         if self.loses_response(attempt) {
             return Err(ConnectionClosed);
         }
--- a/crates/nickelgw-test-servers/src/engine/slots.rs
+++ b/crates/nickelgw-test-servers/src/engine/slots.rs
@@ -1,23 +1,23 @@
-//! Slots and memory of an engine, given to requests in the order of their arrival.
+//! Slots and memory of an engine, assigned to requests in the order of their arrival.
 
 use super::Engine;
 use async_channel::Sender;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// A request that waits.
+/// Request that waits for a slot.
 struct Waiter {
     memory_tokens: f64,
     wake: Sender<()>,
 }
 
-/// Requests that wait for a slot, first come first served.
+/// Queue of the requests that wait for a slot, in the order of their arrival.
 #[derive(Default)]
 pub(super) struct SlotQueue {
     waiters: VecDeque<Waiter>,
 }
 
-/// A slot and memory in use; given back when dropped, however the work ended.
+/// Slot and memory in use by a request. Both become free when it is dropped, however the work ended.
 pub(super) struct Slot {
     engine: Rc<Engine>,
     memory_tokens: f64,
@@ -34,7 +34,7 @@
     }
 }
 
-/// Counts a request as queued until dropped.
+/// Guard that counts a request as queued until it is dropped.
 struct Queued<'a> {
     engine: &'a Engine,
     prompt_tokens: f64,
@@ -49,7 +49,7 @@
 }
 
 impl Engine {
-    /// Waits for a slot and memory.
+    /// Waits for a free slot and enough free memory, and takes them.
     pub(super) async fn acquire_slot(self: &Rc<Self>, prompt_tokens: f64, memory_tokens: f64) -> Slot {
         let is_free =
             self.slot_queue.borrow().waiters.is_empty() && self.model.borrow().has_capacity(memory_tokens);
--- a/crates/nickelgw-test-servers/src/engine_config.rs
+++ b/crates/nickelgw-test-servers/src/engine_config.rs
@@ -1,4 +1,4 @@
-//! Configuration of a test engine. It is passed as JSON to engines in processes of their own.
+//! Configuration of a test engine. It is passed as JSON to engines that run in separate processes.
 
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
@@ -6,7 +6,7 @@
 #[cfg(test)]
 mod tests;
 
-/// The phase of a request that an engine runs.
+/// Phase of a request that an engine runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -28,67 +28,69 @@
     pub zone: String,
     /// Cell within the zone.
     pub cell: u32,
-    /// Phase that it runs.
+    /// Phase of a request that the engine runs.
     pub role: Role,
-    /// Requests that run at once.
+    /// Number of requests that run at the same time.
     pub slots: usize,
-    /// Requests that may wait for a slot.
+    /// Number of requests that may wait for a slot.
     #[serde(rename = "queue")]
     pub max_queue_len: usize,
-    /// Memory for KV states.
+    /// Memory for KV states in tokens.
     pub memory_tokens: f64,
-    /// Time that a prefill takes beside that for its uncached tokens.
+    /// Time in seconds that a prefill takes in addition to the time for its uncached tokens.
     #[serde(rename = "read_s")]
     pub prefill_base_s: f64,
-    /// Uncached tokens prefilled in a second.
+    /// Number of uncached tokens prefilled per second.
     #[serde(rename = "read_tokens_per_s")]
     pub prefill_tokens_per_s: f64,
-    /// Time between tokens of one stream.
+    /// Time in seconds between two tokens of a stream.
     #[serde(rename = "step_s")]
     pub decode_step_s: f64,
-    /// What each running stream adds to the time between tokens.
+    /// Time in seconds that each running stream adds to the time between two tokens.
     #[serde(rename = "step_per_stream_s")]
     pub decode_step_per_stream_s: f64,
-    /// Mean number of tokens generated.
+    /// Mean number of tokens generated for a request.
     #[serde(rename = "out_tokens")]
     pub mean_output_tokens: usize,
-    /// Size of a KV state.
+    /// Size of a KV state in bytes per token.
     #[serde(rename = "state_bytes_per_token")]
     pub kv_bytes_per_token: f64,
-    /// A KV state that is neither fetched nor released is dropped after so long.
+    /// Time in seconds after which a KV state that was neither fetched nor released is dropped.
     #[serde(rename = "state_ttl_s")]
     pub reservation_ttl_s: f64,
-    /// Whether the engine begins in slow start.
+    /// Whether the engine starts in slow start.
     #[serde(rename = "cold")]
     pub slow_start: bool,
-    /// Share of its full speed that an engine has when it starts.
+    /// Share of the full speed that an engine in slow start has at its start.
     #[serde(rename = "cold_from")]
     pub slow_start_speed: f64,
-    /// Time until it has its full speed.
+    /// Time in seconds from the start until an engine in slow start reaches its full speed.
     #[serde(rename = "warm_s")]
     pub slow_start_s: f64,
-    /// An engine in slow start is overloaded by so many times the work it can do.
+    /// Factor by which the arriving work has to exceed the capacity of an engine in slow start to overload
+    /// it.
     #[serde(rename = "tip_multiple")]
     pub overload_multiple: f64,
-    /// Time over which the work is summed for that.
+    /// Time in seconds over which the arriving work is summed for [`EngineConfig::overload_multiple`].
     #[serde(rename = "tip_window_s")]
     pub overload_window_s: f64,
-    /// Certificate for serving, and for fetching KV states, over TLS; none: plain text.
+    /// Certificate with which the engine serves and fetches KV states over TLS. `None` for plain text.
     pub tls: Option<TlsFiles>,
-    /// Keys, each with its number, of which one must have signed the grant of a fetch; none: any fetch is served.
+    /// Numbers and secrets of the keys of which one has to have signed the grant of a fetch. If there are
+    /// none, every fetch is served.
     pub grant_keys: Vec<(u32, String)>,
 }
 
 /// Certificate files of an engine.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct TlsFiles {
-    /// The name in its certificate.
+    /// Name in the certificate.
     pub name: String,
-    /// Certificate chain.
+    /// File with the certificate chain.
     pub chain: PathBuf,
-    /// Private key.
+    /// File with the private key.
     pub key: PathBuf,
-    /// Trusted roots.
+    /// File with the trusted root certificates.
     pub trust: PathBuf,
     /// Whether clients must present a certificate.
     pub mutual: bool,
--- a/crates/nickelgw-test-servers/src/engine_config/tests.rs
+++ b/crates/nickelgw-test-servers/src/engine_config/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde_json::json;
 
-/// Configurations are passed between processes and stand in files, so the names of their JSON fields are fixed.
+/// Guards against a renamed JSON field: configurations are passed between processes and stored in files.
 #[test]
 fn json_field_names_are_stable() {
     let expected = json!({
--- a/crates/nickelgw-test-servers/src/http.rs
+++ b/crates/nickelgw-test-servers/src/http.rs
@@ -1,4 +1,4 @@
-//! The test servers' HTTP: helpers over hyper.
+//! HTTP helpers of the test servers, based on hyper.
 
 use crate::tls::TlsEndpoint;
 use bytes::Bytes;
@@ -20,17 +20,17 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Path of the calls by which tests control a server.
+/// Path of the calls with which tests control a server.
 pub(crate) const CONTROL_PATH: &str = "/control";
-/// Largest request body accepted.
+/// Size limit of a request body.
 const MAX_BODY_BYTES: usize = 64 << 20;
-/// Pause after a failed accept.
+/// Delay before the next attempt after a failed accept.
 const ACCEPT_RETRY: Duration = Duration::from_millis(10);
 
-/// A server's response.
+/// Response of a test server.
 pub(crate) type HttpResponse = Response<BoxBody<Bytes, Infallible>>;
 
-/// The connection is closed without a response.
+/// Error returned when a connection is to be closed without a response.
 #[derive(Debug)]
 pub(crate) struct ConnectionClosed;
 
@@ -42,40 +42,41 @@
 
 impl std::error::Error for ConnectionClosed {}
 
-/// A response with a whole body.
+/// Creates a response with a complete body.
 pub(crate) fn response(status: u16, content_type: &str, body: impl Into<Bytes>) -> HttpResponse {
     let builder = Response::builder().status(status).header("content-type", content_type);
     builder.body(Full::new(body.into()).boxed()).unwrap_or_default()
 }
 
-/// A response with a JSON body.
+/// Creates a response with a JSON body.
 pub(crate) fn json_response(status: u16, body: Value) -> HttpResponse {
     response(status, "application/json", body.to_string())
 }
 
-/// An error response in OpenAI's shape.
+/// Creates an error response in the format of the OpenAI API.
 pub(crate) fn error_response(status: u16, code: &str) -> HttpResponse {
     let error = serde_json::json!({"message": code, "type": "server_error", "param": null, "code": code});
     json_response(status, serde_json::json!({ "error": error }))
 }
 
-/// The whole body of a request.
+/// Reads the whole body of a request. Fails if the body is larger than [`MAX_BODY_BYTES`] or the connection
+/// ends.
 pub(crate) async fn read_body(request: Request<Incoming>) -> Result<Bytes, ConnectionClosed> {
     let body = Limited::new(request.into_body(), MAX_BODY_BYTES);
     Ok(body.collect().await.map_err(|_| ConnectionClosed)?.to_bytes())
 }
 
-/// The text of a header; empty if it is missing.
+/// Returns the text of a header, or an empty text if the header is missing.
 pub(crate) fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("")
 }
 
-/// A streamed body with the frames from a channel.
+/// Creates a streamed body from the frames of a channel.
 pub(crate) fn channel_body(frames: async_channel::Receiver<Frame<Bytes>>) -> BoxBody<Bytes, Infallible> {
     ChannelBody { frames: Box::pin(frames) }.boxed()
 }
 
-/// Body with the frames from a channel.
+/// Streamed body whose frames come from a channel.
 struct ChannelBody {
     frames: Pin<Box<async_channel::Receiver<Frame<Bytes>>>>,
 }
@@ -93,7 +94,7 @@
     }
 }
 
-/// Serves connections until dropped, each until it ends.
+/// Accepts and serves connections until the future is dropped.
 pub(crate) async fn serve<F, R>(
     listener: TcpListener,
     tls: Option<Rc<TlsEndpoint>>,
@@ -132,7 +133,8 @@
     }
 }
 
-/// Control calls come in plain text also to a TLS server, because they are the test's own.
+/// Handles a plain-text request to a TLS server. Only control calls are accepted, as they come from the test
+/// itself.
 async fn handle_control_only<F, R>(
     handle: Rc<F>,
     request: Request<Incoming>,
--- a/crates/nickelgw-test-servers/src/lib.rs
+++ b/crates/nickelgw-test-servers/src/lib.rs
@@ -1,6 +1,7 @@
-//! Test servers on loopback for everything a node talks to: engines, the endpoint list, an etcd registry, clients, a
-//! relay with network faults, and a certificate authority. They are small but faithful: work takes time and memory, KV
-//! states are bytes that move between sockets, and an engine in slow start can be overloaded.
+//! Test servers and clients on loopback for everything that a node talks to: engines, the endpoint list, an
+//! etcd registry, clients, a relay with network faults, and a certificate authority. They model what matters
+//! to a node: work takes time and memory, KV states are bytes that move between sockets, and an engine in
+//! slow start can be overloaded.
 
 pub mod authority;
 pub mod client;
--- a/crates/nickelgw-test-servers/src/list.rs
+++ b/crates/nickelgw-test-servers/src/list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: whole lists by long poll, with a lag, and stalled on demand.
+//! Endpoint list server. Nodes fetch whole lists by long poll. Changes become visible after a lag, and tests
+//! can stall the server.
 
 use crate::http::{
     error_response, json_response, read_body, response, serve, ConnectionClosed, HttpResponse, CONTROL_PATH,
@@ -19,19 +20,19 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 const JSON: &str = "application/json";
 
-/// A change of the list.
+/// Change of the list.
 enum Change {
     Put(EndpointEntry),
     Remove(String),
 }
 
-/// A change that becomes visible at a time.
+/// Change that becomes visible at a later time.
 struct PendingChange {
     visible_at: f64,
     change: Change,
 }
 
-/// The list, and its changes to come.
+/// Visible list and pending changes.
 struct ListState {
     revision: u64,
     entries: BTreeMap<String, EndpointEntry>,
@@ -40,7 +41,7 @@
 }
 
 impl ListState {
-    /// Makes changes visible whose time has come.
+    /// Applies the pending changes whose time has come, unless the server is stalled.
     fn apply_pending(&mut self, now: f64) {
         if now < self.stalled_until {
             return;
@@ -64,7 +65,7 @@
 
 /// Parameters of a long poll.
 struct PollQuery {
-    /// Revision that the node has.
+    /// Revision of the list that the node already has.
     after: f64,
     wait_s: f64,
     node: String,
@@ -86,7 +87,7 @@
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value.to_string())
 }
 
-/// Serves until dropped. A change becomes visible after `lag_s`.
+/// Runs the server until the future is dropped. Changes become visible after `lag_s` seconds.
 pub async fn run(
     listener: TcpListener,
     engines: Vec<EndpointEntry>,
@@ -133,7 +134,8 @@
     }
 }
 
-/// The list, if it has changed and is not stalled. A poll that does not wait is answered in any case.
+/// Returns the list if the server is not stalled and the list has changed. A poll without a waiting time gets
+/// the list even if it has not changed.
 fn changed_list(query: &PollQuery, state: &RefCell<ListState>, now: f64) -> Option<EndpointList> {
     let mut state = state.borrow_mut();
     state.apply_pending(now);
@@ -142,7 +144,7 @@
     (!is_stalled && has_changed).then(|| state.list())
 }
 
-/// Records which engines a node has been told of.
+/// Records which engines were sent to a node.
 fn record_list(list: &EndpointList, node: &str, recorder: &Recorder) {
     let ids = |state: EngineState| -> Vec<&str> {
         let entries = list.engines.iter().filter(|entry| entry.state == state);
--- a/crates/nickelgw-test-servers/src/platform/client.rs
+++ b/crates/nickelgw-test-servers/src/platform/client.rs
@@ -1,4 +1,5 @@
-//! A client of the platform: sends requests on connections that it keeps, and reports what became of each.
+//! Client of the platform. It sends requests on connections that can be reused and returns the outcome of
+//! each.
 
 use super::http::{chunked_payload, read_some};
 use super::request_table::RequestTable;
@@ -8,56 +9,58 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A node ends a stream that its engine no longer continues within 5 s; the rest is for the stream itself.
+/// Time limit for a stream. A node ends a stream within 5 s after its engine stops sending; the rest is the
+/// time of the stream itself.
 const MAX_STREAM: Duration = Duration::from_secs(7);
 const BODY: &str = r#"{"model":"chat","stream":true,"messages":[]}"#;
 
-/// A request, and how long its client stays.
+/// Request, and the time for which its client stays connected.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
     /// Id of the request.
     pub id: String,
-    /// Name of its class in the configuration.
+    /// Name of the class of the request in the configuration.
     pub class: String,
-    /// Whether it must not run twice.
+    /// Whether the request must not run twice.
     pub at_most_once: bool,
-    /// Time for the first event.
+    /// Time within which the first event has to arrive.
     pub timeout: Duration,
-    /// The client disconnects after so long.
+    /// Time after which the client disconnects. `None` if it stays until the end.
     pub disconnect_after: Option<Duration>,
 }
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole stream came.
+    /// The whole stream arrived.
     Completed,
-    /// A status other than 200 came.
+    /// A response with a status other than 200 arrived.
     Status(u16),
-    /// The stream began and broke.
+    /// The stream began, and the connection ended before its end.
     StreamBroken,
-    /// What came is not the stream that an engine made for this request.
+    /// The content that arrived, which differs from the stream that an engine generates for this request.
     WrongContent(String),
     /// The node could not be reached.
     ConnectionRefused,
     /// The connection ended without a response.
     ConnectionClosed,
-    /// Nothing came within the deadline and its slack.
+    /// No first event and no other response arrived within the timeout and its slack, or the stream took too
+    /// long.
     TimedOut,
     /// The client disconnected.
     Disconnected,
 }
 
-/// An exchange on a connection.
+/// Result of an exchange on a connection.
 #[derive(Debug)]
 pub struct Exchange {
-    /// What became of the request.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// The connection, where it can carry a further request.
+    /// Connection, if it can carry a further request.
     pub connection: Option<TcpStream>,
 }
 
-/// The events of the stream that a decode engine makes for a request.
+/// Returns the events of the stream that a decode engine generates for a request.
 pub fn stream_events(id: &str) -> [String; 3] {
     [
         format!("data: {{\"id\":\"{id}\",\"n\":1}}\n\n"),
@@ -80,7 +83,7 @@
     }
 }
 
-/// Sends a request to a node on a new connection, enters it in the table, and returns what became of it.
+/// Sends a request to a node on a new connection, enters it in the table and returns its outcome.
 pub async fn send_request(
     node: SocketAddr,
     request: &ClientRequest,
@@ -91,7 +94,7 @@
     send_on(stream, request, table, answer_slack).await.outcome
 }
 
-/// Sends a request on an open connection, enters it in the table, and returns what became of both.
+/// Sends a request on an open connection, enters it in the table and returns its outcome and the connection.
 pub async fn send_on(
     mut stream: TcpStream,
     request: &ClientRequest,
@@ -109,7 +112,7 @@
     let begun = async { response.read_beginning(&mut stream).await };
     let mut outcome = future::or(begun, async { Some(limits.await) }).await;
     if outcome.is_none() {
-        // A stream that has begun has no deadline, but it has to end.
+        // The deadline does not apply to a stream that has begun, but the stream has to end.
         let end = async { response.read_to_end(&mut stream).await };
         outcome = Some(future::or(end, outcome_after(Some(MAX_STREAM), Outcome::TimedOut)).await);
     }
@@ -122,7 +125,7 @@
     Exchange { outcome, connection }
 }
 
-/// The outcome after a time; never without one.
+/// Returns the outcome after a time. If `time` is `None`, it never returns.
 async fn outcome_after(time: Option<Duration>, outcome: Outcome) -> Outcome {
     match time {
         Some(time) => drop(Timer::after(time).await),
@@ -131,7 +134,7 @@
     outcome
 }
 
-/// A response as it arrives.
+/// Response of which a part has arrived.
 struct Response {
     received: Vec<u8>,
     first_event: String,
@@ -144,7 +147,7 @@
         Response { received: Vec::new(), expected: events.concat(), first_event: events[0].clone() }
     }
 
-    /// Head and body, once the head is whole.
+    /// Returns the head and the body received so far. `None` if the head is not complete.
     fn parts(&self) -> Option<(String, &[u8])> {
         let head_end = self.received.windows(4).position(|window| window == b"\r\n\r\n")? + 4;
         let head = String::from_utf8_lossy(&self.received[..head_end]).to_ascii_lowercase();
@@ -169,7 +172,7 @@
         }
     }
 
-    /// The payload of a stream so far; an error if no engine made it.
+    /// Returns the payload of the stream so far, or an error if it differs from the expected stream.
     fn checked_payload(&self) -> Result<String, Outcome> {
         let Some((_, body)) = self.parts() else { return Ok(String::new()) };
         let wrong = |payload: &str| Err(Outcome::WrongContent(payload.to_string()));
@@ -185,7 +188,8 @@
         }
     }
 
-    /// Reads up to the first event of a stream, or the whole of another response. None: a stream has begun.
+    /// Reads up to the first event of a stream, or the whole of another response. Returns `None` if a stream
+    /// has begun, otherwise the outcome.
     async fn read_beginning(&mut self, stream: &mut TcpStream) -> Option<Outcome> {
         loop {
             match self.status() {
@@ -198,7 +202,7 @@
                 _ => {}
             }
             if read_some(stream, &mut self.received).await == 0 {
-                // An answer whose body breaks off is one all the same.
+                // A final answer with an error status counts even if the connection ends within its body.
                 let status = self.status().filter(|status| *status != 200);
                 return Some(status.map_or(Outcome::ConnectionClosed, Outcome::Status));
             }
--- a/crates/nickelgw-test-servers/src/platform/discovery.rs
+++ b/crates/nickelgw-test-servers/src/platform/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service that announces changes of its list of engines.
+//! Discovery service that announces changes of its list of engines.
 
 use super::http::{read_message, response};
 use super::lock;
@@ -13,16 +13,16 @@
 /// Time between checks for a newer list.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A discovery service that serves until the process ends.
+/// Discovery service that runs until the process ends.
 #[derive(Clone)]
 pub struct Discovery {
-    /// Where it listens.
+    /// Address on which the service listens.
     pub address: SocketAddr,
     list: Arc<Mutex<Value>>,
 }
 
 impl Discovery {
-    /// Starts a service on a free port with this list, which has a generation.
+    /// Starts a service on a free port. `list` has the fields `generation` and `instances`.
     pub async fn start(list: Value) -> std::io::Result<Discovery> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let discovery = Discovery { address: listener.local_addr()?, list: Arc::new(Mutex::new(list)) };
@@ -30,12 +30,12 @@
         Ok(discovery)
     }
 
-    /// The list as it is announced now.
+    /// Returns the list that is currently announced.
     pub fn list(&self) -> Value {
         lock(&self.list).clone()
     }
 
-    /// Announces a change of the list's instances.
+    /// Changes the instances of the list and announces the change with a new generation.
     pub fn announce(&self, change: impl FnOnce(&mut Vec<Value>)) {
         let mut list = lock(&self.list);
         if let Some(instances) = list["instances"].as_array_mut() {
@@ -69,7 +69,8 @@
         }
     }
 
-    /// The list once it is newer than this generation, or no change after the timeout.
+    /// Waits until the list is newer than generation `since` and returns it. After the timeout, returns a
+    /// list without changes.
     async fn wait_for_change(&self, since: u64, timeout: Duration) -> Value {
         let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
@@ -87,7 +88,7 @@
     list["generation"].as_u64().unwrap_or(0)
 }
 
-/// A number in a path's query.
+/// Returns the number in a query parameter of a path.
 fn parameter(path: &str, name: &str) -> Option<u64> {
     let (_, query) = path.split_once('?')?;
     query.split('&').find_map(|pair| pair.strip_prefix(name)?.parse().ok())
--- a/crates/nickelgw-test-servers/src/platform/engine.rs
+++ b/crates/nickelgw-test-servers/src/platform/engine.rs
@@ -1,4 +1,4 @@
-//! A prefill or decode engine of the platform, with times and faults as a test sets them.
+//! Prefill or decode engine of the platform, whose work times and faults are set by a test.
 
 use super::client::stream_events;
 use super::http::{chunk, read_message, read_some, response, Message, LAST_CHUNK};
@@ -13,55 +13,56 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Path of release calls, before the request's id.
+/// Path prefix of release calls; the id of the request follows.
 const RELEASE_PATH: &str = "/internal/reservations/";
-/// Time between checks whether the engine still hangs.
+/// Time between checks of [`Behaviour::hangs`].
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Work and stream time of a new engine.
+/// Default of [`Behaviour::work_ms`] and [`Behaviour::stream_ms`].
 const DEFAULT_TIME_MS: u64 = 10;
-/// Header of responses to attempts that have not run.
+/// Header of responses to attempts that were rejected and have not run.
 const REJECTED_HEADER: &str = "X-Rejected: 1\r\n";
 const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
 
-/// How an engine works; a test may change it at any time.
+/// Behaviour of an engine. A test may change it at any time.
 #[derive(Default)]
 pub struct Behaviour {
-    /// Time for a prefill, or until a decode attempt claims its reservation.
+    /// Duration of a prefill, or time until a decode attempt claims its reservation.
     pub work_ms: AtomicU64,
-    /// Time from a stream's first event to its last.
+    /// Time from the first event of a stream to its last.
     pub stream_ms: AtomicU64,
-    /// Attempts get no response while this is set.
+    /// Whether attempts get no response. They continue when it is cleared.
     pub hangs: AtomicBool,
-    /// The work is done, and then the connection is closed without a response.
+    /// Whether the connection is closed without a response after the work is done.
     pub loses_responses: AtomicBool,
-    /// Attempts are rejected.
+    /// Whether attempts are rejected.
     pub is_full: AtomicBool,
-    /// Work that a new connection costs the engine, one after the other, whether or not the far side still waits.
+    /// Time of the work that each new connection costs the engine. Connections are worked on one at a time,
+    /// and the work is completed even if the node no longer waits.
     pub connection_work_ms: AtomicU64,
-    /// Since when discovery announces that it takes no new work.
+    /// Time since which discovery announces the engine as draining. `None` if the engine is not draining.
     pub draining_since: Mutex<Option<Instant>>,
-    /// Release calls that have arrived.
+    /// Number of release calls that have arrived.
     pub release_calls: AtomicU64,
-    /// Attempts that have arrived.
+    /// Number of attempts that have arrived.
     pub attempts: AtomicU64,
 }
 
-/// An engine that serves until the process ends.
+/// Engine that runs until the process ends.
 #[derive(Clone)]
 pub struct Engine {
-    /// Where it listens.
+    /// Address on which the engine listens.
     pub address: SocketAddr,
-    /// Phase that it runs.
+    /// Phase of a request that the engine runs.
     pub role: Role,
-    /// How it works.
+    /// Behaviour, shared with the test.
     pub behaviour: Arc<Behaviour>,
     table: Arc<RequestTable>,
     index: usize,
     connection_work: Arc<smol::lock::Mutex<()>>,
 }
 
-/// What the future returns; false if the node closes the connection before.
+/// Returns the result of `work`, or `false` if the node closes the connection before it is ready.
 async fn unless_closed(
     work: impl Future<Output = bool>,
     stream: &mut TcpStream,
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Waits for the work that a new connection costs. It is done to its end, whoever still waits for it.
+    /// Waits for the work that a new connection costs. It is completed even if this future is dropped.
     async fn open_connection(&self, is_new: bool) {
         let work_ms = self.behaviour.connection_work_ms.load(Relaxed);
         if is_new && work_ms > 0 {
@@ -127,7 +128,8 @@
         }
     }
 
-    /// The last bytes of the response; none: the connection is closed.
+    /// Handles a request and returns the response, or its last part if the beginning has already been
+    /// written. `None` if the connection is to be closed.
     async fn respond(
         &self,
         request: &Message,
@@ -152,7 +154,8 @@
             self.table.attempt_at_draining(&id, since);
         }
         let attempt = OpenAttempt::new(self, id, budget_ms.map(Duration::from_millis));
-        // An attempt ends as its node closes the connection, also while the engine has not come to it.
+        // An attempt ends when its node closes the connection, even if the engine has not begun to work on
+        // it.
         let opened = async {
             self.open_connection(is_new).await;
             true
@@ -169,7 +172,8 @@
         }
     }
 
-    /// Works for its time; false if the node closes the connection before.
+    /// Waits for the duration of the work, and longer while the engine hangs. Returns `false` if the node
+    /// closes the connection before.
     async fn work(&self, stream: &mut TcpStream, buffer: &mut Vec<u8>) -> bool {
         let done = async {
             Timer::after(Duration::from_millis(self.behaviour.work_ms.load(Relaxed))).await;
@@ -209,7 +213,7 @@
     }
 }
 
-/// An attempt at an engine; it ends when dropped.
+/// Attempt at an engine. Dropping it records the end of the attempt.
 struct OpenAttempt {
     table: Arc<RequestTable>,
     id: String,
--- a/crates/nickelgw-test-servers/src/platform/http.rs
+++ b/crates/nickelgw-test-servers/src/platform/http.rs
@@ -1,38 +1,40 @@
-//! As much of HTTP/1.1 as engines and clients of the platform need: a head, and a body with a content length.
+//! Subset of HTTP/1.1 that engines and clients of the platform need: messages with a content length, and
+//! chunked responses.
 
 use futures_lite::AsyncReadExt;
 use smol::net::TcpStream;
 
-/// Largest message accepted.
+/// Size limit of a message.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// Bytes read at once.
+/// Number of bytes read with one call.
 const READ_BYTES: usize = 4096;
 /// End of a message's head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 /// Last chunk of a chunked body.
 pub(super) const LAST_CHUNK: &str = "0\r\n\r\n";
 
-/// The head of a request or response.
+/// Head of a request or response.
 pub(super) struct Message {
-    /// Its first line.
+    /// Request line or status line.
     pub first_line: String,
     head: String,
 }
 
 impl Message {
-    /// The value of a header; its name may be in any case.
+    /// Returns the value of a header. The case of `name` does not matter.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut headers = self.head.lines().filter_map(|line| line.split_once(':'));
         headers.find(|(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim())
     }
 
-    /// Path of a request.
+    /// Returns the path of a request.
     pub fn path(&self) -> &str {
         self.first_line.split(' ').nth(1).unwrap_or_default()
     }
 }
 
-/// Reads a message with its body; what follows it stays in the buffer. None: the connection ended before.
+/// Reads a message with its body. Bytes after the message stay in the buffer. `None` if the connection ended
+/// before the end of the message, or if the message is too large.
 pub(super) async fn read_message(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Message> {
     loop {
         let head_end = buffer.windows(HEAD_END.len()).position(|window| window == HEAD_END);
@@ -53,7 +55,8 @@
     }
 }
 
-/// Appends what comes next to the buffer; 0: the connection has ended or broken.
+/// Reads the next bytes into the end of the buffer and returns their number. 0 if the connection has ended or
+/// failed.
 pub(super) async fn read_some(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> usize {
     let mut bytes = [0; READ_BYTES];
     let length = stream.read(&mut bytes).await.unwrap_or(0);
@@ -61,24 +64,24 @@
     length
 }
 
-/// A response with a content length.
+/// Encodes a response with a content length.
 pub(super) fn response(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{headers}content-length: {}\r\n\r\n{body}", body.len())
 }
 
-/// One chunk of a chunked body.
+/// Encodes one chunk of a chunked body.
 pub(super) fn chunk(data: &str) -> String {
     format!("{:x}\r\n{data}\r\n", data.len())
 }
 
-/// The payload of a chunked body as far as it has arrived.
+/// Payload of a chunked body, as far as it has arrived.
 pub(super) struct ChunkedPayload {
     pub bytes: Vec<u8>,
-    /// The last chunk has come.
+    /// Whether the last chunk has arrived.
     pub is_whole: bool,
 }
 
-/// Removes the framing of a chunked body; none: it is malformed.
+/// Removes the framing of a chunked body. `None` if it is malformed.
 pub(super) fn chunked_payload(mut body: &[u8]) -> Option<ChunkedPayload> {
     let mut bytes = Vec::new();
     loop {
--- a/crates/nickelgw-test-servers/src/platform/mod.rs
+++ b/crates/nickelgw-test-servers/src/platform/mod.rs
@@ -1,7 +1,8 @@
-//! Engines on the operators' platform protocol behind proxies that cause network faults, and clients.
+//! Test engines, discovery service and clients that speak the protocol of the operators' platform, and
+//! proxies that cause network faults in front of the engines.
 //!
-//! They share one [`RequestTable`]: it follows every reservation, every attempt that has arrived and every client, and
-//! collects violations of the platform's rules. No node's log is read.
+//! All of them share one [`RequestTable`], which tracks every reservation, every attempt that has arrived and
+//! every client, and collects violations of the platform's rules. Logs of nodes are not read.
 
 mod client;
 mod discovery;
@@ -21,7 +22,7 @@
 pub use request_table::RequestTable;
 pub use violation::{ObservedViolation, RuleLimits, Violation};
 
-/// Locks a mutex, also one whose holder panicked.
+/// Locks a mutex, even if a thread has panicked while it held the lock.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/nickelgw-test-servers/src/platform/proxy.rs
+++ b/crates/nickelgw-test-servers/src/platform/proxy.rs
@@ -1,4 +1,5 @@
-//! A proxy in front of an engine that causes network faults: connections fall silent, break, are refused or delayed.
+//! Proxy in front of an engine that causes network faults: connections can become silent, break, be refused
+//! or be delayed. On a silent connection, bytes are read and dropped.
 
 use super::engine::Engine;
 use super::http::read_some;
@@ -11,25 +12,25 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Header with a request's id, at the beginning of its line.
+/// Beginning of the header line with the id of a request.
 const ID_HEADER: &str = "X-Call-Id: ";
 
-/// One connection through the proxy.
+/// Connection through the proxy.
 struct Connection {
-    /// Bytes are read and dropped, and the engine's end is not passed on.
+    /// Whether bytes are read and dropped, and the close of the engine's side is not passed on.
     silent: AtomicBool,
     node: TcpStream,
     engine: TcpStream,
-    /// The node has closed its side.
+    /// Whether the node has closed its side.
     node_closed: AtomicBool,
-    /// Id of the last request passed on.
+    /// Id of the last request passed on to the engine.
     last_request: Mutex<Option<String>>,
-    /// Id of a request whose response was dropped: its attempt is open until the node ends it.
+    /// Id of a request whose response was dropped. Its attempt is open until the node ends it.
     lost_response: Mutex<Option<String>>,
 }
 
 impl Connection {
-    /// Notes a request that is passed on.
+    /// Records a request that is passed on to the engine.
     fn request_passed(&self, bytes: &[u8], table: &RequestTable) {
         let text = String::from_utf8_lossy(bytes);
         let id = text.lines().find_map(|line| line.strip_prefix(ID_HEADER));
@@ -39,7 +40,7 @@
         }
     }
 
-    /// A response, or the engine's end of the connection, was dropped.
+    /// Records that a response, or the close of the engine's side, was dropped.
     fn response_dropped(&self, upstream: &Upstream) {
         // An attempt that the node has ended is not open, whatever the engine still sends.
         if self.node_closed.load(Relaxed) {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// The node has ended the attempt whose response was dropped.
+    /// Records that the node has ended the attempt whose response was dropped.
     fn node_ended(&self, upstream: &Upstream) {
         if let Some(id) = lock(&self.lost_response).take() {
             upstream.table.attempt_ended(&id, upstream.role);
@@ -68,7 +69,7 @@
     }
 }
 
-/// Open connections, and the faults of new ones.
+/// Open connections, and the faults that apply to new ones.
 #[derive(Default)]
 struct ProxyState {
     connections: Mutex<Vec<Arc<Connection>>>,
@@ -77,16 +78,16 @@
     delay_ms: AtomicU64,
 }
 
-/// A proxy in front of one engine.
+/// Proxy in front of one engine.
 #[derive(Clone)]
 pub struct Proxy {
-    /// Where it listens.
+    /// Address on which the proxy listens.
     pub address: SocketAddr,
     state: Arc<ProxyState>,
 }
 
 impl Proxy {
-    /// Starts a proxy on a free port; it runs until the process ends.
+    /// Starts a proxy on a free port. It runs until the process ends.
     pub async fn start(engine: &Engine, table: Arc<RequestTable>) -> std::io::Result<Proxy> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let proxy = Proxy { address: listener.local_addr()?, state: Arc::default() };
@@ -99,14 +100,15 @@
         lock(&self.state.connections).clone()
     }
 
-    /// Open connections fall silent for good; new ones work.
+    /// Makes all open connections silent permanently. New connections work.
     pub fn silence_connections(&self) {
         for connection in self.connections() {
             connection.silent.store(true, Relaxed);
         }
     }
 
-    /// The engine is cut off: open connections fall silent, and new ones are silent from the start.
+    /// Cuts the engine off while `on` is set: open connections become silent permanently, and new ones are
+    /// silent from the start.
     pub fn silence(&self, on: bool) {
         self.state.silent.store(on, Relaxed);
         if on {
@@ -114,22 +116,22 @@
         }
     }
 
-    /// Open connections break.
+    /// Breaks all open connections.
     pub fn break_connections(&self) {
         self.connections().iter().for_each(|connection| connection.shut_down());
     }
 
-    /// New connections are closed at once.
+    /// Closes new connections immediately while `on` is set.
     pub fn refuse(&self, on: bool) {
         self.state.refuses.store(on, Relaxed);
     }
 
-    /// New connections pass bytes on only so long after they were opened.
+    /// Sets the time after which a new connection begins to pass bytes on.
     pub fn delay(&self, delay: Duration) {
         self.state.delay_ms.store(delay.as_millis() as u64, Relaxed);
     }
 
-    /// All faults end; silent connections break, as they do when a machine is back.
+    /// Ends all faults. Silent connections break, as they do when a machine comes back.
     pub fn heal(&self) {
         self.silence(false);
         self.refuse(false);
@@ -140,7 +142,7 @@
     }
 }
 
-/// The engine behind a proxy.
+/// Engine behind a proxy.
 #[derive(Clone)]
 struct Upstream {
     address: SocketAddr,
@@ -179,8 +181,8 @@
     lock(&state.connections).retain(|open| !Arc::ptr_eq(open, &connection));
 }
 
-/// Passes bytes from the node on until its end. The end is always passed on, because an attempt that the node has
-/// ended is not open any more.
+/// Copies bytes from the node to the engine until the node closes the connection. The close is always passed
+/// on, because an attempt that the node has ended is no longer open.
 async fn copy_requests(connection: &Connection, table: &RequestTable) {
     let (mut node, mut engine) = (connection.node.clone(), connection.engine.clone());
     let mut buffer = Vec::new();
@@ -197,7 +199,8 @@
     connection.shut_down();
 }
 
-/// Passes bytes from the engine on until its end, which is not passed on when the connection is silent.
+/// Copies bytes from the engine to the node until the engine closes the connection. The close is not passed
+/// on if the connection is silent.
 async fn copy_responses(connection: &Connection, upstream: &Upstream) {
     let (mut node, mut engine) = (connection.node.clone(), connection.engine.clone());
     let mut buffer = Vec::new();
--- a/crates/nickelgw-test-servers/src/platform/request_table.rs
+++ b/crates/nickelgw-test-servers/src/platform/request_table.rs
@@ -1,36 +1,36 @@
-//! What all engines know together: reservations and attempts by request, and the violations found.
+//! Table of the reservations and attempts of each request at all engines, and of the violations found.
 
 use super::{lock, ObservedViolation, Role, RuleLimits, Violation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// What is known of one request.
+/// State of one request.
 #[derive(Default)]
 struct RequestState {
-    /// Engines that hold a reservation for it.
+    /// Engines that hold a reservation for the request.
     reserved_at: BTreeSet<usize>,
-    /// Release calls so far: a prefill during which one came leaves no reservation.
+    /// Number of release calls so far. A prefill during which one arrived leaves no reservation.
     releases: u64,
-    /// Attempts that have arrived and have not ended.
+    /// Number of attempts that have arrived and have not ended.
     attempts: u32,
-    /// Those of them that decode.
+    /// Number of these attempts that are at decode engines.
     decode_attempts: u32,
-    /// Since when a reservation stands with no attempt at an engine.
+    /// Time since which a reservation exists while no attempt is at an engine. `None` if that is not so.
     unattended_since: Option<Instant>,
-    /// Decode attempts that were not rejected.
+    /// Number of decode attempts that were not rejected.
     runs: u32,
     at_most_once: bool,
-    /// Its node was killed, and the platform frees what it left.
+    /// Whether its node was killed. The platform then frees the reservations that the node left.
     excused: bool,
     sent_at: Option<Instant>,
-    /// When a node wrote the latest attempt, as the proxy in front of the engine saw it.
+    /// Time at which the node wrote the latest attempt, as seen by the proxy in front of the engine.
     attempt_written_at: Option<Instant>,
     deadline: Option<Instant>,
     disconnected_at: Option<Instant>,
 }
 
-/// A time in which a reservation stood unattended.
+/// Time span in which a reservation existed while no attempt of its request was at an engine.
 #[derive(Clone, Copy)]
 struct UnattendedSpan {
     from: Instant,
@@ -44,7 +44,8 @@
 }
 
 impl RequestState {
-    /// Starts or stops the clock of an unattended reservation; returns the span that has ended.
+    /// Begins or ends the unattended span after a change of the reservations or attempts. Returns the span if
+    /// it has ended.
     fn update_unattended(&mut self, now: Instant) -> Option<UnattendedSpan> {
         if !self.reserved_at.is_empty() && self.attempts == 0 {
             self.unattended_since.get_or_insert(now);
@@ -64,7 +65,7 @@
     }
 }
 
-/// Requests by their id, and violations.
+/// Table of requests by id, with the violations found.
 #[derive(Default)]
 pub struct RequestTable {
     limits: RuleLimits,
@@ -73,7 +74,7 @@
 }
 
 impl RequestTable {
-    /// A table that judges by these limits.
+    /// Creates a table that applies these limits.
     pub fn new(limits: RuleLimits) -> RequestTable {
         RequestTable { limits, ..RequestTable::default() }
     }
@@ -108,7 +109,7 @@
         result
     }
 
-    /// A client sends a request with this timeout.
+    /// Records that a client sends a request with this timeout.
     pub fn request_sent(&self, id: &str, timeout: Duration, at_most_once: bool) {
         let now = Instant::now();
         self.update(id, |request| {
@@ -118,30 +119,31 @@
         });
     }
 
-    /// The client has closed its connection.
+    /// Records that the client has closed its connection.
     pub fn client_disconnected(&self, id: &str) {
         self.update(id, |request| request.disconnected_at = Some(Instant::now()));
     }
 
-    /// A client got no final answer.
+    /// Reports that a client got no final answer.
     pub fn no_final_answer(&self, id: &str, outcome: String) {
         let now = Instant::now();
         let sent_at = self.update(id, |request| request.sent_at).unwrap_or(now);
         self.report(Violation::NoFinalAnswer { id: id.to_string(), outcome }, sent_at, now);
     }
 
-    /// A node has written an attempt, which is on its way to an engine.
+    /// Records that a node has written an attempt, which has not arrived at its engine yet.
     pub fn attempt_written(&self, id: &str) {
         let now = Instant::now();
         self.update(id, |request| request.attempt_written_at = Some(now));
     }
 
-    /// The last byte of an attempt has arrived at an engine of this role, with its time budget. It began as its node wrote it.
+    /// Records that an attempt with this time budget has arrived completely at an engine of this role.
+    /// Whether it began after the client had disconnected is judged from the time at which the node wrote it.
     pub fn attempt_arrived(&self, id: &str, budget: Option<Duration>, role: Role) {
         let now = Instant::now();
         let (disconnected_at, sent_at, deadline, written_at) = self.update(id, |request| {
             request.add_attempt(role);
-            // Taken, so that it never stands for a later attempt.
+            // The time is removed, so that it is not applied to a later attempt.
             let written_at = request.attempt_written_at.take().unwrap_or(now);
             (request.disconnected_at, request.sent_at, request.deadline, written_at)
         });
@@ -161,7 +163,7 @@
         }
     }
 
-    /// An attempt arrived at an engine that is announced as draining since then.
+    /// Records that an attempt arrived at an engine that has been announced as draining since `since`.
     pub fn attempt_at_draining(&self, id: &str, since: Instant) {
         let now = Instant::now();
         let late = now - since;
@@ -170,29 +172,31 @@
         }
     }
 
-    /// A client got a stream that no engine made for its request.
+    /// Reports that a client got a stream that differs from the one that an engine generates for its request.
     pub fn wrong_content(&self, id: &str, content: String) {
         let now = Instant::now();
         let sent_at = self.update(id, |request| request.sent_at).unwrap_or(now);
         self.report(Violation::WrongContent { id: id.to_string(), content }, sent_at, now);
     }
 
-    /// A response was lost on its way to the node, for which the attempt stays open until the node ends it.
+    /// Records that a response was lost on its way to the node. For the node, the attempt stays open until
+    /// the node ends it.
     pub fn response_lost(&self, id: &str, role: Role) {
         self.update(id, |request| request.add_attempt(role));
     }
 
-    /// An attempt has ended: it was answered, or its connection was closed.
+    /// Records that an attempt has ended, either by a response or because its connection was closed.
     pub fn attempt_ended(&self, id: &str, role: Role) {
         self.update(id, |request| request.remove_attempt(role));
     }
 
-    /// A prefill begins; returns the number of release calls so far.
+    /// Records that a prefill begins. Returns the number of release calls so far.
     pub fn prefill_started(&self, id: &str) -> u64 {
         self.update(id, |request| request.releases)
     }
 
-    /// A prefill is done. It leaves a reservation unless a release call came since it began.
+    /// Records that a prefill is done. It leaves a reservation unless a release call has arrived since it
+    /// began, or the node of the request was killed.
     pub fn prefill_finished(&self, id: &str, engine: usize, releases_at_start: u64) {
         self.update(id, |request| {
             if request.releases == releases_at_start && !request.excused {
@@ -201,7 +205,7 @@
         });
     }
 
-    /// A decode attempt claims the reservations; false if there are none.
+    /// Claims the reservations of a request for a decode attempt. Returns `false` if there are none.
     pub fn claim_reservations(&self, id: &str) -> bool {
         let (found, is_duplicate, sent_at) = self.update(id, |request| {
             let found = !request.reserved_at.is_empty();
@@ -216,7 +220,8 @@
         found
     }
 
-    /// A release call: reservations end unless a decode attempt waits for them, and a prefill under way leaves none.
+    /// Applies a release call. The reservations end unless a decode attempt is open, and a prefill in
+    /// progress leaves no reservation.
     pub fn release(&self, id: &str) {
         self.update(id, |request| {
             request.releases += 1;
@@ -226,34 +231,35 @@
         });
     }
 
-    /// Whether the request has a reservation.
+    /// Returns whether the request has a reservation.
     pub fn is_reserved(&self, id: &str) -> bool {
         self.lock().get(id).is_some_and(|request| !request.reserved_at.is_empty())
     }
 
-    /// Requests with reservations, and the number of their open attempts.
+    /// Returns the ids of requests with reservations, each with the number of its open attempts.
     pub fn reserved_requests(&self) -> Vec<(String, u32)> {
         let requests = self.lock();
         let reserved = requests.iter().filter(|(_, request)| !request.reserved_at.is_empty());
         reserved.map(|(id, request)| (id.clone(), request.attempts)).collect()
     }
 
-    /// Whether any request has a reservation.
+    /// Returns whether any request has a reservation.
     pub fn has_reservations(&self) -> bool {
         !self.reserved_requests().is_empty()
     }
 
-    /// Number of requests known.
+    /// Returns the number of requests in the table.
     pub fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Whether no request is known.
+    /// Returns whether the table has no request.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Excuses the requests of a node that was killed: the platform frees what it left.
+    /// Excuses the requests whose ids begin with a prefix, because their node was killed. The platform frees
+    /// the reservations that the node left.
     pub fn excuse_requests(&self, id_prefix: &str) {
         for (_, request) in self.lock().iter_mut().filter(|(id, _)| id.starts_with(id_prefix)) {
             request.reserved_at.clear();
@@ -262,19 +268,19 @@
         }
     }
 
-    /// All violations up to now.
+    /// Returns all violations up to now.
     pub fn violations(&self) -> Vec<Violation> {
         self.observed_violations().into_iter().map(|observed| observed.violation).collect()
     }
 
-    /// All violations up to now, with their times. A request can have several of a kind.
+    /// Returns all violations up to now, with their times. A request can have several violations of one kind.
     pub fn observed_violations(&self) -> Vec<ObservedViolation> {
-        self.report_standing_reservations(Instant::now());
+        self.report_unattended_reservations(Instant::now());
         self.lock_violations().clone()
     }
 
-    /// Reports reservations that have stood unattended for too long and still do. Their clocks start anew.
-    fn report_standing_reservations(&self, now: Instant) {
+    /// Reports reservations that are still unattended and have been so for too long. Their spans begin anew.
+    fn report_unattended_reservations(&self, now: Instant) {
         let mut spans = Vec::new();
         for (id, request) in self.lock().iter_mut() {
             let since = request.unattended_since.filter(|since| now - *since > self.limits.max_unattended);
--- a/crates/nickelgw-test-servers/src/platform/violation.rs
+++ b/crates/nickelgw-test-servers/src/platform/violation.rs
@@ -1,24 +1,25 @@
-//! Rules of the platform: their limits and their violations.
+//! Limits and violations of the rules of the platform.
 
 use std::time::{Duration, Instant};
 
 /// Limits of the platform's rules.
 #[derive(Clone, Copy, Debug)]
 pub struct RuleLimits {
-    /// Longest time in which a reservation stands with no attempt of its request at an engine.
+    /// Longest time for which a reservation may exist while no attempt of its request is at an engine.
     pub max_unattended: Duration,
-    /// An attempt may arrive so long after its client has disconnected.
+    /// Longest time after the disconnect of the client at which an attempt may still arrive.
     pub disconnect_slack: Duration,
-    /// The time budget of an attempt may exceed what its client has left by so much.
+    /// Largest amount by which the time budget of an attempt may exceed the time that its client has left.
     pub deadline_slack: Duration,
-    /// An attempt may arrive so long after its engine was announced as draining.
+    /// Longest time after the announcement that an engine is draining at which an attempt may still arrive.
     pub max_dispatch_to_draining: Duration,
-    /// A final answer may come so long after the client's deadline.
+    /// Longest time after the deadline of the client at which a final answer may still arrive.
     pub answer_slack: Duration,
 }
 
 impl Default for RuleLimits {
-    /// The limits in the platform's documents, with `release_s` 0.5 and `stop_sending_within_s` 1.0.
+    /// Returns the limits from the platform's documentation, for `release_s` 0.5 and `stop_sending_within_s`
+    /// 1.0.
     fn default() -> RuleLimits {
         RuleLimits {
             max_unattended: Duration::from_millis(800),
@@ -30,60 +31,60 @@
     }
 }
 
-/// A violation of a rule by one request.
+/// Violation of a rule by one request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Violation {
-    /// A reservation stood for too long with no attempt at an engine.
+    /// A reservation existed for too long while no attempt of its request was at an engine.
     UnattendedReservation {
-        /// The request.
+        /// Id of the request.
         id: String,
-        /// For how long.
+        /// Time for which there was no attempt.
         duration: Duration,
     },
-    /// A request that may run once has run again.
+    /// A request that must run at most once has run again.
     DuplicateRun {
-        /// The request.
+        /// Id of the request.
         id: String,
     },
     /// An attempt arrived too long after its client had disconnected.
     AttemptAfterDisconnect {
-        /// The request.
+        /// Id of the request.
         id: String,
-        /// How long after.
+        /// Time from the disconnect to the attempt.
         late: Duration,
     },
     /// An attempt had a larger time budget than its client had time left.
     BudgetPastDeadline {
-        /// The request.
+        /// Id of the request.
         id: String,
-        /// By how much.
+        /// Amount by which the budget exceeded the time left.
         excess: Duration,
     },
-    /// An attempt arrived at an engine that was announced as draining.
+    /// An attempt arrived too long after its engine had been announced as draining.
     AttemptAtDraining {
-        /// The request.
+        /// Id of the request.
         id: String,
-        /// How long after.
+        /// Time from the announcement to the attempt.
         late: Duration,
     },
-    /// A client got a stream that no engine made for its request.
+    /// A client got a stream that differs from the one that an engine generates for its request.
     WrongContent {
-        /// The request.
+        /// Id of the request.
         id: String,
-        /// What it got.
+        /// Content that the client got.
         content: String,
     },
     /// A client got no final answer in time.
     NoFinalAnswer {
-        /// The request.
+        /// Id of the request.
         id: String,
-        /// What it got.
+        /// Outcome that the client saw.
         outcome: String,
     },
 }
 
 impl Violation {
-    /// The request that it concerns.
+    /// Returns the id of the request.
     pub fn request(&self) -> &str {
         match self {
             Violation::UnattendedReservation { id, .. }
@@ -96,7 +97,7 @@
         }
     }
 
-    /// By how much a limit of time was exceeded; none: it is no matter of time.
+    /// Returns the amount by which a time limit was exceeded. `None` if the violated rule has no time limit.
     pub fn excess(&self, limits: &RuleLimits) -> Option<Duration> {
         match self {
             Violation::UnattendedReservation { duration, .. } => {
@@ -118,13 +119,13 @@
     }
 }
 
-/// A violation, and the time in which it arose.
+/// Violation, and the time span in which it arose.
 #[derive(Clone, Debug)]
 pub struct ObservedViolation {
-    /// What was violated.
+    /// Violated rule and request.
     pub violation: Violation,
-    /// When the time that was judged began.
+    /// Beginning of the span to which the rule was applied.
     pub from: Instant,
-    /// When it ended.
+    /// End of the span.
     pub until: Instant,
 }
--- a/crates/nickelgw-test-servers/src/recorder.rs
+++ b/crates/nickelgw-test-servers/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Records what crosses the sockets, one JSON line for each event, for the audit.
+//! Recording of what crosses the sockets, as one JSON line for each event. The audit reads these records.
 
 use serde_json::{json, Value};
 use std::fs::{File, OpenOptions};
@@ -7,32 +7,32 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Seconds since 1970; all processes of a run read the same clock.
+/// Returns the Unix time in seconds. All processes of a run read the same clock.
 pub fn unix_now() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |elapsed| elapsed.as_secs_f64())
 }
 
-/// Writes the events of one source; by default it writes nothing.
+/// Recorder of the events of one source. The default recorder discards them.
 #[derive(Clone, Default)]
 pub struct Recorder {
     sink: Option<Arc<Mutex<Sink>>>,
     source: Arc<str>,
 }
 
-/// Where events are written.
+/// Destination of the events.
 enum Sink {
     File(File),
     Memory(Vec<Value>),
 }
 
 impl Recorder {
-    /// A recorder that appends to a file.
+    /// Creates a recorder that appends to a file.
     pub fn file(path: &Path, source: &str) -> std::io::Result<Recorder> {
         let file = OpenOptions::new().create(true).append(true).open(path)?;
         Ok(Recorder::new(Sink::File(file), source))
     }
 
-    /// A recorder that keeps the events in memory.
+    /// Creates a recorder that keeps the events in memory.
     pub fn memory(source: &str) -> Recorder {
         Recorder::new(Sink::Memory(Vec::new()), source)
     }
@@ -41,12 +41,13 @@
         Recorder { sink: Some(Arc::new(Mutex::new(sink))), source: source.into() }
     }
 
-    /// A recorder of another source that writes to the same place.
+    /// Returns a recorder of another source with the same destination.
     pub fn for_source(&self, source: &str) -> Recorder {
         Recorder { sink: self.sink.clone(), source: source.into() }
     }
 
-    /// Writes an event. Each line is written at once and whole, so that a process that dies has recorded all it did.
+    /// Writes an event. Each line is written immediately and with one call, so that the records are complete
+    /// up to the moment at which a process dies.
     pub fn record(&self, event: &str, fields: Value) {
         let Some(mut sink) = self.lock_sink() else { return };
         let mut line = json!({"t": unix_now(), "who": &*self.source, "ev": event});
@@ -61,7 +62,7 @@
         }
     }
 
-    /// The events kept in memory.
+    /// Returns the events kept in memory. Empty for a recorder that writes to a file or discards events.
     pub fn entries(&self) -> Vec<Value> {
         match self.lock_sink().as_deref() {
             Some(Sink::Memory(lines)) => lines.clone(),
--- a/crates/nickelgw-test-servers/src/registry.rs
+++ b/crates/nickelgw-test-servers/src/registry.rs
@@ -1,5 +1,5 @@
-//! An etcd-v3 registry behind its JSON gateway: range, watch, transactions, leases and compaction. On demand it
-//! restarts, stalls, fails, answers with stale data, or restores a snapshot.
+//! Registry with the JSON gateway API of etcd v3: ranges, watches, transactions, leases and compaction. By
+//! control calls, tests make it restart, stall, fail, answer with stale data or restore a snapshot.
 
 mod api;
 mod control;
@@ -25,7 +25,7 @@
 /// Time between checks for expired leases.
 const EXPIRY_INTERVAL_S: f64 = 0.05;
 
-/// A call to the registry.
+/// Call to the registry.
 struct Call {
     path: String,
     node: String,
@@ -33,7 +33,7 @@
     body: Value,
 }
 
-/// What all connections share.
+/// State shared by all connections.
 #[derive(Clone)]
 struct Registry {
     state: Rc<RefCell<State>>,
@@ -41,7 +41,7 @@
     recorder: Recorder,
 }
 
-/// A gRPC error as the gateway reports it.
+/// gRPC error, as the JSON gateway reports it.
 struct GrpcError {
     http_status: u16,
     code: u32,
@@ -66,7 +66,7 @@
     }
 }
 
-/// Serves until dropped.
+/// Runs the registry until the future is dropped.
 pub async fn run(listener: TcpListener, recorder: Recorder) -> std::io::Result<()> {
     let state = Rc::new(RefCell::new(State { revision: 1, ..State::default() }));
     let executor = Rc::new(LocalExecutor::new());
@@ -108,7 +108,7 @@
         sleep_s((silent_until - unix_now()).max(0.0) + delay_s).await;
     }
 
-    /// The error of a call that a fault fails or that has no valid token.
+    /// Returns the error for a call that a fault fails or that has no valid token.
     fn check_access(&self, call: &Call) -> Option<GrpcError> {
         let state = self.state.borrow();
         if unix_now() < state.fail_until {
@@ -138,7 +138,7 @@
     }
 }
 
-/// Records which engines a node has been told of, as the endpoint list does.
+/// Records which engines were sent to a node, in the same format as the endpoint list server.
 fn record_engines(recorder: &Recorder, node: &str, revision: u64, keys: &KeyMap) {
     let engines: Vec<Value> =
         keys.values().filter_map(|entry| serde_json::from_slice(&entry.value).ok()).collect();
--- a/crates/nickelgw-test-servers/src/registry/api.rs
+++ b/crates/nickelgw-test-servers/src/registry/api.rs
@@ -1,4 +1,4 @@
-//! Calls of the registry's API.
+//! API calls of the registry, other than watches.
 
 use super::state::{KeyEntry, Lease, State};
 use super::{record_engines, Call, AUTHENTICATION_FAILED, LEASE_NOT_FOUND};
@@ -7,17 +7,17 @@
 use base64::prelude::{Engine, BASE64_STANDARD};
 use serde_json::{json, Value};
 
-/// Bytes of a field in base64.
+/// Decodes a base64 field. Empty if it is missing or malformed.
 pub(super) fn decode_bytes(field: &Value) -> Vec<u8> {
     BASE64_STANDARD.decode(field.as_str().unwrap_or("")).unwrap_or_default()
 }
 
-/// A number in a field, as text or not.
+/// Decodes a number field, which may be encoded as text. Zero if it is missing or malformed.
 pub(super) fn decode_number(field: &Value) -> i64 {
     field.as_str().and_then(|text| text.parse().ok()).or(field.as_i64()).unwrap_or(0)
 }
 
-/// A key and its value in a response.
+/// Encodes a key and its entry for a response.
 pub(super) fn key_value(key: &[u8], entry: &KeyEntry) -> Value {
     json!({
         "key": BASE64_STANDARD.encode(key),
@@ -43,7 +43,7 @@
     let is_stale = unix_now() < state.stale_until;
     let (revision, keys) =
         if is_stale { (state.stale.revision, &state.stale.keys) } else { (state.revision, &state.keys) };
-    // Only ranges of engines are recorded, and not those of nodes.
+    // Ranges of engines are recorded; ranges of nodes are not.
     if !begin.ends_with(b"nodes/") {
         record_engines(recorder, &call.node, revision, keys);
     }
--- a/crates/nickelgw-test-servers/src/registry/control.rs
+++ b/crates/nickelgw-test-servers/src/registry/control.rs
@@ -1,4 +1,4 @@
-//! Control calls: tests change keys and cause faults.
+//! Control calls, with which tests change keys and cause faults.
 
 use super::state::{Credentials, State};
 use super::Registry;
@@ -19,14 +19,14 @@
     }
 }
 
-/// Applies a call that changes keys; false if it is no such call.
+/// Applies a control call that changes keys. Returns `false` if the call is of another kind.
 fn apply_key_change(state: &mut State, name: &str, command: &Value) -> bool {
     let key = command["key"].as_str().unwrap_or("").as_bytes().to_vec();
     let value = || command["value"].to_string().into_bytes();
     match name {
         "put" => state.put(key, value(), 0),
         "delete" => state.delete(vec![key]),
-        // A delete and a put of one key, which a watch receives together.
+        // Deletes and puts one key before any watch is served, so that a watch gets both events.
         "replace" => {
             state.delete(vec![key.clone()]);
             state.put(key, value(), 0);
@@ -48,7 +48,7 @@
     true
 }
 
-/// Applies a call that causes a fault; false if it is no such call.
+/// Applies a control call that causes a fault. Returns `false` if the call is of another kind.
 fn apply_fault(state: &mut State, name: &str, command: &Value) -> bool {
     let length_s = command["for_s"].as_f64().unwrap_or(0.0);
     let until = unix_now() + length_s;
@@ -65,7 +65,7 @@
             state.stale_until = until;
             state.stale = state.saved.clone().unwrap_or_default();
         }
-        // Requires credentials from now on; a repeated call makes earlier tokens invalid.
+        // Requires credentials from now on. A repeated call makes earlier tokens invalid.
         "auth" => {
             state.token_number += 1;
             let text = |field: &str| command[field].as_str().unwrap_or("").to_string();
--- a/crates/nickelgw-test-servers/src/registry/state.rs
+++ b/crates/nickelgw-test-servers/src/registry/state.rs
@@ -6,10 +6,10 @@
 /// Id of the cluster before any restore.
 const CLUSTER_ID: u64 = 14_841_639_068_965_178_418;
 
-/// Keys in order.
+/// Keys with their entries, ordered by key.
 pub(super) type KeyMap = BTreeMap<Vec<u8>, KeyEntry>;
 
-/// The value of a key.
+/// Value of a key, with its revisions and lease.
 #[derive(Clone, Debug)]
 pub(super) struct KeyEntry {
     pub value: Vec<u8>,
@@ -18,28 +18,28 @@
     pub lease: i64,
 }
 
-/// A change of a key.
+/// Change of a key.
 pub(super) struct KeyEvent {
     pub revision: u64,
     pub key: Vec<u8>,
-    /// The value that was put; none: the key was deleted.
+    /// Entry that was put. `None` if the key was deleted.
     pub put: Option<KeyEntry>,
 }
 
-/// A lease; its keys are deleted when it expires.
+/// Lease. Its keys are deleted when it expires.
 pub(super) struct Lease {
     pub ttl_s: f64,
     pub expires_at: f64,
 }
 
-/// Keys at a revision.
+/// All keys at one revision.
 #[derive(Clone, Default)]
 pub(super) struct Snapshot {
     pub revision: u64,
     pub keys: KeyMap,
 }
 
-/// User name and password.
+/// User name and password that clients have to present.
 pub(super) struct Credentials {
     pub user: String,
     pub password: String,
@@ -55,25 +55,26 @@
     pub compact_revision: u64,
     pub leases: BTreeMap<i64, Lease>,
     pub last_lease: i64,
-    /// No call is answered until then.
+    /// Unix time in seconds until which no call is answered.
     pub silent_until: f64,
-    /// All calls fail until then.
+    /// Unix time in seconds until which all calls fail.
     pub fail_until: f64,
-    /// Delay of every call.
+    /// Delay of every call in seconds.
     pub delay_s: f64,
-    /// Watches send nothing until then, not even progress.
+    /// Unix time in seconds until which watches send nothing, not even progress.
     pub watches_stalled_until: f64,
-    /// Ranges read the stale snapshot until then, as at a member that lags.
+    /// Unix time in seconds until which ranges read the stale snapshot, as from a cluster member that lags
+    /// behind.
     pub stale_until: f64,
     pub stale: Snapshot,
     pub saved: Option<Snapshot>,
-    /// Number of restarts; all connections end when it changes.
+    /// Number of restarts. All watches end when it changes.
     pub restarts: u64,
-    /// Number of restores; each begins a new cluster.
+    /// Number of restores from a snapshot. Each restore changes the id of the cluster.
     pub restores: u64,
-    /// Required credentials.
+    /// Required credentials. `None` if calls need no token.
     pub credentials: Option<Credentials>,
-    /// Number of the token that is valid; older ones are not.
+    /// Number of the valid token. Tokens with lower numbers are invalid.
     pub token_number: u64,
 }
 
@@ -82,12 +83,12 @@
         (CLUSTER_ID + self.restores).to_string()
     }
 
-    /// The header of responses.
+    /// Returns the header of a response.
     pub fn response_header(&self, revision: u64) -> Value {
         json!({"cluster_id": self.cluster_id(), "revision": revision.to_string()})
     }
 
-    /// The token that is valid.
+    /// Returns the valid token.
     pub fn token(&self) -> String {
         format!("token.{}", self.token_number)
     }
@@ -100,7 +101,7 @@
         self.events.push(KeyEvent { revision: self.revision, key, put: Some(entry) });
     }
 
-    /// Deletes keys in one revision.
+    /// Deletes keys in one revision. Does nothing if none of them exists.
     pub fn delete(&mut self, keys: Vec<Vec<u8>>) {
         let deleted: Vec<Vec<u8>> = keys.into_iter().filter(|key| self.keys.remove(key).is_some()).collect();
         if deleted.is_empty() {
@@ -126,7 +127,7 @@
         Snapshot { revision: self.revision, keys: self.keys.clone() }
     }
 
-    /// Goes back to a snapshot, and ends all connections.
+    /// Restores a snapshot and ends all watches.
     pub fn restore(&mut self, snapshot: Snapshot) {
         self.revision = snapshot.revision;
         self.keys = snapshot.keys;
@@ -136,7 +137,7 @@
         self.restarts += 1;
     }
 
-    /// Discards the events before the present revision; those of the revision itself stay.
+    /// Discards the events before the present revision. The events of the present revision stay.
     pub fn compact(&mut self) {
         self.compact_revision = self.revision;
         let compact_revision = self.compact_revision;
--- a/crates/nickelgw-test-servers/src/registry/watch.rs
+++ b/crates/nickelgw-test-servers/src/registry/watch.rs
@@ -1,4 +1,4 @@
-//! Watches: a stream of events, and of progress while there are none.
+//! Watches, which stream events, and progress messages while there are no events.
 
 use super::api::{decode_bytes, decode_number, key_value};
 use super::state::{KeyEvent, State};
@@ -15,40 +15,40 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Progress is sent after so long without events.
+/// Time without events after which a progress message is sent.
 const PROGRESS_INTERVAL_S: f64 = 1.0;
 /// Time between checks for events.
 const POLL_INTERVAL_S: f64 = 0.01;
-/// Messages that may be ahead of the client.
+/// Number of messages buffered for a client that reads more slowly than the registry writes.
 const BUFFER_MESSAGES: usize = 16;
 
-/// What a watch does next.
+/// Next step of a watch.
 enum WatchStep {
-    /// Ends without a word: the registry restarts.
+    /// Ends without a message, because the registry restarts.
     End,
-    /// Ends because events that it needs are compacted.
+    /// Ends with a message, because events that it needs have been compacted.
     Cancel { compact_revision: u64 },
     /// Sends the events of one revision.
     Send { revision: u64, events: Vec<Value> },
-    /// Has nothing to send.
+    /// Waits, because there is nothing to send.
     Wait { revision: u64, stalled: bool },
 }
 
-/// One watch.
+/// Watch of a range of keys by one client.
 struct Watch {
     state: Rc<RefCell<State>>,
     recorder: Recorder,
     node: String,
-    /// Keys from the first up to, and without, the second.
+    /// Watched keys: from the first, inclusive, to the second, exclusive.
     range: (Vec<u8>, Vec<u8>),
     next_revision: u64,
-    /// Restarts of the registry when the watch began.
+    /// Number of restarts of the registry when the watch began.
     restarts: u64,
     cluster_id: String,
     frames: Sender<Frame<Bytes>>,
 }
 
-/// The client of a watch has disconnected.
+/// Error returned when the client of a watch has disconnected.
 struct ClientDisconnected;
 
 impl Registry {
@@ -141,7 +141,7 @@
         self.next_revision = revision + 1;
         {
             let state = self.state.borrow();
-            // With the last event, the node knows all engines.
+            // After the last pending event, the node knows the present set of engines.
             if !state.events.iter().any(|event| event.revision > revision && self.covers(event)) {
                 record_engines(&self.recorder, &self.node, revision, &state.keys);
             }
--- a/crates/nickelgw-test-servers/src/relay.rs
+++ b/crates/nickelgw-test-servers/src/relay.rs
@@ -1,4 +1,5 @@
-//! A relay between two parties that causes network faults: it stalls, delays, duplicates, drops or refuses.
+//! Relay between two parties that causes network faults. It can stall, delay, duplicate, drop or refuse
+//! traffic.
 
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use smol::net::{TcpListener, TcpStream, UdpSocket};
@@ -7,28 +8,28 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Datagrams kept, so that tests can replay them.
+/// Number of datagrams kept, so that tests can replay them.
 const MAX_KEPT_DATAGRAMS: usize = 64;
 /// Time between checks of the mode.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Size of the buffer of a connection.
 const TCP_BUFFER_BYTES: usize = 16 * 1024;
-/// Largest datagram relayed.
+/// Size of the largest datagram relayed.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// What the relay does.
+/// Fault that the relay causes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Mode {
-    /// Everything passes.
+    /// Everything is passed on.
     #[default]
     Pass,
-    /// Nothing passes in either direction; connections stay open, and new ones are accepted.
+    /// Nothing is passed on in either direction. Connections stay open, and new ones are accepted.
     Stall,
-    /// Requests pass and responses do not.
+    /// Requests are passed on, and responses are not.
     StallResponses,
-    /// Connections are closed, new ones too.
+    /// Open and new connections are closed.
     Refuse,
-    /// Requests pass so many seconds later.
+    /// Requests and datagrams are passed on after this number of seconds.
     Delay(f64),
     /// Datagrams are sent twice.
     Duplicate,
@@ -36,14 +37,14 @@
     Drop,
 }
 
-/// Handle on a relay: its mode, and what has passed.
+/// Handle of a relay, to set its mode and to read what it has received.
 #[derive(Clone, Default)]
 pub struct Link(Arc<Mutex<LinkState>>);
 
 #[derive(Default)]
 struct LinkState {
     mode: Mode,
-    /// Modes for the datagrams of single senders.
+    /// Modes for the datagrams of individual senders, which override `mode`.
     sender_modes: Vec<(SocketAddr, Mode)>,
     connections: usize,
     datagrams: Vec<Vec<u8>>,
@@ -78,12 +79,12 @@
         })
     }
 
-    /// Connections accepted so far.
+    /// Returns the number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.with_state(|state| state.connections)
     }
 
-    /// The last datagrams received.
+    /// Returns the most recent datagrams received.
     pub fn datagrams(&self) -> Vec<Vec<u8>> {
         self.with_state(|state| state.datagrams.clone())
     }
@@ -97,7 +98,7 @@
     }
 }
 
-/// Relays connections until dropped.
+/// Relays TCP connections until the future is dropped.
 pub async fn tcp(listener: std::net::TcpListener, to: SocketAddr, link: Link) -> std::io::Result<()> {
     let listener = TcpListener::from(smol::Async::new(listener)?);
     let executor = LocalExecutor::new();
@@ -129,7 +130,7 @@
     };
     let requests = copy(client.clone(), server.clone(), &link, Direction::Requests);
     let responses = copy(server, client, &link, Direction::Responses);
-    // The end of either direction ends both, so that each party learns at once when the other closes.
+    // The end of either direction ends both, so that each party sees immediately when the other closes.
     futures_lite::future::or(refused, futures_lite::future::or(requests, responses)).await
 }
 
@@ -167,7 +168,7 @@
     }
 }
 
-/// Relays datagrams until dropped.
+/// Relays UDP datagrams until the future is dropped.
 pub async fn udp(socket: std::net::UdpSocket, to: SocketAddr, link: Link) -> std::io::Result<()> {
     let socket = UdpSocket::from(smol::Async::<std::net::UdpSocket>::try_from(socket)?);
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
--- a/crates/nickelgw-test-servers/src/tls.rs
+++ b/crates/nickelgw-test-servers/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS of a test server: its certificate, which faults change, and its connections to prefill engines.
+//! TLS of a test server: its certificate, which faults can change, and its connections to prefill engines.
 
 use crate::engine_config::TlsFiles;
 use crate::recorder::{unix_now, Recorder};
@@ -17,21 +17,22 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// First byte of a TLS record with a handshake message.
+/// Content type of a TLS record with a handshake message, which is its first byte.
 const HANDSHAKE_RECORD: u8 = 0x16;
 
-/// A connection, with TLS or without.
+/// Connection with or without TLS.
 pub(crate) trait Stream: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> Stream for T {}
 
-/// A fault that delays handshakes.
+/// Fault that delays handshakes.
 #[derive(Clone, Copy, Default)]
 struct HandshakeDelay {
     until: f64,
     delay_s: f64,
 }
 
-/// A server's TLS, as server and as client.
+/// TLS configuration and faults of a test server, for the connections that it accepts and for those that it
+/// opens.
 pub(crate) struct TlsEndpoint {
     files: RefCell<TlsFiles>,
     server_config: RefCell<Option<Arc<ServerConfig>>>,
@@ -55,12 +56,12 @@
         endpoint
     }
 
-    /// The name in the certificate.
+    /// Returns the name in the certificate.
     pub fn name(&self) -> String {
         self.files.borrow().name.clone()
     }
 
-    /// Loads other files; those not given stay.
+    /// Replaces the given files and loads all of them. Files that are `None` stay as they are.
     pub fn replace_files(&self, chain: Option<PathBuf>, key: Option<PathBuf>, trust: Option<PathBuf>) {
         {
             let mut files = self.files.borrow_mut();
@@ -71,17 +72,18 @@
         self.load();
     }
 
-    /// Handshakes are cut until then.
+    /// Closes connections during the handshake until the Unix time `until`.
     pub fn cut_handshakes(&self, until: f64) {
         self.handshakes_cut_until.set(until);
     }
 
-    /// Handshakes are delayed until then.
+    /// Delays handshakes by `delay_s` until the Unix time `until`.
     pub fn delay_handshakes(&self, until: f64, delay_s: f64) {
         self.handshake_delay.set(HandshakeDelay { until, delay_s });
     }
 
-    /// Loads the files as they are, also invalid ones, because some faults need them.
+    /// Loads the files. Certificates that fail the usual checks are loaded as well, because some faults need
+    /// them.
     fn load(&self) {
         let files = self.files.borrow().clone();
         let trust = files.mutual.then(|| files.trust.clone());
@@ -98,13 +100,13 @@
         *self.client.borrow_mut() = client;
     }
 
-    /// Whether the connection begins with a TLS handshake.
+    /// Returns whether the connection begins with a TLS handshake, judged by its first byte.
     pub async fn is_client_hello(stream: &Async<std::net::TcpStream>) -> bool {
         let mut first = [0];
         !matches!(stream.peek(&mut first).await, Ok(1) if first[0] != HANDSHAKE_RECORD)
     }
 
-    /// Performs the handshake of an accepted connection; none if it fails.
+    /// Performs the handshake of an accepted connection. `None` if it fails.
     pub async fn accept(
         &self,
         stream: Async<std::net::TcpStream>,
@@ -114,7 +116,7 @@
             sleep_s(delay.delay_s).await;
         }
         if unix_now() < self.handshakes_cut_until.get() {
-            // The connection is cut only after the client's hello has arrived.
+            // The connection is closed only after the client hello has arrived.
             let _ = stream.readable().await;
             self.record_failure("cut by a fault");
             return None;
@@ -137,7 +139,7 @@
         self.recorder.record("handshake", json!({"ok": false, "why": reason}));
     }
 
-    /// Connects to a prefill engine and verifies its certificate against the name.
+    /// Connects to a prefill engine and verifies that its certificate is for `name`. `None` if either fails.
     pub async fn connect(&self, address: &str, name: &str) -> Option<Box<dyn Stream>> {
         let (config, _) = self.client.borrow().config()?;
         let stream = TcpStream::connect(address).await.ok()?;
@@ -146,7 +148,8 @@
     }
 }
 
-/// Configuration with a certificate that fails the usual checks, such as an expired one.
+/// Creates a configuration without the usual checks of the certificate, for faults such as an expired
+/// certificate.
 fn unchecked_server_config(files: &TlsFiles) -> Option<Arc<ServerConfig>> {
     let chain = CertificateDer::pem_file_iter(&files.chain).ok()?.collect::<Result<Vec<_>, _>>().ok()?;
     let key = PrivateKeyDer::from_pem_file(&files.key).ok()?;
