--- a/crates/nickelgw-test-servers/src/recorder.rs
+++ b/crates/nickelgw-test-servers/src/recorder.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Returns the Unix time in seconds. All processes of a run read the same clock.
+/// Returns the Unix time, in seconds since 1970. All processes of a run read the same clock.
 pub fn unix_now() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |elapsed| elapsed.as_secs_f64())
 }
