--- a/crates/nickelgw-cli/src/bench/client.rs
+++ b/crates/nickelgw-cli/src/bench/client.rs
@@ -1,4 +1,4 @@
-//! The client of the measurements: through the node, or directly to the same engines.
+//! Client of the measurements, which calls engines through the node or directly.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -15,23 +15,24 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Timeout of the client's connections.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT_S: f64 = 2.0;
-/// Prompt prefixes that the requests share.
+/// Number of distinct prompt prefixes, which the requests share.
 const PREFIXES: usize = 8;
 
-/// The way that a request takes.
+/// Path that a request takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Route {
+    /// A call to the node.
     ThroughNode,
-    /// Prefill and decode by calls of the client's own.
+    /// Prefill and decode calls that the client makes to the engines itself.
     Direct,
 }
 
-/// Where an engine listens.
+/// Address of an engine, and the name in its certificate.
 pub(super) struct EngineAddress {
     pub(super) address: String,
-    /// The name on its certificate, if it is called in TLS.
+    /// Name in its certificate; `None` if it is called without TLS.
     pub(super) tls_name: Option<String>,
 }
 
@@ -41,13 +42,13 @@
     }
 }
 
-/// Times of a completed answer, in seconds from the request's intended start.
+/// Latencies of a completed response, in seconds from the request's intended start.
 pub(super) struct Latency {
     pub(super) first_token_s: f64,
     pub(super) total_s: f64,
 }
 
-/// Calls a node and its engines.
+/// Client that calls a node or its engines.
 pub(super) struct BenchClient {
     pool: Rc<Pool>,
     pub(super) node: String,
@@ -56,7 +57,7 @@
     direct_requests: Cell<usize>,
 }
 
-/// A connection pool that never makes a request wait.
+/// Returns the configuration of a connection pool that never makes a request wait.
 pub(super) fn unlimited_pool() -> PoolConfig {
     PoolConfig { max_handshakes: 4096, max_handshakes_per_engine: 4096, ..PoolConfig::default() }
 }
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Sends a request and reads its answer to the end; none where it does not complete.
+    /// Sends a request and reads its response to the end; `None` if it does not complete.
     pub(super) async fn send(
         &self,
         route: Route,
@@ -87,17 +88,17 @@
     ) -> Option<Latency> {
         let body = chat_body(number, output_tokens);
         match route {
-            Route::ThroughNode => self.through_node(number, body, intended).await,
-            Route::Direct => self.direct(number, body, intended).await,
+            Route::ThroughNode => self.send_through_node(number, body, intended).await,
+            Route::Direct => self.send_directly(number, body, intended).await,
         }
     }
 
-    async fn through_node(&self, number: usize, body: Bytes, intended: Instant) -> Option<Latency> {
+    async fn send_through_node(&self, number: usize, body: Bytes, intended: Instant) -> Option<Latency> {
         let request = chat_request(&self.node, &format!("b{number}"), body)?;
         self.stream(Peer::plain(&self.node), &request, intended).await
     }
 
-    async fn direct(&self, number: usize, body: Bytes, intended: Instant) -> Option<Latency> {
+    async fn send_directly(&self, number: usize, body: Bytes, intended: Instant) -> Option<Latency> {
         let chat = ChatRequest::parse(&body).ok()?;
         let count = self.direct_requests.get() + 1;
         self.direct_requests.set(count);
@@ -141,7 +142,7 @@
         is_done.then(|| Latency { first_token_s, total_s: intended.elapsed().as_secs_f64() })
     }
 
-    /// A new connection to an engine, which is not used for anything more.
+    /// Opens a new connection to an engine. It is not returned to the pool, so that no other request uses it.
     pub(super) async fn open_connection(&self, engine: &EngineAddress) -> Option<Connection> {
         let request = Request::builder().uri("/health").header("host", &engine.address);
         let request = request.body(Full::default()).ok()?;
--- a/crates/nickelgw-cli/src/bench/endpoint_changes.rs
+++ b/crates/nickelgw-cli/src/bench/endpoint_changes.rs
@@ -1,5 +1,6 @@
-//! `nickelgw bench-fleet`: what a full read and a change of the endpoint list cost, how long a change takes
-//! until the node has it, and what a mistaken empty list costs with and without doubt.
+//! `nickelgw bench-fleet`: the cost of a full read and of a change of the endpoint list, the time until a
+//! change reaches the node, and the effect of a list that is empty by mistake. The last is measured with and
+//! without `doubt`, the setting by which a node suspects a list that removes many endpoints at once.
 
 mod local_fleet;
 mod propagation;
@@ -9,7 +10,7 @@
 use super::statistics::Summary;
 use crate::error::CommandError;
 use crate::timing::sleep_s;
-use local_fleet::{Change, LocalFleet, NO_DOUBT, REGISTRY_SOURCE};
+use local_fleet::{Change, LocalFleet, ACCEPT_ALL_REMOVALS, REGISTRY_SOURCE};
 use nickelgw_test_servers::recorder::unix_now;
 use nickelgw_test_servers::{client, Recorder};
 use std::path::{Path, PathBuf};
@@ -17,10 +18,13 @@
 use std::thread;
 use std::time::Duration;
 
-/// A registry that nobody runs.
+/// Settings with the address of a registry that does not exist.
 const UNREACHABLE_REGISTRY: &str = "registry { endpoint: '127.0.0.1:1' nodes_prefix: '' }";
+/// Starts that are measured in each case.
 const START_RUNS: usize = 5;
+/// Requests sent before, while and after the registry is empty.
 const EMPTY_REQUESTS: u32 = 240;
+/// Interval between these requests.
 const EMPTY_INTERVAL_S: f64 = 0.025;
 /// Time for the node to read the endpoints.
 const DISCOVERY: Duration = Duration::from_millis(300);
@@ -29,15 +33,15 @@
 
 #[derive(clap::Args)]
 pub struct BenchFleet {
-    /// Changes made for each source.
+    /// Changes measured with the registry as source; the file gets a fifth of them.
     #[arg(long, default_value_t = 100)]
     changes: usize,
-    /// Leaves the rolling deploys out, which take a minute.
+    /// Leaves out the rolling deploys, which take a minute.
     #[arg(long)]
     short: bool,
 }
 
-/// A streamed request that starts now.
+/// Returns a streamed request that starts now.
 fn chat_request(id: String, address: String, prompt: String, max_tokens: u32) -> client::ChatCall {
     client::ChatCall {
         request_id: id,
@@ -67,13 +71,13 @@
     }
 
     fn measure(&self, fleet: &LocalFleet) -> Result<(), CommandError> {
-        println!("from a change at the source to the list that the node keeps on disk:");
+        println!("time from a change at the source until the node's cached endpoint list has it:");
         propagation::measure_registry(fleet, self.changes)?;
         propagation::measure_file(fleet, self.changes)?;
         let endpoint_cache = propagation::measure_registry_restarts(fleet)?;
         println!("a registry emptied by mistake for 3 s, 40 requests a second for 6 s:");
         measure_empty_registry(fleet, "with doubt", "")?;
-        measure_empty_registry(fleet, "without", NO_DOUBT)?;
+        measure_empty_registry(fleet, "without", ACCEPT_ALL_REMOVALS)?;
         println!("from start to serving, of 5:");
         measure_start(fleet, "registry there, nothing kept", REGISTRY_SOURCE, None)?;
         measure_start(fleet, "registry down, the last list kept", UNREACHABLE_REGISTRY, Some(&endpoint_cache))
--- a/crates/nickelgw-cli/src/bench/endpoint_changes/local_fleet.rs
+++ b/crates/nickelgw-cli/src/bench/endpoint_changes/local_fleet.rs
@@ -1,4 +1,5 @@
-//! A registry and engines on threads of this process, and nodes that find them there.
+//! A registry and engines on threads of this process, and nodes that discover the engines through the
+//! registry.
 
 use crate::bench::temporary_path;
 use crate::error::CommandError;
@@ -11,16 +12,15 @@
 use std::thread;
 use std::time::Duration;
 
-/// Settings of a node that reads its endpoints from the fleet's registry, whose address takes the word's
-/// place.
+/// Settings of a node that reads its endpoints from the fleet's registry, whose address replaces `REGISTRY`.
 pub(super) const REGISTRY_SOURCE: &str = "registry { endpoint: 'REGISTRY' nodes_prefix: '' }";
-/// Settings under which every list is believed at once.
-pub(super) const NO_DOUBT: &str = "doubt { share: 1 }";
+/// Settings under which a node applies every list at once, even one that removes all endpoints.
+pub(super) const ACCEPT_ALL_REMOVALS: &str = "doubt { share: 1 }";
 const KEY_PREFIX: &str = "nickelgw/engines/";
 const ENGINES: usize = 12;
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A change of the registry's contents.
+/// Change of the registry's contents.
 #[derive(Clone, Copy)]
 pub(super) enum Change<'a> {
     Put(&'a EndpointEntry),
@@ -28,19 +28,22 @@
     DeleteAll,
 }
 
+/// A registry and the engines that it lists.
 pub(super) struct LocalFleet {
     pub(super) dir: PathBuf,
     pub(super) entries: Vec<EndpointEntry>,
+    /// Address of the registry.
     pub(super) registry: String,
 }
 
-/// A node that serves.
+/// A node that has become ready.
 pub(super) struct ReadyNode {
     pub(super) address: String,
+    /// Time from its start until it was ready.
     pub(super) ready_after_s: f64,
 }
 
-/// Even numbers are prefill engines, odd ones decode engines.
+/// Returns the role of an engine: prefill for even numbers, decode for odd ones.
 pub(super) fn role_of(number: usize) -> Role {
     if number.is_multiple_of(2) {
         Role::Prefill
@@ -49,7 +52,7 @@
     }
 }
 
-/// Sends an order to a server of this process.
+/// Sends a control order to a test server.
 pub(super) fn send_control(address: &str, order: &Value) {
     smol::block_on(client::control(address, order));
 }
@@ -97,7 +100,7 @@
         let node = spawn_node("bench", &settings.replace("REGISTRY", &self.registry), |_| ())?;
         while !is_healthy(&node.address) {
             if node.started.elapsed() > START_TIMEOUT {
-                return Err(CommandError("the node did not come to serve".into()));
+                return Err(CommandError(format!("node did not become ready within {START_TIMEOUT:?}")));
             }
             thread::sleep(Duration::from_millis(1));
         }
--- a/crates/nickelgw-cli/src/bench/endpoint_changes/propagation.rs
+++ b/crates/nickelgw-cli/src/bench/endpoint_changes/propagation.rs
@@ -1,4 +1,4 @@
-//! Times from a change at the source of endpoints to the list that the node keeps on disk.
+//! Time from a change at the source of endpoints until the node's cached endpoint list has it.
 
 use super::local_fleet::{send_control, Change, LocalFleet, REGISTRY_SOURCE};
 use crate::bench::statistics::{new_histogram, quantile};
@@ -10,18 +10,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest time that is told apart, in microseconds.
+/// Largest time that a histogram resolves, in microseconds.
 const MAX_TIME_US: u64 = 60_000_000;
 const US_PER_MS: f64 = 1e3;
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
 const RESTART_TIMEOUT: Duration = Duration::from_secs(20);
 const RESTARTS: usize = 12;
-/// Files are looked at at intervals, so that a change takes longer.
+/// Factor by which the file gets fewer changes: nodes poll it at intervals, so that each change takes longer.
 const FILE_CHANGES_DIVISOR: usize = 5;
-/// The engine that is changed.
-const CHANGED: usize = 1;
+/// Index of the engine whose entry is changed.
+const CHANGED_ENGINE: usize = 1;
 
-/// An engine's entry in the list that a node keeps.
+/// Returns an engine's entry in the endpoint list that a node has cached.
 fn cached_entry(list: &Path, id: &str) -> Value {
     let text = std::fs::read_to_string(list).unwrap_or_default();
     let list: Value = serde_json::from_str(&text).unwrap_or_default();
@@ -33,7 +33,7 @@
     let endpoint_cache = fleet.dir.join("registry.kept");
     fleet.start_node(REGISTRY_SOURCE, &endpoint_cache)?;
     let times = measure_changes(fleet, &endpoint_cache, changes, |entries| {
-        fleet.change(Change::Put(&entries[CHANGED]));
+        fleet.change(Change::Put(&entries[CHANGED_ENGINE]));
         Ok(())
     })?;
     print_changes("registry", &times);
@@ -52,7 +52,7 @@
     Ok(())
 }
 
-/// Replaces the file as a whole.
+/// Replaces the list file as a whole, so that no node reads a part of it.
 fn write_list(fleet: &LocalFleet, file: &Path, entries: &[EndpointEntry]) -> std::io::Result<()> {
     let text = serde_json::to_vec(&json!({"revision": 1, "engines": entries})).unwrap_or_default();
     let new_file = fleet.dir.join("engines.new");
@@ -69,18 +69,19 @@
     let mut times = new_histogram(MAX_TIME_US);
     for number in 0..changes {
         let mut entries = fleet.entries.clone();
-        // Flap damping would hold an engine out that comes and goes: another field changes.
-        entries[CHANGED].memory_tokens = 1e5 + number as f64;
+        // Flap damping would hold out an engine that is removed and added repeatedly, so another field
+        // changes.
+        entries[CHANGED_ENGINE].memory_tokens = 1e5 + number as f64;
         let began = Instant::now();
         apply(&entries)?;
-        let id = &entries[CHANGED].id;
-        while cached_entry(endpoint_cache, id)["memory_tokens"] != entries[CHANGED].memory_tokens
+        let id = &entries[CHANGED_ENGINE].id;
+        while cached_entry(endpoint_cache, id)["memory_tokens"] != entries[CHANGED_ENGINE].memory_tokens
             && began.elapsed() < CHANGE_TIMEOUT
         {
             thread::sleep(Duration::from_micros(500));
         }
         times.saturating_record(began.elapsed().as_micros() as u64);
-        // At varying distances from the node's own timers.
+        // The pause varies, so that the changes do not fall into step with the node's own timers.
         thread::sleep(Duration::from_millis(if number.is_multiple_of(2) { 20 } else { 5 }));
     }
     Ok(times)
@@ -97,8 +98,8 @@
     );
 }
 
-/// The registry restarts with its history compacted, just before a change. Gives the list that the node
-/// keeps.
+/// Measures changes that are made just after the registry begins a restart, with its history compacted.
+/// Returns the path of the node's cached endpoint list.
 pub(super) fn measure_registry_restarts(fleet: &LocalFleet) -> Result<PathBuf, CommandError> {
     let endpoint_cache = fleet.dir.join("breaks.kept");
     fleet.start_node(REGISTRY_SOURCE, &endpoint_cache)?;
--- a/crates/nickelgw-cli/src/bench/endpoint_changes/rolling_deploy.rs
+++ b/crates/nickelgw-cli/src/bench/endpoint_changes/rolling_deploy.rs
@@ -1,8 +1,8 @@
-//! 100 engines replaced within 10 s under 70% of their load, each drained first or taken out at once, with
-//! and without doubt.
+//! Replacement of 100 engines within 10 s under 70% of their load, each drained first or removed at once,
+//! with and without the suspicion of lists that remove many endpoints (`doubt` in the settings).
 
 use super::chat_request;
-use super::local_fleet::{role_of, send_control, Change, LocalFleet, NO_DOUBT, REGISTRY_SOURCE};
+use super::local_fleet::{role_of, send_control, Change, LocalFleet, ACCEPT_ALL_REMOVALS, REGISTRY_SOURCE};
 use crate::bench::temporary_path;
 use crate::error::CommandError;
 use crate::local_servers::{spawn_engine, spawn_registry};
@@ -23,10 +23,10 @@
 const TTFT_OBJECTIVE_S: f64 = 1.0;
 /// One engine is replaced in each interval.
 const REPLACE_INTERVAL: Duration = Duration::from_millis(100);
-/// Intervals that an engine has from its drain until it is gone: two seconds.
+/// Number of intervals from an engine's drain until it is removed: two seconds.
 const DRAIN_INTERVALS: usize = 20;
 
-/// How engines are replaced.
+/// Way in which engines are replaced.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Replacement {
     None,
@@ -39,10 +39,10 @@
     measure_replacement("nothing replaced", Replacement::None, "")?;
     measure_replacement("drained, then taken out", Replacement::DrainFirst, "")?;
     measure_replacement("taken out undrained", Replacement::AtOnce, "")?;
-    measure_replacement("taken out undrained, without doubt", Replacement::AtOnce, NO_DOUBT)
+    measure_replacement("taken out undrained, without doubt", Replacement::AtOnce, ACCEPT_ALL_REMOVALS)
 }
 
-/// An engine of a fleet that is deployed anew.
+/// Starts an engine of the given generation: 0 is replaced by 1 in the deploy.
 fn start_engine(number: usize, generation: usize) -> Result<EndpointEntry, CommandError> {
     let role = role_of(number);
     // 50 prefill and 50 decode engines each serve about 217 requests a second together.
@@ -83,18 +83,18 @@
 
 fn replace_engines(fleet: &LocalFleet, replacement: Replacement) -> Result<(), CommandError> {
     let drain_intervals = if replacement == Replacement::DrainFirst { DRAIN_INTERVALS } else { 0 };
-    let mut leaving = VecDeque::new();
+    let mut draining = VecDeque::new();
     for (number, old) in fleet.entries.iter().enumerate() {
         let began = Instant::now();
         fleet.change(Change::Put(&start_engine(number, 1)?));
         if replacement == Replacement::DrainFirst {
             fleet.change(Change::Put(&EndpointEntry { state: EngineState::Draining, ..old.clone() }));
         }
-        leaving.push_back(old);
-        while leaving.len() > drain_intervals {
-            if let Some(gone) = leaving.pop_front() {
-                fleet.change(Change::Delete(&gone.id));
-                send_control(&gone.address, &json!({"fault": "die"}));
+        draining.push_back(old);
+        while draining.len() > drain_intervals {
+            if let Some(removed) = draining.pop_front() {
+                fleet.change(Change::Delete(&removed.id));
+                send_control(&removed.address, &json!({"fault": "die"}));
             }
         }
         thread::sleep(REPLACE_INTERVAL.saturating_sub(began.elapsed()));
@@ -102,7 +102,7 @@
     Ok(())
 }
 
-/// Times to the first token of the requests that completed, in seconds.
+/// Sends all requests; returns the times to first token of those that completed, in seconds.
 fn send_requests(address: &str) -> Vec<f64> {
     let executor = LocalExecutor::new();
     smol::block_on(executor.run(async {
--- a/crates/nickelgw-cli/src/bench/endpoint_changes/view.rs
+++ b/crates/nickelgw-cli/src/bench/endpoint_changes/view.rs
@@ -1,4 +1,4 @@
-//! The endpoint view's own work, without a network.
+//! Cost of the endpoint view's own work, without a network.
 
 use super::local_fleet::role_of;
 use crate::bench::statistics::Summary;
@@ -12,7 +12,7 @@
 const ROUNDS: u64 = 9;
 
 pub(super) fn measure() {
-    println!("the view alone, medians of 9:");
+    println!("the endpoint view alone, medians of 9:");
     for size in FLEET_SIZES {
         measure_size(size);
     }
--- a/crates/nickelgw-cli/src/bench/load.rs
+++ b/crates/nickelgw-cli/src/bench/load.rs
@@ -1,4 +1,4 @@
-//! Open-loop load: requests start at their times, however the earlier ones fare.
+//! Open-loop load: requests start at their intended times, whatever became of the earlier ones.
 
 use super::client::{BenchClient, Latency, Route};
 use super::statistics::{new_histogram, quantile};
@@ -9,12 +9,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Longest latency that is told apart, in microseconds.
+/// Largest latency that a histogram resolves, in microseconds.
 const MAX_LATENCY_US: u64 = 100_000_000;
-/// Requests that are still open this long after the last start are given up.
+/// Time after the last start at which requests that are still open are abandoned.
 const GRACE_S: f64 = 30.0;
 
-/// What is sent, and for how long.
+/// Rate and duration of a load, and the length of its responses.
 #[derive(Clone, Copy)]
 pub(super) struct LoadPlan {
     pub(super) rate_per_s: f64,
@@ -22,7 +22,7 @@
     pub(super) output_tokens: usize,
 }
 
-/// What came of the requests of one route. Latencies are in microseconds.
+/// Results of the requests of one route. Latencies are in microseconds.
 pub(super) struct LoadResult {
     pub(super) first_token: Histogram<u64>,
     pub(super) total: Histogram<u64>,
@@ -50,19 +50,19 @@
         self.total.saturating_record((latency.total_s * 1e6) as u64);
     }
 
-    /// Quantile of the time to the first token, in microseconds.
+    /// Returns a quantile of the time to the first token, in microseconds.
     pub(super) fn first_token_us(&self, at: f64) -> f64 {
         quantile(&self.first_token, at, 1.0)
     }
 
-    /// Quantile of the time to the end of the answer, in microseconds.
+    /// Returns a quantile of the time to the end of the response, in microseconds.
     pub(super) fn total_us(&self, at: f64) -> f64 {
         quantile(&self.total, at, 1.0)
     }
 }
 
-/// Sends requests by each route alternately, so that the machine's state is the same for all; one result a
-/// route.
+/// Sends requests by each route alternately, so that the machine's state is the same for all; returns one
+/// result per route.
 pub(super) async fn run_load(
     executor: &Rc<LocalExecutor<'static>>,
     client: &Rc<BenchClient>,
@@ -80,7 +80,7 @@
         let position = number % routes.len();
         let route = routes[position];
         tasks.push(executor.spawn(async move {
-            // Counted from the intended start: a delay of the client itself is latency too.
+            // Latency counts from the intended start, so that it includes delays of the client itself.
             let latency = client.send(route, number, plan.output_tokens, intended).await;
             results.borrow_mut()[position].record(latency);
         }));
@@ -95,7 +95,7 @@
     finished
 }
 
-/// The load of one route.
+/// Sends requests by one route.
 pub(super) async fn run_single_load(
     executor: &Rc<LocalExecutor<'static>>,
     client: &Rc<BenchClient>,
--- a/crates/nickelgw-cli/src/bench/overhead.rs
+++ b/crates/nickelgw-cli/src/bench/overhead.rs
@@ -1,5 +1,5 @@
-//! `nickelgw bench`: what the node adds, beside the same engines called directly by the same client, in one
-//! run.
+//! `nickelgw bench`: what the node adds, compared with direct calls of the same engines by the same client in
+//! one run.
 
 use super::client::Route;
 use super::fast_engine;
@@ -18,35 +18,37 @@
 
 type Executor = Rc<LocalExecutor<'static>>;
 
-/// Rates at which the node is measured, until its latency doubles.
+/// Rates at which the node is measured, in this order, until its latency doubles.
 const RATES_PER_S: [f64; 9] = [250.0, 500.0, 1000.0, 1500.0, 2000.0, 2500.0, 3000.0, 4000.0, 5000.0];
-/// Time between the tokens of the streams that are held open.
+/// Time between tokens of the streams that are held open.
 const SLOW_STEP_S: f64 = 2.0;
-/// Streams opened a second for the memory figure.
+/// Rate at which streams are opened for the memory figure.
 const STREAMS_PER_S: f64 = 1000.0;
-/// Past the first token of each stream that is held open, before the end of any.
+/// Time from the opening of the last stream to the reading of the node's memory, by which each stream has its
+/// first token and none has ended.
 const STREAMS_OPEN_S: f64 = 5.0;
 const LONG_ANSWER_TOKENS: usize = 20;
 const SHORT_ANSWER_TOKENS: usize = 4;
+/// Rate of the comparison, both routes together.
 const COMPARED_RATE_PER_S: f64 = 200.0;
 
 #[derive(clap::Args)]
 pub struct Bench {
-    /// Seconds for each point measured.
+    /// Duration of the load for each measured point, in seconds.
     #[arg(long, default_value_t = 4.0)]
     seconds: f64,
-    /// Times that the comparison is made; medians and spread are over these.
+    /// Number of runs of the comparison, over which medians and spread are taken.
     #[arg(long, default_value_t = 5)]
     runs: usize,
-    /// Streams held open for the memory figure; each takes two descriptors at the node.
+    /// Streams held open for the memory figure; each takes two file descriptors of the node.
     #[arg(long, default_value_t = 8000)]
     streams: usize,
-    /// Writes the figures as JSON.
+    /// File to which the figures are written as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// Differences between the two routes of one run, in microseconds.
+/// Latency that the node adds in one run, as the difference between the two routes, in microseconds.
 struct AddedLatency {
     first_p50: f64,
     first_p99: f64,
@@ -54,7 +56,7 @@
     total_p99: f64,
 }
 
-/// Reads one of the differences.
+/// Selects one of the differences.
 type Column = fn(&AddedLatency) -> f64;
 
 impl AddedLatency {
@@ -70,7 +72,7 @@
     }
 }
 
-/// One rate's measurement.
+/// Measurement at one rate.
 struct RatePoint {
     rate_per_s: f64,
     first_p50_us: f64,
@@ -105,7 +107,7 @@
     FleetPlan { name, decode_engines, engine, node_settings: HIGH_LIMITS, with_json_log: false }
 }
 
-/// Opens connections and fills caches.
+/// Opens connections and fills caches before a measurement.
 async fn warm_up(executor: &Executor, fleet: &ProcessFleet, output_tokens: usize, routes: &[Route]) {
     let plan = LoadPlan { rate_per_s: COMPARED_RATE_PER_S, duration_s: 1.0, output_tokens };
     run_load(executor, &fleet.client, plan, routes).await;
--- a/crates/nickelgw-cli/src/bench/process_fleet.rs
+++ b/crates/nickelgw-cli/src/bench/process_fleet.rs
@@ -15,33 +15,34 @@
 use std::rc::Rc;
 
 const PREFILL_ENGINES: usize = 2;
-/// Settings of a node that is to be measured without rejecting anything.
+/// Settings with limits so high that a node under measurement rejects nothing.
 pub(super) const HIGH_LIMITS: &str =
     "limits { most_idle_connections: 4096 stream_idle_ms: 60000 most_waiting: 1024 }";
 /// Time for the node to fetch the endpoint list.
 const DISCOVERY_S: f64 = 0.3;
 
-/// What to start.
+/// Plan of the processes to start.
 pub(super) struct FleetPlan<'a> {
-    /// Part of the folder's name.
+    /// Last part of the name of the fleet's folder.
     pub(super) name: &'a str,
     pub(super) decode_engines: usize,
     pub(super) engine: EngineConfig,
-    /// Settings of the node beside the ordinary ones.
+    /// Settings of the node in addition to the ordinary ones.
     pub(super) node_settings: &'a str,
-    /// Whether the node logs as JSON, on the info level.
+    /// Whether the node logs as JSON at level info.
     pub(super) with_json_log: bool,
 }
 
-/// Running processes, and a client of them.
+/// Running node, engines and endpoint list, and a client that calls them.
 pub(super) struct ProcessFleet {
     pub(super) client: Rc<BenchClient>,
     pub(super) node: Child,
+    /// Engines and the endpoint list.
     others: Vec<Child>,
     dir: PathBuf,
 }
 
-/// What a process has used.
+/// CPU time and memory that a process has used.
 pub(super) struct ResourceUse {
     pub(super) cpu_s: f64,
     pub(super) memory_kib: f64,
@@ -52,7 +53,7 @@
         executor: &Rc<LocalExecutor<'static>>,
         plan: FleetPlan<'_>,
     ) -> Result<ProcessFleet, CommandError> {
-        let dir = temporary_path_of(plan.name)?;
+        let dir = create_folder(plan.name)?;
         let (mut others, mut entries) = (Vec::new(), Vec::new());
         for number in 0..PREFILL_ENGINES + plan.decode_engines {
             let (child, entry) = start_engine(&plan.engine, number, &dir).await?;
@@ -70,18 +71,18 @@
         Ok(ProcessFleet { client: Rc::new(client), node: node.child, others, dir })
     }
 
-    /// What the node has used so far.
+    /// Returns what the node has used so far.
     pub(super) fn node_use(&self) -> ResourceUse {
         let id = self.node.id().to_string();
         ResourceUse { cpu_s: process_cpu_s(&id), memory_kib: process_memory_kib(&id) }
     }
 
-    /// The log of all processes.
+    /// Returns the log, to which all processes write.
     pub(super) fn log(&self) -> String {
         std::fs::read_to_string(self.dir.join("log")).unwrap_or_default()
     }
 
-    /// Ends all processes; gives what the node measured of itself.
+    /// Ends all processes; returns the metrics that the node wrote about itself.
     pub(super) async fn shut_down(mut self) -> Value {
         send_signal("TERM", self.node.id()).await;
         let _ = self.node.status().await;
@@ -95,26 +96,26 @@
     }
 }
 
-/// Sends a signal by its name.
+/// Sends a signal to a process, by the signal's name without SIG.
 pub(super) async fn send_signal(signal: &str, process: u32) {
     let _ = Command::new("kill").args([format!("-{signal}"), process.to_string()]).status().await;
 }
 
-/// Processor seconds of a process under `/proc`.
+/// Returns the CPU time of a process, given by its name under `/proc`.
 fn process_cpu_s(process: &str) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/schedstat")).unwrap_or_default();
     let nanoseconds: f64 = text.split(' ').next().and_then(|field| field.parse().ok()).unwrap_or(0.0);
     nanoseconds / 1e9
 }
 
-/// Resident memory of a process under `/proc`.
+/// Returns the resident memory of a process, given by its name under `/proc`.
 pub(super) fn process_memory_kib(process: &str) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
     let line = text.lines().find(|line| line.starts_with("VmRSS:")).unwrap_or("");
     line.split_whitespace().nth(1).and_then(|field| field.parse().ok()).unwrap_or(0.0)
 }
 
-fn temporary_path_of(name: &str) -> Result<PathBuf, CommandError> {
+fn create_folder(name: &str) -> Result<PathBuf, CommandError> {
     let dir = std::env::temp_dir().join(format!("nickelgw-bench-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&dir)?;
     Ok(dir)
--- a/crates/nickelgw-cli/src/bench/request_path.rs
+++ b/crates/nickelgw-cli/src/bench/request_path.rs
@@ -1,5 +1,5 @@
-//! `nickelgw bench-path`: what grants, idempotency keys, ledger and store cost, what stalled clients hold,
-//! and what a handover to a new process adds.
+//! `nickelgw bench-path`: the cost of grants, idempotency keys, ledger and store, the memory that stalled
+//! clients take, and the latency that a handover to a new process adds.
 
 mod calls;
 mod store;
@@ -24,33 +24,35 @@
 
 type Executor = Rc<LocalExecutor<'static>>;
 
-/// Longest time that is told apart, in nanoseconds.
+/// Largest time that a histogram resolves, in nanoseconds.
 const MAX_TIME_NS: u64 = 60_000_000_000;
 const NS_PER_US: f64 = 1e3;
 const KEYED_WARM_UP: usize = 25;
 const KEYED_REQUESTS: usize = 250;
 const KEYED_INTERVAL_S: f64 = 0.02;
-/// Time between connections of clients that read nothing.
+/// Interval at which clients that read nothing connect.
 const STALLED_INTERVAL_S: f64 = 0.002;
-/// Until the node's buffers for clients that read nothing are full.
+/// Time until the node's buffers for clients that read nothing are full.
 const STALLED_S: f64 = 6.0;
-/// Bytes that each token of an answer to a stalled client has.
+/// Size of each token in a response to a stalled client.
 const PADDED_TOKEN_BYTES: usize = 8192;
 const HANDOVER_RATE_PER_S: f64 = 100.0;
+/// Time of the handover, from the start of the load.
 const HANDOVER_AT_S: f64 = 1.0;
 const ANSWER_TOKENS: usize = 20;
-/// A route whose requests may not run twice.
+/// Settings of a model route whose requests must not run twice.
 const BOOKING_ROUTE: &str =
     "model_route { model: 'booking' first_token_target_ms: 1000 route_timeout_ms: 5000 repeat: NON_RETRIABLE }";
+/// Settings of the node that stalled clients connect to, whose stall timeout is longer than the measurement.
 const STALLED_LIMITS: &str =
     "limits { most_idle_connections: 4096 client_stall_ms: 20000 most_waiting: 1024 }";
 
 #[derive(clap::Args)]
 pub struct BenchPath {
-    /// Clients that take nothing of their streams.
+    /// Number of clients that read nothing of their streams.
     #[arg(long, default_value_t = 1000)]
     stalled: usize,
-    /// Seconds of each measurement under load.
+    /// Duration of each measurement under load, in seconds.
     #[arg(long, default_value_t = 4.0)]
     seconds: f64,
 }
@@ -71,7 +73,7 @@
     async fn measure_fleets(&self, executor: Executor) -> Result<(), CommandError> {
         measure_keyed_requests(&executor).await?;
         self.measure_stalled_clients(&executor).await?;
-        println!("a take-over, 100 requests a second of 20 tokens, first token from the intended start:");
+        println!("a handover, 100 requests a second of 20 tokens, first token from the intended start:");
         for with_handover in [false, true] {
             self.measure_handover(&executor, with_handover).await?;
         }
@@ -133,7 +135,8 @@
     }
 }
 
-/// The new process is no child of this one: the old one's log has its id.
+/// Returns the id of the new process after a handover. It is not a child of this process, but the log of its
+/// predecessor has its id.
 fn successor_process(log: &str) -> Option<u32> {
     log.lines().rev().find_map(|line| {
         let event: serde_json::Value = serde_json::from_str(line).ok()?;
@@ -141,6 +144,7 @@
     })
 }
 
+/// Connects clients that send a request and read nothing of the response.
 async fn connect_stalled_clients(node: &str, count: usize) -> std::io::Result<Vec<TcpStream>> {
     let body = json!({"model": "chat", "stream": true, "max_tokens": 200,
         "messages": [{"role": "user", "content": "hi"}]})
@@ -176,7 +180,8 @@
     Ok(())
 }
 
-/// Times of whole answers to requests that may not run twice, each under a key of its own, in nanoseconds.
+/// Sends requests that must not run twice, each under an idempotency key of its own; returns the times to the
+/// end of their responses, in nanoseconds.
 async fn send_keyed_requests(node: &str, count: usize) -> Histogram<u64> {
     let mut times = new_histogram(MAX_TIME_NS);
     let body = json!({"model": "booking", "max_tokens": 1, "messages": [{"role": "user", "content": "pay"}]})
--- a/crates/nickelgw-cli/src/bench/request_path/calls.rs
+++ b/crates/nickelgw-cli/src/bench/request_path/calls.rs
@@ -1,4 +1,4 @@
-//! Times of single calls of the request path's state machines.
+//! Times of single calls to the state machines of the request path.
 
 use crate::bench::statistics::Summary;
 use nickelgw_chat::core::grant::{grant, GrantChecker, GrantClaims, GrantKey};
@@ -27,7 +27,7 @@
     measure_ledger();
 }
 
-/// Prints the time of one call; calls are numbered on through all rounds.
+/// Measures and prints the time of one call; calls are numbered consecutively through all rounds.
 fn measure_call(name: &str, mut call: impl FnMut(u64)) {
     let rounds = (0..ROUNDS).map(|round| {
         let began = Instant::now();
--- a/crates/nickelgw-cli/src/bench/request_path/store.rs
+++ b/crates/nickelgw-cli/src/bench/request_path/store.rs
@@ -1,4 +1,4 @@
-//! What the store costs: commits, the waits for them, and the start with records in it.
+//! Cost of the store: commits, the waits for them, and the opening of a store that has records.
 
 use super::{MAX_TIME_NS, NS_PER_US};
 use crate::bench::statistics::{new_histogram, quantile};
@@ -16,7 +16,7 @@
 /// Far enough in the future that no record expires.
 const EXPIRY_S: f64 = 1e9;
 const VALUE: [u8; 32] = [7; 32];
-/// Sizes of the stores that are opened.
+/// Numbers of records in the stores that are opened.
 const STORE_SIZES: [u64; 3] = [1_000, 10_000, 60_000];
 /// Longer than the write buffer waits for a batch to fill.
 const BATCH_INTERVAL_S: f64 = 10.0;
@@ -47,7 +47,8 @@
 /// Times of one run of writes, in nanoseconds.
 struct WriteTimes {
     commits: Histogram<u64>,
-    /// From a record's intended time until it is on disk: a commit that holds others up is seen.
+    /// Times from a record's intended time until it is on disk, so that a commit that delays other records
+    /// shows.
     waits: Histogram<u64>,
 }
 
--- a/crates/nickelgw-cli/src/bench/tls.rs
+++ b/crates/nickelgw-cli/src/bench/tls.rs
@@ -1,5 +1,5 @@
-//! `nickelgw bench-tls`: what TLS costs, with full and resumed handshakes, and the rush of handshakes after a
-//! rotation, with and without a budget for them.
+//! `nickelgw bench-tls`: the cost of TLS with full and resumed handshakes, and the burst of handshakes after
+//! a rotation, with and without a handshake budget.
 
 mod certificates;
 mod handshakes;
@@ -14,7 +14,7 @@
 use nickelgw_node::client::{Connection, Tls};
 use nickelgw_test_servers::engine_config::{EngineConfig, Role};
 use nickelgw_tls::core::pool::PoolConfig;
-use rotation::{Rush, RushCause};
+use rotation::{BurstCause, HandshakeBurst};
 use serde_json::{json, Value};
 use smol::process::Child;
 use smol::LocalExecutor;
@@ -27,20 +27,21 @@
 
 const ANSWER_TOKENS: usize = 8;
 const RATE_PER_S: f64 = 50.0;
+/// Longest duration of one run of handshakes.
 const MAX_HANDSHAKE_RUN_S: f64 = 2.0;
 /// Connections opened for the memory figure.
 const OPEN_CONNECTIONS: u32 = 2000;
-/// Unused connections that a client keeps, unless it opens one for each request.
+/// Idle connections that a client keeps, unless it opens a new one for each request.
 const MAX_IDLE_CONNECTIONS: usize = 64;
 
 #[derive(clap::Args)]
 pub struct BenchTls {
-    /// Seconds for each point measured.
+    /// Duration of each measured point, in seconds.
     #[arg(long, default_value_t = 3.0)]
     seconds: f64,
     #[arg(long, default_value_t = 3)]
     runs: usize,
-    /// Engines behind the node in the rush after a rotation.
+    /// Engines behind the node in the handshake burst after a rotation.
     #[arg(long, default_value_t = 100)]
     engines: u16,
     #[arg(long)]
@@ -51,7 +52,7 @@
     EngineConfig { mean_output_tokens: ANSWER_TOKENS, ..super::fast_engine() }
 }
 
-/// How a client speaks to its engines.
+/// Transport between a client and its engines.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Transport {
     Plain,
@@ -59,8 +60,9 @@
     ResumedHandshakes,
 }
 
-/// Two engines as child processes and a client of them.
+/// Client of two engines that run as child processes.
 struct DirectPath {
+    /// Name of the transport and of the reuse of connections, in the results.
     name: &'static str,
     client: Rc<BenchClient>,
 }
@@ -81,7 +83,7 @@
     async fn measure(&self, executor: &Executor, certificates: &Certificates) -> Result<Value, CommandError> {
         let mut results = json!({});
         self.measure_handshakes(certificates, &mut results)?;
-        println!("first token of a read and a write, 50 requests a second, by how connections are had:");
+        println!("first token of a prefill and a decode, 50 requests a second, by transport and use of connections:");
         let mut children = Vec::new();
         let paths = start_paths(executor, certificates, &mut children).await?;
         self.measure_first_token(executor, &paths, &mut results).await;
@@ -90,7 +92,7 @@
             let _ = child.kill();
             let _ = child.status().await;
         }
-        self.measure_rushes(executor, certificates, &mut results).await?;
+        self.measure_bursts(executor, certificates, &mut results).await?;
         Ok(results)
     }
 
@@ -105,7 +107,10 @@
             for _ in 0..self.runs {
                 let run = handshakes::measure(certificates, resume, self.seconds.min(MAX_HANDSHAKE_RUN_S))?;
                 if run.all_resumed != resume {
-                    return Err(CommandError(format!("{name} handshakes were not what they are called")));
+                    return Err(CommandError(format!(
+                        "{name} handshakes expected, but all after the first resumed: {}",
+                        run.all_resumed
+                    )));
                 }
                 runs.push(run);
             }
@@ -141,26 +146,26 @@
         }
     }
 
-    async fn measure_rushes(
+    async fn measure_bursts(
         &self,
         executor: &Executor,
         certificates: &Certificates,
         results: &mut Value,
     ) -> Result<(), CommandError> {
         println!(
-            "rush after the node's certificate rotates, {} engines, 300 requests a second:",
+            "handshake burst after the node's certificate rotates, {} engines, 300 requests a second:",
             self.engines
         );
-        let mut rushes = Vec::new();
-        for cause in [RushCause::Rotation, RushCause::ColdRestart] {
+        let mut bursts = Vec::new();
+        for cause in [BurstCause::Rotation, BurstCause::ColdRestart] {
             for has_budget in [true, false] {
-                let rush = Rush { engines: self.engines, has_budget, cause };
-                let result = rush.measure(executor, certificates).await?;
+                let burst = HandshakeBurst { engines: self.engines, has_budget, cause };
+                let result = burst.measure(executor, certificates).await?;
                 println!("  {result}");
-                rushes.push(result);
+                bursts.push(result);
             }
         }
-        results["rush"] = json!(rushes);
+        results["rush"] = json!(bursts);
         Ok(())
     }
 }
@@ -192,7 +197,7 @@
     Ok(paths)
 }
 
-/// A prefill engine and a decode engine.
+/// Starts a prefill engine and a decode engine.
 async fn start_engines(
     certificates: &Certificates,
     transport: Transport,
@@ -221,7 +226,8 @@
 
 async fn measure_memory(paths: &[DirectPath], results: &mut Value) -> Result<(), CommandError> {
     println!("memory of an open connection, client's side:");
-    // Earlier connections stay open: memory that they freed would be used again and count as none.
+    // Earlier connections stay open: memory that they freed would be reused, and later ones would seem to
+    // need none.
     let mut open_connections = Vec::new();
     for (name, path) in ["plain", "TLS"].into_iter().zip(paths) {
         let (kib, connections) = memory_per_connection(&path.client).await?;
@@ -232,14 +238,14 @@
     Ok(())
 }
 
-/// Memory of an open connection at the client's side, in KiB, and the connections.
+/// Opens connections; returns the client's memory for each, in KiB, and the connections.
 async fn memory_per_connection(client: &BenchClient) -> Result<(f64, Vec<Connection>), CommandError> {
     let before_kib = process_memory_kib("self");
     let mut connections = Vec::new();
     for _ in 0..OPEN_CONNECTIONS {
         let connection = client.open_connection(&client.decode_engines[0]).await;
-        let connection =
-            connection.ok_or_else(|| CommandError("no connection for the memory figure".into()))?;
+        let connection = connection
+            .ok_or_else(|| CommandError("cannot open a connection for the memory figure".into()))?;
         connections.push(connection);
     }
     let kib = (process_memory_kib("self") - before_kib) / f64::from(OPEN_CONNECTIONS);
--- a/crates/nickelgw-cli/src/bench/tls/certificates.rs
+++ b/crates/nickelgw-cli/src/bench/tls/certificates.rs
@@ -8,11 +8,11 @@
 use nickelgw_tls::{Client, Files, Versions};
 use std::path::PathBuf;
 
-/// The name of the client's certificate.
+/// Id of the node, whose certificate the client presents.
 pub(super) const NODE: &str = "node0";
 const TRUST_OVERLAP_S: f64 = 600.0;
 
-/// A test authority and a folder with what it has signed.
+/// Test certificate authority, and the folder with the certificates that it has signed.
 pub(super) struct Certificates {
     pub(super) dir: PathBuf,
     authority: Authority,
@@ -22,17 +22,18 @@
     pub(super) fn new() -> Result<Certificates, CommandError> {
         let dir = temporary_path("tls");
         std::fs::create_dir_all(&dir)?;
-        let authority = Authority::new("bench").map_err(with_context("no certificate was made"))?;
+        let authority =
+            Authority::new("bench").map_err(with_context("cannot create the certificate authority"))?;
         replace_file(&dir.join("root.pem"), authority.root_pem.as_bytes(), 0o644)?;
         let certificates = Certificates { dir, authority };
         certificates.sign(NODE)?;
         Ok(certificates)
     }
 
-    /// A new certificate and key, in place of an earlier one.
+    /// Writes a new certificate and key in place of earlier ones; returns their paths.
     pub(super) fn sign(&self, id: &str) -> Result<[PathBuf; 2], CommandError> {
         let signed = self.authority.write(&self.dir, id, &tls_name(id), CertificateFault::None);
-        signed.map_err(with_context("no certificate was made"))
+        signed.map_err(with_context(format!("cannot create a certificate for {id}")))
     }
 
     pub(super) fn files(&self, id: &str) -> Files {
@@ -51,7 +52,7 @@
         client
     }
 
-    /// An engine that serves TLS under a certificate of its own.
+    /// Returns the configuration of an engine that serves TLS with a certificate of its own.
     pub(super) fn engine(&self, id: &str, engine: &EngineConfig) -> Result<EngineConfig, CommandError> {
         let [chain, key] = self.sign(id)?;
         let trust = self.dir.join("root.pem");
@@ -60,7 +61,7 @@
     }
 }
 
-/// The name on a certificate.
+/// Returns the name in the certificate of a node or engine.
 pub(super) fn tls_name(id: &str) -> String {
     format!("{id}.example.org")
 }
--- a/crates/nickelgw-cli/src/bench/tls/handshakes.rs
+++ b/crates/nickelgw-cli/src/bench/tls/handshakes.rs
@@ -1,4 +1,4 @@
-//! Handshakes on one core, both sides in memory.
+//! Rate of handshakes on one core, with both sides in memory.
 
 use super::certificates::{tls_name, Certificates, NODE};
 use crate::error::CommandError;
@@ -9,15 +9,15 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Enough for both sides to finish and for the tickets to come over.
+/// Largest number of flights, enough for both sides to finish and for the session tickets to arrive.
 const MAX_FLIGHTS: usize = 8;
 
-/// What one run measured.
+/// Results of one run.
 pub(super) struct HandshakeRun {
     pub(super) rate_per_s: f64,
-    /// Time that the client's side of a handshake takes.
+    /// Mean time that the client's side of a handshake takes.
     pub(super) client_s: f64,
-    /// Whether all but the first were resumed.
+    /// Whether all handshakes but the first were resumed.
     pub(super) all_resumed: bool,
 }
 
@@ -30,7 +30,7 @@
     let mut server = Server::new(certificates.files(NODE), Versions::Only13, 0.0, true);
     server.reload_if_changed(unix_now());
     let (Some((client, _)), Some(server)) = (client.config(), server.config()) else {
-        return Err(CommandError("keys and trust were refused".into()));
+        return Err(CommandError("TLS files rejected: no client or server configuration was loaded".into()));
     };
     let name = ServerName::try_from(tls_name(NODE))?;
     let (mut handshakes, mut client_time, mut all_resumed) = (0u32, Duration::ZERO, true);
@@ -38,7 +38,7 @@
     while began.elapsed().as_secs_f64() < duration_s {
         let kind = handshake(&client, &server, &name, &mut client_time)?;
         handshakes += 1;
-        // The first has no ticket to resume by.
+        // The first handshake has no ticket to resume with.
         all_resumed &= handshakes == 1 || kind == Some(HandshakeKind::Resumed);
     }
     let elapsed_s = began.elapsed().as_secs_f64();
--- a/crates/nickelgw-cli/src/bench/tls/rotation.rs
+++ b/crates/nickelgw-cli/src/bench/tls/rotation.rs
@@ -1,5 +1,5 @@
-//! The rush of handshakes at a node with many engines: after a rotation of its certificate, or when all
-//! engines are back at once, cold, and the node has no connection yet.
+//! Burst of handshakes at a node with many engines: after a rotation of its certificate, or when all engines
+//! come back at once in slow start and the node has no connection yet.
 
 use super::certificates::{tls_name, Certificates, NODE};
 use super::{fast_engine, Executor, ANSWER_TOKENS};
@@ -21,32 +21,33 @@
 
 const ENGINE_THREADS: usize = 4;
 const RATE_PER_S: f64 = 300.0;
+/// Limit on handshakes that is never reached.
 const NO_LIMIT: usize = 100_000;
 /// Time for the node to fetch the endpoint list.
 const DISCOVERY_S: f64 = 0.5;
-/// Half of the window in which handshakes at once are counted.
+/// Half of the window within which handshakes count as simultaneous.
 const HALF_WINDOW_S: f64 = 0.05;
 
-/// Why many handshakes are due at once.
+/// Cause of many simultaneous handshakes.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum RushCause {
+pub(super) enum BurstCause {
     Rotation,
     ColdRestart,
 }
 
-/// One measurement.
-pub(super) struct Rush {
+/// Plan of one measurement.
+pub(super) struct HandshakeBurst {
     pub(super) engines: u16,
     /// Whether the node limits its handshakes and spreads the closing of older connections.
     pub(super) has_budget: bool,
-    pub(super) cause: RushCause,
+    pub(super) cause: BurstCause,
 }
 
 fn load(rate_per_s: f64, duration_s: f64) -> LoadPlan {
     LoadPlan { rate_per_s, duration_s, output_tokens: ANSWER_TOKENS }
 }
 
-impl Rush {
+impl HandshakeBurst {
     pub(super) async fn measure(
         &self,
         executor: &Executor,
@@ -58,16 +59,16 @@
         sleep_s(DISCOVERY_S).await;
         let client = Rc::new(BenchClient::new(executor, unlimited_pool(), None, address));
         let mut before = None;
-        if self.cause == RushCause::Rotation {
-            // Connections to all engines.
+        if self.cause == BurstCause::Rotation {
+            // Opens connections to all engines.
             run_single_load(executor, &client, load(400.0, 4.0), Route::ThroughNode).await;
             before =
                 Some(run_single_load(executor, &client, load(RATE_PER_S, 2.0), Route::ThroughNode).await);
             certificates.sign(NODE)?;
         }
-        let rush_began = unix_now();
+        let burst_began = unix_now();
         let after = run_single_load(executor, &client, load(RATE_PER_S, 2.0), Route::ThroughNode).await;
-        Ok(self.json(&record.entries(), rush_began, before.as_ref(), &after))
+        Ok(self.json(&record.entries(), burst_began, before.as_ref(), &after))
     }
 
     fn start_node(
@@ -91,13 +92,13 @@
         Ok(spawn_node("rush", &settings, remove_budget)?.address)
     }
 
-    /// Starts engines on a few threads, all with one record.
+    /// Starts the engines on a few threads; all write to the same record.
     fn start_engines(
         &self,
         certificates: &Certificates,
         record: &Recorder,
     ) -> Result<Vec<EndpointEntry>, CommandError> {
-        let is_cold = self.cause == RushCause::ColdRestart;
+        let is_cold = self.cause == BurstCause::ColdRestart;
         let mut entries = Vec::new();
         let mut threads: Vec<Vec<(TcpListener, EngineConfig)>> =
             (0..ENGINE_THREADS).map(|_| Vec::new()).collect();
@@ -123,22 +124,24 @@
     fn json(
         &self,
         records: &[Value],
-        rush_began: f64,
+        burst_began: f64,
         before: Option<&LoadResult>,
         after: &LoadResult,
     ) -> Value {
-        // At decode engines only: prefill engines see those of decode engines that fetch, too.
+        // Only handshakes at decode engines count: prefill engines also see those of decode engines that
+        // fetch states.
         let is_at_decode_engine = |line: &&Value| {
             line["ev"] == "handshake" && line["who"].as_str().is_some_and(|id| id.starts_with('w'))
         };
         let times = records.iter().filter(is_at_decode_engine).filter_map(|line| line["t"].as_f64());
-        let times: Vec<f64> = times.filter(|at| *at > rush_began).collect();
-        let near = |at: &f64| times.iter().filter(|other| (**other - at).abs() <= HALF_WINDOW_S).count();
+        let times: Vec<f64> = times.filter(|at| *at > burst_began).collect();
+        let simultaneous =
+            |at: &f64| times.iter().filter(|other| (**other - at).abs() <= HALF_WINDOW_S).count();
         let overloaded = records.iter().filter(|line| line["ev"] == "fell").count();
         let ms = |result: &LoadResult, quantile| result.first_token_us(quantile) / 1e3;
-        json!({"paced": self.has_budget, "back_cold": self.cause == RushCause::ColdRestart,
+        json!({"paced": self.has_budget, "back_cold": self.cause == BurstCause::ColdRestart,
             "writers_handshakes_in_2_s": times.len(),
-            "most_in_100_ms": times.iter().map(near).max().unwrap_or(0),
+            "most_in_100_ms": times.iter().map(simultaneous).max().unwrap_or(0),
             "first_p50_ms_before": before.map(|result| ms(result, 0.5)),
             "first_p99_ms_before": before.map(|result| ms(result, 0.99)),
             "first_p50_ms": ms(after, 0.5), "first_p99_ms": ms(after, 0.99),
