--- a/crates/nickelgw-cli/src/bench/endpoint_changes/rolling_deploy.rs
+++ b/crates/nickelgw-cli/src/bench/endpoint_changes/rolling_deploy.rs
@@ -45,7 +45,7 @@
 /// Starts an engine of the given generation: 0 is replaced by 1 in the deploy.
 fn start_engine(number: usize, generation: usize) -> Result<EndpointEntry, CommandError> {
     let role = role_of(number);
-    // 50 prefill and 50 decode engines each serve about 217 requests a second together.
+    // The 50 prefill engines together serve about 217 requests a second, and so do the 50 decode engines.
     let engine = EngineConfig {
         id: format!("g{generation}-e{number}"),
         role,
--- a/crates/nickelgw-cli/src/bench/request_path/store.rs
+++ b/crates/nickelgw-cli/src/bench/request_path/store.rs
@@ -13,12 +13,12 @@
 use std::time::{Duration, Instant};
 
 const RECORDS_PER_S: f64 = 1000.0;
-/// Far enough in the future that no record expires.
+/// Expiry of the records, far enough in the future that none expires.
 const EXPIRY_S: f64 = 1e9;
 const VALUE: [u8; 32] = [7; 32];
 /// Numbers of records in the stores that are opened.
 const STORE_SIZES: [u64; 3] = [1_000, 10_000, 60_000];
-/// Longer than the write buffer waits for a batch to fill.
+/// Interval between batches, longer than the write buffer waits for a batch to fill.
 const BATCH_INTERVAL_S: f64 = 10.0;
 const BYTES_PER_MIB: f64 = (1 << 20) as f64;
 
--- a/crates/nickelgw-cli/src/bench/tls.rs
+++ b/crates/nickelgw-cli/src/bench/tls.rs
@@ -39,11 +39,13 @@
     /// Duration of each measured point, in seconds.
     #[arg(long, default_value_t = 3.0)]
     seconds: f64,
+    /// Number of runs of each measurement, over which medians are taken.
     #[arg(long, default_value_t = 3)]
     runs: usize,
     /// Engines behind the node in the handshake burst after a rotation.
     #[arg(long, default_value_t = 100)]
     engines: u16,
+    /// File to which the figures are written as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
 }
--- a/crates/nickelgw-cli/src/rehearse.rs
+++ b/crates/nickelgw-cli/src/rehearse.rs
@@ -46,6 +46,7 @@
     /// Writes the day that `--from-bench` converted to this file, and runs nothing.
     #[arg(long, requires = "from_bench")]
     write_day: Option<PathBuf>,
+    /// Seed of the traffic, the script of faults and the nodes.
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Folder for report.json, records and logs; without it only the table is printed.
--- a/crates/nickelgw-cli/src/rehearse/outcome.rs
+++ b/crates/nickelgw-cli/src/rehearse/outcome.rs
@@ -65,7 +65,7 @@
         let rules: Map<String, Value> =
             Rule::ALL.iter().map(|rule| (rule.name().to_string(), json!(verdict.count(*rule)))).collect();
         let routes: Map<String, Value> =
-            self.routes.iter().map(|(name, service)| (name.clone(), service_json(service))).collect();
+            self.routes.iter().map(|(name, stats)| (name.clone(), route_json(stats))).collect();
         let troubles: Vec<Value> =
             self.script.troubles.iter().map(|trouble| self.trouble_json(trouble)).collect();
         let worst = self.series.worst_window();
@@ -92,11 +92,11 @@
     }
 }
 
-fn service_json(service: &RouteStats) -> Value {
-    json!({"taken": service.requests, "completed": service.completed, "shed": service.rejected,
-        "errored": service.failed, "in_target": service.completed_in_target, "wanted": service.distinct_requests,
-        "served": service.distinct_in_target, "left": service.client_disconnects, "cut": service.connection_failures,
-        "first_token_p50_s": service.ttft_quantile(0.5), "first_token_p99_s": service.ttft_quantile(0.99)})
+fn route_json(stats: &RouteStats) -> Value {
+    json!({"taken": stats.requests, "completed": stats.completed, "shed": stats.rejected,
+        "errored": stats.failed, "in_target": stats.completed_in_target, "wanted": stats.distinct_requests,
+        "served": stats.distinct_in_target, "left": stats.client_disconnects, "cut": stats.connection_failures,
+        "first_token_p50_s": stats.ttft_quantile(0.5), "first_token_p99_s": stats.ttft_quantile(0.99)})
 }
 
 fn violation_json(violation: &Violation) -> Value {
--- a/crates/nickelgw-cli/src/rehearse/summary.rs
+++ b/crates/nickelgw-cli/src/rehearse/summary.rs
@@ -60,29 +60,26 @@
         "first p50",
         "p99"
     );
-    for (name, service) in routes {
-        print_route(name, service);
+    for (name, stats) in routes {
+        print_route(name, stats);
     }
 }
 
-fn print_route(name: &str, service: &RouteStats) {
+fn print_route(name: &str, stats: &RouteStats) {
     let quantile_ms = |quantile| {
-        service.ttft_quantile(quantile).map_or("-".into(), |seconds: f64| format!("{:.0} ms", 1e3 * seconds))
+        stats.ttft_quantile(quantile).map_or("-".into(), |seconds: f64| format!("{:.0} ms", 1e3 * seconds))
     };
     println!(
         "{:<14} {:>6} {:>9} {:>5} {:>7} {:>5} {:>4} {:>9} {:>7} {:>9} {:>9}",
         name,
-        service.requests,
-        service.completed,
-        service.rejected,
-        service.failed,
-        service.client_disconnects,
-        service.connection_failures,
-        service.completed_in_target,
-        format!(
-            "{:.1}%",
-            100.0 * service.distinct_in_target as f64 / service.distinct_requests.max(1) as f64
-        ),
+        stats.requests,
+        stats.completed,
+        stats.rejected,
+        stats.failed,
+        stats.client_disconnects,
+        stats.connection_failures,
+        stats.completed_in_target,
+        format!("{:.1}%", 100.0 * stats.distinct_in_target as f64 / stats.distinct_requests.max(1) as f64),
         quantile_ms(0.5),
         quantile_ms(0.99)
     );
--- a/crates/nickelgw-cli/src/test_servers.rs
+++ b/crates/nickelgw-cli/src/test_servers.rs
@@ -21,12 +21,16 @@
 
 #[derive(clap::Args)]
 pub struct Engine {
+    /// Id of the engine.
     #[arg(long)]
     id: String,
+    /// Phase that the engine runs: prefill (read) or decode (write).
     #[arg(long, value_enum)]
     role: EngineRole,
+    /// Availability zone of the engine.
     #[arg(long, default_value = "a")]
     zone: String,
+    /// Cell of the engine within its zone.
     #[arg(long, default_value_t = 0)]
     cell: u32,
     /// Begins in slow start (cold): slower until warm, and can be overloaded.
@@ -35,8 +39,10 @@
     /// Further settings of the engine, as a JSON object with the names in docs/rehearsal.md.
     #[arg(long, default_value = "{}")]
     figures: String,
+    /// Loopback port to listen on; 0 picks a free one.
     #[arg(long, default_value_t = 0)]
     port: u16,
+    /// Seed of the engine's random numbers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// File to which the events on the engine's sockets are appended.
@@ -70,10 +76,13 @@
     /// Initial endpoint list: a JSON file in the format that nodes read.
     #[arg(long)]
     engines: Option<PathBuf>,
+    /// Delay until a change of the list is visible, in milliseconds.
     #[arg(long, default_value_t = 500.0)]
     lag_ms: f64,
+    /// Loopback port to listen on; 0 picks a free one.
     #[arg(long, default_value_t = 0)]
     port: u16,
+    /// File to which the events of the list are appended.
     #[arg(long)]
     record: Option<PathBuf>,
 }
@@ -92,8 +101,10 @@
 
 #[derive(clap::Args)]
 pub struct Registry {
+    /// Loopback port to listen on; 0 picks a free one.
     #[arg(long, default_value_t = 0)]
     port: u16,
+    /// File to which the events of the registry are appended.
     #[arg(long)]
     record: Option<PathBuf>,
 }
@@ -108,6 +119,7 @@
 
 #[derive(clap::Args)]
 pub struct Authority {
+    /// Folder to which the certificates and keys are written.
     dir: PathBuf,
     /// Name of an engine or node to create a certificate for; may be repeated.
     #[arg(long)]
--- a/crates/nickelgw-cli/src/up.rs
+++ b/crates/nickelgw-cli/src/up.rs
@@ -16,10 +16,13 @@
 
 #[derive(clap::Args)]
 pub struct Up {
+    /// Number of nodes.
     #[arg(long, default_value_t = 1)]
     nodes: u16,
+    /// Number of prefill engines.
     #[arg(long, default_value_t = 2)]
     readers: u16,
+    /// Number of decode engines.
     #[arg(long, default_value_t = 2)]
     writers: u16,
     /// Port of the first node's chat API; further nodes use the next ports. With 0, all use free ports.
