--- a/crates/nickelgw-cli/src/bench/process_fleet.rs
+++ b/crates/nickelgw-cli/src/bench/process_fleet.rs
@@ -1,7 +1,7 @@
 //! A node and its engines as child processes.
 
 use super::client::{unlimited_pool, BenchClient, EngineAddress};
-use crate::child_process::{spawn_command, strings, ListeningChild};
+use crate::child_process::{owned_args, spawn_command, ListeningChild};
 use crate::error::CommandError;
 use crate::local_servers::{endpoint_entry, node_settings};
 use crate::timing::sleep_s;
@@ -15,33 +15,34 @@
 use std::rc::Rc;
 
 const PREFILL_ENGINES: usize = 2;
-/// Settings of a node that is to be measured without rejecting anything.
+/// Settings with limits so high that a node under measurement rejects nothing.
 pub(super) const HIGH_LIMITS: &str =
     "limits { most_idle_connections: 4096 stream_idle_ms: 60000 most_waiting: 1024 }";
 /// Time for the node to fetch the endpoint list.
 const DISCOVERY_S: f64 = 0.3;
 
-/// What to start.
+/// Plan of the processes to start.
 pub(super) struct FleetPlan<'a> {
-    /// Part of the folder's name.
+    /// Last part of the name of the fleet's folder.
     pub(super) name: &'a str,
     pub(super) decode_engines: usize,
     pub(super) engine: EngineConfig,
-    /// Settings of the node beside the ordinary ones.
+    /// Settings of the node in addition to the ordinary ones.
     pub(super) node_settings: &'a str,
-    /// Whether the node logs as JSON, on the info level.
+    /// Whether the node logs as JSON at level info.
     pub(super) with_json_log: bool,
 }
 
-/// Running processes, and a client of them.
+/// Running node, engines and endpoint list, and a client that calls them.
 pub(super) struct ProcessFleet {
     pub(super) client: Rc<BenchClient>,
     pub(super) node: Child,
+    /// Engines and the endpoint list.
     others: Vec<Child>,
     dir: PathBuf,
 }
 
-/// What a process has used.
+/// CPU time and memory that a process has used.
 pub(super) struct ResourceUse {
     pub(super) cpu_s: f64,
     pub(super) memory_kib: f64,
@@ -52,7 +53,7 @@
         executor: &Rc<LocalExecutor<'static>>,
         plan: FleetPlan<'_>,
     ) -> Result<ProcessFleet, CommandError> {
-        let dir = temporary_path_of(plan.name)?;
+        let dir = create_folder(plan.name)?;
         let (mut others, mut entries) = (Vec::new(), Vec::new());
         for number in 0..PREFILL_ENGINES + plan.decode_engines {
             let (child, entry) = start_engine(&plan.engine, number, &dir).await?;
@@ -70,18 +71,18 @@
         Ok(ProcessFleet { client: Rc::new(client), node: node.child, others, dir })
     }
 
-    /// What the node has used so far.
+    /// Returns what the node has used so far.
     pub(super) fn node_use(&self) -> ResourceUse {
         let id = self.node.id().to_string();
         ResourceUse { cpu_s: process_cpu_s(&id), memory_kib: process_memory_kib(&id) }
     }
 
-    /// The log of all processes.
+    /// Returns the log, to which all processes write.
     pub(super) fn log(&self) -> String {
         std::fs::read_to_string(self.dir.join("log")).unwrap_or_default()
     }
 
-    /// Ends all processes; gives what the node measured of itself.
+    /// Ends all processes; returns the metrics that the node wrote about itself.
     pub(super) async fn shut_down(mut self) -> Value {
         send_signal("TERM", self.node.id()).await;
         let _ = self.node.status().await;
@@ -95,26 +96,26 @@
     }
 }
 
-/// Sends a signal by its name.
+/// Sends a signal to a process, by the signal's name without SIG.
 pub(super) async fn send_signal(signal: &str, process: u32) {
     let _ = Command::new("kill").args([format!("-{signal}"), process.to_string()]).status().await;
 }
 
-/// Processor seconds of a process under `/proc`.
+/// Returns the CPU time of a process, given by its name under `/proc`.
 fn process_cpu_s(process: &str) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/schedstat")).unwrap_or_default();
     let nanoseconds: f64 = text.split(' ').next().and_then(|field| field.parse().ok()).unwrap_or(0.0);
     nanoseconds / 1e9
 }
 
-/// Resident memory of a process under `/proc`.
+/// Returns the resident memory of a process, given by its name under `/proc`.
 pub(super) fn process_memory_kib(process: &str) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
     let line = text.lines().find(|line| line.starts_with("VmRSS:")).unwrap_or("");
     line.split_whitespace().nth(1).and_then(|field| field.parse().ok()).unwrap_or(0.0)
 }
 
-fn temporary_path_of(name: &str) -> Result<PathBuf, CommandError> {
+fn create_folder(name: &str) -> Result<PathBuf, CommandError> {
     let dir = std::env::temp_dir().join(format!("nickelgw-bench-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&dir)?;
     Ok(dir)
@@ -150,14 +151,14 @@
         Role::Decode => "write",
     };
     let config = serde_json::to_string(config)?;
-    spawn_command(&strings(&["engine", "--id", id, "--role", role, "--figures", &config]), log).await
+    spawn_command(&owned_args(&["engine", "--id", id, "--role", role, "--figures", &config]), log).await
 }
 
 async fn start_list(entries: &[EndpointEntry], dir: &Path) -> Result<ListeningChild, CommandError> {
     let path = dir.join("list.json");
     let list = EndpointList { revision: 1, engines: entries.to_vec() };
     std::fs::write(&path, serde_json::to_vec(&list)?)?;
-    let args = strings(&["list", "--engines", &path.display().to_string(), "--lag-ms", "0"]);
+    let args = owned_args(&["list", "--engines", &path.display().to_string(), "--lag-ms", "0"]);
     spawn_command(&args, &dir.join("log")).await
 }
 
@@ -166,9 +167,9 @@
     let text = format!("{} listen: '127.0.0.1:0' {}", node_settings(0, 1, list), plan.node_settings);
     std::fs::write(&settings, text)?;
     let meter = dir.join("meter.json").display().to_string();
-    let mut args = strings(&["serve", "--config", &settings.display().to_string(), "--meter", &meter]);
+    let mut args = owned_args(&["serve", "--config", &settings.display().to_string(), "--meter", &meter]);
     if plan.with_json_log {
-        args.extend(strings(&["--log", "json", "--log-level", "info"]));
+        args.extend(owned_args(&["--log", "json", "--log-level", "info"]));
     }
     spawn_command(&args, &dir.join("log")).await
 }
--- a/crates/nickelgw-cli/src/rehearse/outcome.rs
+++ b/crates/nickelgw-cli/src/rehearse/outcome.rs
@@ -1,4 +1,4 @@
-//! What came of one day, and its report as JSON.
+//! Outcome of one day, and its report as JSON.
 
 use nickelgw_audit::{AuditReport, RecordEntry, RouteStats, Rule, Violation};
 use nickelgw_rehearsal::core::script::{Script, Trouble};
@@ -8,12 +8,12 @@
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
 
-/// Service has recovered from a trouble once it is back at this share of what it was before.
+/// Service counts as recovered from a trouble once it is back at this share of what it was before.
 const RECOVERED_SHARE: f64 = 0.95;
-/// Span before and after a trouble that the report has, in seconds.
+/// Length of the spans before and after the start of a trouble that the report compares, in seconds.
 const TROUBLE_SPAN_S: usize = 10;
 
-/// What came of one day.
+/// Outcome of one day.
 pub(super) struct Outcome {
     pub(super) day: Day,
     seed: u64,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// For the page.
+    /// Returns the outcome for the report page.
     pub(super) fn report(&self) -> DayReport<'_> {
         DayReport {
             name: &self.day.name,
@@ -59,13 +59,13 @@
         }
     }
 
-    /// For `report.json`.
+    /// Returns the contents of `report.json`.
     pub(super) fn json(&self) -> Value {
         let verdict = &self.verdict;
         let rules: Map<String, Value> =
             Rule::ALL.iter().map(|rule| (rule.name().to_string(), json!(verdict.count(*rule)))).collect();
         let routes: Map<String, Value> =
-            self.routes.iter().map(|(name, service)| (name.clone(), service_json(service))).collect();
+            self.routes.iter().map(|(name, stats)| (name.clone(), route_json(stats))).collect();
         let troubles: Vec<Value> =
             self.script.troubles.iter().map(|trouble| self.trouble_json(trouble)).collect();
         let worst = self.series.worst_window();
@@ -80,7 +80,8 @@
             "held_longest_s": verdict.unattended_quantile(1.0), "notes": self.notes})
     }
 
-    /// Service in the first ten seconds of a trouble, and the time until it is back.
+    /// Returns the service in the first ten seconds of a trouble and in those before it, and the time until
+    /// it recovered.
     fn trouble_json(&self, trouble: &Trouble) -> Value {
         let at = trouble.from_s as usize;
         let after = self.series.total(at..at + TROUBLE_SPAN_S);
@@ -91,11 +92,11 @@
     }
 }
 
-fn service_json(service: &RouteStats) -> Value {
-    json!({"taken": service.requests, "completed": service.completed, "shed": service.rejected,
-        "errored": service.failed, "in_target": service.completed_in_target, "wanted": service.distinct_requests,
-        "served": service.distinct_in_target, "left": service.client_disconnects, "cut": service.connection_failures,
-        "first_token_p50_s": service.ttft_quantile(0.5), "first_token_p99_s": service.ttft_quantile(0.99)})
+fn route_json(stats: &RouteStats) -> Value {
+    json!({"taken": stats.requests, "completed": stats.completed, "shed": stats.rejected,
+        "errored": stats.failed, "in_target": stats.completed_in_target, "wanted": stats.distinct_requests,
+        "served": stats.distinct_in_target, "left": stats.client_disconnects, "cut": stats.connection_failures,
+        "first_token_p50_s": stats.ttft_quantile(0.5), "first_token_p99_s": stats.ttft_quantile(0.99)})
 }
 
 fn violation_json(violation: &Violation) -> Value {
