--- a/crates/nickelgw-cli/src/bench/load.rs
+++ b/crates/nickelgw-cli/src/bench/load.rs
@@ -1,4 +1,4 @@
-//! Open-loop load: requests start at their intended times, whatever became of the earlier ones.
+//! Open-loop load: requests start at their intended times, regardless of the outcome of earlier requests.
 
 use super::client::{BenchClient, Latency, Route};
 use super::statistics::{new_histogram, quantile};
--- a/crates/nickelgw-cli/src/bench/tls/rotation.rs
+++ b/crates/nickelgw-cli/src/bench/tls/rotation.rs
@@ -1,5 +1,5 @@
 //! Burst of handshakes at a node with many engines: after a rotation of its certificate, or when all engines
-//! come back at once in slow start and the node has no connection yet.
+//! have restarted at once, are in slow start, and the node has no connection yet.
 
 use super::certificates::{tls_name, Certificates, NODE};
 use super::{fast_engine, Executor, ANSWER_TOKENS};
--- a/crates/nickelgw-cli/src/rehearse/clients.rs
+++ b/crates/nickelgw-cli/src/rehearse/clients.rs
@@ -61,8 +61,8 @@
     Chat(DisconnectAt),
 }
 
-/// Runs the open-loop arrivals of one kind of traffic: each starts at its time, whatever became of the
-/// earlier ones.
+/// Runs the open-loop arrivals of one kind of traffic: each request starts at its time,
+/// regardless of the outcome of earlier requests.
 pub(super) async fn run_traffic(
     fleet: Rc<RehearsalFleet>,
     number: usize,
@@ -262,7 +262,7 @@
 }
 
 /// Runs a client that sends a malformed request. The node must answer with an error, and the request must
-/// cost nothing more.
+/// have no other effect.
 async fn send_malformed(address: String, number: u64, limits: Limits, record: Recorder) {
     let head = |length: usize| {
         format!("POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n")
--- a/crates/nickelgw-cli/src/rehearse/outcome.rs
+++ b/crates/nickelgw-cli/src/rehearse/outcome.rs
@@ -8,7 +8,7 @@
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
 
-/// Service counts as recovered from a trouble once it is back at this share of what it was before.
+/// Share of the service level before a trouble at which the service counts as recovered from it.
 const RECOVERED_SHARE: f64 = 0.95;
 /// Length of the spans before and after the start of a trouble that the report compares, in seconds.
 const TROUBLE_SPAN_S: usize = 10;
--- a/crates/nickelgw-cli/src/serve.rs
+++ b/crates/nickelgw-cli/src/serve.rs
@@ -39,7 +39,7 @@
 }
 
 /// Prints a line for the process that started this one. Errors are ignored: standard output may have been
-/// closed when nobody reads it any more.
+/// closed by its reader.
 fn announce(line: &str) {
     let mut output = std::io::stdout();
     let _ = writeln!(output, "{line}").and_then(|()| output.flush());
@@ -90,8 +90,8 @@
     }
 }
 
-/// Prepares the options for a predecessor process that still serves: this one accepts connections only once
-/// it is ready itself, and leaves the predecessor's reservations alone until that has ended.
+/// Prepares the options for a predecessor process that still serves: this process accepts connections only
+/// once it is ready itself, and does not release the predecessor's reservations until that process has ended.
 fn expect_predecessor(options: &mut NodeOptions) {
     options.accept_when_ready = true;
     let shutdown = options.shutdown;
@@ -125,7 +125,7 @@
 
 /// Forwards the process's signals to the node for as long as it runs. The copy of the listening socket is for
 /// a handover and is closed once the node drains: as long as it was open, connections were established that
-/// nobody accepted.
+/// no process accepted.
 async fn forward_signals<T>(
     mut signals: SignalListener,
     node: Sender<ProcessSignal>,
--- a/crates/nickelgw-cli/tests/platform_soak/member.rs
+++ b/crates/nickelgw-cli/tests/platform_soak/member.rs
@@ -211,7 +211,7 @@
         self.is_ending.store(false, Relaxed);
     }
 
-    /// Ends the current process for good.
+    /// Kills the current process without a successor, and removes its configuration file.
     pub fn end(&self) {
         let mut child = lock(&self.child);
         let _ = child.kill();
--- a/crates/nickelgw-gossip/src/core/round.rs
+++ b/crates/nickelgw-gossip/src/core/round.rs
@@ -7,7 +7,7 @@
 use nanorand::Rng;
 use std::cmp::Reverse;
 
-/// Maximum number of entries of a digest besides the one of the own record.
+/// Maximum number of entries of a digest, not counting the entry of the own record.
 const MAX_DIGEST_ENTRIES: usize = 40;
 /// Number of seed peers that an isolated node contacts in a round.
 const SEED_TARGETS_WHEN_ISOLATED: usize = 3;
--- a/crates/nickelgw-node-core/src/admission.rs
+++ b/crates/nickelgw-node-core/src/admission.rs
@@ -56,7 +56,7 @@
     pub session: String,
     /// Name of the shared prefix; `None` if there is none.
     pub prefix: Option<String>,
-    /// Whether the request is offline work, which uses only capacity that other requests leave.
+    /// Whether the request runs in the background and uses only capacity that other requests leave.
     pub is_background: bool,
 }
 
--- a/crates/nickelgw-node-core/src/ledger.rs
+++ b/crates/nickelgw-node-core/src/ledger.rs
@@ -149,8 +149,8 @@
         self.expect_follow_up(id, FollowUp::OnceFinished);
     }
 
-    /// Claims the newest unclaimed reservation of the request for this decode attempt. Returns `None` if
-    /// there is none: the decode engine then has to prefill.
+    /// Claims the newest unclaimed reservation of the request for this decode attempt. Returns `None` if the
+    /// request has no unclaimed reservation; the decode engine then has to prefill.
     pub fn claim(&mut self, now: f64, owner: u64, attempt: u32) -> Option<Reservation> {
         let id = *self.reservations_of(owner, Stage::is_unclaimed).last()?;
         self.transition(now, id, Stage::Claimed { attempt });
--- a/crates/nickelgw-node/src/client/pool.rs
+++ b/crates/nickelgw-node/src/client/pool.rs
@@ -21,7 +21,7 @@
 const MAX_SLEEP_S: f64 = 0.25;
 
 /// A connection checked out for a call. Dropping it in the middle of the call closes it, which tells the peer
-/// that nobody waits for the response any more.
+/// that the response is no longer needed.
 pub struct Connection {
     pool: Rc<Pool>,
     pool_key: String,
--- a/crates/nickelgw-node/src/persistence.rs
+++ b/crates/nickelgw-node/src/persistence.rs
@@ -35,7 +35,7 @@
     waiters: RefCell<HashMap<Waiter, Sender<bool>>>,
     next_waiter: Cell<u64>,
     wakeup: (Sender<()>, Receiver<()>),
-    /// Whether the file is closed, or about to be, for the process that takes over.
+    /// Whether the file has been closed, or is about to be closed, for the successor process.
     released: Cell<bool>,
     clock: Clock,
 }
--- a/crates/nickelgw-node/tests/conformance.rs
+++ b/crates/nickelgw-node/tests/conformance.rs
@@ -130,6 +130,6 @@
         while let Some(chunk) = stream.next().await {
             last = Some(chunk);
         }
-        assert!(last.unwrap().is_err(), "the broken stream was taken for a complete one");
+        assert!(last.unwrap().is_err(), "the client accepted the broken stream as complete");
     });
 }
--- a/crates/nickelgw-platform/src/clients/connection_table.rs
+++ b/crates/nickelgw-platform/src/clients/connection_table.rs
@@ -17,7 +17,7 @@
 /// Interval at which the node tries to make room while the table is full or descriptors are exhausted.
 const ROOM_RETRY_S: f64 = 0.02;
 /// The table's size divided by this is the number of connections closed at once to make room. When only one
-/// was closed for each new one, a rush of silent connections kept regular clients out for seconds.
+/// was closed for each new one, a burst of silent connections kept regular clients out for seconds.
 const CLOSED_AT_ONCE_DIVISOR: usize = 8;
 
 /// State of one connection.
--- a/crates/nickelgw-rehearsal/src/core/simulator_day/troubles.rs
+++ b/crates/nickelgw-rehearsal/src/core/simulator_day/troubles.rs
@@ -1,5 +1,5 @@
 //! Conversion of the troubles of a simulator's day. The list of engines that a trouble affects becomes a
-//! share of the readers and a share of the writers.
+//! share of the prefill engines and a share of the decode engines.
 
 use super::source::{number, required_number, text, Source};
 use super::{InvalidSimulatorDay, US_PER_S};
--- a/crates/nickelgw-test-servers/src/client/call.rs
+++ b/crates/nickelgw-test-servers/src/client/call.rs
@@ -106,8 +106,9 @@
 }
 
 impl Exchange<'_> {
-    /// Sends the request, reads the response and returns the outcome. `None` if nothing arrived for so long
-    /// that the client stopped waiting; then no end is recorded, and the audit reports the request.
+    /// Sends the request, reads the response and returns the outcome. Returns `None` if the client stopped
+    /// waiting because no data arrived in time. In this case no end is recorded, and the audit reports the
+    /// request.
     async fn run(
         &mut self,
         mut sender: SendRequest<Full<Bytes>>,
--- a/crates/nickelgw-test-servers/src/platform/request_table.rs
+++ b/crates/nickelgw-test-servers/src/platform/request_table.rs
@@ -279,7 +279,8 @@
         self.lock_violations().clone()
     }
 
-    /// Reports reservations that are still unattended and have been so for too long. Their spans begin anew.
+    /// Reports reservations that have been unattended for longer than the limit, and begins new spans for
+    /// them.
     fn report_unattended_reservations(&self, now: Instant) {
         let mut spans = Vec::new();
         for (id, request) in self.lock().iter_mut() {
--- a/src/decide/attempts.rs
+++ b/src/decide/attempts.rs
@@ -117,7 +117,7 @@
             Outcome::Rejected => self.record_full_engine(now, request, attempt),
             Outcome::Cancelled | Outcome::NotDelivered => {}
             Outcome::ConnectFailed => self.record_unreachable(now, attempt.engine),
-            // If the engine answered other requests meanwhile, the time-out is due to a queue and not a
+            // If the engine answered other requests meanwhile, the timeout is due to a queue and not a
             // failure.
             Outcome::TimedOut if self.engines[attempt.engine].last_response_at > attempt.dispatched_at => {}
             _ => self.record_failure(now, attempt.engine),
--- a/src/decide/dispatch.rs
+++ b/src/decide/dispatch.rs
@@ -61,7 +61,7 @@
         });
     }
 
-    /// Returns the time-out of an attempt. Where probes distinguish a dead engine from a busy one, an attempt
+    /// Returns the timeout of an attempt. Where probes distinguish a dead engine from a busy one, an attempt
     /// keeps its place in the engine's queue until the request's deadline.
     fn timeout_s(&self, now: f64, request: usize, expected_s: f64) -> f64 {
         let detects_dead_engines = self.limits.can_probe && self.limits.can_cancel;
--- a/src/decide/settings.rs
+++ b/src/decide/settings.rs
@@ -18,7 +18,7 @@
     pub(super) max_attempts: usize,
     /// Time for which a reservation may be held with no attempt in flight.
     pub(super) reservation_limit_s: f64,
-    /// Time-out for establishing a connection if that time counts against the reservation; 0 otherwise.
+    /// Timeout for establishing a connection if that time counts against the reservation; 0 otherwise.
     pub(super) connect_timeout_s: f64,
     pub(super) decode_engines_prefill: bool,
     pub(super) can_cancel: bool,
--- a/src/decide/tests/attempts.rs
+++ b/src/decide/tests/attempts.rs
@@ -51,7 +51,7 @@
     assert_eq!((router.decisions.closed.len(), router.decisions.failed.len()), (1, 0));
 }
 
-/// Guards against counting a time-out as a failure of an engine that answered other requests meanwhile.
+/// Guards against counting a timeout as a failure of an engine that answered other requests meanwhile.
 #[test_case(NOW + 1.0, 0.0; "busy engine")]
 #[test_case(NOW - 1.0, 1.0; "silent engine")]
 fn a_timeout_is_a_failure_only_without_responses(last_response_at: f64, recent_failures: f64) {
--- a/src/decide/tests/probes.rs
+++ b/src/decide/tests/probes.rs
@@ -3,8 +3,8 @@
 use super::*;
 use test_case::test_case;
 
-/// Guards against taking busy prefill engines for dead where probes queue like requests, which cancelled the
-/// attempts there.
+/// Guards against treating busy prefill engines as dead where probes queue like requests: the attempts there
+/// were cancelled.
 #[test_case(1.0, Outcome::TimedOut, false; "a queue explains the missing answer")]
 #[test_case(0.0, Outcome::TimedOut, true; "nothing explains the missing answer")]
 #[test_case(0.0, Outcome::Rejected, false; "a full engine is reachable")]
@@ -33,8 +33,8 @@
 }
 
 /// Guards against never probing decode engines when the round of decisions comes a moment after the arrival,
-/// as it does with sockets: an idle node of 300 took its own stream for a full fleet and held the next
-/// requests for seconds.
+/// as it does with sockets: an idle node of 300 estimated from its own stream that the fleet was full, and
+/// held the next requests for seconds.
 #[test]
 fn an_arrival_probes_decode_engines_however_late_the_decisions() {
     let mut router = new_router(Idempotency::Idempotent);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -77,7 +77,7 @@
     pub decode_engines_prefill: bool,
     /// Time for which an engine holds a reservation.
     pub reservation_limit_s: f64,
-    /// Time-out for establishing a connection, if the time of a reservation keeps running meanwhile; 0 if an
+    /// Timeout for establishing a connection, if the time of a reservation keeps running meanwhile; 0 if an
     /// attempt counts as delivered once it is dispatched.
     pub connect_timeout_s: f64,
     /// Cost of moving a KV cache to another cell, as a fraction of the tightest TTFT objective.
