--- a/crates/nickelgw-cli/src/bench/endpoint_changes/propagation.rs
+++ b/crates/nickelgw-cli/src/bench/endpoint_changes/propagation.rs
@@ -69,8 +69,8 @@
     let mut times = new_histogram(MAX_TIME_US);
     for number in 0..changes {
         let mut entries = fleet.entries.clone();
-        // Flap damping would hold out an engine that is removed and added repeatedly, so another field
-        // changes.
+        // Flap damping would exclude an engine that is removed and added repeatedly, so another field is
+        // changed.
         entries[CHANGED_ENGINE].memory_tokens = 1e5 + number as f64;
         let began = Instant::now();
         apply(&entries)?;
@@ -81,7 +81,7 @@
             thread::sleep(Duration::from_micros(500));
         }
         times.saturating_record(began.elapsed().as_micros() as u64);
-        // The pause varies, so that the changes do not fall into step with the node's own timers.
+        // The pause varies, so that the changes are not synchronized with the node's own timers.
         thread::sleep(Duration::from_millis(if number.is_multiple_of(2) { 20 } else { 5 }));
     }
     Ok(times)
--- a/crates/nickelgw-cli/src/local_servers.rs
+++ b/crates/nickelgw-cli/src/local_servers.rs
@@ -69,9 +69,9 @@
 
 /// A node that runs on a thread of this process.
 pub struct LocalNode {
-    /// Address (`host:port`) of its chat API.
+    /// Address (`host:port`) of the node's chat API.
     pub address: String,
-    /// Time at which its thread was started.
+    /// Time at which the node's thread was started.
     pub started: Instant,
 }
 
--- a/crates/nickelgw-cli/src/rehearse.rs
+++ b/crates/nickelgw-cli/src/rehearse.rs
@@ -52,7 +52,7 @@
     /// Folder for report.json, records and logs; without it only the table is printed.
     #[arg(long)]
     report: Option<PathBuf>,
-    /// Number of retries of each client, whatever the day says; clients ignore Retry-After.
+    /// Number of retries of each client, in place of the day's own setting; clients ignore Retry-After.
     #[arg(long)]
     retries: Option<u32>,
     /// Nodes admit tenants by their shares when there is not enough capacity for all.
--- a/crates/nickelgw-cli/src/rehearse/clients.rs
+++ b/crates/nickelgw-cli/src/rehearse/clients.rs
@@ -13,7 +13,7 @@
 
 type Executor = Rc<LocalExecutor<'static>>;
 
-/// Number of the prefix that requests with a hot key share, beside the ordinary prefixes of their kind of
+/// Number of the prefix that requests with a hot key share, in addition to the prefixes of their kind of
 /// traffic.
 const HOT_PREFIX: u64 = 999_999;
 /// Distance between the prefix numbers of two kinds of traffic, which must not share a prefix.
@@ -61,8 +61,8 @@
     Chat(DisconnectAt),
 }
 
-/// Runs the open-loop arrivals of one kind of traffic: each request starts at its time,
-/// regardless of the outcome of earlier requests.
+/// Runs the open-loop arrivals of one kind of traffic: each request starts at its time, regardless of the
+/// outcome of earlier requests.
 pub(super) async fn run_traffic(
     fleet: Rc<RehearsalFleet>,
     number: usize,
--- a/crates/nickelgw-cli/src/serve.rs
+++ b/crates/nickelgw-cli/src/serve.rs
@@ -1,6 +1,6 @@
 //! `nickelgw serve`: runs a node as a process. SIGTERM drains it in stages; each further SIGTERM skips a
 //! stage. SIGHUP starts a new process with the current settings, which takes over the listening socket; if
-//! the new process does not come up, for example because the settings are invalid, this one keeps serving.
+//! the new process fails to start, for example because the settings are invalid, this one keeps serving.
 
 mod handover;
 
--- a/crates/nickelgw-node/src/client/pool.rs
+++ b/crates/nickelgw-node/src/client/pool.rs
@@ -27,7 +27,7 @@
     pool_key: String,
     id: ConnectionId,
     pub(super) http: Option<HttpConnection>,
-    /// Whether it was opened for this call, so that no response was ever received on it.
+    /// Whether the connection was opened for this call, so that no response was ever received on it.
     pub(super) is_new: bool,
 }
 
--- a/crates/nickelgw-rehearsal/src/core/script.rs
+++ b/crates/nickelgw-rehearsal/src/core/script.rs
@@ -21,9 +21,9 @@
 pub struct Trouble {
     /// Kind and target of the trouble.
     pub name: String,
-    /// Time of the day in seconds at which it begins.
+    /// Time since the start of the day, in seconds, at which the trouble begins.
     pub from_s: f64,
-    /// Time of the day in seconds at which it ends.
+    /// Time since the start of the day, in seconds, at which the trouble ends.
     pub to_s: f64,
 }
 
--- a/src/decide/decode_engines.rs
+++ b/src/decide/decode_engines.rs
@@ -20,7 +20,7 @@
 pub(super) struct DecodeOutlook {
     /// Time that a request prefilled now is likely to wait for a decode engine.
     pub(super) wait_s: f64,
-    /// Their mean load, at most 1.
+    /// Mean load of the decode engines, at most 1.
     pub(super) load: f64,
 }
 
--- a/src/decide/engine_table.rs
+++ b/src/decide/engine_table.rs
@@ -27,36 +27,36 @@
     pub(super) lifecycle: Lifecycle,
     /// Start time of its process; negative infinity if it started long ago.
     pub(super) started_at: f64,
-    /// When it can accept more work without missing an objective: the paper's maturity time.
+    /// Time at which the engine can accept more work without missing an objective: the paper's maturity time.
     pub(super) available_at: f64,
-    /// Prefill time dispatched to it in this round of decisions.
+    /// Prefill time dispatched to the engine in this round of decisions.
     pub(super) batch_s: f64,
-    /// Uncached prompt tokens dispatched to it in this round of decisions.
+    /// Uncached prompt tokens dispatched to the engine in this round of decisions.
     pub(super) batch_tokens: f64,
-    /// Number of consecutive failures to reach it, capped.
+    /// Number of consecutive failures to reach the engine, capped.
     pub(super) consecutive_unreachable: f64,
     /// Number of recent failures as of `last_failure_at`; decays from then on.
     pub(super) recent_failures: f64,
     pub(super) last_failure_at: f64,
-    /// Moving average of cached tokens found here relative to those expected.
+    /// Moving average of the cached tokens found at the engine relative to those expected.
     pub(super) cache_hit_rate: f64,
-    /// Number of this node's attempts here that have not ended.
+    /// Number of this node's attempts at the engine that have not ended.
     pub(super) attempts_in_flight: u32,
-    /// Prompt tokens of this node's requests that are decoding here.
+    /// Prompt tokens of this node's requests that the engine is decoding.
     pub(super) tokens_in_flight: f64,
     /// Value of `tokens_in_flight` at the last load report.
     pub(super) tokens_at_report: f64,
     pub(super) reported_load: EngineLoad,
-    /// When it last reported its load; negative infinity if its process never did.
+    /// Time of the engine's last load report; negative infinity if its process has sent none.
     pub(super) reported_at: f64,
     /// Wait for a new request according to the last report.
     pub(super) reported_wait_s: f64,
-    /// When it was last probed; negative infinity if never.
+    /// Time of the last probe of the engine; negative infinity if it was never probed.
     pub(super) probed_at: f64,
     pub(super) awaiting_probe: bool,
-    /// When it last responded to any probe or attempt.
+    /// Time at which the engine last responded to any probe or attempt.
     pub(super) last_response_at: f64,
-    /// When a probe or an attempt last could not reach it.
+    /// Time at which a probe or an attempt last could not reach the engine.
     pub(super) unreachable_at: f64,
 }
 
@@ -87,8 +87,8 @@
         self.reported_at.max(self.probed_at)
     }
 
-    /// Returns the number of requests that wait or are served here according to the last report. A count of
-    /// pending tokens is converted by the mean prompt length.
+    /// Returns the number of requests that wait or are served at the engine according to the last report. A
+    /// count of pending tokens is converted by the mean prompt length.
     pub(super) fn reported_requests(&self, mean_prompt_tokens: f64) -> f64 {
         let load = &self.reported_load;
         let by_tokens = load.pending_prompt_tokens.map(|tokens| tokens / mean_prompt_tokens.max(1.0));
--- a/src/decide/request_table.rs
+++ b/src/decide/request_table.rs
@@ -45,7 +45,7 @@
     pub(super) phase: Phase,
     pub(super) state: AttemptState,
     pub(super) dispatched_at: f64,
-    /// Number of requests at the engine ahead of it, as far as was known at dispatch.
+    /// Number of requests at the engine ahead of this attempt, as far as was known at dispatch.
     pub(super) requests_ahead: f64,
     /// Expected time from dispatch to the end of a prefill or to the first token of a decode.
     pub(super) expected_s: f64,
@@ -75,26 +75,27 @@
     pub(super) route: usize,
     pub(super) stage: Stage,
     pub(super) arrived_at: f64,
-    /// Latest time at which its first token meets the TTFT objective.
+    /// Latest time at which the first token meets the TTFT objective.
     pub(super) ttft_deadline: f64,
-    /// When its client stops waiting for the response.
+    /// Time at which the client stops waiting for the response.
     pub(super) deadline: f64,
     pub(super) prompt_tokens: f64,
     pub(super) prefix_tokens: f64,
     pub(super) session_hash: u64,
     /// Hash of the shared prefix; 0 if there is none.
     pub(super) prefix_hash: u64,
-    /// Whether it waits behind other requests, since it is over its tenant's quota or a background request.
+    /// Whether the request waits behind others, since it is over its tenant's quota or runs in the
+    /// background.
     pub(super) over_quota: bool,
     /// Random draw that decides whether engines in slow start and recovering zones are open to it. `None` if
     /// this node had no draws left: the request goes to none of them.
     pub(super) slow_start_draw: Option<u64>,
-    /// Prefill engines selected by the hash of its text, best first.
+    /// Prefill engines selected by the hash of the request's text, best first.
     pub(super) affinity_engines: Vec<usize>,
     pub(super) attempts: Vec<Attempt>,
-    /// The prefill engine that holds its KV cache.
+    /// Prefill engine that holds the request's KV cache.
     pub(super) reservation: Option<usize>,
-    /// When the time of its reservation last began to run.
+    /// Time at which the time limit of the reservation last began to run.
     pub(super) reserved_since: f64,
     /// Whether a release of an earlier reservation is unconfirmed. A new reservation made now would be
     /// dropped by that release.
--- a/src/decide/tests/deadlines.rs
+++ b/src/decide/tests/deadlines.rs
@@ -27,8 +27,8 @@
     assert_eq!(router.decisions.cancelled.len(), cancelled);
 }
 
-/// Guards against an engine that grows slower until it crashes but counts as healthy, since its attempts end
-/// late and do not fail.
+/// Guards against an engine that becomes slower until it crashes but counts as healthy, since its attempts
+/// end late and do not fail.
 #[test]
 fn an_overdue_attempt_counts_as_one_failure() {
     let mut router = new_router(Idempotency::Idempotent);
--- a/src/decide/tests/probes.rs
+++ b/src/decide/tests/probes.rs
@@ -19,8 +19,8 @@
     assert_eq!(router.engines[0].unreachable_at == NOW, is_unreachable);
 }
 
-/// Guards against rejecting requests because of old reports of full decode engines: without probes this went
-/// on long after the engines had room.
+/// Guards against rejecting requests because of old reports of full decode engines: without probes this
+/// continued long after the engines had room.
 #[test]
 fn stale_engines_are_probed_before_anything_is_rejected() {
     let mut router = loose_objective_under_overload();
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -28,16 +28,16 @@
 /// Condition under which a request may be run again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// It may always be run again.
+    /// The request may always be run again.
     Idempotent,
-    /// It may be run again within the scope and for the time in which engines remember its idempotency key.
+    /// The request may be run again within the scope and time in which engines remember its idempotency key.
     Keyed {
         /// Engines that drop each other's repeats.
         scope: IdempotencyScope,
-        /// Time for which they remember a key.
+        /// Time for which these engines remember a key.
         window_s: f64,
     },
-    /// It may be run again only if it is certain that it has not run.
+    /// The request may be run again only if it is certain that it has not run.
     NonIdempotent,
 }
 
@@ -50,7 +50,7 @@
     pub ttft_objective_per_token_s: f64,
     /// Objective for the time per output token (TPOT).
     pub tpot_objective_s: f64,
-    /// Condition under which its requests may be run again.
+    /// Condition under which requests of the route may be run again.
     pub idempotency: Idempotency,
 }
 
@@ -129,7 +129,7 @@
     pub memory_tokens: f64,
     /// State of the engine.
     pub lifecycle: Lifecycle,
-    /// Start time of its process; `None` if it started so long ago that it is warm.
+    /// Start time of the engine's process; `None` if it started long enough ago to be warm.
     pub started_at: Option<f64>,
 }
 
@@ -157,7 +157,7 @@
     Prefilled,
     /// The engine answered with an error.
     EngineError,
-    /// The engine rejected it: it had no room, or it held no reservation for the request.
+    /// The engine rejected the attempt because it had no room or held no reservation for the request.
     Rejected,
     /// No response was received in time.
     TimedOut,
@@ -165,9 +165,9 @@
     ConnectFailed,
     /// The connection broke.
     ConnectionLost,
-    /// This node cancelled it.
+    /// This node cancelled the attempt.
     Cancelled,
-    /// It was not sent.
+    /// The attempt was not sent.
     NotDelivered,
 }
 
