--- a/crates/nickelgw-node/src/client/pool.rs
+++ b/crates/nickelgw-node/src/client/pool.rs
@@ -21,13 +21,13 @@
 const MAX_SLEEP_S: f64 = 0.25;
 
 /// A connection checked out for a call. Dropping it in the middle of the call closes it, which tells the peer
-/// that nobody waits for the response any more.
+/// that the response is no longer needed.
 pub struct Connection {
     pool: Rc<Pool>,
     pool_key: String,
     id: ConnectionId,
     pub(super) http: Option<HttpConnection>,
-    /// Whether it was opened for this call, so that no response was ever received on it.
+    /// Whether the connection was opened for this call, so that no response was ever received on it.
     pub(super) is_new: bool,
 }
 
