--- a/crates/nickelgw-rehearsal/src/core.rs
+++ b/crates/nickelgw-rehearsal/src/core.rs
@@ -1,4 +1,4 @@
-//! What a rehearsed day consists of. No I/O: the same day and seed give the same script.
+//! Script and results of a rehearsed day, without I/O. The same day and seed give the same script.
 
 pub mod script;
 pub mod series;
--- a/crates/nickelgw-rehearsal/src/core/series.rs
+++ b/crates/nickelgw-rehearsal/src/core/series.rs
@@ -1,30 +1,31 @@
-//! Service over time, from the records of clients: how much of what was wanted in each second was served in target, the
-//! worst ten seconds, and the time that service takes to recover.
+//! Service over time, computed from the records of clients: the share of the requests of each second that was
+//! served in target, the worst ten seconds, and the time that the service takes to recover. A request is
+//! served in target if it is completed and its first token arrived within the target time.
 
 use nickelgw_audit::RecordEntry;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
-/// Length of the windows among which the worst is searched for, in seconds.
+/// Length in seconds of the windows among which the worst is searched for.
 pub const WORST_WINDOW_S: usize = 10;
-/// Service is back once it is back over this many seconds.
+/// Number of seconds over which the service has to be back to its former share to count as recovered.
 const RECOVERY_WINDOW_S: usize = 2;
 
-/// Requests of one model route in a span of time.
+/// Counts of requests in a span of time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceCounts {
-    /// Requests, without their retries.
+    /// Number of requests, without their retries.
     pub wanted: u32,
-    /// Requests completed with their first token in target, by whichever attempt.
+    /// Number of requests that were completed, by the first call or a retry, with the first token in target.
     pub served: u32,
-    /// Attempts rejected for lack of capacity.
+    /// Number of calls, including retries, that were rejected for lack of capacity.
     pub rejected: u32,
-    /// Attempts that failed.
+    /// Number of calls, including retries, that failed.
     pub failed: u32,
 }
 
 impl ServiceCounts {
-    /// Share served in target; none where nothing was wanted.
+    /// Returns the share of requests served in target. `None` if there were no requests.
     pub fn served_fraction(&self) -> Option<f64> {
         (self.wanted > 0).then(|| f64::from(self.served) / f64::from(self.wanted))
     }
@@ -37,34 +38,35 @@
     }
 }
 
-/// The window of the least service.
+/// Window with the lowest share of requests served in target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorstWindow {
     /// Second of the day at which it begins.
     pub start_s: usize,
-    /// Share served in target.
+    /// Share of its requests served in target.
     pub served_fraction: f64,
 }
 
-/// Counts of each second of a day.
+/// Counts of requests for each second of a day.
 #[derive(Clone, Debug, Default)]
 pub struct Series {
-    /// By model route, each second of the day.
+    /// Counts for each second of the day, by model route.
     pub routes: BTreeMap<String, Vec<ServiceCounts>>,
-    /// Length of the day.
+    /// Length of the day in seconds.
     pub seconds: usize,
 }
 
-/// What is known about a client's call.
+/// Call of a client: a request or a retry of one.
 struct Call<'a> {
     model: &'a str,
-    /// Second of the day in which the request was first wanted.
+    /// Second of the day at which the first call of the request was intended to start.
     second: usize,
     record: &'a RecordEntry,
 }
 
 impl Series {
-    /// `day_start` is the Unix time at which the day began. A request counts in the second in which it was first wanted.
+    /// Counts the requests in `records`. `day_start` is the Unix time in seconds at which the day began. A
+    /// request and its retries count in the second at which the first call was intended to start.
     pub fn from_records(records: &[RecordEntry], day_start: f64, length_s: f64) -> Series {
         let seconds = length_s.ceil().max(1.0) as usize;
         let mut series = Series { routes: BTreeMap::new(), seconds };
@@ -99,7 +101,7 @@
         series
     }
 
-    /// Counts a call as wanted unless it is a retry.
+    /// Counts the request of a call unless the call is a retry.
     fn count_call<'a>(
         &mut self,
         calls: &BTreeMap<&str, Call>,
@@ -125,7 +127,7 @@
         &mut route[second]
     }
 
-    /// All routes together, in a range of seconds.
+    /// Returns the counts of all routes together in a range of seconds.
     pub fn total(&self, range: Range<usize>) -> ServiceCounts {
         let mut total = ServiceCounts::default();
         for counts in self.routes.values() {
@@ -135,12 +137,13 @@
         total
     }
 
-    /// All routes together, over the day.
+    /// Returns the counts of all routes together over the day.
     pub fn whole_day(&self) -> ServiceCounts {
         self.total(0..self.seconds)
     }
 
-    /// The first window of [`WORST_WINDOW_S`] with the least service.
+    /// Returns the window of [`WORST_WINDOW_S`] seconds with the lowest share served in target, the first of
+    /// equals. `None` if the day has no requests.
     pub fn worst_window(&self) -> Option<WorstWindow> {
         let last = self.seconds.saturating_sub(WORST_WINDOW_S);
         let windows = (0..=last).filter_map(|start_s| {
@@ -153,8 +156,9 @@
         })
     }
 
-    /// Seconds from `at` until service is back within a share of what it was in the ten seconds before; none where it
-    /// is not until the end.
+    /// Returns the number of seconds from second `at` until the share served in target is back to at least
+    /// `share` times what it was in the ten seconds before `at`. `None` if it does not recover until the end
+    /// of the day, or if there were no requests before.
     pub fn recovery_s(&self, at: usize, share: f64) -> Option<usize> {
         let before = self.total(at.saturating_sub(WORST_WINDOW_S)..at).served_fraction()?;
         let has_recovered = |start: &usize| {
--- a/crates/nickelgw-rehearsal/src/core/series/tests.rs
+++ b/crates/nickelgw-rehearsal/src/core/series/tests.rs
@@ -24,7 +24,7 @@
             lines.push(record(at + 0.2, json!({"ev": "final", "how": "completed", "req": req})));
         } else {
             lines.push(record(at + 0.1, json!({"ev": "final", "how": "shed", "req": req})));
-            // The retry is answered, in target and then late.
+            // The retry of request 10 is answered in target, those of the other requests late.
             let retry = format!("{req}-1");
             lines.push(request_record(at + 3.0, &retry, Some(&req)));
             let delay = if n == 10 { 0.1 } else { 2.0 };
--- a/crates/nickelgw-rehearsal/src/core/simulator_day/source.rs
+++ b/crates/nickelgw-rehearsal/src/core/simulator_day/source.rs
@@ -1,21 +1,22 @@
-//! Access to the simulator's JSON.
+//! Access to the fields of a simulator's day in JSON.
 
 use super::InvalidSimulatorDay;
 use serde_json::Value;
 
-/// The parts of a day that several steps of the conversion need.
+/// Parts of a simulator's day that several steps of the conversion need.
 pub(super) struct Source<'a> {
     pub(super) json: &'a Value,
     pub(super) zones: Vec<String>,
-    /// How many kinds of engines there are.
+    /// Number of engine kinds.
     pub(super) engine_kinds: usize,
-    /// By kind of engine.
+    /// Role of each engine kind.
     pub(super) roles: &'a [Value],
-    /// By kind of engine.
+    /// Capacity and speed of each engine kind.
     pub(super) engine_specs: &'a [Value],
     pub(super) servers: &'a [Value],
-    /// By class of requests.
-    pub(super) talks: &'a [Value],
+    /// Conversation profile of each request class (`talks` in JSON): numbers of tokens and latency targets.
+    pub(super) profiles: &'a [Value],
+    /// Request classes.
     pub(super) classes: &'a [Value],
 }
 
@@ -31,12 +32,12 @@
             roles: list(family, "roles")?,
             engine_specs: list(family, "engines")?,
             servers: list(json, "servers")?,
-            talks: list(family, "talks")?,
+            profiles: list(family, "talks")?,
             classes: list(json, "classes")?,
         })
     }
 
-    /// Share of requests that are of a class; the shares need not sum to 1.
+    /// Returns the share of requests that belong to a class. The shares need not sum to 1.
     pub(super) fn class_share(&self, class: usize) -> f64 {
         self.classes.get(class).and_then(|class| number(class, &["share"])).unwrap_or(0.0)
     }
@@ -45,22 +46,24 @@
         (0..self.classes.len()).map(|class| self.class_share(class)).sum()
     }
 
-    /// Mean over the requests of all classes.
-    pub(super) fn mean_of_talks(&self, value: impl Fn(&Value) -> f64) -> f64 {
-        let weighted = self.talks.iter().enumerate().map(|(n, talk)| self.class_share(n) * value(talk));
+    /// Returns the mean of a value of the conversation profiles, weighted by the shares of the request
+    /// classes.
+    pub(super) fn mean_of_profiles(&self, value: impl Fn(&Value) -> f64) -> f64 {
+        let weighted =
+            self.profiles.iter().enumerate().map(|(n, profile)| self.class_share(n) * value(profile));
         weighted.sum::<f64>() / self.total_class_share().max(1e-9)
     }
 
     pub(super) fn mean_prompt_tokens(&self) -> f64 {
-        self.mean_of_talks(|talk| {
-            number(talk, &["new_tokens"]).unwrap_or(500.0)
-                + number(talk, &["prefix_share"]).unwrap_or(0.0)
-                    * number(talk, &["prefix_tokens"]).unwrap_or(0.0)
+        self.mean_of_profiles(|profile| {
+            number(profile, &["new_tokens"]).unwrap_or(500.0)
+                + number(profile, &["prefix_share"]).unwrap_or(0.0)
+                    * number(profile, &["prefix_tokens"]).unwrap_or(0.0)
         })
     }
 
     pub(super) fn mean_output_tokens(&self) -> f64 {
-        self.mean_of_talks(|talk| number(talk, &["out_tokens"]).unwrap_or(100.0)).max(1.0)
+        self.mean_of_profiles(|profile| number(profile, &["out_tokens"]).unwrap_or(100.0)).max(1.0)
     }
 }
 
--- a/crates/nickelgw-rehearsal/src/lib.rs
+++ b/crates/nickelgw-rehearsal/src/lib.rs
@@ -1,5 +1,6 @@
-//! Parts of a rehearsal that need no processes: [`core`] decides which faults happen when and summarizes the service
-//! over time, [`report`] renders it as a page.
+//! Parts of a rehearsal that start no processes. A rehearsal runs a day, which is a configured sequence of
+//! traffic and troubles, on test servers of one machine. [`core`] decides which faults happen when and
+//! summarizes the service over time; [`report`] renders the result as an HTML page.
 
 pub mod core;
 pub mod report;
--- a/crates/nickelgw-rehearsal/src/report/chart.rs
+++ b/crates/nickelgw-rehearsal/src/report/chart.rs
@@ -1,10 +1,12 @@
-//! The chart of a day: share served in target by model route over time, troubles as bands.
+//! Chart of a day: share of requests served in target over time, one line for each model route, with troubles
+//! as shaded bands.
 
 use super::DayReport;
 use crate::core::series::ServiceCounts;
 use plotters::coord::types::RangedCoordf64;
 use plotters::prelude::*;
 
+/// Width and height of the chart in pixels.
 const SIZE: (u32, u32) = (920, 340);
 const ROUTE_COLOURS: [RGBColor; 5] = [
     RGBColor(31, 119, 180),
@@ -15,16 +17,17 @@
 ];
 const TROUBLE_COLOUR: RGBColor = RGBColor(200, 60, 60);
 const LABEL_COLOUR: RGBColor = RGBColor(150, 40, 40);
-/// Labels of troubles are spread over so many lines.
+/// Number of lines over which the labels of troubles are spread, so that neighbouring labels do not overlap.
 const LABEL_LINES: usize = 6;
-/// Shorter troubles are drawn with this length.
+/// Shortest width of a trouble in the chart; shorter troubles are drawn with this width.
 const MIN_BAND_S: f64 = 0.3;
-/// Seconds that a point of the chart averages over: fewer are noise at these rates.
+/// Number of seconds over which a point of the chart is averaged. With fewer, the lines are mostly noise at
+/// the rates of requests that one machine can run.
 const SMOOTHING_S: usize = 3;
 
 type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// The chart as SVG; none where the library cannot draw it.
+/// Renders the chart as SVG. `None` if the plotting library cannot draw it.
 pub fn chart(report: &DayReport) -> Option<String> {
     let mut svg = String::new();
     draw(report, &mut svg)?;
