--- a/crates/nickelgw-cli/src/bench.rs
+++ b/crates/nickelgw-cli/src/bench.rs
@@ -1,6 +1,7 @@
-//! `nickelgw bench` and its siblings: measurements of the node, and what they share.
+//! `nickelgw bench`, `bench-path`, `bench-fleet` and `bench-tls`: measurements of the node, and what they
+//! share.
 //!
-//! Loads are open-loop: each request has its intended start, and latency counts from it.
+//! Loads are open-loop: each request has an intended start time, from which its latency is counted.
 
 pub mod endpoint_changes;
 pub mod overhead;
@@ -15,7 +16,8 @@
 use nickelgw_test_servers::engine_config::EngineConfig;
 use std::path::PathBuf;
 
-/// Engines whose own times are small and which are never full: the rest of the latency is the node's.
+/// Returns an engine whose own times are small and that is never full, so that the rest of the latency is the
+/// node's.
 fn fast_engine() -> EngineConfig {
     EngineConfig {
         slots: 4000,
@@ -30,7 +32,7 @@
     }
 }
 
-/// A path of this process's own in the folder for temporary files.
+/// Returns a path in the folder for temporary files that no other process uses.
 fn temporary_path(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("nickelgw-bench-{name}-{}", std::process::id()))
 }
--- a/crates/nickelgw-cli/src/bench/endpoint_changes.rs
+++ b/crates/nickelgw-cli/src/bench/endpoint_changes.rs
@@ -1,5 +1,5 @@
-//! `nickelgw bench-fleet`: what a full read and a change of the endpoint list cost, how long a change takes until the
-//! node has it, and what a mistaken empty list costs with and without doubt.
+//! `nickelgw bench-fleet`: what a full read and a change of the endpoint list cost, how long a change takes
+//! until the node has it, and what a mistaken empty list costs with and without doubt.
 
 mod local_fleet;
 mod propagation;
--- a/crates/nickelgw-cli/src/bench/endpoint_changes/local_fleet.rs
+++ b/crates/nickelgw-cli/src/bench/endpoint_changes/local_fleet.rs
@@ -11,7 +11,8 @@
 use std::thread;
 use std::time::Duration;
 
-/// Settings of a node that reads its endpoints from the fleet's registry, whose address takes the word's place.
+/// Settings of a node that reads its endpoints from the fleet's registry, whose address takes the word's
+/// place.
 pub(super) const REGISTRY_SOURCE: &str = "registry { endpoint: 'REGISTRY' nodes_prefix: '' }";
 /// Settings under which every list is believed at once.
 pub(super) const NO_DOUBT: &str = "doubt { share: 1 }";
--- a/crates/nickelgw-cli/src/bench/endpoint_changes/propagation.rs
+++ b/crates/nickelgw-cli/src/bench/endpoint_changes/propagation.rs
@@ -97,7 +97,8 @@
     );
 }
 
-/// The registry restarts with its history compacted, just before a change. Gives the list that the node keeps.
+/// The registry restarts with its history compacted, just before a change. Gives the list that the node
+/// keeps.
 pub(super) fn measure_registry_restarts(fleet: &LocalFleet) -> Result<PathBuf, CommandError> {
     let endpoint_cache = fleet.dir.join("breaks.kept");
     fleet.start_node(REGISTRY_SOURCE, &endpoint_cache)?;
--- a/crates/nickelgw-cli/src/bench/endpoint_changes/rolling_deploy.rs
+++ b/crates/nickelgw-cli/src/bench/endpoint_changes/rolling_deploy.rs
@@ -1,5 +1,5 @@
-//! 100 engines replaced within 10 s under 70% of their load, each drained first or taken out at once, with and without
-//! doubt.
+//! 100 engines replaced within 10 s under 70% of their load, each drained first or taken out at once, with
+//! and without doubt.
 
 use super::chat_request;
 use super::local_fleet::{role_of, send_control, Change, LocalFleet, NO_DOUBT, REGISTRY_SOURCE};
--- a/crates/nickelgw-cli/src/bench/load.rs
+++ b/crates/nickelgw-cli/src/bench/load.rs
@@ -61,7 +61,8 @@
     }
 }
 
-/// Sends requests by each route alternately, so that the machine's state is the same for all; one result a route.
+/// Sends requests by each route alternately, so that the machine's state is the same for all; one result a
+/// route.
 pub(super) async fn run_load(
     executor: &Rc<LocalExecutor<'static>>,
     client: &Rc<BenchClient>,
--- a/crates/nickelgw-cli/src/bench/overhead.rs
+++ b/crates/nickelgw-cli/src/bench/overhead.rs
@@ -1,4 +1,5 @@
-//! `nickelgw bench`: what the node adds, beside the same engines called directly by the same client, in one run.
+//! `nickelgw bench`: what the node adds, beside the same engines called directly by the same client, in one
+//! run.
 
 use super::client::Route;
 use super::fast_engine;
--- a/crates/nickelgw-cli/src/bench/process_fleet.rs
+++ b/crates/nickelgw-cli/src/bench/process_fleet.rs
@@ -1,7 +1,7 @@
 //! A node and its engines as child processes.
 
 use super::client::{unlimited_pool, BenchClient, EngineAddress};
-use crate::child_process::{spawn_command, strings, ListeningChild};
+use crate::child_process::{owned_args, spawn_command, ListeningChild};
 use crate::error::CommandError;
 use crate::local_servers::{endpoint_entry, node_settings};
 use crate::timing::sleep_s;
@@ -150,14 +150,14 @@
         Role::Decode => "write",
     };
     let config = serde_json::to_string(config)?;
-    spawn_command(&strings(&["engine", "--id", id, "--role", role, "--figures", &config]), log).await
+    spawn_command(&owned_args(&["engine", "--id", id, "--role", role, "--figures", &config]), log).await
 }
 
 async fn start_list(entries: &[EndpointEntry], dir: &Path) -> Result<ListeningChild, CommandError> {
     let path = dir.join("list.json");
     let list = EndpointList { revision: 1, engines: entries.to_vec() };
     std::fs::write(&path, serde_json::to_vec(&list)?)?;
-    let args = strings(&["list", "--engines", &path.display().to_string(), "--lag-ms", "0"]);
+    let args = owned_args(&["list", "--engines", &path.display().to_string(), "--lag-ms", "0"]);
     spawn_command(&args, &dir.join("log")).await
 }
 
@@ -166,9 +166,9 @@
     let text = format!("{} listen: '127.0.0.1:0' {}", node_settings(0, 1, list), plan.node_settings);
     std::fs::write(&settings, text)?;
     let meter = dir.join("meter.json").display().to_string();
-    let mut args = strings(&["serve", "--config", &settings.display().to_string(), "--meter", &meter]);
+    let mut args = owned_args(&["serve", "--config", &settings.display().to_string(), "--meter", &meter]);
     if plan.with_json_log {
-        args.extend(strings(&["--log", "json", "--log-level", "info"]));
+        args.extend(owned_args(&["--log", "json", "--log-level", "info"]));
     }
     spawn_command(&args, &dir.join("log")).await
 }
--- a/crates/nickelgw-cli/src/bench/request_path.rs
+++ b/crates/nickelgw-cli/src/bench/request_path.rs
@@ -1,5 +1,5 @@
-//! `nickelgw bench-path`: what grants, idempotency keys, ledger and store cost, what stalled clients hold, and what a
-//! handover to a new process adds.
+//! `nickelgw bench-path`: what grants, idempotency keys, ledger and store cost, what stalled clients hold,
+//! and what a handover to a new process adds.
 
 mod calls;
 mod store;
--- a/crates/nickelgw-cli/src/bench/tls.rs
+++ b/crates/nickelgw-cli/src/bench/tls.rs
@@ -1,5 +1,5 @@
-//! `nickelgw bench-tls`: what TLS costs, with full and resumed handshakes, and the rush of handshakes after a rotation,
-//! with and without a budget for them.
+//! `nickelgw bench-tls`: what TLS costs, with full and resumed handshakes, and the rush of handshakes after a
+//! rotation, with and without a budget for them.
 
 mod certificates;
 mod handshakes;
--- a/crates/nickelgw-cli/src/bench/tls/certificates.rs
+++ b/crates/nickelgw-cli/src/bench/tls/certificates.rs
@@ -1,7 +1,7 @@
 //! Certificates of the measured clients and engines.
 
 use crate::bench::temporary_path;
-use crate::error::{about, CommandError};
+use crate::error::{with_context, CommandError};
 use nickelgw_test_servers::authority::{replace_file, Authority, CertificateFault};
 use nickelgw_test_servers::engine_config::{EngineConfig, TlsFiles};
 use nickelgw_test_servers::recorder::unix_now;
@@ -22,7 +22,7 @@
     pub(super) fn new() -> Result<Certificates, CommandError> {
         let dir = temporary_path("tls");
         std::fs::create_dir_all(&dir)?;
-        let authority = Authority::new("bench").map_err(about("no certificate was made"))?;
+        let authority = Authority::new("bench").map_err(with_context("no certificate was made"))?;
         replace_file(&dir.join("root.pem"), authority.root_pem.as_bytes(), 0o644)?;
         let certificates = Certificates { dir, authority };
         certificates.sign(NODE)?;
@@ -32,7 +32,7 @@
     /// A new certificate and key, in place of an earlier one.
     pub(super) fn sign(&self, id: &str) -> Result<[PathBuf; 2], CommandError> {
         let signed = self.authority.write(&self.dir, id, &tls_name(id), CertificateFault::None);
-        signed.map_err(about("no certificate was made"))
+        signed.map_err(with_context("no certificate was made"))
     }
 
     pub(super) fn files(&self, id: &str) -> Files {
--- a/crates/nickelgw-cli/src/bench/tls/rotation.rs
+++ b/crates/nickelgw-cli/src/bench/tls/rotation.rs
@@ -1,5 +1,5 @@
-//! The rush of handshakes at a node with many engines: after a rotation of its certificate, or when all engines are back
-//! at once, cold, and the node has no connection yet.
+//! The rush of handshakes at a node with many engines: after a rotation of its certificate, or when all
+//! engines are back at once, cold, and the node has no connection yet.
 
 use super::certificates::{tls_name, Certificates, NODE};
 use super::{fast_engine, Executor, ANSWER_TOKENS};
--- a/crates/nickelgw-cli/src/child_process.rs
+++ b/crates/nickelgw-cli/src/child_process.rs
@@ -1,4 +1,4 @@
-//! Child processes that run this same command.
+//! Child processes that run this executable.
 
 use crate::error::CommandError;
 use crate::timing::sleep_s;
@@ -6,39 +6,46 @@
 use smol::process::{Child, Command, Stdio};
 use std::path::Path;
 
-/// What a process that listens prints first, before its address.
-pub const LISTENING: &str = "listening ";
-/// A child must listen within this time.
+/// Prefix of the first line that a listening process prints on standard output; its address follows.
+pub const LISTENING_PREFIX: &str = "listening ";
+/// Time within which a child process must print its address.
 const START_TIMEOUT_S: f64 = 10.0;
 
 /// A child process and the address that it listens on.
 pub struct ListeningChild {
-    /// Killed when it is dropped.
+    /// The process, which is killed when this value is dropped.
     pub child: Child,
-    /// Host and port.
+    /// Address (`host:port`) that the process listens on.
     pub address: String,
 }
 
-/// Starts this program again with other arguments, and waits until it listens.
+/// Starts this executable with other arguments, appends its standard error to `log`, and waits until it
+/// listens.
 pub async fn spawn_command(args: &[String], log: &Path) -> Result<ListeningChild, CommandError> {
     let log = std::fs::OpenOptions::new().create(true).append(true).open(log)?;
     let mut command = Command::new(std::env::current_exe()?);
     command.args(args).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(log).kill_on_drop(true);
     let mut child = command.spawn()?;
-    let output = child.stdout.take().ok_or_else(|| CommandError("a child has no output".into()))?;
+    let output = child
+        .stdout
+        .take()
+        .ok_or_else(|| CommandError("child process has no standard output pipe".into()))?;
     let mut lines = smol::io::BufReader::new(output).lines();
     let first_line = futures_lite::future::or(async { lines.next().await }, async {
         sleep_s(START_TIMEOUT_S).await;
         None
     });
     let first_line = first_line.await.and_then(Result::ok);
-    match first_line.as_deref().and_then(|line| line.strip_prefix(LISTENING)) {
+    match first_line.as_deref().and_then(|line| line.strip_prefix(LISTENING_PREFIX)) {
         Some(address) => Ok(ListeningChild { child, address: address.to_string() }),
-        None => Err(CommandError(format!("a child did not start: {}", args.join(" ")))),
+        None => Err(CommandError(format!(
+            "child process ended or did not print its address within {START_TIMEOUT_S} s: nickelgw {}",
+            args.join(" ")
+        ))),
     }
 }
 
-/// Owned arguments.
-pub fn strings(args: &[&str]) -> Vec<String> {
+/// Copies arguments into owned strings.
+pub fn owned_args(args: &[&str]) -> Vec<String> {
     args.iter().map(|arg| arg.to_string()).collect()
 }
--- a/crates/nickelgw-cli/src/error.rs
+++ b/crates/nickelgw-cli/src/error.rs
@@ -3,7 +3,8 @@
 use nickelgw_settings::{SettingsError, SettingsErrors};
 use std::fmt::Display;
 
-/// What the command prints as its last line: a file or the usage was wrong, or the system refused something.
+/// Error that ends a command and is printed as its last line: invalid usage, an invalid file, or a failed
+/// system call.
 pub struct CommandError(pub String);
 
 impl<E: std::error::Error> From<E> for CommandError {
@@ -13,14 +14,14 @@
 }
 
 impl CommandError {
-    /// All errors of a settings file, one a line.
+    /// Joins all errors of a settings file, one per line.
     pub fn from_settings(errors: SettingsErrors) -> CommandError {
         let lines: Vec<String> = errors.iter().map(SettingsError::to_string).collect();
         CommandError(lines.join("\n"))
     }
 }
 
-/// For `map_err`: puts what an error is about in front of it.
-pub fn about<E: Display>(subject: impl Display) -> impl FnOnce(E) -> CommandError {
+/// Returns a function for `map_err` that puts the subject of an error in front of its text.
+pub fn with_context<E: Display>(subject: impl Display) -> impl FnOnce(E) -> CommandError {
     move |error| CommandError(format!("{subject}: {error}"))
 }
--- a/crates/nickelgw-cli/src/inspect.rs
+++ b/crates/nickelgw-cli/src/inspect.rs
@@ -1,25 +1,25 @@
-//! `nickelgw check` and `nickelgw why`: what a settings file and a running node say.
+//! `nickelgw check` and `nickelgw why`: checks a settings file, and asks a running node about a request.
 
 use crate::error::CommandError;
 use nickelgw_test_servers::client;
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Time that a node has for its answer.
+/// Time within which the node must answer.
 const ADMIN_TIMEOUT_S: f64 = 5.0;
 
-/// Checks a settings file of either kind.
+/// Checks the settings file of a node or of a day.
 pub fn check(file: &Path) -> Result<ExitCode, CommandError> {
     let kind = nickelgw_settings::load_any(file).map_err(CommandError::from_settings)?;
-    println!("{}: sound settings of a {kind}", file.display());
+    println!("{}: valid settings of a {kind}", file.display());
     Ok(ExitCode::SUCCESS)
 }
 
 #[derive(clap::Args)]
 pub struct Why {
-    /// As the client got it in x-request-id.
+    /// Request id that the client received in x-request-id.
     request_id: String,
-    /// host:port that the node's settings give as admin.
+    /// Admin address (host:port) of the node, as in its settings.
     #[arg(long, default_value = "127.0.0.1:8081")]
     admin: String,
 }
@@ -32,13 +32,15 @@
     pub fn run(self) -> Result<ExitCode, CommandError> {
         let Why { request_id, admin } = self;
         if !is_request_id(&request_id) {
-            return Err(CommandError("a request id has letters, digits, '-', '_' and '.'".into()));
+            return Err(CommandError(
+                "invalid request id: only letters, digits, '-', '_' and '.' are allowed".into(),
+            ));
         }
         let request = format!("GET /why/{request_id} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
         let response = smol::block_on(client::send_raw(&admin, &[request.as_bytes()], 0.0, ADMIN_TIMEOUT_S));
         let response = String::from_utf8_lossy(&response);
         let Some((head, body)) = response.split_once("\r\n\r\n") else {
-            return Err(CommandError(format!("{admin}: no node answers there")));
+            return Err(CommandError(format!("{admin}: no HTTP response from a node")));
         };
         print!("{body}");
         Ok(if head.starts_with("HTTP/1.1 200") { ExitCode::SUCCESS } else { ExitCode::FAILURE })
--- a/crates/nickelgw-cli/src/local_servers.rs
+++ b/crates/nickelgw-cli/src/local_servers.rs
@@ -1,4 +1,5 @@
-//! Engines, endpoint lists and nodes on threads of this process, on ports of loopback. They end with the process.
+//! Engines, endpoint lists, registries and nodes that run on threads of this process, on free loopback ports,
+//! until the process ends.
 
 use crate::error::CommandError;
 use crate::node_options;
@@ -10,15 +11,15 @@
 use std::thread;
 use std::time::Instant;
 
-/// Time that a health check may take.
+/// Timeout of a health check.
 const HEALTH_CHECK_TIMEOUT_S: f64 = 1.0;
 
-/// Listens on a free port of loopback.
+/// Listens on a free loopback port.
 pub fn bind_loopback() -> std::io::Result<TcpListener> {
     TcpListener::bind("127.0.0.1:0")
 }
 
-/// An engine's entry in the endpoint list, as one that is active.
+/// Returns the endpoint list entry of an active engine.
 pub fn endpoint_entry(engine: &EngineConfig, address: String) -> EndpointEntry {
     EndpointEntry {
         id: engine.id.clone(),
@@ -36,7 +37,7 @@
     }
 }
 
-/// Runs an engine on a thread.
+/// Runs an engine on a thread; returns its endpoint list entry.
 pub fn spawn_engine(engine: EngineConfig, seed: u64) -> Result<EndpointEntry, CommandError> {
     let listener = bind_loopback()?;
     let entry = endpoint_entry(&engine, listener.local_addr()?.to_string());
@@ -46,7 +47,7 @@
     Ok(entry)
 }
 
-/// Runs an endpoint list on a thread; gives its address.
+/// Runs an endpoint list on a thread; returns its address.
 pub fn spawn_endpoint_list(entries: Vec<EndpointEntry>) -> Result<String, CommandError> {
     let listener = bind_loopback()?;
     let address = listener.local_addr()?.to_string();
@@ -56,7 +57,7 @@
     Ok(address)
 }
 
-/// Runs a registry on a thread; gives its address.
+/// Runs a registry on a thread; returns its address.
 pub fn spawn_registry() -> Result<String, CommandError> {
     let listener = bind_loopback()?;
     let address = listener.local_addr()?.to_string();
@@ -66,15 +67,15 @@
     Ok(address)
 }
 
-/// A node on a thread.
+/// A node that runs on a thread of this process.
 pub struct LocalNode {
-    /// Where its chat API listens.
+    /// Address (`host:port`) of its chat API.
     pub address: String,
-    /// When it was started.
+    /// Time at which its thread was started.
     pub started: Instant,
 }
 
-/// Runs a node on a thread with these settings, after `adjust` has changed its options.
+/// Runs a node on a thread with the given settings; `adjust` may change its options first.
 pub fn spawn_node(
     name: &str,
     settings: &str,
@@ -90,14 +91,14 @@
     Ok(LocalNode { address, started })
 }
 
-/// Whether the node at this address says that it is ready.
+/// Returns whether the node at this address reports that it is ready.
 pub fn is_healthy(address: &str) -> bool {
     let request = b"GET /healthz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
     let response = smol::block_on(client::send_raw(address, &[request], 0.0, HEALTH_CHECK_TIMEOUT_S));
     client::response_status(&response) == 200
 }
 
-/// Settings of a node that is one of several before the same engines.
+/// Returns the settings of one of several nodes that share the same engines.
 pub fn node_settings(number: u16, nodes: u16, list: &str) -> String {
     format!(
         "name: 'node{number}' number: {number} nodes: {nodes} zone: 'a' zones: 'a' list: '{list}'
--- a/crates/nickelgw-cli/src/main.rs
+++ b/crates/nickelgw-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The `nickelgw` command: arguments, logging, and one module for each subcommand.
+//! The `nickelgw` command: arguments, logging, and the modules of the subcommands.
 
 mod bench;
 mod child_process;
@@ -23,17 +23,17 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// What the process ends with where a file or the usage was wrong.
-const USAGE_ERROR: u8 = 2;
+/// Exit code of a command that ends with a [`CommandError`].
+const ERROR_EXIT_CODE: u8 = 2;
 
-/// Routes language-model requests between prompt readers and answer writers.
+/// Routes language-model requests across prefill engines and decode engines.
 #[derive(Parser)]
 #[command(name = "nickelgw", version)]
 struct Cli {
-    /// How logs are written, on standard error.
+    /// Format of the logs, which are written to standard error.
     #[arg(long, global = true, value_enum, default_value = "plain")]
     log: LogFormat,
-    /// Least severity logged: error, warn, info, debug or trace.
+    /// Lowest severity that is logged: error, warn, info, debug or trace.
     #[arg(long, global = true, default_value = "warn")]
     log_level: tracing::Level,
     #[command(subcommand)]
@@ -48,35 +48,39 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs nodes and stand-in engines on loopback, to try things out.
+    /// Runs nodes and test engines on loopback, to try nickelgw out.
     Up(up::Up),
-    /// Serves as a node.
+    /// Runs a node with the given settings file.
     Serve(serve::Serve),
-    /// Serves as a node on the operators' platform, as RELAY_CONFIG tells.
+    /// Runs a node on the operators' platform; RELAY_CONFIG names its configuration file.
     Platform,
-    /// Checks a settings file of a node or a day.
+    /// Checks the settings file of a node or of a day (a rehearsal scenario).
     Check { file: PathBuf },
-    /// Runs a stand-in reader or writer.
+    /// Runs a test engine for prefill (`read`) or decode (`write`).
     Engine(test_servers::Engine),
-    /// Runs a stand-in engine list.
+    /// Runs a test server for the endpoint list.
     List(test_servers::List),
-    /// Runs a stand-in etcd-v3 registry behind its JSON gateway.
+    /// Runs a test registry with the JSON gateway of etcd v3.
     Registry(test_servers::Registry),
-    /// Plays a day of traffic and faults on child processes, and judges the five rules.
+    /// Runs a day of traffic and faults against child processes, and audits the five rules.
     Rehearse(rehearse::Rehearse),
-    /// Judges the records of an earlier rehearsal: its folder, or any with such records.
+    /// Audits the records of an earlier rehearsal: its report folder, or any folder with such records.
     Audit { dir: PathBuf },
-    /// Makes a test authority's root, intermediate and certificates, sound ones and bad ones.
+    /// Creates a test certificate authority: root, intermediate, and valid and invalid certificates.
     Authority(test_servers::Authority),
-    /// Tells what happened to a request, and why: asks a node's operators' port.
+    /// Prints what happened to a request and why, as a node reports it at its admin address.
     Why(inspect::Why),
-    /// Measures what the node adds, beside the same stand-ins called directly.
+    /// Measures the latency, CPU time and memory that a node adds, compared with direct calls of the same
+    /// engines.
     Bench(Bench),
-    /// Measures grants, keys, ledger and store, stalled clients, and a take-over.
+    /// Measures the cost of grants, idempotency keys, ledger and store, of stalled clients, and of a
+    /// handover.
     BenchPath(BenchPath),
-    /// Measures resyncs and changes of the fleet, and what a mistaken empty list costs.
+    /// Measures full reads and changes of the endpoint list, and the effect of a list that is empty by
+    /// mistake.
     BenchFleet(BenchFleet),
-    /// Measures what TLS costs, and the rush after a rotation with and without a budget.
+    /// Measures the cost of TLS, and the handshake burst after a rotation with and without a handshake
+    /// budget.
     BenchTls(BenchTls),
 }
 
@@ -117,7 +121,7 @@
         Ok(code) => code,
         Err(CommandError(reason)) => {
             eprintln!("nickelgw: {reason}");
-            ExitCode::from(USAGE_ERROR)
+            ExitCode::from(ERROR_EXIT_CODE)
         }
     }
 }
--- a/crates/nickelgw-cli/src/node_options.rs
+++ b/crates/nickelgw-cli/src/node_options.rs
@@ -1,4 +1,4 @@
-//! The options that a node is started with, from its settings.
+//! Converts a node's settings into the options that it is started with.
 
 mod tls;
 
@@ -23,10 +23,11 @@
 use nickelgw_test_servers::recorder::unix_now;
 use std::sync::{Arc, Mutex};
 
-/// How long the release of a reservation is retried: a prefill engine that is unreachable for longer frees its state by
-/// itself.
+/// How long the release of a reservation is retried. A prefill engine that is unreachable for longer frees
+/// its state by itself.
 const RELEASE_TIMEOUT_S: f64 = 15.0;
-/// Prefill engines listed within this time of the start may hold reservations of an earlier process.
+/// Time after the start within which newly listed prefill engines may hold reservations of an earlier
+/// process.
 const ORPHAN_CLEANUP_S: f64 = 60.0;
 
 fn endpoint_source(node: &Node) -> EndpointSource {
@@ -85,7 +86,8 @@
     }
 }
 
-/// How the node takes part in gossip. The caller binds the socket: it knows whether another process still has it.
+/// Returns the gossip options; `None` if the settings have no `accord`. The caller binds the socket, because
+/// only it knows whether another process still has it.
 fn gossip(node: &Node, epoch: f64) -> Option<GossipOptions> {
     let accord = node.accord.as_ref()?;
     let round_s = accord.round_ms() / 1e3;
@@ -131,7 +133,7 @@
     })
 }
 
-/// The options of a node with these settings. Sockets, signals and callbacks are the caller's to add.
+/// Returns the options of a node with these settings. The caller adds sockets, signals and callbacks.
 pub fn from_settings(
     node: &Node,
     latency: Option<Arc<Mutex<LatencyMetrics>>>,
@@ -156,7 +158,7 @@
         admin: None,
         admin_address: None,
         shutdown: shutdown(&node.leaving.unwrap_or_default()),
-        // Closed at once, unless the caller puts its own here.
+        // A closed channel, unless the caller puts its own here.
         signals: async_channel::bounded(1).1,
         on_serving: None,
         accept_when_ready: false,
@@ -167,7 +169,7 @@
 fn core_config(node: &Node, started_at: f64) -> CoreConfig {
     let limits = node.limits.unwrap_or_default();
     CoreConfig {
-        // Of this process alone: reservations named by an earlier one are not its own.
+        // Unique to this process: reservations named by an earlier process are not its own.
         incarnation: format!("{}-{:x}-{:x}", node.name, std::process::id(), (started_at * 1e6) as u64),
         started_at_unix_s: started_at,
         zones: node.zones.clone(),
--- a/crates/nickelgw-cli/src/node_options/tls.rs
+++ b/crates/nickelgw-cli/src/node_options/tls.rs
@@ -1,4 +1,5 @@
-//! TLS options of a node. Keys and trust are read at once: a node whose files cannot be used does not start.
+//! TLS options of a node. Certificates, keys and trust roots are read at once: a node whose files cannot be
+//! used does not start.
 
 use crate::error::CommandError;
 use nickelgw_node::TlsOptions;
@@ -8,7 +9,7 @@
 use nickelgw_tls::{Client, Files, Server, TlsEvent, Versions};
 use std::path::PathBuf;
 
-/// Roots for clients' certificates that a new file leaves out are trusted for so long still.
+/// Time for which roots of client certificates stay trusted after a new trust file leaves them out.
 const CLIENT_TRUST_OVERLAP_S: f64 = 600.0;
 
 pub(super) fn options(node: &Node) -> Result<TlsOptions, CommandError> {
@@ -39,13 +40,13 @@
     }
 }
 
-/// The first event says why no configuration could be loaded.
+/// Returns an error with the reason in the first event if no configuration could be loaded.
 fn require_loaded(events: Vec<TlsEvent>, is_loaded: bool) -> Result<(), CommandError> {
     match events.into_iter().next() {
         _ if is_loaded => Ok(()),
         Some(TlsEvent::Unreadable(error)) => Err(CommandError(error.to_string())),
-        Some(TlsEvent::Refused(reason)) => Err(CommandError(format!("keys and trust: {reason}"))),
-        _ => Err(CommandError("keys and trust: cannot be used".into())),
+        Some(TlsEvent::Refused(reason)) => Err(CommandError(format!("TLS files rejected: {reason}"))),
+        _ => Err(CommandError("TLS files cannot be used: no configuration was loaded".into())),
     }
 }
 
--- a/crates/nickelgw-cli/src/platform.rs
+++ b/crates/nickelgw-cli/src/platform.rs
@@ -1,4 +1,4 @@
-//! `nickelgw platform`: a node in service on the operators' platform.
+//! `nickelgw platform`: runs a node on the operators' platform.
 
 use crate::error::CommandError;
 use crate::signals::{Signal, SignalListener};
@@ -7,13 +7,14 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Runs a node until a signal ends it.
+/// Runs a node until a signal shuts it down.
 pub fn run() -> Result<ExitCode, CommandError> {
     let environment = |name: &str| std::env::var(name).ok();
-    let not_set = || CommandError(format!("{CONFIG_PATH_VARIABLE} is not set"));
+    let not_set = || CommandError(format!("environment variable {CONFIG_PATH_VARIABLE} is not set"));
     let path = PathBuf::from(environment(CONFIG_PATH_VARIABLE).ok_or_else(not_set)?);
     let config = NodeConfig::read(&path, environment).map_err(|error| CommandError(error.to_string()))?;
-    // Before anybody can connect: a signal that came between the two would end the process with what it had accepted.
+    // Signals are registered before the socket listens: a signal in between would end the process together
+    // with the connections that it had accepted.
     let mut signals = SignalListener::new()?;
     let listener = TcpListener::bind(&config.listen)
         .map_err(|error| CommandError(format!("{}: cannot listen: {error}", config.listen)))?;
--- a/crates/nickelgw-cli/src/rehearse/certificates.rs
+++ b/crates/nickelgw-cli/src/rehearse/certificates.rs
@@ -1,22 +1,22 @@
-//! Certificates of a day in TLS, and their rotations.
+//! Certificates of a day with TLS, and their rotations.
 
-use super::stage::Stage;
-use crate::error::{about, CommandError};
+use super::stage::RehearsalFleet;
+use crate::error::{with_context, CommandError};
 use crate::timing::sleep_s;
 use nickelgw_settings::engine_names;
 use nickelgw_test_servers::authority::{replace_file, Authority, CertificateFault};
 use serde_json::json;
 
-/// Time for all nodes to read new trust or certificates.
+/// Time for all nodes to reload trust roots or certificates.
 const ROTATION_STEP_S: f64 = 1.5;
 
-/// The name on a process's certificate.
+/// Returns the name in a process's certificate.
 pub(super) fn tls_name(process: &str) -> String {
     format!("{process}.example.org")
 }
 
-impl Stage {
-    /// Writes the trust file: the authority's root, and others beside it.
+impl RehearsalFleet {
+    /// Writes the trust file with the authority's root and the given other roots.
     pub(super) fn write_trust(&self, other_roots: &[&str]) -> Result<(), CommandError> {
         let Some(authority) = &*self.authority.borrow() else { return Ok(()) };
         let roots = [&[authority.root_pem.as_str()], other_roots].concat().concat();
@@ -31,11 +31,11 @@
     ) -> Result<(), CommandError> {
         let Some(authority) = &*self.authority.borrow() else { return Ok(()) };
         let signed = authority.write(&self.path("certs"), process, &tls_name(process), fault);
-        signed.map_err(about("no certificate was made"))?;
+        signed.map_err(with_context(format!("cannot create a certificate for {process}")))?;
         Ok(())
     }
 
-    /// A new certificate for an engine, which loads it at once.
+    /// Signs a new certificate for an engine, which loads it at once.
     pub(super) async fn rotate_certificate(
         &self,
         engine: &str,
@@ -56,10 +56,12 @@
         }
     }
 
-    /// A new authority: trust of both, new certificates for all, then trust of the new one alone.
+    /// Replaces the certificate authority: all processes trust both roots, then get certificates of the new
+    /// authority, then trust the new root alone.
     pub(super) async fn rotate_authority(&self) -> Result<(), CommandError> {
-        let second = Authority::new("second").map_err(about("no certificate was made"))?;
-        // Both are trusted before the first certificate of the new one is shown.
+        let second =
+            Authority::new("second").map_err(with_context("cannot create the certificate authority"))?;
+        // Both roots are trusted before the first certificate of the new authority is presented.
         self.write_trust(&[&second.root_pem])?;
         self.reload_all_certificates().await;
         sleep_s(ROTATION_STEP_S).await;
--- a/crates/nickelgw-cli/src/rehearse/faults.rs
+++ b/crates/nickelgw-cli/src/rehearse/faults.rs
@@ -1,6 +1,6 @@
-//! The single faults of a day's script, each at its time.
+//! Injects the faults of a day's script, each at its time.
 
-use super::stage::Stage;
+use super::stage::RehearsalFleet;
 use crate::error::CommandError;
 use crate::timing::sleep_s;
 use nickelgw_protocol::list::{EndpointEntry, EngineState};
@@ -10,7 +10,8 @@
 use nickelgw_test_servers::client;
 use serde_json::json;
 
-/// The order by which an engine has a fault by itself.
+/// Returns the name of a fault that an engine produces on a single control order; `None` for all other
+/// faults.
 fn engine_fault_name(kind: Kind) -> Option<&'static str> {
     match kind {
         Kind::Silence => Some("silence"),
@@ -24,7 +25,8 @@
     }
 }
 
-/// The order by which the registry has a fault, and whether that lasts.
+/// Returns the single control order that makes the registry produce a fault, and whether the fault lasts for
+/// a time; `None` for all other faults.
 fn registry_fault(kind: Kind) -> Option<(&'static str, bool)> {
     match kind {
         Kind::RegistryRestart => Some(("restart", true)),
@@ -36,8 +38,8 @@
     }
 }
 
-impl Stage {
-    /// Waits for a fault's time, and makes it happen.
+impl RehearsalFleet {
+    /// Waits for a fault's time and injects it.
     pub(super) async fn inject(&self, fault: &Fault) -> Result<(), CommandError> {
         sleep_s(fault.at_s - self.elapsed_s()).await;
         let kind = fault.kind();
@@ -54,7 +56,7 @@
         self.inject_compound(fault).await
     }
 
-    /// Faults that take more than one order.
+    /// Injects a fault that takes more than one of the orders above.
     async fn inject_compound(&self, fault: &Fault) -> Result<(), CommandError> {
         let (target, for_s) = (fault.target(), fault.for_s());
         match fault.kind() {
@@ -72,7 +74,7 @@
             Kind::StallList => drop(client::control(&self.list, &json!({"stall_s": for_s})).await),
             Kind::KillNode => self.restart_node(target, for_s).await?,
             Kind::RegistryEmpty => self.empty_registry(for_s).await,
-            // The script has expanded all others to these.
+            // The script has expanded all other kinds into these.
             _ => {}
         }
         Ok(())
@@ -84,7 +86,7 @@
         self.control_engine(fault.target(), order).await;
     }
 
-    /// The engine dies, and is back cold after a while if the fault says so.
+    /// Kills an engine; if the fault has a duration, starts it again in slow start after that.
     async fn restart_engine(&self, fault: &Fault) -> Result<(), CommandError> {
         let engine = fault.target();
         self.send_engine_fault("die", fault).await;
@@ -102,7 +104,7 @@
     async fn drain_engine(&self, fault: &Fault) {
         let Some(entry) = self.entry_of(fault.target()) else { return };
         self.publish(&EndpointEntry { state: EngineState::Draining, ..entry }).await;
-        // It rejects requests once every node has had the time to know.
+        // The engine rejects requests only after every node has had time to learn that it drains.
         sleep_s((self.day.list_lag_ms() + self.day.drain_grace_ms()) / 1e3).await;
         self.send_engine_fault("drain", fault).await;
     }
--- a/crates/nickelgw-cli/src/rehearse/outcome.rs
+++ b/crates/nickelgw-cli/src/rehearse/outcome.rs
@@ -1,4 +1,4 @@
-//! What came of one day, and its report as JSON.
+//! Outcome of one day, and its report as JSON.
 
 use nickelgw_audit::{AuditReport, RecordEntry, RouteStats, Rule, Violation};
 use nickelgw_rehearsal::core::script::{Script, Trouble};
@@ -8,12 +8,12 @@
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
 
-/// Service has recovered from a trouble once it is back at this share of what it was before.
+/// Service counts as recovered from a trouble once it is back at this share of what it was before.
 const RECOVERED_SHARE: f64 = 0.95;
-/// Span before and after a trouble that the report has, in seconds.
+/// Length of the spans before and after the start of a trouble that the report compares, in seconds.
 const TROUBLE_SPAN_S: usize = 10;
 
-/// What came of one day.
+/// Outcome of one day.
 pub(super) struct Outcome {
     pub(super) day: Day,
     seed: u64,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// For the page.
+    /// Returns the outcome for the report page.
     pub(super) fn report(&self) -> DayReport<'_> {
         DayReport {
             name: &self.day.name,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// For `report.json`.
+    /// Returns the contents of `report.json`.
     pub(super) fn json(&self) -> Value {
         let verdict = &self.verdict;
         let rules: Map<String, Value> =
@@ -80,7 +80,8 @@
             "held_longest_s": verdict.unattended_quantile(1.0), "notes": self.notes})
     }
 
-    /// Service in the first ten seconds of a trouble, and the time until it is back.
+    /// Returns the service in the first ten seconds of a trouble and in those before it, and the time until
+    /// it recovered.
     fn trouble_json(&self, trouble: &Trouble) -> Value {
         let at = trouble.from_s as usize;
         let after = self.series.total(at..at + TROUBLE_SPAN_S);
--- a/crates/nickelgw-cli/src/rehearse/recorded_rules.rs
+++ b/crates/nickelgw-cli/src/rehearse/recorded_rules.rs
@@ -1,4 +1,4 @@
-//! The rules of a day as the auditor reads them from its records.
+//! Rules of a day, in the form in which the auditor reads them from its records.
 
 use super::SLACK_S;
 use nickelgw_settings::proto::{Doubt, Group, ModelRoute, Repeat};
--- a/crates/nickelgw-cli/src/serve.rs
+++ b/crates/nickelgw-cli/src/serve.rs
@@ -1,10 +1,10 @@
-//! `nickelgw serve`: a node as a process. SIGTERM drains it in stages, each further one skips a stage. SIGHUP starts a
-//! new process with the settings as they are now, which takes the listening socket over; is anything wrong with them,
-//! this one serves on.
+//! `nickelgw serve`: runs a node as a process. SIGTERM drains it in stages; each further SIGTERM skips a
+//! stage. SIGHUP starts a new process with the current settings, which takes over the listening socket; if
+//! the new process does not come up, for example because the settings are invalid, this one keeps serving.
 
 mod handover;
 
-use crate::error::{about, CommandError};
+use crate::error::{with_context, CommandError};
 use crate::node_options;
 use crate::signals::{Signal, SignalListener};
 use async_channel::Sender;
@@ -18,27 +18,28 @@
 use std::process::ExitCode;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Signals that may wait for the node; the channel's bound.
+/// Capacity of the channel that carries signals to the node.
 const MAX_QUEUED_SIGNALS: usize = 16;
-/// What a process prints once it serves.
+/// Line that a process prints once it serves.
 const SERVING: &str = "serving";
-/// Added to the longest time that the process before may run, for it to end.
+/// Time for the predecessor process to end, in addition to the longest duration of its shutdown.
 const PREDECESSOR_MARGIN_S: f64 = 1.0;
 
 #[derive(clap::Args)]
 pub struct Serve {
-    /// Its settings, in protobuf text format.
+    /// Settings file of the node, in protobuf text format.
     #[arg(long)]
     config: PathBuf,
-    /// Measures itself, and writes what it measured to this file when it ends.
+    /// File to which the node writes its own latency metrics when it ends.
     #[arg(long, hide = true)]
     meter: Option<PathBuf>,
-    /// The listening socket comes as standard input, from the process that it takes over from.
+    /// Takes the listening socket as standard input, from the process that this one replaces.
     #[arg(long)]
     inherited: bool,
 }
 
-/// Prints a line for the process that started this one. Standard output may be closed by now: then nobody reads it.
+/// Prints a line for the process that started this one. Errors are ignored: standard output may have been
+/// closed when nobody reads it any more.
 fn announce(line: &str) {
     let mut output = std::io::stdout();
     let _ = writeln!(output, "{line}").and_then(|()| output.flush());
@@ -48,13 +49,14 @@
     pub fn run(self) -> Result<ExitCode, CommandError> {
         let node = nickelgw_settings::load_node(&self.config).map_err(CommandError::from_settings)?;
         let latency = self.meter.is_some().then(Arc::<Mutex<LatencyMetrics>>::default);
-        // Whatever is wrong is reported before anything listens.
+        // Errors in the settings are reported before any socket listens.
         let mut options = node_options::from_settings(&node, latency.clone())?;
         if self.inherited {
             expect_predecessor(&mut options);
         }
         let listener = self.listener(&node)?;
-        let address = listener.local_addr().map_err(about("the socket taken over listens nowhere"))?;
+        let address =
+            listener.local_addr().map_err(with_context("cannot read the address of the listening socket"))?;
         announce(&format!("listening {address}"));
         if self.inherited {
             options.admin_address = node.admin.clone();
@@ -79,17 +81,17 @@
     fn listener(&self, node: &Node) -> Result<TcpListener, CommandError> {
         if self.inherited {
             let listener = TcpListener::from(std::io::stdin().as_fd().try_clone_to_owned()?);
-            // As standard input the socket would listen on after the node has closed its own.
+            // A copy left open as standard input would keep listening after the node has closed its own.
             rustix::stdio::dup2_stdin(File::open("/dev/null")?).map_err(std::io::Error::from)?;
             return Ok(listener);
         }
         let address = node.listen();
-        TcpListener::bind(address).map_err(about(format!("{address}: cannot listen")))
+        TcpListener::bind(address).map_err(with_context(format!("{address}: cannot listen")))
     }
 }
 
-/// The process before still serves: this one accepts once it is ready itself, and leaves the reservations of the other
-/// alone until that has ended.
+/// Prepares the options for a predecessor process that still serves: this one accepts connections only once
+/// it is ready itself, and leaves the predecessor's reservations alone until that has ended.
 fn expect_predecessor(options: &mut NodeOptions) {
     options.accept_when_ready = true;
     let shutdown = options.shutdown;
@@ -101,7 +103,7 @@
 
 fn bind_admin(node: &Node, options: &mut NodeOptions) -> Result<(), CommandError> {
     let Some(address) = &node.admin else { return Ok(()) };
-    let listener = TcpListener::bind(address).map_err(about(format!("{address}: cannot listen")))?;
+    let listener = TcpListener::bind(address).map_err(with_context(format!("{address}: cannot listen")))?;
     announce(&format!("admin {}", listener.local_addr()?));
     options.admin = Some(listener);
     Ok(())
@@ -110,7 +112,8 @@
 fn bind_gossip(node: &Node, options: &mut NodeOptions) -> Result<(), CommandError> {
     let Some(gossip) = &mut options.gossip else { return Ok(()) };
     let address = &gossip.sockets.listen;
-    let socket = UdpSocket::bind(address).map_err(about(format!("{address}: cannot listen for nodes")))?;
+    let socket =
+        UdpSocket::bind(address).map_err(with_context(format!("{address}: cannot listen for gossip")))?;
     let bound = socket.local_addr()?.to_string();
     announce(&format!("accord {bound}"));
     if node.accord.as_ref().is_some_and(|accord| accord.address.is_none()) {
@@ -120,8 +123,9 @@
     Ok(())
 }
 
-/// Passes the process's signals on to the node, for as long as it runs. The copy of the listening socket is for a handover,
-/// and closed once the node drains: connections came up as long as it was open, and nobody accepted them.
+/// Forwards the process's signals to the node for as long as it runs. The copy of the listening socket is for
+/// a handover and is closed once the node drains: as long as it was open, connections were established that
+/// nobody accepted.
 async fn forward_signals<T>(
     mut signals: SignalListener,
     node: Sender<ProcessSignal>,
@@ -137,7 +141,7 @@
                 Ok(()) => ProcessSignal::DrainHandedOver,
                 Err(CommandError(reason)) => {
                     let _ = node.send(ProcessSignal::ResumeStore).await;
-                    tracing::error!("no new process took over, this one serves on: {reason}");
+                    tracing::error!("handover failed, this process keeps serving: {reason}");
                     continue;
                 }
             },
--- a/crates/nickelgw-cli/src/serve/handover.rs
+++ b/crates/nickelgw-cli/src/serve/handover.rs
@@ -1,4 +1,4 @@
-//! Handover of the listening socket to a new process of the same command.
+//! Handover of the listening socket to a new process of the same executable.
 
 use super::SERVING;
 use crate::error::CommandError;
@@ -10,11 +10,11 @@
 use std::net::TcpListener;
 use std::os::fd::OwnedFd;
 
-/// A new process must serve within this time.
+/// Time within which the new process must serve.
 const HANDOVER_TIMEOUT_S: f64 = 15.0;
 const INHERITED_FLAG: &str = "--inherited";
 
-/// Releases the store, for the new process to open, and starts that process.
+/// Releases the store, so that the new process can open it, and starts that process.
 pub(super) async fn hand_over(
     node: &Sender<ProcessSignal>,
     listener: &TcpListener,
@@ -23,7 +23,7 @@
     start_successor(listener).await
 }
 
-/// Starts this command anew with the listening socket as its standard input, and waits until it serves.
+/// Starts this executable again with the listening socket as its standard input, and waits until it serves.
 async fn start_successor(listener: &TcpListener) -> Result<(), CommandError> {
     let mut args: Vec<String> = std::env::args().skip(1).collect();
     if !args.iter().any(|arg| arg == INHERITED_FLAG) {
@@ -33,18 +33,23 @@
     let mut command = Command::new(std::env::current_exe()?);
     command.args(args).stdin(Stdio::from(socket)).stdout(Stdio::piped());
     let mut successor = command.spawn()?;
-    let output = successor.stdout.take().ok_or_else(|| CommandError("it has no output".into()))?;
+    let output = successor
+        .stdout
+        .take()
+        .ok_or_else(|| CommandError("new process has no standard output pipe".into()))?;
     let timeout = async {
         sleep_s(HANDOVER_TIMEOUT_S).await;
         false
     };
     if futures_lite::future::or(announces_serving(output), timeout).await {
-        tracing::info!(process = successor.id(), "a new process serves");
+        tracing::info!(process = successor.id(), "new process serves");
         return Ok(());
     }
     let _ = successor.kill();
     let status = successor.status().await?;
-    Err(CommandError(format!("it did not come to serve ({status}); its own log says why")))
+    Err(CommandError(format!(
+        "new process ended or did not serve within {HANDOVER_TIMEOUT_S} s ({status}); its own log has the reason"
+    )))
 }
 
 async fn announces_serving(output: ChildStdout) -> bool {
--- a/crates/nickelgw-cli/src/signals.rs
+++ b/crates/nickelgw-cli/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals as events: SIGINT and SIGTERM terminate, SIGHUP reloads.
+//! Process signals as asynchronous events: SIGINT and SIGTERM request termination, SIGHUP a reload.
 
 use futures_lite::AsyncReadExt;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -7,22 +7,22 @@
 use std::io::ErrorKind;
 use std::os::unix::net::UnixStream;
 
-/// What a signal asks for.
+/// Request that a signal makes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// The process is to end.
+    /// End the process.
     Terminate,
-    /// The settings are to be read again.
+    /// Read the settings again.
     Reload,
 }
 
-/// Receives the process's signals from its construction on.
+/// Receives the signals sent to this process since the listener was created.
 pub struct SignalListener {
     terminate: Async<UnixStream>,
     reload: Async<UnixStream>,
 }
 
-/// A socket that gets a byte at each of these signals.
+/// Returns a socket that receives one byte for each of the given signals.
 fn register(signals: &[i32]) -> std::io::Result<Async<UnixStream>> {
     let (read, write) = UnixStream::pair()?;
     for signal in signals {
@@ -31,8 +31,8 @@
     Async::new(read)
 }
 
-/// Waits for a signal's byte. An interrupted call is retried: it must not end the process.
-async fn signal_arrives(socket: &mut Async<UnixStream>) -> std::io::Result<()> {
+/// Waits for a signal's byte. An interrupted read is retried, because its error would end the process.
+async fn wait_for_signal(socket: &mut Async<UnixStream>) -> std::io::Result<()> {
     loop {
         match socket.read(&mut [0]).await {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -47,14 +47,15 @@
     }
 
     pub async fn next(&mut self) -> std::io::Result<Signal> {
-        let terminate = async { signal_arrives(&mut self.terminate).await.map(|()| Signal::Terminate) };
-        let reload = async { signal_arrives(&mut self.reload).await.map(|()| Signal::Reload) };
+        let terminate = async { wait_for_signal(&mut self.terminate).await.map(|()| Signal::Terminate) };
+        let reload = async { wait_for_signal(&mut self.reload).await.map(|()| Signal::Reload) };
         futures_lite::future::or(terminate, reload).await
     }
 }
 
-/// Ready when the process is to end; signals count from this call on, not from the first poll.
+/// Returns a future that completes on SIGINT or SIGTERM. Signals count from this call on, not from the first
+/// poll.
 pub fn terminated() -> std::io::Result<impl Future<Output = std::io::Result<()>>> {
     let mut terminate = register(&[SIGINT, SIGTERM])?;
-    Ok(async move { signal_arrives(&mut terminate).await })
+    Ok(async move { wait_for_signal(&mut terminate).await })
 }
--- a/crates/nickelgw-cli/src/up.rs
+++ b/crates/nickelgw-cli/src/up.rs
@@ -1,4 +1,4 @@
-//! `nickelgw up`: nodes and test engines in one process, to try things out.
+//! `nickelgw up`: nodes and test engines in one process, to try nickelgw out.
 
 use crate::error::CommandError;
 use crate::local_servers::{is_healthy, node_settings, spawn_endpoint_list, spawn_engine};
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A node that is not ready after this time is shown nevertheless.
+/// Longest wait for a node to become ready; its address is printed in any case.
 const READY_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(clap::Args)]
@@ -22,7 +22,7 @@
     readers: u16,
     #[arg(long, default_value_t = 2)]
     writers: u16,
-    /// Port of the first node's chat API; the others follow. 0: free ones.
+    /// Port of the first node's chat API; further nodes use the next ports. With 0, all use free ports.
     #[arg(long, default_value_t = 8080)]
     port: u16,
 }
@@ -30,13 +30,16 @@
 impl Up {
     pub fn run(self) -> Result<ExitCode, CommandError> {
         if self.nodes == 0 || self.readers == 0 || self.writers == 0 {
-            return Err(CommandError("up needs a node, a reader and a writer at least".into()));
+            return Err(CommandError(format!(
+                "at least one node, reader and writer is needed: got {} nodes, {} readers and {} writers",
+                self.nodes, self.readers, self.writers
+            )));
         }
         let terminated = signals::terminated()?;
         let list = spawn_endpoint_list(self.spawn_engines()?)?;
         let addresses: Vec<String> =
             (0..self.nodes).map(|number| self.spawn_node(number, &list)).collect::<Result<_, _>>()?;
-        // Before it has fetched the list, a node rejects all requests.
+        // A node rejects all requests until it has fetched the endpoint list.
         addresses.iter().for_each(|address| wait_until_ready(address));
         self.print_usage(&addresses);
         smol::block_on(terminated)?;
@@ -53,12 +56,12 @@
         spawned.collect()
     }
 
-    /// Runs a node on a thread; gives its address.
+    /// Runs a node on a thread; returns its address.
     fn spawn_node(&self, number: u16, list: &str) -> Result<String, CommandError> {
         let port = if self.port == 0 { 0 } else { self.port + number };
         let address = format!("127.0.0.1:{port}");
         let listener = TcpListener::bind(&address).map_err(|error| {
-            CommandError(format!("{address}: cannot listen: {error}; another --port may be free"))
+            CommandError(format!("{address}: cannot listen: {error}; try another --port"))
         })?;
         let address = listener.local_addr()?.to_string();
         let settings = node_settings(number, self.nodes, list);
@@ -68,7 +71,10 @@
     }
 
     fn print_usage(&self, addresses: &[String]) {
-        println!("{} readers and {} writers, stand-ins, behind", self.readers, self.writers);
+        println!(
+            "{} prefill engines (readers) and {} decode engines (writers), simulated, behind",
+            self.readers, self.writers
+        );
         for address in addresses {
             println!("  http://{address}/v1/chat/completions");
         }
@@ -78,7 +84,7 @@
              '{{\"model\":\"chat\",\"stream\":true,\"messages\":[{{\"role\":\"user\",\"content\":\"Hello\"}}]}}'",
             addresses[0]
         );
-        println!("Ctrl-C ends all.");
+        println!("Press Ctrl-C to stop.");
     }
 }
 
